--- a/crates/testbed/tests/replica.rs
+++ b/crates/testbed/tests/replica.rs
@@ -318,18 +318,25 @@
     assert!(report.longest_queue_ms <= 800, "{report:?}");
 }
 
+/// A replica works through one queue, so the answer to a watch may be due while a later call has its turn. Both calls are
+/// then answered in the same moment, and which comes first says nothing. Whether the wait was counted from the call or from
+/// its turn shows in the answer: a watch whose wait is over is answered without the change that came after it.
 #[test]
 fn the_wait_of_a_watch_counts_from_when_its_call_came() {
     let capacity = ReplicaCapacity { lines_per_second: 5.0, ..FAST };
     let replica = Replica::start(capacity, 2);
     let (mut first, mut second) = (replica.connect(), replica.connect());
-    // It has its turn after 2 s and 1 s of its wait left, and the second call has its turn after 4 s.
+    // The first call has its turn after 2 s, with 1 s of its wait left; the second one has its turn after 4 s.
     first.send(&watch(FIRST, 3_000));
     replica.wait_for_calls(1);
     second.send(&watch(FIRST, 1));
-    let length = first.answer().unwrap().length as u64;
-    assert_eq!(replica.report().bytes_out, length);
-    assert_eq!(second.answer().unwrap().told(), (FIRST, false, Vec::new()));
+    let second = second.answer().unwrap();
+    // A wait that counted from the turn of the first call would last until 5 s, and be ended by this change.
+    replica.change(FIRST + 1, server_that_is(1, "draining"));
+    let first = first.answer().unwrap();
+    assert_eq!(replica.report().bytes_out, (first.length + second.length) as u64);
+    assert_eq!(first.told(), (FIRST, false, Vec::new()));
+    assert_eq!(second.told(), (FIRST, false, Vec::new()));
 }
 
 #[test]
