--- a/crates/balancer-core/src/time.rs
+++ b/crates/balancer-core/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time on the caller's clock; nothing in this crate reads a clock itself.
+//! Points in time on the caller's clock. Nothing in this crate reads a clock itself.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -8,15 +8,17 @@
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// From a count of microseconds.
+    /// The point this many microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
-    /// As a count of microseconds.
+
+    /// Microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
-    /// Time since `earlier`; zero where that lies ahead.
+
+    /// Time since `earlier`; zero if `earlier` lies ahead.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -24,7 +26,9 @@
 
 impl Add<Duration> for Timestamp {
     type Output = Self;
-    fn add(self, time: Duration) -> Self {
-        Self(self.0.saturating_add(u64::try_from(time.as_micros()).unwrap_or(u64::MAX)))
+
+    /// The point this long after `self`, or the last one that can be represented.
+    fn add(self, duration: Duration) -> Self {
+        Self(self.0.saturating_add(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)))
     }
 }
