--- a/crates/balancer-core/src/admission.rs
+++ b/crates/balancer-core/src/admission.rs
@@ -1,51 +1,57 @@
-//! Admission control: how much of the demand a node admits, and what it refuses first.
+//! Admission control: how much of the demand a node admits, and what it rejects first.
 //!
-//! One of hundreds of nodes cannot know how full a server is that it meets every ten seconds. What it can know is how the
-//! fleet does: the ends of *all* its attempts, whatever their server, are a fair sample of all nodes' attempts. So the
-//! controller has one level for the whole fleet, and no server's own history closes it.
+//! One of hundreds of nodes cannot know how full a server is that it meets every ten seconds. What it can know is the state
+//! of the fleet: the results of *all* its attempts, whatever their server, are a fair sample of all nodes' attempts. So the
+//! controller has one level for the whole fleet.
 //!
-//! The level falls by a part of itself with each attempt that was late or found no room, and rises by a step with each
-//! answer in time (Chiu and Jain, "Analysis of the Increase and Decrease Algorithms for Congestion Avoidance", 1989: nodes that
-//! share a bottleneck converge to fair parts without communication). Steps are taken by outcome and not by time, so the
-//! level at which increases and decreases balance is the same for a node that sees four outcomes a second and for one that
-//! sees four hundred: N nodes together admit what one that sees all would. Only its speed differs.
+//! The level falls by a fraction of itself with each attempt that was late or found the queue full, and rises by a step
+//! with each answer in time (Chiu and Jain, "Analysis of the Increase and Decrease Algorithms for Congestion Avoidance",
+//! 1989: nodes that share a bottleneck converge to fair shares without communication). Steps are taken by result and not by
+//! time, so the level at which increases and decreases balance is the same for a node that sees four results a second and
+//! for one that sees four hundred: N nodes together admit what one that sees all would. Only the speed differs.
 //!
-//! What is not admitted is what is worth least for its work, so that the most worth is served by the capacity there is; a
-//! minimum is left to each class, since its answers are evidence too.
+//! What is not admitted is what has the least priority weight for its work, so that the most weight is served by the
+//! capacity there is. A minimum of each class is admitted, since its results are evidence too.
 
+use crate::decay::ExponentialDecay;
+use crate::hashing::{mix, unit_interval};
 use crate::settings::RequestClass;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Time constant of the evidence: servers that are too full are so for two to three seconds (docs/design/evidence.md).
-const EVIDENCE_SPAN: Duration = Duration::from_secs(2);
-/// The part that the level loses with an attempt that found no room.
-const DECREASE: f64 = 0.06;
-/// The step up with an answer in time, where all of them are; it shrinks to `INCREASE_MIN` as `TOLERATED_FAILURES` of them
-/// are not, which is what a few bad servers among many cost.
+/// Time constant with which evidence decays: an overloaded server is so for two to three seconds.
+const EVIDENCE_TIME_CONSTANT: Duration = Duration::from_secs(2);
+/// Fraction of itself that the level loses with a full queue.
+const DECREASE_FACTOR: f64 = 0.06;
+/// Step up with an answer in time, where all attempts are. It shrinks to `INCREASE_MIN` as `TOLERATED_FAILURE_RATE` of them
+/// fail, which is what a few bad servers among many cost.
 const INCREASE: f64 = 0.04;
 const INCREASE_MIN: f64 = 0.003;
-const TOLERATED_FAILURES: f64 = 0.12;
-/// What each end counts against the level. A late answer comes from a server that works and has too much to do, most often; a
-/// time-out comes as well from one that is down or unreachable, and refusing requests for that helps nobody.
+const TOLERATED_FAILURE_RATE: f64 = 0.12;
+/// What each result counts against the level. A late answer most often comes from a server that works and is overloaded.
+/// A time-out may as well come from one that is down or unreachable, and rejecting requests for that helps nobody.
 const LATE_WEIGHT: f64 = 0.7;
 const TIMED_OUT_WEIGHT: f64 = 0.15;
-/// Answers in time that are assumed before there are any.
+const QUEUE_FULL_WEIGHT: f64 = 1.0;
+/// Answers in time that are assumed before there are any, so that a node's first failure rejects nothing.
 const PRIOR_ANSWERS: f64 = 5.0;
-/// The lowest level, and the part of each class that is admitted whatever the level.
+/// The lowest level.
 const LEVEL_MIN: f64 = 0.1;
-const CLASS_MIN: f64 = 0.15;
+/// Fraction of each class that is admitted whatever the level.
+const CLASS_MIN_FRACTION: f64 = 0.15;
+/// For this time a key has the same random number at all nodes: clients that are rejected retry sooner.
+const SHARED_RANDOM_PERIOD: Duration = Duration::from_secs(1);
 
 /// How an attempt ended, as far as it shows the load of the fleet. Connections that failed or broke show nothing of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// Answered in time.
     Answered,
-    /// Answered late, or all but.
+    /// Answered late, or nearly so.
     Late,
     /// Not answered in time.
     TimedOut,
-    /// Turned away because the server's queue was full.
+    /// Rejected because the server's queue was full.
     QueueFull,
 }
 
@@ -55,22 +61,23 @@
             Self::Answered => 0.0,
             Self::Late => LATE_WEIGHT,
             Self::TimedOut => TIMED_OUT_WEIGHT,
-            Self::QueueFull => 1.0,
+            Self::QueueFull => QUEUE_FULL_WEIGHT,
         }
     }
 }
 
-/// One node's level of admission and the evidence for it; see the module's documentation.
+/// One node's level of admission, and the evidence for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionController {
-    /// The admitted part of the demand.
+    /// The admitted fraction of the demand.
     level: f64,
-    /// Attempts that ended, and what they count against the level, over about `EVIDENCE_SPAN`.
+    /// Number of attempts that ended, decaying over [`EVIDENCE_TIME_CONSTANT`].
     attempts: f64,
+    /// What they count against the level, decaying likewise.
     failures: f64,
-    /// By class: the work of the requests, over about `EVIDENCE_SPAN`, in the caller's unit.
+    /// By class: the work of the requests, in the caller's unit, decaying likewise.
     demand: Vec<f64>,
-    decayed_at: Timestamp,
+    decay: ExponentialDecay,
 }
 
 impl Default for AdmissionController {
@@ -81,7 +88,7 @@
             attempts: 0.0,
             failures: 0.0,
             demand: Vec::new(),
-            decayed_at: Timestamp::default(),
+            decay: ExponentialDecay::default(),
         }
     }
 }
@@ -93,7 +100,7 @@
         Self { level, ..Self::default() }
     }
 
-    /// The admitted part of the demand, from above 0 to 1.
+    /// The admitted fraction of the demand, from above 0 to 1.
     pub fn level(&self) -> f64 {
         self.level
     }
@@ -112,14 +119,14 @@
         let weight = end.weight();
         self.attempts += 1.0;
         self.failures += weight;
-        let failure_share = self.failures / (self.attempts + PRIOR_ANSWERS);
-        let increase = (INCREASE * (1.0 - failure_share / TOLERATED_FAILURES)).max(INCREASE_MIN);
+        let failure_rate = self.failures / (self.attempts + PRIOR_ANSWERS);
+        let increase = (INCREASE * (1.0 - failure_rate / TOLERATED_FAILURE_RATE)).max(INCREASE_MIN);
         self.level =
-            (self.level * (1.0 - DECREASE * weight) + (1.0 - weight) * increase).clamp(LEVEL_MIN, 1.0);
+            (self.level * (1.0 - DECREASE_FACTOR * weight) + (1.0 - weight) * increase).clamp(LEVEL_MIN, 1.0);
     }
 
-    /// Whether a request of this class is admitted; it counts as demand either way. `work` is by class what one of its
-    /// requests takes, in any one unit; `random` is the request's number between 0 and 1, uniformly distributed.
+    /// Whether a request of this class is admitted; it counts as demand either way. `work` has what a request of each class
+    /// costs, all in one unit; `random` is the request's number between 0 and 1, uniformly distributed.
     pub fn admits(
         &mut self,
         now: Timestamp,
@@ -134,19 +141,41 @@
         if self.level >= 1.0 {
             return true;
         }
-        let price = |class: usize| classes[class].priority_weight / work[class].max(f64::MIN_POSITIVE);
-        // Classes that are worth less for their work are refused first; equal ones in their order.
-        let refused_first = (0..classes.len()).filter(|&other| (price(other), other) < (price(class), class));
-        let refusable = 1.0 - CLASS_MIN.min(self.level);
-        let refused = refused_first.map(|other| self.demand[other] * refusable).sum::<f64>();
-        let to_refuse = (1.0 - self.level) * self.demand.iter().sum::<f64>() - refused;
-        random * self.demand[class] >= to_refuse.clamp(0.0, self.demand[class] * refusable)
+        random * self.demand[class] >= self.demand_to_reject(class, classes, work)
+    }
+
+    /// How much of the demand of this class is to be rejected: what is left to reject after the classes with less weight
+    /// for their work, up to all but the minimum of the class.
+    fn demand_to_reject(&self, class: usize, classes: &[RequestClass], work: &[f64]) -> f64 {
+        let weight_for_work =
+            |class: usize| classes[class].priority_weight / work[class].max(f64::MIN_POSITIVE);
+        // Equal classes are rejected in their order.
+        let rejected_before = (0..classes.len())
+            .filter(|&other| (weight_for_work(other), other) < (weight_for_work(class), class));
+        let rejectable_fraction = 1.0 - CLASS_MIN_FRACTION.min(self.level);
+        let rejected = rejected_before.map(|other| self.demand[other] * rejectable_fraction).sum::<f64>();
+        let to_reject = (1.0 - self.level) * self.demand.iter().sum::<f64>() - rejected;
+        to_reject.clamp(0.0, self.demand[class] * rejectable_fraction)
     }
 
     fn decay(&mut self, now: Timestamp) {
-        let factor = (-now.since(self.decayed_at).as_secs_f64() / EVIDENCE_SPAN.as_secs_f64()).exp();
-        self.decayed_at = now;
+        let factor = self.decay.factor(now, EVIDENCE_TIME_CONSTANT);
         self.demand.iter_mut().for_each(|demand| *demand *= factor);
-        (self.attempts, self.failures) = (self.attempts * factor, self.failures * factor);
+        self.attempts *= factor;
+        self.failures *= factor;
     }
 }
+
+/// The random number between 0 and 1 by which a request of this key and class is admitted at `now`. It is the same at all
+/// nodes for a period, so that a client that is rejected by one is not admitted by the next, and the same load returns
+/// through it; and another one in the next period, so that no key is rejected for good.
+pub fn shared_random(now: Timestamp, key: u64, class: usize) -> f64 {
+    let period = now.as_micros() / SHARED_RANDOM_PERIOD.as_micros() as u64;
+    unit_interval(mix(key ^ mix(period) ^ class as u64))
+}
+
+/// Time until requests have other numbers by [`shared_random`].
+pub fn time_to_next_period(now: Timestamp) -> Duration {
+    let period = SHARED_RANDOM_PERIOD.as_micros() as u64;
+    Duration::from_micros(period - now.as_micros() % period)
+}
--- a/crates/balancer-core/src/balance.rs
+++ b/crates/balancer-core/src/balance.rs
@@ -1,150 +1,175 @@
-//! The balancing policy: which server a request goes to, when it is sent again, and when it is refused. Its
-//! interface, the types in and out, is `src/api.rs`; each part of the policy has a file in `balance/`.
+//! The balancing policy: which server a request goes to, when it is retried, and when it is rejected. The
+//! types of its interface are in `src/api.rs`.
+//!
+//! Each rule is a type with its own state, in a file of its own in `balance/`; [`Balancer`] wires them
+//! together:
+//!
+//! - where a request goes: `rendezvous` (weighted rendezvous hashing), [`hot_keys`](crate::hot_keys)
+//!   (replicas of hot keys), `servers` and `server_kinds` (capacity), `slow_start`, `selection` (the wiring);
+//! - how much a server is sent: `concurrency_limit`, `circuit_breaker` and `outlier_detection` (ejection);
+//! - what the origin is sent: `cached_keys`, `fetch_limit`, `origin_breaker`;
+//! - what is sent at all: [`admission`](crate::admission), `retry_budget`, `queue`, `retry_after`, `dispatch`
+//!   (the wiring);
+//! - what a result shows: `assessment`, `request_costs`, `attempt_results` (the wiring);
+//! - what a successor takes on: `learned_state`.
 
-mod breaker;
+mod assessment;
+mod attempt_results;
+mod cached_keys;
+mod circuit_breaker;
+mod concurrency_limit;
 mod dispatch;
-mod fetches;
+mod fetch_limit;
 mod learned_state;
-mod outcome;
+mod origin_breaker;
+mod outlier_detection;
+mod queue;
+mod rendezvous;
 mod request;
+mod request_costs;
+mod retry_after;
+mod retry_budget;
 mod selection;
+mod server_kinds;
 mod servers;
 mod slow_start;
 
 use crate::admission::AdmissionController;
-use crate::api::*;
-use crate::hashing::*;
+use crate::decay::ExponentialDecay;
+use crate::endpoints::EndpointUpdate;
+use crate::events::{Action, Event};
+use crate::hashing::{mix, unit_interval};
 use crate::hot_keys::HotKeys;
-use crate::recent::{OutcomeCount, RecentSet};
-use breaker::*;
-use dispatch::BUDGET_MAX;
-use fetches::*;
-use outcome::PACE_SPAN;
-use request::*;
-use servers::*;
-use std::collections::{BTreeSet, HashMap};
+use crate::names::RequestId;
+use crate::requests::Request;
+use crate::settings::{RequestClass, Settings};
+use crate::time::Timestamp;
+use cached_keys::{CacheMarks, CachedKeys};
+use circuit_breaker::IGNORED_EPOCH;
+use concurrency_limit::initial_limit;
+use fetch_limit::FetchLimit;
+use origin_breaker::OriginBreaker;
+use queue::RequestQueue;
+use request::{class_index, PendingRequest};
+use request_costs::RequestCosts;
+use retry_budget::RetryBudget;
+use servers::ServerList;
+use slow_start::SlowStart;
+use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Limit of requests in flight at a server: its start for all nodes together, and its least.
-const LIMIT_START: f64 = 16.0;
-const LIMIT_MIN: f64 = 0.05;
-const FOLLOW_AGAIN: Duration = Duration::from_secs(1);
-/// Most keys whose last answer is remembered.
-const KEYS_MAX: usize = 4096;
-/// Time constant by which rates of outcomes decay.
-const RATE_SPAN: Duration = Duration::from_secs(2);
+/// Time after which discovery is subscribed to again when it could not be reached: while it fails, it has
+/// load enough.
+const RESUBSCRIBE_DELAY: Duration = Duration::from_secs(1);
+/// Time constant with which counts of attempts decay.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
 /// Decides for one node. It has no clock and does no I/O: equal events give equal actions.
 #[derive(Debug)]
 pub struct Balancer {
+    /// With a last class for requests of no class; see [`with_unnamed_class`].
     settings: Arc<Settings>,
     seed: u64,
-    /// Requests so far; each has a random number by its place among them.
+    /// Number of requests so far. Each has a random number by its place among them.
     requests_seen: u64,
-    list_received: bool,
-    /// Sorted by id. Draining servers stay until discovery removes them.
-    servers: Vec<Server>,
-    kinds: Vec<ServerKind>,
-    /// Looked up by id, since its order differs from run to run; walked only where each is changed by itself.
+    servers: ServerList,
+    /// Where the concurrency limits of servers start at this node.
+    initial_limit: f64,
+    /// Looked up by id, since its order differs from run to run; iterated only where each is changed by
+    /// itself.
     pending: HashMap<RequestId, PendingRequest>,
-    /// Requests that wait for room, by the time of their next try.
-    queued: BTreeSet<(Timestamp, RequestId)>,
+    queue: RequestQueue,
+    /// Time of the next [`Event::TimerExpired`], if one is to come.
     timer_at: Option<Timestamp>,
-    follow_at: Option<Timestamp>,
-    retry_budget: f64,
-    /// Where a server's limit of requests in flight starts at this node.
-    limit_start: f64,
-    /// By class: what its answers take of late, in seconds.
-    mean_latency: Vec<f64>,
-    /// Forecast work of late, in seconds.
-    mean_work: f64,
-    /// The breaker of what servers fetch misses from, where they tell of misses.
-    origin: Breaker,
-    /// By key: whether the last answer to it here came from the server's cache. Never walked.
-    cached_keys: HashMap<u64, bool>,
+    /// When to subscribe to the endpoint list, where discovery is polled.
+    subscribe_at: Option<Timestamp>,
+    retry_budget: RetryBudget,
+    request_costs: RequestCosts,
+    origin_breaker: OriginBreaker,
+    cached_keys: CachedKeys,
+    cache_marks: CacheMarks,
     hot_keys: HotKeys,
-    /// Where servers do not report misses: marks of what they answered of late, by key and incarnation, which
-    /// tell likely misses, and how many of these may be in flight.
-    cache_marks: RecentSet,
     fetch_limit: FetchLimit,
-    /// Answers that show no queue, over about `RATE_SPAN`.
-    prompt_answers: f64,
-    /// To what time the rates have decayed.
-    decayed_at: Timestamp,
+    slow_start: SlowStart,
     admission: AdmissionController,
+    decay: ExponentialDecay,
 }
 
 impl Balancer {
     /// A balancer that knows no server yet. `seed` should differ between nodes.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let (settings, limit_start) = completed(settings);
+        let settings = with_unnamed_class(settings);
         Self {
-            mean_latency: settings
-                .classes
-                .iter()
-                .map(|class| class.latency_objective.as_secs_f64())
-                .collect(),
+            request_costs: RequestCosts::new(&settings.classes),
+            initial_limit: initial_limit(settings.nodes),
             settings,
             seed,
             requests_seen: 0,
-            list_received: false,
-            servers: Vec::new(),
-            kinds: Vec::new(),
+            servers: ServerList::default(),
             pending: HashMap::new(),
-            queued: BTreeSet::new(),
+            queue: RequestQueue::default(),
             timer_at: None,
-            follow_at: Some(Timestamp::default()),
-            retry_budget: BUDGET_MAX,
-            limit_start,
-            mean_work: 0.0,
-            origin: Breaker::new(WINDOW, Timestamp::default()),
-            cached_keys: HashMap::new(),
+            subscribe_at: Some(Timestamp::default()),
+            retry_budget: RetryBudget::default(),
+            origin_breaker: OriginBreaker::new(Timestamp::default()),
+            cached_keys: CachedKeys::default(),
+            cache_marks: CacheMarks::default(),
             hot_keys: HotKeys::default(),
-            cache_marks: RecentSet::default(),
             fetch_limit: FetchLimit::default(),
-            prompt_answers: 0.0,
-            decayed_at: Timestamp::default(),
+            slow_start: SlowStart::default(),
             admission: AdmissionController::default(),
+            decay: ExponentialDecay::default(),
         }
     }
 
-    /// Takes in what happened at `now` and appends what the node must do.
+    /// Takes in what happened at `now`, and appends what the node must do.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.decay(now);
         match event {
-            Event::EndpointsRestored(list) | Event::EndpointsUpdated(EndpointUpdate::Snapshot(list)) => {
-                self.apply_list(now, &list, true)
+            Event::EndpointsRestored(endpoints) => {
+                self.servers.apply_snapshot(&endpoints, &self.settings, self.initial_limit, now);
             }
-            Event::EndpointsUpdated(EndpointUpdate::Delta(list)) => self.apply_list(now, &list, false),
-            // Asked for again after a while: discovery that fails is loaded enough.
-            Event::EndpointsUpdated(EndpointUpdate::Unavailable) => self.follow_at = Some(now + FOLLOW_AGAIN),
+            Event::EndpointsUpdated(update) => self.on_endpoints_updated(now, update),
             Event::Request(request) => self.on_request(now, request, actions),
-            Event::AttemptEnded(outcome) => self.on_outcome(now, &outcome, actions),
-            Event::RequestCancelled(id) => self.pending.get_mut(&id).into_iter().for_each(|p| p.done = true),
-            Event::StateRestored(known) => self.recall(now, &known),
+            Event::AttemptEnded(outcome) => self.on_attempt_ended(now, &outcome, actions),
+            Event::RequestCancelled(id) => {
+                if let Some(pending) = self.pending.get_mut(&id) {
+                    pending.finished = true;
+                }
+            }
+            Event::StateRestored(learned) => self.restore(now, &learned),
             Event::Reconfigured(settings) => self.reconfigure(now, *settings),
             Event::TimerExpired => self.timer_at = None,
             Event::ResponseStarted { .. } | Event::HealthCheckEnded { .. } => {}
         }
-        if self.settings.discovery_is_polled && self.follow_at.is_some_and(|at| now >= at) {
-            self.follow_at = None;
-            actions.push(Action::SubscribeToEndpoints);
-        }
-        while self.queued.first().is_some_and(|(at, _)| *at <= now) {
-            if let Some(pending) = self.queued.pop_first().and_then(|(_, id)| self.pending.remove(&id)) {
-                self.decide(now, pending, actions);
+        self.subscribe_if_due(now, actions);
+        while let Some(id) = self.queue.pop_due(now) {
+            if let Some(pending) = self.pending.remove(&id) {
+                self.dispatch(now, pending, actions);
             }
         }
         self.set_timer(now, actions);
     }
 
+    /// Scales the counts that decay with time.
     fn decay(&mut self, now: Timestamp) {
-        let factor = (-now.since(self.decayed_at).as_secs_f64() / RATE_SPAN.as_secs_f64()).exp();
-        self.decayed_at = now;
-        self.prompt_answers *= factor;
+        let factor = self.decay.factor(now, RATE_TIME_CONSTANT);
+        self.slow_start.decay(factor);
         self.fetch_limit.decay(factor);
-        self.cache_marks.rotate(now, MARK_SPAN, KEYS_MAX);
+        self.cache_marks.rotate(now);
+    }
+
+    fn on_endpoints_updated(&mut self, now: Timestamp, update: EndpointUpdate) {
+        match update {
+            EndpointUpdate::Snapshot(endpoints) => {
+                self.servers.apply_snapshot(&endpoints, &self.settings, self.initial_limit, now);
+            }
+            EndpointUpdate::Delta(endpoints) => {
+                self.servers.apply_delta(&endpoints, &self.settings, self.initial_limit, now);
+            }
+            EndpointUpdate::Unavailable => self.subscribe_at = Some(now + RESUBSCRIBE_DELAY),
+        }
     }
 
     fn on_request(&mut self, now: Timestamp, request: Request, actions: &mut Vec<Action>) {
@@ -157,61 +182,60 @@
             class_index: class_index(&self.settings, &request),
             attempts: Vec::new(),
             random: unit_interval(mix(self.seed ^ self.requests_seen)),
-            arrived: now,
-            done: false,
+            arrived_at: now,
+            finished: false,
             request,
         };
-        self.decide(now, pending, actions);
+        self.dispatch(now, pending, actions);
     }
 
-    /// Asks for a timer event where something falls due before the one that is to come.
+    fn subscribe_if_due(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        if self.settings.discovery_is_polled && self.subscribe_at.is_some_and(|at| now >= at) {
+            self.subscribe_at = None;
+            actions.push(Action::SubscribeToEndpoints);
+        }
+    }
+
+    /// Sets a timer where something falls due before the one that is set.
     fn set_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        let queued = self.queued.first().map(|(at, _)| *at);
-        let follow = self.follow_at.filter(|_| self.settings.discovery_is_polled);
-        let next = queued.into_iter().chain(follow).min();
+        let subscribe_at = self.subscribe_at.filter(|_| self.settings.discovery_is_polled);
+        let next = self.queue.next_try().into_iter().chain(subscribe_at).min();
         if let Some(at) = next.filter(|at| self.timer_at.is_none_or(|timer_at| *at < timer_at)) {
             self.timer_at = Some(at);
             actions.push(Action::SetTimer { after: at.since(now) });
         }
     }
 
-    /// What is known of servers lives on, and what is counted by class with the class's name.
+    /// Takes on new settings. What is known of servers stays, and what is counted by class stays with the
+    /// class of that name.
     fn reconfigure(&mut self, now: Timestamp, settings: Settings) {
-        let (settings, limit_start) = completed(settings);
-        let before = std::mem::replace(&mut self.settings, settings);
-        let limit_factor = limit_start / std::mem::replace(&mut self.limit_start, limit_start);
+        let before = std::mem::replace(&mut self.settings, with_unnamed_class(settings));
         let former = |class: &RequestClass| before.classes.iter().position(|other| other.name == class.name);
         let former: Vec<_> = self.settings.classes.iter().map(former).collect();
         self.reassign_classes(now, &former);
-        // A node of twice as many has half of the work to do.
-        for server in &mut self.servers {
-            server.limit = (server.limit * limit_factor).max(LIMIT_MIN);
-        }
+        let initial_limit = initial_limit(self.settings.nodes);
+        let factor = initial_limit / std::mem::replace(&mut self.initial_limit, initial_limit);
+        self.servers.iter_mut().for_each(|server| server.concurrency.scale(factor));
         if self.settings.discovery_is_polled && !before.discovery_is_polled {
-            self.follow_at = Some(now);
+            self.subscribe_at = Some(now);
         }
     }
 
     /// Moves what is counted by class to the present classes. `former` has the position that each of them had
     /// before, if it was there.
     fn reassign_classes(&mut self, now: Timestamp, former: &[Option<usize>]) {
-        let mean_latency = |(class, former): (&RequestClass, &Option<usize>)| {
-            former.map_or(class.latency_objective.as_secs_f64(), |i| self.mean_latency[i])
-        };
-        self.mean_latency = self.settings.classes.iter().zip(former).map(mean_latency).collect();
+        self.request_costs.reassign_classes(&self.settings.classes, former);
         self.admission.reassign_classes(former);
-        for server in &mut self.servers {
-            let mut breakers: Vec<_> = std::mem::take(&mut server.by_class).into_iter().map(Some).collect();
-            let breaker = |former: &Option<usize>| {
-                former.and_then(|i| breakers[i].take()).unwrap_or_else(|| Breaker::new(CLASS_WINDOW, now))
-            };
-            server.by_class = former.iter().map(breaker).collect();
+        for server in self.servers.iter_mut() {
+            server.outlier_detection.reassign_classes(former, now);
         }
+        let unnamed = former.len() - 1;
         for pending in self.pending.values_mut() {
             match former.iter().position(|former| *former == Some(pending.class_index)) {
                 Some(present) => pending.class_index = present,
                 None => {
-                    pending.class_index = former.len() - 1;
+                    // Its class is gone. The unnamed class must not be blamed for its attempts.
+                    pending.class_index = unnamed;
                     pending.attempts.iter_mut().for_each(|attempt| attempt.epochs.class = IGNORED_EPOCH);
                 }
             }
@@ -219,9 +243,13 @@
     }
 }
 
-/// Settings with a last class for requests of none, the most careful one; and where limits start under them.
-fn completed(mut settings: Settings) -> (Arc<Settings>, f64) {
+/// Settings with a last class for requests of no class: the most careful one.
+fn with_unnamed_class(mut settings: Settings) -> Arc<Settings> {
     settings.classes.push(RequestClass::default());
-    let limit_start = (LIMIT_START / f64::from(settings.nodes.max(1))).max(1.0);
-    (Arc::new(settings), limit_start)
+    Arc::new(settings)
+}
+
+/// One node's part of what all nodes may do together.
+fn per_node(of_all_nodes: f64, nodes: u32) -> f64 {
+    of_all_nodes / f64::from(nodes.max(1))
 }
--- /dev/null
+++ b/crates/balancer-core/src/balance/attempt_results.rs
@@ -0,0 +1,192 @@
+//! What the balancer learns from the result of an attempt: of the server, of its class there, of its kind, of
+//! the origin and of the fleet's load.
+
+use super::assessment::{Assessment, Evidence};
+use super::circuit_breaker::CallResult;
+use super::outlier_detection::{is_class_outlier, is_server_outlier, Epochs};
+use super::request::{placement_key, PendingRequest};
+use super::slow_start::is_warming_up;
+use super::Balancer;
+use crate::events::Action;
+use crate::requests::{AttemptOutcome, AttemptStatus, CacheResult};
+use crate::settings::CacheMode;
+use crate::time::Timestamp;
+
+/// A server with a CPU utilization below this has idle cores.
+const SPARE_CPU_UTILIZATION: f64 = 0.8;
+/// Up to this many nodes, each meets a server often enough for its reports of queues to explain its latency.
+const MAX_NODES_FOR_QUEUE_REPORTS: u32 = 100;
+/// Least expected work of a request, in seconds.
+const EXPECTED_WORK_MIN_SECONDS: f64 = 1e-6;
+
+/// An attempt that has ended.
+struct EndedAttempt<'a> {
+    outcome: &'a AttemptOutcome,
+    assessment: Assessment,
+    epochs: Epochs,
+    origin_epoch: u32,
+    class: usize,
+    /// Whether the server reported that it fetched the value from the origin.
+    fetched: bool,
+    /// Expected work in seconds, or the latency objective where no work is stated; above 0.
+    expected_seconds: f64,
+}
+
+impl Balancer {
+    /// Takes in the result of an attempt, and dispatches its request again.
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now: Timestamp,
+        outcome: &AttemptOutcome,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(mut pending) = self.pending.remove(&outcome.id) else { return };
+        let Some(attempt) = pending.attempts.get_mut(outcome.attempt as usize) else {
+            return self.store(pending);
+        };
+        attempt.status = Some(outcome.status);
+        let (epochs, origin_epoch) = (attempt.epochs, attempt.origin_epoch);
+        let origin_overloaded =
+            self.fetch_limit.on_result(now, attempt.ended(outcome.status), self.settings.nodes);
+        let server = self.servers.position(&outcome.server).ok();
+        self.mark_cached(server, &pending, outcome);
+        let fetched =
+            outcome.cache_result == Some(CacheResult::Miss) && self.settings.mode == CacheMode::Through;
+        let evidence = self.evidence(now, server, &pending, outcome, fetched || origin_overloaded);
+        let expected = pending.request.expected_work.unwrap_or(pending.class().latency_objective);
+        let ended = EndedAttempt {
+            outcome,
+            assessment: Assessment::of(outcome.status, &evidence),
+            epochs,
+            origin_epoch,
+            class: pending.class_index,
+            fetched,
+            expected_seconds: expected.as_secs_f64().max(EXPECTED_WORK_MIN_SECONDS),
+        };
+        self.record_origin(now, placement_key(&pending.request), &ended, actions);
+        if outcome.status == AttemptStatus::Ok {
+            self.request_costs.record_latency(ended.class, outcome.elapsed);
+        }
+        if let Some(index) = server {
+            self.record_kind(now, index, &ended);
+            self.record_load(now, index, &ended, evidence.queue_is_empty);
+            self.record_class(now, index, &ended, actions);
+            self.record_server(now, index, &ended, actions);
+        }
+        pending.finished |= outcome.request_finished;
+        self.dispatch(now, pending, actions);
+    }
+
+    /// Marks the key of a request as held by the server that has served it.
+    fn mark_cached(&mut self, server: Option<usize>, pending: &PendingRequest, outcome: &AttemptOutcome) {
+        if let (Some(index), Some(key), AttemptStatus::Ok) = (server, pending.request.key, outcome.status) {
+            self.cache_marks.insert(key, self.servers[index].incarnation());
+        }
+    }
+
+    fn evidence(
+        &mut self,
+        now: Timestamp,
+        server: Option<usize>,
+        pending: &PendingRequest,
+        outcome: &AttemptOutcome,
+        origin_at_fault: bool,
+    ) -> Evidence {
+        let in_time_limit = self.request_costs.in_time_limit(&pending.request, pending.class());
+        let load = &outcome.load;
+        Evidence {
+            in_time: outcome.elapsed <= in_time_limit,
+            spare_cpu: load.cpu_utilization.is_some_and(|utilization| utilization < SPARE_CPU_UTILIZATION),
+            queue_was_empty: server.is_some_and(|index| self.has_empty_queue(&self.servers[index], now)),
+            queue_is_empty: load.queue_length.map(|length| length < 1.0),
+            queue_explains_latency: self.settings.nodes <= MAX_NODES_FOR_QUEUE_REPORTS,
+            origin_at_fault,
+        }
+    }
+
+    /// Records which keys are cached, and the result for the breaker of the origin, where servers report
+    /// misses.
+    fn record_origin(&mut self, now: Timestamp, key: u64, ended: &EndedAttempt, actions: &mut Vec<Action>) {
+        let assessment = ended.assessment;
+        if ended.fetched {
+            self.cached_keys.record(key, assessment.is_answer());
+        } else if ended.outcome.cache_result == Some(CacheResult::Hit) {
+            self.cached_keys.record(key, assessment.confirms_hit());
+        }
+        let result = if ended.fetched { assessment.origin_result() } else { CallResult::Inconclusive };
+        if self.origin_breaker.on_result(ended.origin_epoch, result, self.seed, now) {
+            actions.push(Action::Log("breaker of the origin tripped".into()));
+        }
+    }
+
+    /// Records how fast servers of this kind are. Fetches show the origin's speed, and warming servers are
+    /// slower.
+    fn record_kind(&mut self, now: Timestamp, index: usize, ended: &EndedAttempt) {
+        let server = &self.servers[index];
+        let shows_speed = matches!(ended.outcome.status, AttemptStatus::Ok | AttemptStatus::TimedOut)
+            && !ended.fetched
+            && !is_warming_up(&server.endpoint, &self.settings, now);
+        if shows_speed {
+            let kind = server.kind;
+            self.servers.kinds.record(kind, ended.outcome.elapsed, ended.expected_seconds);
+        }
+    }
+
+    /// Records the load of the fleet and of the server.
+    fn record_load(
+        &mut self,
+        now: Timestamp,
+        index: usize,
+        ended: &EndedAttempt,
+        queue_is_empty: Option<bool>,
+    ) {
+        let assessment = ended.assessment;
+        if assessment.is_prompt_answer() {
+            self.slow_start.on_prompt_answer();
+        }
+        // A miss that the balancer itself goes on to fetch is no answer yet.
+        let is_miss = ended.outcome.status == AttemptStatus::Miss;
+        if let Some(evidence) = assessment.admission_evidence().filter(|_| !is_miss) {
+            self.admission.record(now, evidence);
+        }
+        let server = &mut self.servers[index];
+        if let Some(is_empty) = queue_is_empty {
+            server.empty_queue_at = is_empty.then_some(now);
+        }
+        server.concurrency.on_result(assessment);
+    }
+
+    /// Ejects the class from the server where it fails there and not elsewhere.
+    fn record_class(
+        &mut self,
+        now: Timestamp,
+        index: usize,
+        ended: &EndedAttempt,
+        actions: &mut Vec<Action>,
+    ) {
+        let class = ended.class;
+        let outlier_detection = &mut self.servers[index].outlier_detection;
+        let opens = outlier_detection.on_class_result(class, ended.epochs, ended.assessment, now);
+        if opens && is_class_outlier(self.servers.as_slice(), index, class, now) {
+            self.servers[index].outlier_detection.eject_class(class, now);
+            let server = &ended.outcome.server;
+            actions.push(Action::Log(format!("breaker of {server} tripped for class {class}")));
+        }
+    }
+
+    /// Ejects the server where it fails and others do not.
+    fn record_server(
+        &mut self,
+        now: Timestamp,
+        index: usize,
+        ended: &EndedAttempt,
+        actions: &mut Vec<Action>,
+    ) {
+        let outlier_detection = &mut self.servers[index].outlier_detection;
+        let opens = outlier_detection.on_server_result(ended.epochs, ended.assessment, now);
+        if opens && is_server_outlier(self.servers.as_slice(), index, now) {
+            self.servers[index].outlier_detection.eject_server(now);
+            actions.push(Action::Log(format!("breaker of {} tripped", ended.outcome.server)));
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer-core/src/balance/origin_breaker.rs
@@ -0,0 +1,70 @@
+//! The circuit breaker of the origin, where cache servers fetch from it and report misses.
+//!
+//! An origin with a queue longer than anyone waits serves nobody: each fetch that fails is sent again by its
+//! client, so the queue stays full. The breaker keeps misses off the origin until it has worked its queue
+//! down. Keys that are cached are served meanwhile, and no cache server is ejected for the failures.
+
+use super::circuit_breaker::{BreakerState, CallResult, CircuitBreaker, COOLDOWN, MIN_CALLS};
+use super::outlier_detection::SERVER_WINDOW;
+use crate::hashing::{mix, unit_interval};
+use crate::learned_state::LearnedBreaker;
+use crate::time::Timestamp;
+
+/// The cooldown is this fraction of the ordinary one, and a random part up to the second fraction more, so
+/// that the trials of many nodes do not meet.
+const COOLDOWN_MIN_FRACTION: f64 = 0.75;
+const COOLDOWN_JITTER_FRACTION: f64 = 0.5;
+
+/// The breaker of the origin.
+#[derive(Debug)]
+pub struct OriginBreaker {
+    breaker: CircuitBreaker,
+}
+
+impl OriginBreaker {
+    /// A closed breaker.
+    pub fn new(now: Timestamp) -> Self {
+        Self { breaker: CircuitBreaker::new(SERVER_WINDOW, now) }
+    }
+
+    /// Its present state.
+    pub fn state(&self) -> BreakerState {
+        self.breaker.state()
+    }
+
+    /// Whether a request that may need the origin may be sent now.
+    pub fn admits(&self, now: Timestamp) -> bool {
+        self.breaker.admits(now)
+    }
+
+    /// Counts an attempt that is sent, and returns the epoch in which its result counts. An attempt for a
+    /// cached key is no trial of the origin: while the breaker is not closed, its result counts for an
+    /// earlier epoch, that is for none.
+    pub fn on_send(&mut self, is_cached: bool, now: Timestamp) -> u32 {
+        if !is_cached {
+            self.breaker.on_send(now);
+        }
+        let ignored = is_cached && self.breaker.state() != BreakerState::Closed;
+        self.breaker.epoch().wrapping_sub(u32::from(ignored))
+    }
+
+    /// Counts the result of an attempt. Returns whether the breaker has opened for it.
+    pub fn on_result(&mut self, epoch: u32, result: CallResult, seed: u64, now: Timestamp) -> bool {
+        let opens = self.breaker.on_result(epoch, result, MIN_CALLS, now);
+        if opens {
+            let jitter = unit_interval(mix(seed ^ now.as_micros())) * COOLDOWN_JITTER_FRACTION;
+            self.breaker.open(now + COOLDOWN.mul_f64(COOLDOWN_MIN_FRACTION + jitter), now);
+        }
+        opens
+    }
+
+    /// Its state, for a successor.
+    pub fn learned(&self, now: Timestamp) -> LearnedBreaker {
+        self.breaker.learned(now)
+    }
+
+    /// A breaker in the state that a predecessor learned.
+    pub fn restored(learned: &LearnedBreaker, now: Timestamp) -> Self {
+        Self { breaker: CircuitBreaker::restored(learned, SERVER_WINDOW, now) }
+    }
+}
--- /dev/null
+++ b/crates/balancer-core/src/balance/outlier_detection.rs
@@ -0,0 +1,190 @@
+//! Outlier detection: a server, or one class of requests at a server, is ejected by a circuit breaker while
+//! it fails and the others do not.
+
+use super::assessment::Assessment;
+use super::circuit_breaker::{BreakerState, CircuitBreaker, COOLDOWN, FAILURE_THRESHOLD, MIN_CALLS};
+use super::servers::Server;
+use crate::learned_state::LearnedBreaker;
+use crate::names::Name;
+use crate::time::Timestamp;
+use std::time::Duration;
+
+/// Window over which a server's calls are counted.
+pub const SERVER_WINDOW: Duration = Duration::from_secs(5);
+/// Window over which the calls of one class at a server are counted. A class that is rejected by a server
+/// with an empty queue is no accident, and in a long window the calls served before would hide it.
+const CLASS_WINDOW: Duration = Duration::from_secs(1);
+/// No server is ejected while the other servers fail at this rate: the cause is not that one server's.
+const COMMON_FAILURE_RATE: f64 = FAILURE_THRESHOLD / 2.0;
+
+/// The breakers of one server.
+///
+/// A server may reject one class and serve the others: a release that does not know the class, or a quota of
+/// that class's own. Ejected as a whole it would lose the keys of all classes to servers that have not cached
+/// them, so each class has a breaker of its own. The cost: a class that is rejected for a moment only is
+/// missed elsewhere meanwhile.
+#[derive(Debug)]
+pub struct OutlierDetection {
+    server: CircuitBreaker,
+    /// By class.
+    classes: Vec<CircuitBreaker>,
+    last_sent: Timestamp,
+    /// Time between the last two sends.
+    send_interval: Duration,
+}
+
+/// Epochs of a server's breakers when an attempt was sent to it.
+#[derive(Clone, Copy, Debug)]
+pub struct Epochs {
+    /// Of the server's breaker.
+    pub server: u32,
+    /// Of the breaker of the attempt's class.
+    pub class: u32,
+}
+
+impl OutlierDetection {
+    /// Closed breakers for a server and this many classes.
+    pub fn new(classes: usize, now: Timestamp) -> Self {
+        Self {
+            server: CircuitBreaker::new(SERVER_WINDOW, now),
+            classes: (0..classes).map(|_| CircuitBreaker::new(CLASS_WINDOW, now)).collect(),
+            last_sent: now,
+            send_interval: Duration::MAX,
+        }
+    }
+
+    /// Whether a request of this class may be sent to the server.
+    pub fn admits(&self, class: usize, now: Timestamp) -> bool {
+        self.server.admits(now) && self.classes[class].admits(now)
+    }
+
+    /// State of the breaker of the server as a whole.
+    pub fn server_state(&self) -> BreakerState {
+        self.server.state()
+    }
+
+    /// Closes the breakers of a server that has restarted.
+    pub fn reset(&mut self, now: Timestamp) {
+        self.server.close(now);
+        self.classes.iter_mut().for_each(|breaker| breaker.close(now));
+    }
+
+    /// Counts an attempt that is sent, and returns the epochs in which its result counts.
+    pub fn on_send(&mut self, class: usize, now: Timestamp) -> Epochs {
+        self.send_interval = now.since(self.last_sent);
+        self.last_sent = now;
+        self.server.on_send(now);
+        self.classes[class].on_send(now);
+        Epochs { server: self.server.epoch(), class: self.classes[class].epoch() }
+    }
+
+    /// Counts the result of an attempt for the server as a whole. Returns whether its breaker should open.
+    pub fn on_server_result(&mut self, epochs: Epochs, assessment: Assessment, now: Timestamp) -> bool {
+        // One of many nodes rarely makes as many calls in a window as open a breaker: for errors as many as
+        // it makes suffice, for a part of the cooldown. Not for time-outs and full queues, which all servers
+        // have under overload.
+        let min_calls = match assessment {
+            Assessment::TimedOut | Assessment::QueueFull => MIN_CALLS,
+            _ => self.expected_calls_per_window(),
+        };
+        self.server.on_result(epochs.server, assessment.server_result(), min_calls, now)
+    }
+
+    /// Counts the result of an attempt for its class. Returns whether the breaker of the class should open.
+    pub fn on_class_result(
+        &mut self,
+        class: usize,
+        epochs: Epochs,
+        assessment: Assessment,
+        now: Timestamp,
+    ) -> bool {
+        self.classes[class].on_result(epochs.class, assessment.class_result(), MIN_CALLS, now)
+    }
+
+    /// Ejects the server: after a failed trial for the whole cooldown, otherwise for as much of it as there
+    /// is evidence.
+    pub fn eject_server(&mut self, now: Timestamp) {
+        let evidence = match self.server.state() {
+            BreakerState::Closed => self.server.calls().min(MIN_CALLS),
+            BreakerState::Open { .. } | BreakerState::HalfOpen { .. } => MIN_CALLS,
+        };
+        self.server.open(now + COOLDOWN * evidence / MIN_CALLS, now);
+    }
+
+    /// Ejects one class.
+    pub fn eject_class(&mut self, class: usize, now: Timestamp) {
+        self.classes[class].open(now + COOLDOWN, now);
+    }
+
+    /// Moves the breakers of classes to the classes of new settings. `former` has the position that each of
+    /// them had before, if it was there.
+    pub fn reassign_classes(&mut self, former: &[Option<usize>], now: Timestamp) {
+        let mut breakers: Vec<_> = std::mem::take(&mut self.classes).into_iter().map(Some).collect();
+        let breaker = |former: &Option<usize>| {
+            former
+                .and_then(|index| breakers[index].take())
+                .unwrap_or_else(|| CircuitBreaker::new(CLASS_WINDOW, now))
+        };
+        self.classes = former.iter().map(breaker).collect();
+    }
+
+    /// Number of calls that the server gets in a window at the present rate, at most those that open a
+    /// breaker.
+    fn expected_calls_per_window(&self) -> u32 {
+        let calls = SERVER_WINDOW.as_secs_f64() / self.send_interval.as_secs_f64();
+        calls.clamp(1.0, f64::from(MIN_CALLS)) as u32
+    }
+
+    /// The state of the server's breaker, for a successor.
+    pub fn learned_server(&self, now: Timestamp) -> LearnedBreaker {
+        self.server.learned(now)
+    }
+
+    /// The state of the breakers of these classes, for a successor.
+    pub fn learned_classes(&self, names: &[Name], now: Timestamp) -> Vec<(String, LearnedBreaker)> {
+        let classes = names.iter().zip(&self.classes);
+        classes.map(|(name, breaker)| (name.to_string(), breaker.learned(now))).collect()
+    }
+
+    /// Takes on the state that a predecessor learned; a class that it did not know keeps its breaker.
+    pub fn restore(
+        &mut self,
+        server: &LearnedBreaker,
+        classes: &[(String, LearnedBreaker)],
+        names: &[Name],
+        now: Timestamp,
+    ) {
+        self.server = CircuitBreaker::restored(server, SERVER_WINDOW, now);
+        for (name, breaker) in names.iter().zip(&mut self.classes) {
+            if let Some((_, learned)) = classes.iter().find(|(other, _)| other == name.as_str()) {
+                *breaker = CircuitBreaker::restored(learned, CLASS_WINDOW, now);
+            }
+        }
+    }
+}
+
+/// Whether a server fails while the others do not. Many servers that fail together have a common cause, and
+/// ejecting them would push their keys onto the rest, until the last servers have to take them all.
+pub fn is_server_outlier(servers: &[Server], index: usize, now: Timestamp) -> bool {
+    let others = other_servers(servers, index).map(|other| &other.outlier_detection.server);
+    let (calls, failures) = recent_calls(others, now);
+    calls < MIN_CALLS || f64::from(failures) < COMMON_FAILURE_RATE * f64::from(calls)
+}
+
+/// Whether the other servers take a class better than this one: where most reject it, no other is better.
+pub fn is_class_outlier(servers: &[Server], index: usize, class: usize, now: Timestamp) -> bool {
+    let others = other_servers(servers, index).map(|other| &other.outlier_detection.classes[class]);
+    let (calls, failures) = recent_calls(others, now);
+    f64::from(failures) < FAILURE_THRESHOLD * f64::from(calls)
+}
+
+fn other_servers(servers: &[Server], index: usize) -> impl Iterator<Item = &Server> {
+    let hash = servers[index].hash;
+    servers.iter().filter(move |other| other.hash != hash)
+}
+
+/// Calls and failures of the windows that have not ended, added up.
+fn recent_calls<'a>(breakers: impl Iterator<Item = &'a CircuitBreaker>, now: Timestamp) -> (u32, u32) {
+    let recent = breakers.filter_map(|breaker| breaker.recent_calls(now));
+    recent.fold((0, 0), |total, (calls, failures)| (total.0 + calls, total.1 + failures))
+}
--- a/crates/balancer-core/src/balance/request.rs
+++ b/crates/balancer-core/src/balance/request.rs
@@ -1,87 +1,139 @@
 //! Requests that have no final answer yet, and their attempts.
 
-use super::*;
-
-/// Epochs of the breakers that judge an attempt, at the time it was sent.
-#[derive(Clone, Copy, Debug)]
-pub struct Epochs {
-    pub server: u32,
-    pub class: u32,
-    pub origin: u32,
-}
+use super::fetch_limit::EndedAttempt;
+use super::outlier_detection::Epochs;
+use crate::endpoints::Endpoint;
+use crate::hashing::hash_text;
+use crate::requests::{AttemptStatus, Request};
+use crate::settings::{DeduplicationScope, Idempotency, RequestClass, Settings};
+use crate::time::Timestamp;
+use std::sync::Arc;
 
+/// An attempt to serve a request.
 #[derive(Debug)]
 pub struct Attempt {
-    pub entry: Endpoint,
-    pub sent: Timestamp,
+    /// The server, as it was listed when the attempt was sent.
+    pub endpoint: Endpoint,
+    /// When it was sent.
+    pub sent_at: Timestamp,
+    /// Epochs of the server's breakers when it was sent.
     pub epochs: Epochs,
-    pub likely_miss: bool,
+    /// Epoch of the origin's breaker when it was sent.
+    pub origin_epoch: u32,
+    /// Whether the server most likely did not hold the value when it was sent.
+    pub probable_miss: bool,
+    /// How it ended; `None` while it is in flight.
     pub status: Option<AttemptStatus>,
 }
 
+impl Attempt {
+    /// The attempt with how it ended, for the fetch limit.
+    pub fn ended(&self, status: AttemptStatus) -> EndedAttempt {
+        EndedAttempt { sent_at: self.sent_at, probable_miss: self.probable_miss, status }
+    }
+
+    fn may_have_run(&self) -> bool {
+        !self.status.is_some_and(AttemptStatus::never_ran)
+    }
+}
+
+/// A request without a final answer.
 #[derive(Debug)]
 pub struct PendingRequest {
+    /// The request.
     pub request: Request,
-    /// Those that it was taken under: they judge it to its end, whatever holds for later ones.
+    /// The settings under which it arrived. They hold for it to its end, whatever holds for later requests.
     pub settings: Arc<Settings>,
     /// Its class among those of the present settings, for what is counted by class.
     pub class_index: usize,
+    /// Its attempts, in the order in which they were sent.
     pub attempts: Vec<Attempt>,
-    /// Between 0 and 1, evenly distributed over requests: decides where limits are no whole number.
+    /// Its random number, from 0 to 1 and evenly distributed over requests. It decides where limits are no
+    /// whole number.
     pub random: f64,
-    pub arrived: Timestamp,
-    pub done: bool,
+    /// When it arrived.
+    pub arrived_at: Timestamp,
+    /// Whether it needs no further attempt: it has its final answer, or its client has gone.
+    pub finished: bool,
 }
 
 impl PendingRequest {
+    /// Its class.
     pub fn class(&self) -> &RequestClass {
         &self.settings.classes[class_index(&self.settings, &self.request)]
     }
 
-    pub fn outstanding(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.status.is_none()).count()
+    /// Whether an attempt of it is in flight.
+    pub fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.status.is_none())
+    }
+
+    /// How its last attempt ended; `None` before the first attempt and while the last one is in flight.
+    pub fn last_status(&self) -> Option<AttemptStatus> {
+        self.attempts.last().and_then(|attempt| attempt.status)
     }
 
-    /// Whether its last attempt was a likely miss that failed, perhaps since the origin did.
-    pub fn fetch_failed(&self) -> bool {
+    /// Whether an attempt of it ended with a miss.
+    pub fn has_missed(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.status == Some(AttemptStatus::Miss))
+    }
+
+    /// Whether its last attempt was a probable miss that failed, perhaps since the origin did.
+    pub fn last_fetch_failed(&self) -> bool {
         let last = self.attempts.last();
-        last.is_some_and(|attempt| attempt.likely_miss && attempt.status == Some(AttemptStatus::Failed))
+        last.is_some_and(|attempt| attempt.probable_miss && attempt.status == Some(AttemptStatus::Failed))
     }
 
-    /// When it may not be sent again any more, if some time bounds that.
-    pub fn repeat_ends(&self) -> Option<Timestamp> {
+    /// End of its idempotency window, from which on it may not be sent again; `None` where no time bounds
+    /// that.
+    pub fn retry_window_end(&self) -> Option<Timestamp> {
         let Idempotency::WithKey { window, .. } = self.class().idempotency else { return None };
-        self.may_have_run().map(|earlier| earlier.sent + window).min()
+        self.attempts_that_may_have_run().map(|earlier| earlier.sent_at + window).min()
     }
 
-    pub fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|attempt| !attempt.status.is_some_and(AttemptStatus::never_ran))
+    /// Whether a client may send it again after a rejection without its effect happening twice.
+    pub fn is_safe_to_reject(&self) -> bool {
+        match self.class().idempotency {
+            Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. } => true,
+            Idempotency::WithKey { .. } | Idempotency::NotIdempotent => {
+                self.attempts_that_may_have_run().next().is_none()
+            }
+        }
     }
 
-    /// Whether rule 2 (no request has its effect twice) lets it go to this server now.
-    pub fn may_go_to(&self, entry: &Endpoint, now: Timestamp) -> bool {
-        let effect = self.class().idempotency;
-        self.may_have_run().all(|earlier| match effect {
+    /// Whether it may be sent to this server now without its effect happening twice.
+    pub fn may_go_to(&self, endpoint: &Endpoint, now: Timestamp) -> bool {
+        let idempotency = self.class().idempotency;
+        self.attempts_that_may_have_run().all(|earlier| match idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => false,
             Idempotency::WithKey { scope, window } => {
-                now < earlier.sent + window
-                    && match scope {
-                        DeduplicationScope::All => true,
-                        DeduplicationScope::Zone => earlier.entry.zone == entry.zone,
-                        DeduplicationScope::Cell => earlier.entry.cell == entry.cell,
-                    }
+                now < earlier.sent_at + window && is_in_scope(scope, &earlier.endpoint, endpoint)
             }
         })
     }
+
+    fn attempts_that_may_have_run(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(|attempt| attempt.may_have_run())
+    }
+}
+
+/// Whether `endpoint` recognises the idempotency key of an attempt at `earlier`.
+fn is_in_scope(scope: DeduplicationScope, earlier: &Endpoint, endpoint: &Endpoint) -> bool {
+    match scope {
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => earlier.zone == endpoint.zone,
+        DeduplicationScope::Cell => earlier.cell == endpoint.cell,
+    }
 }
 
-/// Position of a request's class in settings whose last class is for requests of none.
+/// Position of a request's class in settings whose last class is for requests of no class.
 pub fn class_index(settings: &Settings, request: &Request) -> usize {
-    let other = settings.classes.len() - 1;
-    request.class.map_or(other, |id| id.0.min(other))
+    let unnamed = settings.classes.len() - 1;
+    request.class.map_or(unnamed, |id| id.0.min(unnamed))
 }
 
-pub fn key_of(request: &Request) -> u64 {
+/// The key by which a request is placed: a request without one gets its own.
+pub fn placement_key(request: &Request) -> u64 {
     request.key.unwrap_or_else(|| hash_text(request.id.as_str()))
 }
--- a/crates/balancer-core/src/balance/selection.rs
+++ b/crates/balancer-core/src/balance/selection.rs
@@ -1,94 +1,174 @@
-//! Which server an attempt goes to.
+//! Which server an attempt goes to: the first of the key's order that is eligible and has capacity.
 
-use super::*;
+use super::rendezvous::{rendezvous_order, Candidate};
+use super::request::{placement_key, PendingRequest};
+use super::servers::Server;
+use super::Balancer;
+use crate::endpoints::EndpointState;
+use crate::hashing::{mix, unit_interval};
+use crate::requests::Request;
+use crate::settings::CacheMode;
+use crate::time::Timestamp;
 
-/// Servers of a key's order that may take it; for want of room at the first, up to this share of their limit.
-const CANDIDATES: usize = 3;
-const SPILLOVER_SHARE: f64 = 0.5;
+/// Number of eligible servers of a key's order that are tried for capacity. With more of them the hits of a
+/// slow fleet would turn into misses.
+const MAX_CANDIDATES: usize = 3;
+/// Fraction of its limit up to which a server takes requests for want of capacity at the first of the order.
+const SPILLOVER_FRACTION: f64 = 0.5;
+
+/// Which servers an attempt may go to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FetchPolicy {
+    /// Any of them.
+    Allowed,
+    /// Those that most likely hold the value.
+    CachedOnly,
+}
 
 impl Balancer {
-    /// The server for a request's next attempt, by index. With `no_fetch` no likely miss may be sent.
-    pub(super) fn select(&self, now: Timestamp, pending: &PendingRequest, no_fetch: bool) -> Option<usize> {
+    /// Index of the server for a request's next attempt; `None` where no eligible server has capacity.
+    pub(super) fn select(
+        &self,
+        now: Timestamp,
+        pending: &PendingRequest,
+        fetches: FetchPolicy,
+    ) -> Option<usize> {
         if pending.attempts.len() >= pending.settings.max_attempts as usize {
             return None;
         }
-        let usable = |i: &usize| self.usable(*i, now, pending, no_fetch);
-        let aside = matches!(self.settings.mode, CacheMode::Aside { .. });
-        let missed = pending.attempts.iter().any(|attempt| attempt.status == Some(AttemptStatus::Miss));
-        if aside && (pending.request.write || missed) {
-            let mut origins = (0..self.servers.len()).filter(|&i| self.is_origin(&self.servers[i].entry));
-            return origins.find(usable).filter(|i| self.has_room(*i, 1.0, pending));
+        let is_eligible = |index: &usize| self.is_eligible(*index, now, pending, fetches);
+        if self.needs_origin(pending) {
+            let origin = (0..self.servers.as_slice().len())
+                .find(|index| self.servers[*index].is_origin(&self.settings) && is_eligible(index));
+            return origin.filter(|index| self.has_capacity(*index, 1.0, pending));
         }
         let order = self.replica_order(now, pending);
-        let own = *order.first()?;
-        // For want of room to the next few and no further: over a slow fleet, hits would turn to misses.
-        let open: Vec<usize> = order.into_iter().filter(usable).take(CANDIDATES).collect();
-        if !open.is_empty() {
-            return self.with_room(now, &open, pending);
+        let first = *order.first()?;
+        let candidates: Vec<usize> = order.into_iter().filter(is_eligible).take(MAX_CANDIDATES).collect();
+        if candidates.is_empty() {
+            self.last_resort(first, now, pending, fetches)
+        } else {
+            self.first_with_capacity(now, &candidates, pending)
         }
-        // Every server is blocked: the key's own server then, rather than none.
-        let last_resort = !no_fetch && self.slow_start_admits(own, now) && pending.attempts.is_empty();
-        (last_resort && self.has_room(own, 1.0, pending)).then_some(own)
     }
 
-    fn usable(&self, i: usize, now: Timestamp, pending: &PendingRequest, no_fetch: bool) -> bool {
-        let server = &self.servers[i];
-        let entry = &server.entry;
-        !(no_fetch && self.likely_miss(&pending.request, server))
-            && entry.state == EndpointState::Ready
-            && pending.may_go_to(entry, now)
-            && server.breaker.admits(now)
-            && server.by_class[pending.class_index].admits(now)
-            && self.slow_start_admits(i, now)
-            && !pending.attempts.iter().any(|attempt| attempt.entry.id == entry.id)
+    /// Whether the balancer itself has to go to the origin for this request.
+    fn needs_origin(&self, pending: &PendingRequest) -> bool {
+        let is_aside = matches!(self.settings.mode, CacheMode::Aside { .. });
+        is_aside && (pending.request.write || pending.has_missed())
+    }
+
+    /// The first server of the order, where no server is eligible: it may be ejected, but all others are as
+    /// well.
+    fn last_resort(
+        &self,
+        first: usize,
+        now: Timestamp,
+        pending: &PendingRequest,
+        fetches: FetchPolicy,
+    ) -> Option<usize> {
+        let may_be_sent = fetches == FetchPolicy::Allowed
+            && pending.attempts.is_empty()
+            && self.slow_start_admits(first, now);
+        (may_be_sent && self.has_capacity(first, 1.0, pending)).then_some(first)
+    }
+
+    fn is_eligible(
+        &self,
+        index: usize,
+        now: Timestamp,
+        pending: &PendingRequest,
+        fetches: FetchPolicy,
+    ) -> bool {
+        let server = &self.servers[index];
+        let endpoint = &server.endpoint;
+        !(fetches == FetchPolicy::CachedOnly && self.is_probable_miss(&pending.request, server))
+            && endpoint.state == EndpointState::Ready
+            && pending.may_go_to(endpoint, now)
+            && server.outlier_detection.admits(pending.class_index, now)
+            && self.slow_start_admits(index, now)
+            && !pending.attempts.iter().any(|attempt| attempt.endpoint.id == endpoint.id)
+    }
+
+    fn slow_start_admits(&self, index: usize, now: Timestamp) -> bool {
+        self.slow_start.admits(&self.servers, index, &self.settings, self.seed, now)
+    }
+
+    fn has_capacity(&self, index: usize, fraction: f64, pending: &PendingRequest) -> bool {
+        self.servers[index].concurrency.has_capacity(fraction, pending.random)
+    }
+
+    /// Whether a read at this server will be fetched from the origin, as far as can be told from what that
+    /// server has answered here. Other nodes may have asked it for the key: some of these are hits.
+    pub(super) fn is_probable_miss(&self, request: &Request, server: &Server) -> bool {
+        self.settings.mode == CacheMode::Through
+            && !request.write
+            && request.key.is_some_and(|key| !self.cache_marks.contains(key, server.incarnation()))
+    }
+
+    /// The first of these candidates that has capacity for the request.
+    fn first_with_capacity(
+        &self,
+        now: Timestamp,
+        candidates: &[usize],
+        pending: &PendingRequest,
+    ) -> Option<usize> {
+        let fraction = |place| if place == 0 { 1.0 } else { SPILLOVER_FRACTION };
+        let within_limit = candidates
+            .iter()
+            .enumerate()
+            .find(|&(place, &index)| self.has_capacity(index, fraction(place), pending));
+        let found = within_limit.map(|(_, &index)| index);
+        found.or_else(|| candidates.iter().copied().find(|index| self.has_idle_capacity(*index, now)))
     }
 
-    fn has_room(&self, i: usize, share: f64, pending: &PendingRequest) -> bool {
-        f64::from(self.servers[i].in_flight) + pending.random < self.servers[i].limit * share
+    /// Whether a server past its limit may be sent a request all the same: it reports an empty queue, and has
+    /// fewer requests in flight than limits start with. Limits keep requests off servers that answer late,
+    /// and all servers do while misses wait for a slow origin: without this rule a fleet with idle servers
+    /// would reject hits.
+    fn has_idle_capacity(&self, index: usize, now: Timestamp) -> bool {
+        let server = &self.servers[index];
+        self.has_empty_queue(server, now) && f64::from(server.concurrency.in_flight()) < self.initial_limit
     }
 
-    /// The first of these candidates that has room for the request.
-    fn with_room(&self, now: Timestamp, open: &[usize], pending: &PendingRequest) -> Option<usize> {
-        let share = |place| if place == 0 { 1.0 } else { SPILLOVER_SHARE };
-        let found = open.iter().enumerate().find(|&(place, &i)| self.has_room(i, share(place), pending));
-        // Limits steer away from servers that answer late, and all of them do where misses wait for a
-        // slow origin. One that reports no queue takes what none of the others has room for, up to where
-        // limits start: its cores may be shared by many although none of them waits.
-        let spare = |i: &&usize| {
-            let server = &self.servers[**i];
-            self.is_unqueued(server, now) && f64::from(server.in_flight) < self.limit_start
-        };
-        found.map(|(_, &i)| i).or_else(|| open.iter().find(spare).copied())
+    /// Whether a server has reported an empty queue. Only a node with a substantial part of a server's
+    /// requests can tell: for one of many nodes, a report is older than the bursts of the others.
+    pub(super) fn has_empty_queue(&self, server: &Server, now: Timestamp) -> bool {
+        self.initial_limit > 1.0 && server.reports_empty_queue(now)
     }
 
-    /// The servers in the order of the request's key, that which this request goes to among the replicas of a
-    /// hot key brought to the front.
+    /// The servers in the order of the request's key, with the one that it goes to among the replicas of a
+    /// hot key first.
     fn replica_order(&self, now: Timestamp, pending: &PendingRequest) -> Vec<usize> {
-        let key = key_of(&pending.request);
-        let mut order = self.rendezvous_order(key, now);
+        let key = placement_key(&pending.request);
+        let mut order = rendezvous_order(key, self.candidates(now));
         let replicas = self.hot_keys.replication_factor(now, key, order.len());
-        // Each of the replicas is the first for a part of the requests, a cold one for a smaller.
-        let capacity = |i: &usize| self.capacity(&self.servers[*i], now);
         let random = unit_interval(mix(pending.random.to_bits()));
-        let mut left = random * order[..replicas].iter().map(capacity).sum::<f64>();
-        let first = order[..replicas].iter().position(|i| {
-            left -= capacity(i);
-            left < 0.0
-        });
-        order[..replicas].rotate_left(first.unwrap_or(0));
+        let chosen = self.choose_replica(&order[..replicas], random, now);
+        order[..replicas].rotate_left(chosen);
         order
     }
 
-    /// The ready cache servers in the key's own order, by weighted rendezvous: a leaver moves only its keys.
-    fn rendezvous_order(&self, key: u64, now: Timestamp) -> Vec<usize> {
-        let rank = |(i, server): (usize, &Server)| {
-            let distance = -unit_interval(mix(key ^ server.hash)).ln() / self.capacity(server, now);
-            // The bits of positive numbers sort as the numbers do.
-            (distance.to_bits(), i)
-        };
-        let in_use = self.servers.iter().enumerate().filter(|(_, server)| self.in_use(server));
-        let mut ranked: Vec<_> = in_use.map(rank).collect();
-        ranked.sort_unstable();
-        ranked.into_iter().map(|(_, i)| i).collect()
+    /// The place of the replica for this random number: each of them is chosen in proportion to its capacity,
+    /// a warming one less often.
+    fn choose_replica(&self, replicas: &[usize], random: f64, now: Timestamp) -> usize {
+        let capacity = |index: &usize| self.servers.capacity(&self.servers[*index], &self.settings, now);
+        let mut remaining = random * replicas.iter().map(capacity).sum::<f64>();
+        let chosen = replicas.iter().position(|index| {
+            remaining -= capacity(index);
+            remaining < 0.0
+        });
+        chosen.unwrap_or(0)
+    }
+
+    /// The cache servers that take requests.
+    fn candidates(&self, now: Timestamp) -> impl Iterator<Item = Candidate> + '_ {
+        let ready = self.servers.iter().enumerate();
+        let ready = ready.filter(|(_, server)| server.is_ready_cache(&self.settings));
+        ready.map(move |(index, server)| Candidate {
+            index,
+            hash: server.hash,
+            capacity: self.servers.capacity(server, &self.settings, now),
+        })
     }
 }
--- a/crates/balancer-core/src/balance/servers.rs
+++ b/crates/balancer-core/src/balance/servers.rs
@@ -1,133 +1,262 @@
-//! What is known of each server, and how discovery's lists change it.
+//! The servers, what is known of each, and how updates of the endpoint list change them.
 
-use super::*;
-use std::collections::VecDeque;
+use super::cached_keys::CacheIncarnation;
+use super::concurrency_limit::ConcurrencyLimit;
+use super::outlier_detection::OutlierDetection;
+use super::server_kinds::ServerKinds;
+use super::slow_start::{warm_up_fraction, WarmUpSends};
+use crate::endpoints::{Endpoint, EndpointState};
+use crate::hashing::{hash_text, mix};
+use crate::learned_state::{ago, micros, LearnedKind, LearnedServer};
+use crate::names::{Name, ServerId};
+use crate::settings::{CacheMode, Settings};
+use crate::time::Timestamp;
+use std::ops::{Index, IndexMut};
+use std::time::Duration;
 
-/// For so long what a server said of its queue tells of its present state: reports are this old at most.
-const REPORT_FRESH: Duration = Duration::from_millis(500);
-/// Answers at par that the pace of a kind of server starts with.
-pub const PACE_PRIOR: f64 = 10.0;
+/// Time for which a report of an empty queue tells of the present.
+const QUEUE_REPORT_TTL: Duration = Duration::from_millis(500);
+/// Least capacity, so that one of no weight can still be compared.
+const CAPACITY_MIN: f64 = 1e-9;
 
+/// A server on the endpoint list.
 #[derive(Debug)]
 pub struct Server {
-    pub entry: Endpoint,
-    /// Index in [`Balancer::kinds`].
+    /// Its entry on the list.
+    pub endpoint: Endpoint,
+    /// Index of its kind.
     pub kind: usize,
+    /// Hash of its identity.
     pub hash: u64,
-    pub breaker: Breaker,
-    /// By class: a server may turn one class away and serve the others (a release that does not know it, a
-    /// quota of that class's own). Blocked as a whole, it would lose the keys of all classes to servers that
-    /// lack them. Harmful if turned away for a moment only: that class's keys are missed elsewhere meanwhile.
-    pub by_class: Vec<Breaker>,
-    /// During its slow start: when it was sent to in the span that counts, oldest first.
-    pub recent_sends: VecDeque<Timestamp>,
-    pub in_flight: u32,
-    /// Most requests in flight; a fraction stands for the chance of one more.
-    pub limit: f64,
-    /// When it was last sent to, and how long after the send before.
-    pub last_sent: Timestamp,
-    pub send_interval: Duration,
+    /// Its circuit breakers.
+    pub outlier_detection: OutlierDetection,
+    /// Limit of the requests in flight.
+    pub concurrency: ConcurrencyLimit,
+    /// Requests sent while it warms up.
+    pub warm_up_sends: WarmUpSends,
     /// When it last reported an empty queue, unless it has reported a longer one since.
-    pub unqueued: Option<Timestamp>,
+    pub empty_queue_at: Option<Timestamp>,
 }
 
-/// What answers of a kind of server take against their forecast work: a logarithm, so that no few decide.
-#[derive(Debug)]
-pub struct ServerKind {
-    pub name: Option<Name>,
-    pub pace: f64,
-    pub answers: f64,
-}
+impl Server {
+    /// Whether it is the origin, which the balancer itself sends misses and writes to.
+    pub fn is_origin(&self, settings: &Settings) -> bool {
+        match &settings.mode {
+            CacheMode::Aside { origin_kind } => self.endpoint.kind.as_ref() == Some(origin_kind),
+            CacheMode::Through => false,
+        }
+    }
+
+    /// Whether it is a cache server that takes requests.
+    pub fn is_ready_cache(&self, settings: &Settings) -> bool {
+        self.endpoint.state == EndpointState::Ready && !self.is_origin(settings)
+    }
+
+    /// Whether it has recently reported an empty queue.
+    pub fn reports_empty_queue(&self, now: Timestamp) -> bool {
+        self.empty_queue_at.is_some_and(|at| now.since(at) < QUEUE_REPORT_TTL)
+    }
+
+    /// Its present incarnation.
+    pub fn incarnation(&self) -> CacheIncarnation {
+        CacheIncarnation { server_hash: self.hash, started_at: self.endpoint.started_at }
+    }
 
-impl Balancer {
-    pub(super) fn apply_list(&mut self, now: Timestamp, entries: &[Endpoint], full: bool) {
-        if full {
-            self.servers.retain(|server| entries.iter().any(|entry| entry.id == server.entry.id));
+    fn learned(&self, class_names: &[Name], settings: &Settings, now: Timestamp) -> LearnedServer {
+        let window = settings.slow_start_overload_window;
+        LearnedServer {
+            id: self.endpoint.id.to_string(),
+            started_at: self.endpoint.started_at.map(Timestamp::as_micros),
+            breaker: self.outlier_detection.learned_server(now),
+            class_breakers: self.outlier_detection.learned_classes(class_names, now),
+            warm_up_sends: self.warm_up_sends.count(window, now) as u32,
+            concurrency_limit: self.concurrency.learned(),
+            empty_queue_age: self.empty_queue_at.map(|at| micros(now.since(at))),
         }
-        let first = !std::mem::replace(&mut self.list_received, true);
-        for entry in entries {
-            let gone = entry.state == EndpointState::Removed;
-            match self.position(&entry.id) {
-                Ok(i) if gone => drop(self.servers.remove(i)),
-                Ok(i) => self.update(i, entry, now),
-                Err(_) if gone => {}
-                Err(i) => {
-                    let entry = if first { entry.clone() } else { self.with_start(entry, None, now) };
-                    let server = self.new_server(entry, now);
-                    self.servers.insert(i, server);
+    }
+
+    fn restore(&mut self, learned: &LearnedServer, class_names: &[Name], now: Timestamp) {
+        self.outlier_detection.restore(&learned.breaker, &learned.class_breakers, class_names, now);
+        self.warm_up_sends.restore(learned.warm_up_sends, now);
+        self.concurrency.restore(learned.concurrency_limit);
+        self.empty_queue_at = learned.empty_queue_age.map(|age| ago(now, age));
+    }
+}
+
+/// The servers of the endpoint list, and their kinds.
+#[derive(Debug, Default)]
+pub struct ServerList {
+    /// Sorted by id. Draining servers stay until discovery removes them.
+    servers: Vec<Server>,
+    /// Kinds of the servers.
+    pub kinds: ServerKinds,
+    list_received: bool,
+}
+
+impl ServerList {
+    /// Takes on an update of the list. Servers that a complete list lacks are removed. Limits of new servers
+    /// start at `initial_limit`.
+    pub fn apply_snapshot(
+        &mut self,
+        endpoints: &[Endpoint],
+        settings: &Settings,
+        initial_limit: f64,
+        now: Timestamp,
+    ) {
+        self.servers.retain(|server| endpoints.iter().any(|endpoint| endpoint.id == server.endpoint.id));
+        self.apply_delta(endpoints, settings, initial_limit, now);
+    }
+
+    /// Takes on the endpoints that changed. Limits of new servers start at `initial_limit`.
+    pub fn apply_delta(
+        &mut self,
+        endpoints: &[Endpoint],
+        settings: &Settings,
+        initial_limit: f64,
+        now: Timestamp,
+    ) {
+        let is_first_list = !std::mem::replace(&mut self.list_received, true);
+        for endpoint in endpoints {
+            let is_removed = endpoint.state == EndpointState::Removed;
+            match self.position(&endpoint.id) {
+                Ok(index) if is_removed => drop(self.servers.remove(index)),
+                Ok(index) => self.update(index, endpoint, settings, now),
+                Err(_) if is_removed => {}
+                Err(index) => {
+                    // Servers of the first list have long been there.
+                    let endpoint = if is_first_list {
+                        endpoint.clone()
+                    } else {
+                        with_start_time(endpoint, None, settings, now)
+                    };
+                    let server = self.new_server(endpoint, settings, initial_limit, now);
+                    self.servers.insert(index, server);
                 }
             }
         }
     }
 
-    /// Where a server stands, or where it would have to be inserted.
-    pub(super) fn position(&self, id: &ServerId) -> Result<usize, usize> {
-        self.servers.binary_search_by(|server| server.entry.id.cmp(id))
+    /// Index of a server, or the index at which it would have to be inserted.
+    pub fn position(&self, id: &ServerId) -> Result<usize, usize> {
+        self.servers.binary_search_by(|server| server.endpoint.id.cmp(id))
     }
 
-    fn update(&mut self, i: usize, entry: &Endpoint, now: Timestamp) {
-        let entry = self.with_start(entry, Some(&self.servers[i].entry), now);
-        let server = &mut self.servers[i];
-        if entry.started_at != server.entry.started_at {
-            server.breaker.enter(BreakerState::Closed, now);
-            server.by_class.iter_mut().for_each(|breaker| breaker.enter(BreakerState::Closed, now));
+    fn update(&mut self, index: usize, endpoint: &Endpoint, settings: &Settings, now: Timestamp) {
+        let server = &mut self.servers[index];
+        let endpoint = with_start_time(endpoint, Some(&server.endpoint), settings, now);
+        if endpoint.started_at != server.endpoint.started_at {
+            server.outlier_detection.reset(now);
         }
-        server.entry = entry;
+        server.endpoint = endpoint;
     }
 
-    fn new_server(&mut self, entry: Endpoint, now: Timestamp) -> Server {
-        let known = self.kinds.iter().position(|kind| kind.name == entry.kind);
-        let kind = known.unwrap_or_else(|| {
-            self.kinds.push(ServerKind { name: entry.kind.clone(), pace: 0.0, answers: PACE_PRIOR });
-            self.kinds.len() - 1
-        });
+    fn new_server(
+        &mut self,
+        endpoint: Endpoint,
+        settings: &Settings,
+        initial_limit: f64,
+        now: Timestamp,
+    ) -> Server {
         Server {
-            kind,
-            hash: mix(hash_text(entry.id.as_str())),
-            breaker: Breaker::new(WINDOW, now),
-            by_class: self.settings.classes.iter().map(|_| Breaker::new(CLASS_WINDOW, now)).collect(),
-            recent_sends: VecDeque::new(),
-            in_flight: 0,
-            limit: self.limit_start,
-            last_sent: now,
-            send_interval: Duration::MAX,
-            unqueued: None,
-            entry,
+            kind: self.kinds.index_of(endpoint.kind.as_ref()),
+            hash: mix(hash_text(endpoint.id.as_str())),
+            outlier_detection: OutlierDetection::new(settings.classes.len(), now),
+            concurrency: ConcurrencyLimit::new(initial_limit),
+            warm_up_sends: WarmUpSends::default(),
+            empty_queue_at: None,
+            endpoint,
         }
     }
 
-    /// An entry with the time of its server's start, where lists do not tell that: one that was not there
-    /// before, or was to be sent no more, has most likely just started.
-    fn with_start(&self, entry: &Endpoint, before: Option<&Endpoint>, now: Timestamp) -> Endpoint {
-        if self.settings.start_times_reported || entry.started_at.is_some() {
-            return entry.clone();
-        }
-        let known = before.filter(|before| before.state == EndpointState::Ready);
-        let back = entry.state == EndpointState::Ready;
-        let started = known.map_or(back.then_some(now), |before| before.started_at);
-        Endpoint { started_at: started, ..entry.clone() }
+    /// Present capacity of a server, for comparison with other servers; above 0.
+    pub fn capacity(&self, server: &Server, settings: &Settings, now: Timestamp) -> f64 {
+        let speed = if settings.weights_reflect_speed { 1.0 } else { self.kinds.speed(server.kind) };
+        let warm_up_fraction = warm_up_fraction(&server.endpoint, settings, now);
+        (server.endpoint.weight * speed * warm_up_fraction).max(CAPACITY_MIN)
+    }
+
+    /// Present capacity of all cache servers that take requests.
+    pub fn total_capacity(&self, settings: &Settings, now: Timestamp) -> f64 {
+        let caches = self.servers.iter().filter(|server| server.is_ready_cache(settings));
+        caches.map(|server| self.capacity(server, settings, now)).sum()
+    }
+
+    /// The servers in the order of their ids.
+    pub fn iter(&self) -> std::slice::Iter<'_, Server> {
+        self.servers.iter()
+    }
+
+    /// The servers in the order of their ids.
+    pub fn iter_mut(&mut self) -> std::slice::IterMut<'_, Server> {
+        self.servers.iter_mut()
+    }
+
+    /// The servers in the order of their ids.
+    pub fn as_slice(&self) -> &[Server] {
+        &self.servers
     }
 
-    pub(super) fn is_origin(&self, entry: &Endpoint) -> bool {
-        let CacheMode::Aside { origin_kind } = &self.settings.mode else { return false };
-        entry.kind.as_ref() == Some(origin_kind)
+    /// What was learned of the servers and their kinds, for a successor.
+    pub fn learned(
+        &self,
+        class_names: &[Name],
+        settings: &Settings,
+        now: Timestamp,
+    ) -> (Vec<LearnedServer>, Vec<LearnedKind>) {
+        let servers = self.servers.iter().map(|server| server.learned(class_names, settings, now));
+        (servers.collect(), self.kinds.learned())
     }
 
-    /// Whether it is a cache server that takes work.
-    pub(super) fn in_use(&self, server: &Server) -> bool {
-        server.entry.state == EndpointState::Ready && !self.is_origin(&server.entry)
+    /// Takes on what a predecessor learned of the servers on the list, of each if it has not restarted since.
+    pub fn restore(
+        &mut self,
+        servers: &[LearnedServer],
+        kinds: &[LearnedKind],
+        class_names: &[Name],
+        now: Timestamp,
+    ) {
+        for server in &mut self.servers {
+            let started_at = server.endpoint.started_at.map(Timestamp::as_micros);
+            let is_same = |other: &&LearnedServer| {
+                other.id == server.endpoint.id.as_str() && other.started_at == started_at
+            };
+            if let Some(learned) = servers.iter().find(is_same) {
+                server.restore(learned, class_names, now);
+            }
+        }
+        self.kinds.restore(kinds);
     }
+}
+
+impl Index<usize> for ServerList {
+    type Output = Server;
 
-    /// What it can do at present, for comparison with other servers.
-    pub(super) fn capacity(&self, server: &Server, now: Timestamp) -> f64 {
-        let speed =
-            if self.settings.weights_reflect_speed { 1.0 } else { (-self.kinds[server.kind].pace).exp() };
-        (server.entry.weight * speed * self.slow_start_factor(&server.entry, now)).max(1e-9)
+    fn index(&self, index: usize) -> &Server {
+        &self.servers[index]
     }
+}
+
+impl IndexMut<usize> for ServerList {
+    fn index_mut(&mut self, index: usize) -> &mut Server {
+        &mut self.servers[index]
+    }
+}
 
-    /// Whether it reported an empty queue of late. Only a node that has a real part of a server's work can
-    /// tell: for one of more the report is older than the bursts of the others.
-    pub(super) fn is_unqueued(&self, server: &Server, now: Timestamp) -> bool {
-        self.limit_start > 1.0 && server.unqueued.is_some_and(|at| now.since(at) < REPORT_FRESH)
+/// An endpoint with the time of its start, which is inferred where discovery does not report it: a server
+/// that was not listed before, or has been draining, has most likely just started.
+fn with_start_time(
+    endpoint: &Endpoint,
+    before: Option<&Endpoint>,
+    settings: &Settings,
+    now: Timestamp,
+) -> Endpoint {
+    if settings.start_times_reported || endpoint.started_at.is_some() {
+        return endpoint.clone();
     }
+    let is_ready = endpoint.state == EndpointState::Ready;
+    let started_at = match before.filter(|before| before.state == EndpointState::Ready) {
+        Some(before) => before.started_at,
+        None => is_ready.then_some(now),
+    };
+    Endpoint { started_at, ..endpoint.clone() }
 }
--- a/crates/balancer-core/src/hashing.rs
+++ b/crates/balancer-core/src/hashing.rs
@@ -1,6 +1,6 @@
 //! Hashes, and pseudo-random numbers made from them: equal input gives equal numbers on every machine.
 
-/// Scatters nearby numbers (the finaliser of splitmix64).
+/// Scatters nearby numbers (the finalizer of splitmix64).
 pub fn mix(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -15,5 +15,7 @@
 
 /// The 64-bit FNV-1a hash.
 pub fn hash_text(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x100_0000_01b3;
+    text.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
 }
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -1,21 +1,47 @@
-//! Every decision of the node, without I/O: events go in, actions come out, and equal events give equal actions.
-//!
-//! Start from [`Balancer`], fed with [`Event`]s through [`Balancer::handle`], and the [`Settings`] it is made from.
-//! Their types are in [`events`], [`requests`], [`endpoints`], [`settings`], [`names`] and [`time`]; [`api`] has all of them.
-//! [`learned_state`] is what a balancer hands on to its successor.
-//! [`admission`] controls how much of the demand a node admits.
-//! [`handover`] decides who accepts clients while one process takes another's place.
-//! [`asking`] tells when a node asks discovery, and when a watch is dead.
-//! [`membership`] tells which lists of discovery's are taken.
-//! [`hot_keys`] has the replication factor of a key.
-//! [`replicas`] tells which replica of discovery a node asks, [`share`] what one can do for its share of the nodes, and
-//! [`discovery_client`] puts both together with [`asking`].
-//! [`supervise`] keeps a fleet of instances going. [`platform`] reads settings and load reports as the platform words them.
+//! Every decision of a load-balancing node, without I/O: events go in, actions come out, and equal events give equal
+//! actions.
+//!
+//! Start from three types: a [`Balancer`] is made from [`Settings`], takes in [`Event`]s, and answers with [`Action`]s that
+//! its caller carries out. It reads no clock: the caller says what time it is.
+//!
+//! ```
+//! use balancer_core::{Action, Balancer, Endpoint, EndpointUpdate, Event, Request, Settings, Timestamp};
+//! use std::time::Duration;
+//!
+//! let mut balancer = Balancer::new(Settings::default(), 1);
+//! let mut actions = Vec::new();
+//! let now = Timestamp::from_micros(1_000_000);
+//!
+//! // Discovery has sent the endpoint list.
+//! let endpoints = EndpointUpdate::Snapshot([Endpoint::new("cache-1")].into());
+//! balancer.handle(now, Event::EndpointsUpdated(endpoints), &mut actions);
+//!
+//! // A client has sent a request, which it gives up after 400 ms.
+//! let request = Request::new("request-1", now + Duration::from_millis(400));
+//! balancer.handle(now, Event::Request(request), &mut actions);
+//!
+//! let [Action::StartAttempt { id, server, .. }] = &actions[..] else { panic!("one attempt: {actions:?}") };
+//! assert_eq!((id.as_str(), server.as_str()), ("request-1", "cache-1"));
+//! ```
+//!
+//! The types of events, actions and settings are in [`events`], [`requests`], [`endpoints`], [`settings`], [`names`] and
+//! [`time`]; [`api`] has all of them. The other modules are one decision each:
+//!
+//! - [`balance`]: which server a request goes to, when it is retried, and when it is rejected; [`admission`]: how much of
+//!   the demand is admitted; [`hot_keys`]: how many replicas a key has; [`learned_state`]: what a successor takes on;
+//! - [`handover`]: who accepts clients while one process takes another's place;
+//! - [`asking`]: when discovery is polled, and when a watch is dead; [`replicas`]: which replica of discovery;
+//!   [`share`]: what one replica can do for its share of the nodes; [`discovery_client`]: these three put together;
+//! - [`membership`]: which endpoint lists are accepted;
+//! - [`supervise`]: when the instances of a fleet are started, and restarted.
+//!
+//! [`platform`] maps the platform's own names of settings and load reports to these types.
 
 pub mod admission;
 pub mod api;
 pub mod asking;
 pub mod balance;
+mod decay;
 pub mod discovery_client;
 pub mod endpoints;
 pub mod events;
@@ -26,7 +52,6 @@
 pub mod membership;
 pub mod names;
 pub mod platform;
-mod recent;
 pub mod replicas;
 pub mod requests;
 pub mod settings;
