--- a/crates/cache-balancer/src/upstream.rs
+++ b/crates/cache-balancer/src/upstream.rs
@@ -1,6 +1,6 @@
 //! Connections to cache servers, one request at a time on each; attempts and how they end.
 
-use balancer_core::platform::read_load;
+use balancer_core::platform::read_load_report;
 use balancer_core::{AttemptStatus, CacheResult, LoadReport, ServerId};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -507,7 +507,7 @@
         Some("pending") => Some(CacheResult::MissFetchPending),
         _ => None,
     };
-    let load = text(&LOAD).map_or_else(LoadReport::default, |text| read_load(text, '='));
+    let load = text(&LOAD).map_or_else(LoadReport::default, |text| read_load_report(text, '='));
     // What is stated to be larger than any answer may be is not waited for.
     if response.body().size_hint().lower() > LARGEST_BODY as u64 {
         return Ok((Ended { status: AttemptStatus::Failed, note, load, body: None }, false));
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,7 +1,7 @@
-//! The wire: lines in and out, and the host around it.
+//! The wire: lines in and out, and the adapter that serves them.
 
 use balancer_core::*;
-use simulator_adapter::wire::{write_action, Input, Parser};
+use simulator_adapter::wire::{write_action, write_fault, InstanceId, Message, Parser};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
@@ -12,14 +12,17 @@
     limits.most_tries=6 limits.second_copies=true limits.retry_after=true limits.max_retry_after_us=1000000 \
     membership_mode=subscribe safety.cold_share=0.31 novelty.of=1";
 
-fn parse(lines: &[&str]) -> Vec<Input> {
+fn parse(lines: &[&str]) -> Vec<Message> {
     let mut parser = Parser::default();
     lines.iter().filter_map(|line| parser.line(line).expect("well-formed")).collect()
 }
 
 #[test]
-fn settings_are_read_and_unknown_ones_skipped() {
-    let Input::Start { who: 3, seed: 5, settings } = parse(&[START]).remove(0) else { panic!("a start") };
+fn settings_are_read_and_unknown_ones_are_skipped() {
+    let Message::InstanceStarted { instance: InstanceId(3), seed: 5, settings } = parse(&[START]).remove(0)
+    else {
+        panic!("a start")
+    };
     assert_eq!(settings.classes.len(), 2);
     let keyed = Idempotency::WithKey { scope: DeduplicationScope::Zone, window: Duration::from_millis(600) };
     assert_eq!(settings.classes[1].idempotency, keyed);
@@ -35,9 +38,11 @@
 }
 
 #[test]
-fn a_request_is_read_whole() {
+fn every_field_of_a_request_is_read() {
     let line = "submit who=3 request_id=c:x cls=log party=t1 object=17 valid_until_us=900 expected_us=12 options=7 odd=1";
-    let Input::Event { who: 3, event: Event::Request(request) } = parse(&[START, line]).remove(1) else {
+    let Message::Event { instance: InstanceId(3), event: Event::Request(request) } =
+        parse(&[START, line]).remove(1)
+    else {
         panic!("a request")
     };
     assert_eq!(request.class, Some(ClassId(1)));
@@ -48,11 +53,13 @@
 }
 
 #[test]
-fn an_outcome_is_read_whole_and_an_unknown_result_counts_as_failed() {
+fn every_field_of_a_result_is_read_and_an_unknown_status_is_failed() {
     let line = "returned who=1 request_id=r result=Miss info=3 hop=2 server=s:1 spent_us=70 finished=1 server_stats=avg_ms:1.5,cpu:0.25,waiting:2,new:1";
     let odd = "returned who=1 request_id=r result=Exploded hop=0 server=s:1";
-    let inputs = parse(&[line, odd]);
-    let Input::Event { event: Event::AttemptEnded(outcome), .. } = &inputs[0] else { panic!("an outcome") };
+    let messages = parse(&[line, odd]);
+    let Message::Event { event: Event::AttemptEnded(outcome), .. } = &messages[0] else {
+        panic!("an outcome")
+    };
     assert_eq!(
         (outcome.attempt, outcome.status, outcome.cache_result),
         (2, AttemptStatus::Miss, Some(CacheResult::MissFetchPending))
@@ -67,18 +74,18 @@
         }
     );
     assert!(
-        matches!(&inputs[1], Input::Event { event: Event::AttemptEnded(o), .. } if o.status == AttemptStatus::Failed)
+        matches!(&messages[1], Message::Event { event: Event::AttemptEnded(o), .. } if o.status == AttemptStatus::Failed)
     );
 }
 
 #[test]
-fn lists_are_resolved_by_number_in_the_order_of_events() {
+fn endpoint_lists_are_resolved_by_number_in_the_order_of_lines() {
     let entry = |id: &str| {
         format!("m server={id} region_part=x machine=std group=2 availability=U capacity_hint=1.5 born_us=0")
     };
     let (a, b) = (entry("a:1"), entry("b:1"));
     let known = "peers_known who=3 how=replace bank=0 revision=1";
-    let inputs = parse(&[
+    let messages = parse(&[
         "roster bank=0 hosts=1",
         &a,
         known,
@@ -88,10 +95,10 @@
         "roster bank=0 hosts=0",
         known,
     ]);
-    let ids: Vec<Vec<&str>> = inputs
+    let ids: Vec<Vec<&str>> = messages
         .iter()
-        .map(|input| match input {
-            Input::Event { event: Event::EndpointsUpdated(EndpointUpdate::Snapshot(list)), .. } => {
+        .map(|message| match message {
+            Message::Event { event: Event::EndpointsUpdated(EndpointUpdate::Snapshot(list)), .. } => {
                 list.iter().map(|e| e.id.as_str()).collect()
             }
             other => panic!("{other:?}"),
@@ -112,7 +119,7 @@
 }
 
 #[test]
-fn malformed_known_lines_are_named() {
+fn errors_of_malformed_lines_name_the_field() {
     for (lines, word) in [
         (vec!["tick"], "tick"),
         (vec!["tick t_us=soon"], "t_us"),
@@ -168,32 +175,33 @@
         (Action::SubscribeToEndpoints, "follow who=3 on=1\n"),
         (Action::Log("two\nlines".into()), "write_log who=3 body_text=two lines\n"),
     ] {
-        let mut out = String::new();
-        write_action(&mut out, 3, &action);
-        assert_eq!(out, line);
+        let mut reply = String::new();
+        write_action(&mut reply, InstanceId(3), &action);
+        assert_eq!(reply, line);
     }
 }
 
-fn host(input: &str) -> Output {
+/// Runs the adapter on this input to its end.
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the host starts");
-    // A host that ends early closes its input: that is no failure of the test.
+        .expect("the adapter starts");
+    // An adapter that ends early closes its input: that is no failure of the test.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the host ends")
+    child.wait_with_output().expect("the adapter ends")
 }
 
 #[test]
-fn the_host_answers_batches_and_ends_with_its_input() {
+fn the_adapter_answers_batches_and_ends_with_its_input() {
     let batch = format!(
         "tick t_us=1\nyour_turn\ntick t_us=10\nretire who=3\n{START}\nroster bank=0 hosts=1\nm server=s:1 machine=std availability=U\n\
          peers_known who=3 how=restored bank=0 revision=1\n\
          submit who=3 request_id=c:x cls=read object=4 valid_until_us=400010\nsubmit who=9 request_id=c:y valid_until_us=9\nyour_turn\n"
     );
-    let done = host(&batch);
+    let done = run_adapter(&batch);
     assert!(done.status.success());
     let text = String::from_utf8(done.stdout).expect("UTF-8");
     assert!(text.starts_with("ack\n") && text.ends_with("ack\n"), "{text}");
@@ -202,8 +210,8 @@
 }
 
 #[test]
-fn the_host_ends_on_a_malformed_line_without_a_reply_to_its_batch() {
-    let done = host("tick t_us=1\nyour_turn\ntick t_us=2\nsubmit who=1 request_id=r\nyour_turn\n");
+fn the_adapter_ends_on_a_malformed_line_without_a_reply_to_its_batch() {
+    let done = run_adapter("tick t_us=1\nyour_turn\ntick t_us=2\nsubmit who=1 request_id=r\nyour_turn\n");
     assert!(!done.status.success());
     assert_eq!(String::from_utf8_lossy(&done.stdout), "ack\n");
     let errors = String::from_utf8_lossy(&done.stderr);
@@ -211,9 +219,10 @@
     assert!(errors.contains("valid_until_us") && errors.contains("submit who=1"), "{errors}");
 }
 
-/// Numbers that make no sense never reach the decisions: the default stands in for them.
+/// A number out of range that reached the decisions could make a server's capacity negative or infinite, and an adapter
+/// that ended for one would end all instances.
 #[test]
-fn numbers_out_of_range_are_passed_over() {
+fn defaults_take_the_place_of_numbers_out_of_range() {
     for bad in ["NaN", "inf", "-inf", "-0.5"] {
         let start = format!(
             "power_on who=1 prng=1 lanes.count=1 lanes.0.name=a lanes.0.worth={bad} lanes.0.late_value={bad} \
@@ -221,14 +230,14 @@
         );
         let entry = format!("m server=s availability=U capacity_hint={bad}");
         let lines = [start.as_str(), "roster bank=0 hosts=1", &entry, "peers_known who=1 how=replace bank=0"];
-        let mut inputs = parse(&lines);
-        let Input::Event { event: Event::EndpointsUpdated(EndpointUpdate::Snapshot(list)), .. } =
-            inputs.remove(1)
+        let mut messages = parse(&lines);
+        let Message::Event { event: Event::EndpointsUpdated(EndpointUpdate::Snapshot(list)), .. } =
+            messages.remove(1)
         else {
             panic!("a list")
         };
         assert_eq!(list[0].weight, 1.0);
-        let Input::Start { settings, .. } = inputs.remove(0) else { panic!("a start") };
+        let Message::InstanceStarted { settings, .. } = messages.remove(0) else { panic!("a start") };
         let other = Settings::default();
         assert_eq!(
             (settings.slow_start_min_fraction, settings.slow_start_overload_factor),
@@ -240,7 +249,8 @@
             (1.0, 0.0)
         );
     }
-    let Input::Start { settings, .. } = parse(&["power_on who=1 prng=1 safety.cold_share=2"]).remove(0)
+    let Message::InstanceStarted { settings, .. } =
+        parse(&["power_on who=1 prng=1 safety.cold_share=2"]).remove(0)
     else {
         panic!("a start")
     };
@@ -252,9 +262,10 @@
 }
 
 #[test]
-fn events_for_an_instance_that_is_not_there_do_nothing() {
-    let output =
-        host("tick t_us=1\ntimer who=9 nonce=w\nabandoned who=9 request_id=c:x\nretire who=9\nyour_turn\n");
+fn events_of_an_instance_that_is_not_running_do_nothing() {
+    let output = run_adapter(
+        "tick t_us=1\ntimer who=9 nonce=w\nabandoned who=9 request_id=c:x\nretire who=9\nyour_turn\n",
+    );
     assert!(output.status.success());
     assert_eq!(String::from_utf8_lossy(&output.stdout), "ack\n");
 }
@@ -262,6 +273,6 @@
 #[test]
 fn a_panic_in_a_decision_is_reported_on_one_line_with_its_text() {
     let mut reply = String::new();
-    simulator_adapter::wire::write_fault(&mut reply, 3, "index\nout of range");
+    write_fault(&mut reply, InstanceId(3), "index\nout of range");
     assert_eq!(reply, "bail_out who=3 body_text=index out of range\n");
 }
