--- a/crates/cache-balancer/src/config/mod.rs
+++ b/crates/cache-balancer/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start: by the platform, or by an operator's file. Both become one [`Config`].
+//! The configuration of a node: from the platform's environment, or from an operator's file. Both become one [`Config`].
 
 pub mod operator;
 pub mod platform;
@@ -10,55 +10,57 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Fewer descriptors than this don't hold the runtime's own and one connection each way.
-pub const LEAST_DESCRIPTORS: usize = 32;
+/// The fewest descriptors that hold the runtime's own and one connection each way.
+pub const MIN_DESCRIPTORS: usize = 32;
 
-/// What a node is told at its start, or at a reload.
+/// The configuration of a node, read at its start and at each reload.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// It goes by this in the log.
+    /// The node's name in the log.
     pub name: String,
-    /// One at least.
+    /// At least one.
     pub listeners: Vec<Listener>,
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The number of descriptors that the process may hold.
     pub descriptors: usize,
-    /// One at least.
+    /// At least one.
     pub pools: Vec<Pool>,
-    /// How another process may take this one's place; `None` where it may not.
-    pub hand_over: Option<HandOver>,
+    /// How another process may replace this one; `None` if it may not.
+    pub handover: Option<HandoverConfig>,
     /// Whether the log has a line of counts for each second.
     pub tally: bool,
 }
 
 /// How one process hands over to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HandOver {
-    /// Where the one that serves listens for its successor.
+pub struct HandoverConfig {
+    /// The path where the process that serves listens for its successor.
     pub socket: PathBuf,
-    /// Each step is done within this, or the one that serves goes on.
-    pub within: Duration,
-    /// For so long at the least a successor is on probation: the process before it stands by, and accepts again should it die.
+    /// The time limit of each step of a hand-over; if it is exceeded, the process that serves goes on.
+    pub step_timeout: Duration,
+    /// The shortest time for which the predecessor stands by, and accepts again if its successor dies.
     pub probation: Duration,
-    /// When two successors have died with clients in their hands, no further one is let in for so long.
-    pub bar: Duration,
+    /// The time for which successors are rejected after two have died while they served.
+    pub backoff: Duration,
 }
 
-impl HandOver {
-    /// What holds where nothing is said.
-    pub const WITHIN: Duration = Duration::from_secs(30);
-    /// See [`HandOver::WITHIN`].
-    pub const PROBATION: Duration = Duration::from_secs(10);
-    /// See [`HandOver::WITHIN`].
-    pub const BAR: Duration = Duration::from_secs(60);
-
-    /// At this path, and all else as where nothing is said.
-    pub fn at(socket: PathBuf) -> Self {
-        Self { socket, within: Self::WITHIN, probation: Self::PROBATION, bar: Self::BAR }
+impl HandoverConfig {
+    pub const DEFAULT_STEP_TIMEOUT: Duration = Duration::from_secs(30);
+    pub const DEFAULT_PROBATION: Duration = Duration::from_secs(10);
+    pub const DEFAULT_BACKOFF: Duration = Duration::from_secs(60);
+
+    /// Defaults, with the socket at this path.
+    pub fn with_socket(socket: PathBuf) -> Self {
+        Self {
+            socket,
+            step_timeout: Self::DEFAULT_STEP_TIMEOUT,
+            probation: Self::DEFAULT_PROBATION,
+            backoff: Self::DEFAULT_BACKOFF,
+        }
     }
 }
 
-/// Where clients are accepted.
+/// An address on which clients are accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listener {
     pub name: String,
@@ -66,32 +68,32 @@
 }
 
 impl Listener {
-    /// Whether it is the same one. It is while its address is, whatever it is called: an address can be listened on only
-    /// once. Where the system picks the port it is the same one while its name is.
-    pub fn is(&self, other: &Self) -> bool {
+    /// Whether both configure the same socket: their addresses are equal, whatever their names, since an address can be
+    /// bound only once. If the system picks the port, their names are equal, too.
+    pub fn is_same_socket(&self, other: &Self) -> bool {
         self.address == other.address && (self.address.port() != 0 || self.name == other.name)
     }
 }
 
-/// Cache servers that serve some classes of requests, and what is decided for these.
+/// Cache servers that serve some request classes, and the settings for them.
 #[derive(Clone, Debug)]
 pub struct Pool {
     pub name: String,
     pub source: Source,
-    /// The cache servers as this node last knew them.
+    /// The cache servers that the configuration lists.
     pub known: Listing,
-    /// Its classes among them: a request's class tells its pool.
+    /// With its request classes: the class of a request selects the pool.
     pub settings: Settings,
 }
 
-/// Where a pool's list comes from.
+/// The source of a pool's endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Source {
-    /// Discovery, at one address or at several replicas.
+    /// A discovery service, at one address or at several replicas.
     Discovery(DiscoveryReplicas),
     /// A file that is read again whenever it changes.
     File(PathBuf),
-    /// The list is what it is.
+    /// The configuration itself.
     Fixed,
 }
 
@@ -102,20 +104,20 @@
     }
 }
 
-/// The replicas of one discovery service. They share one sequence of versions, though one may lag behind another.
+/// The replicas of one discovery service. They share one sequence of versions, and may lag behind each other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryReplicas {
-    /// 1 to [`DiscoveryReplicas::MOST`], each once. In ascending order, so that equal sets are equal.
+    /// 1 to [`DiscoveryReplicas::MOST`] distinct addresses, in ascending order, so that equal sets are equal.
     pub addresses: Vec<SocketAddr>,
-    /// What each of them can send; `None` where nobody has stated it.
+    /// The capacity of each replica; `None` if it is not stated.
     pub capacity: Option<Capacity>,
 }
 
 impl DiscoveryReplicas {
-    /// A service has no more replicas than this.
+    /// The largest number of replicas.
     pub const MOST: usize = 64;
 
-    /// Of these addresses, in whatever order.
+    /// A service at these addresses, in any order.
     pub fn new(mut addresses: Vec<SocketAddr>, capacity: Option<Capacity>) -> Self {
         addresses.sort_unstable();
         Self { addresses, capacity }
--- /dev/null
+++ b/crates/cache-balancer/src/config/operator/effective.rs
@@ -0,0 +1,122 @@
+//! The effective configuration, written as an operator's file that reads as the same.
+
+use super::{discovery, VERSION};
+use crate::config::{Config, HandoverConfig, Listener, Pool, Source};
+use crate::listing::Host;
+use balancer_core::{DeduplicationScope, Idempotency, RequestClass, Settings};
+use checked_toml::time_text;
+use std::fmt::{Result, Write};
+use std::time::Duration;
+
+/// The text of the effective configuration, with all defaults.
+pub fn effective(config: &Config) -> String {
+    let mut text = String::new();
+    // Writing to a string does not fail.
+    let _ = write_config(&mut text, config);
+    text
+}
+
+fn write_config(text: &mut String, config: &Config) -> Result {
+    writeln!(text, "version = {VERSION}\nname = \"{}\"", config.name)?;
+    // The settings of the first pool: these hold for all pools.
+    let Some(settings) = config.pools.first().map(|pool| &pool.settings) else { return Ok(()) };
+    if let Some(zone) = &settings.zone {
+        writeln!(text, "zone = \"{zone}\"")?;
+    }
+    writeln!(text, "nodes = {}", settings.nodes)?;
+    write_limits(text, config.descriptors, settings)?;
+    write_server_settings(text, settings)?;
+    writeln!(text, "\n[log]\ntally = {}", config.tally)?;
+    if let Some(handover) = &config.handover {
+        write_handover(text, handover)?;
+    }
+    for Listener { name, address } in &config.listeners {
+        writeln!(text, "\n[[listener]]\nname = \"{name}\"\naddress = \"{address}\"")?;
+    }
+    for pool in &config.pools {
+        write_pool(text, pool)?;
+    }
+    for pool in &config.pools {
+        for class in &pool.settings.classes {
+            write_class(text, &pool.name, class)?;
+        }
+    }
+    Ok(())
+}
+
+fn write_limits(text: &mut String, descriptors: usize, settings: &Settings) -> Result {
+    writeln!(text, "\n[limits]\ndescriptors = {descriptors}")?;
+    writeln!(text, "max_attempts = {}", settings.max_attempts)?;
+    writeln!(text, "second_copies = {}", settings.hedging_allowed)?;
+    writeln!(text, "max_retry_after = {}", time(settings.max_retry_after))
+}
+
+fn write_server_settings(text: &mut String, settings: &Settings) -> Result {
+    writeln!(text, "\n[servers]\nconnect_timeout = {}", time(settings.connect_timeout))?;
+    writeln!(text, "idle = {}", time(settings.server_idle_timeout))?;
+    writeln!(text, "weights_tell_speed = {}", settings.weights_reflect_speed)?;
+    writeln!(text, "cold_share = {:?}", settings.slow_start_min_fraction)?;
+    writeln!(text, "warm_within = {}", time(settings.slow_start_window))?;
+    writeln!(text, "fall_multiple = {:?}", settings.slow_start_overload_factor)?;
+    writeln!(text, "fall_span = {}", time(settings.slow_start_overload_window))
+}
+
+fn write_handover(text: &mut String, handover: &HandoverConfig) -> Result {
+    let HandoverConfig { socket, step_timeout, probation, backoff } = handover;
+    let socket = socket.display().to_string();
+    writeln!(text, "\n[hand_over]\nsocket = {socket:?}\nwithin = {}", time(*step_timeout))?;
+    writeln!(text, "probation = {}\nbar = {}", time(*probation), time(*backoff))
+}
+
+fn write_pool(text: &mut String, pool: &Pool) -> Result {
+    writeln!(text, "\n[[pool]]\nname = \"{}\"", pool.name)?;
+    match &pool.source {
+        Source::Discovery(replicas) => discovery::write(text, replicas)?,
+        Source::File(path) => writeln!(text, "file = {:?}", path.display().to_string())?,
+        Source::Fixed => {}
+    }
+    for host in &pool.known.hosts {
+        write_server(text, host)?;
+    }
+    Ok(())
+}
+
+fn write_server(text: &mut String, host: &Host) -> Result {
+    writeln!(text, "[[pool.server]]\nname = \"{}\"", host.host)?;
+    if let Some(address) = host.dial {
+        writeln!(text, "address = \"{address}\"")?;
+    }
+    for (key, value) in [("zone", &host.site), ("kind", &host.class)] {
+        if let Some(value) = value {
+            writeln!(text, "{key} = \"{value}\"")?;
+        }
+    }
+    if let Some(cell) = host.block {
+        writeln!(text, "cell = {cell}")?;
+    }
+    writeln!(text, "health = \"{}\"\nweight = {:?}", host.health, host.share.unwrap_or(1.0))
+}
+
+fn write_class(text: &mut String, pool: &str, class: &RequestClass) -> Result {
+    writeln!(text, "\n[[class]]\nname = \"{}\"\npool = \"{pool}\"", class.name)?;
+    match class.idempotency {
+        Idempotency::Idempotent => writeln!(text, "effect = \"safe\"")?,
+        Idempotency::NotIdempotent => writeln!(text, "effect = \"unsafe\"")?,
+        Idempotency::WithKey { scope, window } => {
+            let scope = match scope {
+                DeduplicationScope::All => "all",
+                DeduplicationScope::Zone => "zone",
+                DeduplicationScope::Cell => "cell",
+            };
+            writeln!(text, "effect = \"keyed\"\nscope = \"{scope}\"\nwindow = {}", time(window))?;
+        }
+    }
+    writeln!(text, "aim = {}", time(class.latency_objective))?;
+    writeln!(text, "deadline = {}", time(class.deadline))?;
+    writeln!(text, "worth = {:?}", class.priority_weight)?;
+    writeln!(text, "late_worth = {:?}", class.late_weight_fraction)
+}
+
+fn time(time: Duration) -> String {
+    format!("\"{}\"", time_text(time))
+}
--- a/crates/cache-balancer/src/config/platform.rs
+++ b/crates/cache-balancer/src/config/platform.rs
@@ -1,6 +1,6 @@
-//! `LB_CONFIG` and the environment: what the platform tells its node.
+//! The platform's configuration: the file that `LB_CONFIG` names, and further variables of the environment.
 
-use super::{Config, DiscoveryReplicas, Listener, Pool, Source, LEAST_DESCRIPTORS};
+use super::{Config, DiscoveryReplicas, Listener, Pool, Source, MIN_DESCRIPTORS};
 use crate::listing::Listing;
 use balancer_core::platform::{read_settings, PlatformError};
 use serde::Deserialize;
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why the node cannot start.
+/// Why the platform's configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     #[error("LB_CONFIG is not set")]
@@ -46,11 +46,11 @@
     sockets: usize,
 }
 
-/// The variable that goes before the file's `discovery` at the start. At a reload it is out of date, since a
-/// process keeps the environment that it started with: the file's word holds then.
+/// The variable that takes precedence over the file's `discovery` at the start. At a reload it is out of date, since a process
+/// keeps the environment that it started with, and the file's value holds.
 pub const DISCOVERY: &str = "LB_DISCOVERY";
 
-/// Reads the file that `LB_CONFIG` names; the other variables go before what it says.
+/// Reads the file that `LB_CONFIG` names. Other variables take precedence over its values.
 pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let path = PathBuf::from(variable("LB_CONFIG").ok_or(ConfigError::NoPath)?);
     let text = std::fs::read(&path).map_err(|error| ConfigError::Unreadable(path.clone(), error))?;
@@ -61,7 +61,7 @@
         text.parse().map_err(|_| ConfigError::Address(name, text))
     };
     let sockets = file.limits.sockets;
-    if sockets < LEAST_DESCRIPTORS {
+    if sockets < MIN_DESCRIPTORS {
         return Err(ConfigError::Sockets(sockets));
     }
     let mut pairs = Vec::new();
@@ -82,13 +82,13 @@
         seed: u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed(file.seed))?,
         descriptors: sockets,
         pools: vec![pool],
-        hand_over: None,
-        // A line a second, by which the fleet's logs are counted together.
+        handover: None,
+        // `aggregate` adds up these lines of the whole fleet.
         tally: true,
     })
 }
 
-/// Nested JSON as the wire's pairs of path and value.
+/// Flattens nested JSON to the pairs of path and value that the simulator's wire has.
 fn flatten(path: String, value: &Value, pairs: &mut Vec<(String, String)>) {
     let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
@@ -105,13 +105,13 @@
             }
         }
         Value::Array(items) => {
-            let items: Vec<_> = items.iter().map(plain).collect();
+            let items: Vec<_> = items.iter().map(scalar_text).collect();
             pairs.push((path, items.join(",")));
         }
-        _ => pairs.push((path, plain(value))),
+        _ => pairs.push((path, scalar_text(value))),
     }
 }
 
-fn plain(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- /dev/null
+++ b/crates/cache-balancer/src/daemon/graceful_restart/mod.rs
@@ -0,0 +1,167 @@
+//! Carries out on a node what [`balancer_core::graceful_restart`] decides: [`successor`] for the process that takes over,
+//! [`predecessor`] for the one that is replaced.
+
+mod predecessor;
+mod successor;
+
+pub(super) use successor::{take_over, StandbyPredecessor, Takeover, TakeoverError};
+
+use super::node::Node;
+use crate::config::Config;
+use crate::handover::PredecessorEndpoint;
+use crate::service_manager::ServiceManager;
+use balancer_core::graceful_restart::{PredecessorAction, PredecessorEvent, SuccessorEvent};
+use predecessor::SuccessorHandover;
+use rustix::process::Signal;
+use std::future::pending;
+use std::time::Duration;
+
+/// What a step of a hand-over means for the node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Transition {
+    None,
+    /// Another process serves, and this one stands by.
+    StandingBy,
+    /// This process serves again.
+    RolledBack,
+    /// Another process serves for good.
+    Departed,
+}
+
+/// What happens to a process that serves.
+#[derive(Debug)]
+pub(super) enum RestartEvent {
+    /// The predecessor no longer stands by.
+    PredecessorGone,
+    /// Something happened at the successor, or at the socket where it connects.
+    Successor(PredecessorEvent),
+}
+
+/// The neighbours of this process: the predecessor that it replaced, while that stands by, and the successor that comes
+/// to replace it.
+#[derive(Debug, Default)]
+pub(super) struct GracefulRestart {
+    predecessor: Option<StandbyPredecessor>,
+    successor: Option<SuccessorHandover>,
+}
+
+impl GracefulRestart {
+    pub fn new(predecessor: Option<StandbyPredecessor>, endpoint: Option<PredecessorEndpoint>) -> Self {
+        Self {
+            predecessor: predecessor.filter(StandbyPredecessor::is_standing_by),
+            successor: endpoint.map(SuccessorHandover::new),
+        }
+    }
+
+    /// Whether the predecessor stands by, in case this process dies. It is the service's main process meanwhile.
+    pub fn on_probation(&self) -> bool {
+        self.predecessor.is_some()
+    }
+
+    /// Whether a hand-over to a successor is in progress that is not committed yet.
+    pub fn is_handing_over(&self) -> bool {
+        self.successor.as_ref().is_some_and(SuccessorHandover::is_handing_over)
+    }
+
+    /// Whether the successor serves, and this process stands by.
+    pub fn is_standing_by(&self) -> bool {
+        self.successor.as_ref().is_some_and(SuccessorHandover::is_standing_by)
+    }
+
+    /// The time for which successors are still rejected.
+    pub fn backoff_remaining(&self) -> Option<Duration> {
+        self.successor.as_ref()?.backoff_remaining()
+    }
+
+    /// Sends a signal on to the successor.
+    pub fn forward_signal(&self, signal: Signal) {
+        if let Some(successor) = &self.successor {
+            successor.forward_signal(signal);
+        }
+    }
+
+    /// The next event. Cancel safe.
+    pub async fn next(&mut self, node: &Node) -> RestartEvent {
+        let Self { predecessor, successor } = self;
+        let predecessor_gone = async {
+            match predecessor {
+                Some(predecessor) => predecessor.gone().await,
+                None => pending().await,
+            }
+        };
+        let successor_event = async {
+            match successor {
+                Some(successor) => successor.next(node).await,
+                None => pending().await,
+            }
+        };
+        tokio::select! {
+            biased;
+            () = predecessor_gone => RestartEvent::PredecessorGone,
+            event = successor_event => RestartEvent::Successor(event),
+        }
+    }
+
+    /// Handles an event, and returns what it means for the node.
+    pub async fn handle(&mut self, event: RestartEvent, node: &Node, manager: &ServiceManager) -> Transition {
+        match event {
+            RestartEvent::PredecessorGone => {
+                self.predecessor = None;
+                manager.notify_main_process(std::process::id());
+                Transition::None
+            }
+            RestartEvent::Successor(event) => self.handle_successor(event, node, manager).await,
+        }
+    }
+
+    async fn handle_successor(
+        &mut self,
+        event: PredecessorEvent,
+        node: &Node,
+        manager: &ServiceManager,
+    ) -> Transition {
+        let Some(successor) = &mut self.successor else { return Transition::None };
+        let mut transition = Transition::None;
+        for action in successor.handle(event) {
+            if *action == PredecessorAction::Offer {
+                release_predecessor(&mut self.predecessor, manager).await;
+            }
+            let next = successor.carry_out(*action, event, node, manager).await;
+            if next != Transition::None {
+                transition = next;
+            }
+        }
+        successor.disconnect_if_serving();
+        transition
+    }
+
+    /// The process is told to stop. Returns whether a successor serves in its place.
+    pub async fn stop(&mut self, manager: &ServiceManager) -> bool {
+        if let Some(predecessor) = &mut self.predecessor {
+            predecessor.handle(SuccessorEvent::StopRequested).await;
+        }
+        match &mut self.successor {
+            Some(successor) => successor.stop(manager).await,
+            None => false,
+        }
+    }
+
+    /// Applies a new configuration. `endpoint` listens at its socket if that has moved.
+    pub fn reconfigure(&mut self, endpoint: Option<PredecessorEndpoint>, config: &Config) {
+        match (&config.handover, endpoint, &mut self.successor) {
+            (None, ..) => self.successor = None,
+            (Some(_), Some(endpoint), _) => self.successor = Some(SuccessorHandover::new(endpoint)),
+            (Some(config), None, Some(successor)) => successor.reconfigure(config.clone()),
+            (Some(_), None, None) => {}
+        }
+    }
+}
+
+/// Before this process hands over itself, the predecessor has to be gone: otherwise, if this process died, both the
+/// predecessor and the successor would accept.
+async fn release_predecessor(predecessor: &mut Option<StandbyPredecessor>, manager: &ServiceManager) {
+    if let Some(mut predecessor) = predecessor.take() {
+        predecessor.handle(SuccessorEvent::HandoverStarted).await;
+        manager.notify_main_process(std::process::id());
+    }
+}
--- /dev/null
+++ b/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
@@ -0,0 +1,181 @@
+//! The hand-over to a successor.
+
+use super::Transition;
+use crate::config::HandoverConfig;
+use crate::daemon::node::Node;
+use crate::handover::{CancelReason, PredecessorEndpoint};
+use crate::log::log;
+use crate::service_manager::ServiceManager;
+use balancer_core::graceful_restart::{Predecessor, PredecessorAction, PredecessorEvent, PredecessorState};
+use rustix::process::Signal;
+use std::future::pending;
+use std::time::Duration;
+use tokio::time::{sleep_until, Instant};
+
+/// The hand-over to a successor, from the start of this process on.
+#[derive(Debug)]
+pub(super) struct SuccessorHandover {
+    machine: Predecessor,
+    endpoint: PredecessorEndpoint,
+    /// The successor is on probation until then, and until every request that this process accepted has ended.
+    probation_until: Option<Instant>,
+}
+
+impl SuccessorHandover {
+    pub fn new(endpoint: PredecessorEndpoint) -> Self {
+        Self { machine: Predecessor::default(), endpoint, probation_until: None }
+    }
+
+    pub fn is_handing_over(&self) -> bool {
+        self.machine.is_handing_over()
+    }
+
+    pub fn is_standing_by(&self) -> bool {
+        self.machine.state() == PredecessorState::StandingBy
+    }
+
+    pub fn backoff_remaining(&self) -> Option<Duration> {
+        self.endpoint.backoff_remaining()
+    }
+
+    pub fn forward_signal(&self, signal: Signal) {
+        self.endpoint.signal(signal);
+    }
+
+    pub fn reconfigure(&mut self, config: HandoverConfig) {
+        self.endpoint.config = config;
+    }
+
+    /// The next event. Cancel safe.
+    pub async fn next(&mut self, node: &Node) -> PredecessorEvent {
+        let probation_over = probation_over(self.probation_until, node);
+        tokio::select! {
+            biased;
+            event = self.endpoint.next() => event,
+            () = probation_over => PredecessorEvent::TimedOut,
+        }
+    }
+
+    /// Handles an event, and returns the actions to carry out with [`Self::carry_out`].
+    pub fn handle(&mut self, event: PredecessorEvent) -> &'static [PredecessorAction] {
+        self.log_event(event);
+        self.machine.handle(event)
+    }
+
+    /// Carries out an action that `event` led to, and returns what it means for the node.
+    pub async fn carry_out(
+        &mut self,
+        action: PredecessorAction,
+        event: PredecessorEvent,
+        node: &Node,
+        manager: &ServiceManager,
+    ) -> Transition {
+        match action {
+            PredecessorAction::Offer => self.offer(node).await,
+            PredecessorAction::Pause => {
+                node.listeners.pause();
+                self.endpoint.send_proceed(&node.learned_state().await);
+            }
+            PredecessorAction::Resume => node.listeners.resume(),
+            PredecessorAction::Cancel => self.endpoint.cancel(self.cancel_reason(event)).await,
+            PredecessorAction::Fence => self.endpoint.signal(Signal::TERM),
+            PredecessorAction::Commit => {
+                self.commit(node);
+                return Transition::StandingBy;
+            }
+            PredecessorAction::Rollback => {
+                self.roll_back(node);
+                return Transition::RolledBack;
+            }
+            PredecessorAction::BackOff => self.endpoint.back_off(),
+            PredecessorAction::Depart => {
+                self.depart(manager).await;
+                return Transition::Departed;
+            }
+        }
+        Transition::None
+    }
+
+    /// Ends the link with a successor whose hand-over is over.
+    pub fn disconnect_if_serving(&mut self) {
+        if self.machine.state() == PredecessorState::Serving {
+            self.endpoint.disconnect();
+        }
+    }
+
+    /// The process is told to stop. Returns whether the successor serves in its place.
+    pub async fn stop(&mut self, manager: &ServiceManager) -> bool {
+        let mut departed = false;
+        for action in self.machine.stop() {
+            match action {
+                PredecessorAction::Cancel => self.endpoint.cancel(CancelReason::Stopping).await,
+                PredecessorAction::Depart => {
+                    self.depart(manager).await;
+                    departed = true;
+                }
+                // A stop leads to no other action.
+                _ => {}
+            }
+        }
+        self.endpoint.disconnect();
+        departed
+    }
+
+    async fn offer(&mut self, node: &Node) {
+        let listener = |index: usize| node.config.listeners[index].clone();
+        let sockets = node.listeners.sockets();
+        let sockets = sockets.into_iter().map(|(index, socket)| (listener(index), socket)).collect();
+        self.endpoint.send_offer(sockets, &node.learned_state().await);
+    }
+
+    fn commit(&mut self, node: &Node) {
+        node.listeners.stand_by();
+        self.endpoint.send_commit();
+        self.probation_until = Some(Instant::now() + self.endpoint.config.probation);
+    }
+
+    fn roll_back(&mut self, node: &Node) {
+        node.listeners.resume();
+        self.endpoint.roll_back();
+        self.probation_until = None;
+    }
+
+    async fn depart(&mut self, manager: &ServiceManager) {
+        // The service manager has to know the successor before this process exits, or it would take the service to have
+        // ended.
+        if let Some(process) = self.endpoint.successor_process() {
+            manager.notify_main_process(process);
+        }
+        self.endpoint.depart().await;
+    }
+
+    fn cancel_reason(&self, event: PredecessorEvent) -> CancelReason {
+        match event {
+            PredecessorEvent::Requested if self.machine.is_backing_off() => {
+                CancelReason::BackingOff(self.endpoint.backoff_remaining().unwrap_or_default())
+            }
+            PredecessorEvent::TimedOut => CancelReason::TimedOut,
+            _ => CancelReason::OutOfOrder,
+        }
+    }
+
+    fn log_event(&self, event: PredecessorEvent) {
+        let what = match event {
+            PredecessorEvent::SuccessorDied => "has died",
+            PredecessorEvent::LinkLost => "cannot be heard any more, and lives",
+            PredecessorEvent::Declined => "gives up",
+            _ => return,
+        };
+        let process = self.endpoint.successor_process().unwrap_or_default();
+        log!("hand-over: the successor {process} {what}");
+    }
+}
+
+/// Waits until the probation has passed and every connection of this process has ended; forever without a probation.
+async fn probation_over(until: Option<Instant>, node: &Node) {
+    match until {
+        Some(until) => sleep_until(until).await,
+        None => pending().await,
+    }
+    node.listeners.drained().await;
+}
--- /dev/null
+++ b/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
@@ -0,0 +1,198 @@
+//! The takeover from a predecessor.
+
+use crate::daemon::listeners::Bound;
+use crate::daemon::node::Node;
+use crate::handover::{CancelCause, Message, SuccessorEndpoint};
+use crate::log::log;
+use balancer_core::graceful_restart::{Successor, SuccessorAction, SuccessorEvent, SuccessorState};
+use std::ops::ControlFlow;
+use std::pin::pin;
+use thiserror::Error;
+use tokio::signal::unix::Signal;
+
+/// The outcome of a takeover.
+#[derive(Debug)]
+pub(in crate::daemon) enum Takeover {
+    /// This process serves.
+    Serving(StandbyPredecessor),
+    /// This process was told to stop.
+    Terminated,
+    /// The predecessor goes on by itself. The requests in flight have to be finished.
+    Cancelled(TakeoverError),
+}
+
+/// Why a predecessor goes on by itself.
+#[derive(Debug, Error)]
+pub enum TakeoverError {
+    #[error("the process that serves goes on by itself: {0}")]
+    Cancelled(CancelCause),
+    #[error("the link to the process that serves was cut, and that goes on")]
+    LinkLost,
+    #[error("the process that serves goes on by itself: its messages came out of order")]
+    OutOfOrder,
+}
+
+/// Takes over from the predecessor at the other end. `bound` has a socket for each listener.
+///
+/// An error if the predecessor goes on by itself before this process has accepted a connection.
+pub(in crate::daemon) async fn take_over(
+    node: &mut Node,
+    endpoint: SuccessorEndpoint,
+    bound: Bound,
+    terminate: &mut Signal,
+) -> Result<Takeover, TakeoverError> {
+    let takeover = InProgress {
+        node,
+        machine: Successor::default(),
+        endpoint,
+        bound: Some(bound),
+        stopping: false,
+        error: TakeoverError::OutOfOrder,
+    };
+    takeover.run(terminate).await
+}
+
+struct InProgress<'a> {
+    node: &'a mut Node,
+    machine: Successor,
+    endpoint: SuccessorEndpoint,
+    /// The sockets, until connections are accepted on them.
+    bound: Option<Bound>,
+    /// This process was told to stop.
+    stopping: bool,
+    /// The reason if the takeover fails.
+    error: TakeoverError,
+}
+
+/// How a takeover ends.
+enum End {
+    Serving,
+    /// Requests may be in flight.
+    Drain,
+    /// No connection was accepted.
+    Exit,
+}
+
+impl InProgress<'_> {
+    async fn run(mut self, terminate: &mut Signal) -> Result<Takeover, TakeoverError> {
+        match self.until_end(terminate).await {
+            End::Serving => {
+                let Self { machine, endpoint, .. } = self;
+                Ok(Takeover::Serving(StandbyPredecessor { machine, endpoint }))
+            }
+            End::Drain | End::Exit if self.stopping => Ok(Takeover::Terminated),
+            End::Drain => Ok(Takeover::Cancelled(self.error)),
+            End::Exit => Err(self.error),
+        }
+    }
+
+    async fn until_end(&mut self, terminate: &mut Signal) -> End {
+        let readiness = self.node.readiness.clone();
+        let mut prepared = pin!(readiness.wait(|pool| log!("waiting for cache servers of pool {pool}")));
+        let mut preparing = true;
+        loop {
+            let event = tokio::select! {
+                biased;
+                _ = terminate.recv() => {
+                    self.stopping = true;
+                    SuccessorEvent::StopRequested
+                }
+                message = self.endpoint.next() => self.event(message),
+                () = &mut prepared, if preparing => {
+                    preparing = false;
+                    SuccessorEvent::Prepared
+                }
+            };
+            for action in self.machine.handle(event) {
+                if let ControlFlow::Break(end) = self.carry_out(*action).await {
+                    return end;
+                }
+            }
+        }
+    }
+
+    fn event(&mut self, message: Message) -> SuccessorEvent {
+        match message {
+            Message::Proceed(state) => {
+                if let Some(state) = state {
+                    self.node.restore(state);
+                }
+                SuccessorEvent::Proceed
+            }
+            Message::Committed => SuccessorEvent::Committed,
+            Message::Departed => SuccessorEvent::PredecessorDeparted,
+            Message::Cancelled(cause) => {
+                self.error = TakeoverError::Cancelled(cause);
+                SuccessorEvent::Cancelled
+            }
+            Message::Died => SuccessorEvent::PredecessorDied,
+            Message::LinkLost => {
+                self.error = TakeoverError::LinkLost;
+                SuccessorEvent::LinkLost
+            }
+        }
+    }
+
+    async fn carry_out(&mut self, action: SuccessorAction) -> ControlFlow<End> {
+        match action {
+            SuccessorAction::SendReady => self.endpoint.send_ready(),
+            SuccessorAction::Accept => {
+                if let Some(bound) = self.bound.take() {
+                    self.node.listen(bound);
+                }
+            }
+            SuccessorAction::SendAccepting => self.endpoint.send_accepting(),
+            SuccessorAction::Decline => self.endpoint.decline().await,
+            SuccessorAction::Release => self.endpoint.release().await,
+            SuccessorAction::TerminatePredecessor => self.endpoint.terminate_predecessor(),
+            // Only now: a successor that may still be cancelled does not notify the service manager.
+            SuccessorAction::TakeOwnership => return ControlFlow::Break(End::Serving),
+            SuccessorAction::Drain => return ControlFlow::Break(End::Drain),
+            SuccessorAction::Exit => return ControlFlow::Break(End::Exit),
+        }
+        ControlFlow::Continue(())
+    }
+}
+
+/// The predecessor of this process, while it stands by.
+#[derive(Debug)]
+pub(in crate::daemon) struct StandbyPredecessor {
+    machine: Successor,
+    endpoint: SuccessorEndpoint,
+}
+
+impl StandbyPredecessor {
+    pub fn is_standing_by(&self) -> bool {
+        self.machine.state() == SuccessorState::OnProbation
+    }
+
+    /// Waits until it no longer stands by. Cancel safe.
+    pub async fn gone(&mut self) {
+        while self.is_standing_by() {
+            let event = match self.endpoint.next().await {
+                Message::Departed => SuccessorEvent::PredecessorDeparted,
+                Message::Died => SuccessorEvent::PredecessorDied,
+                Message::LinkLost => SuccessorEvent::LinkLost,
+                Message::Committed | Message::Proceed(_) | Message::Cancelled(_) => continue,
+            };
+            self.handle(event).await;
+        }
+    }
+
+    pub async fn handle(&mut self, event: SuccessorEvent) {
+        for action in self.machine.handle(event) {
+            match action {
+                SuccessorAction::Release => self.endpoint.release().await,
+                SuccessorAction::TerminatePredecessor => self.endpoint.terminate_predecessor(),
+                // Actions of a process that does not serve yet.
+                SuccessorAction::SendReady
+                | SuccessorAction::Accept
+                | SuccessorAction::SendAccepting
+                | SuccessorAction::Decline
+                | SuccessorAction::TakeOwnership
+                | SuccessorAction::Drain
+                | SuccessorAction::Exit => {}
+            }
+        }
+    }
+}
--- a/crates/cache-balancer/src/daemon/listeners.rs
+++ b/crates/cache-balancer/src/daemon/listeners.rs
@@ -1,12 +1,14 @@
-//! The listeners at work, each with a stage of its own: one that a reload removes closes as all do at the node's end.
+//! The listeners of a node, each with a shutdown phase of its own: one that a reload removes closes as all do when the node
+//! stops.
 
 use super::change::Change;
+use super::error::ConfigureError;
 use crate::config::Listener;
 use crate::fronts::http1::{serve, Front};
 use crate::log::log;
-use crate::manager::Passed;
-use crate::stage::Stage;
-use std::error::Error;
+use crate::service_manager::ActivationSockets;
+use crate::shutdown_phase::ShutdownPhase;
+use std::io;
 use std::os::fd::{AsFd, OwnedFd};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -15,95 +17,105 @@
 use tokio::task::{spawn_local, JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-/// New connections keep coming for 0.4 s after SIGTERM: until the front has noticed, the node serves them.
-const LEAVING: Duration = Duration::from_millis(500);
+/// The time for which a listener that stops still accepts. Fronts send new connections for up to 0.4 s after SIGTERM,
+/// until they notice.
+const DRAIN_DELAY: Duration = Duration::from_millis(500);
 
-/// Sockets that are listened on, each beside the place of its listener in the configuration.
+/// Listening sockets, each with the index of its listener in the configuration.
 pub type Bound = Vec<(usize, TcpListener)>;
 
-/// Sockets that others have opened.
+/// Listening sockets that another process opened.
 #[derive(Debug, Default)]
-pub struct Opened {
-    /// By the service manager.
-    pub passed: Passed,
-    /// By the process whose place this one takes.
-    pub offered: Vec<(Listener, std::net::TcpListener)>,
+pub struct InheritedSockets {
+    /// The service manager's.
+    pub activation: ActivationSockets,
+    /// The predecessor's.
+    pub handed_over: Vec<(Listener, std::net::TcpListener)>,
 }
 
-impl Opened {
+impl InheritedSockets {
     fn take(&mut self, listener: &Listener) -> Option<std::net::TcpListener> {
-        // Where the system picked the port, a file may name that by now.
-        let bound = |socket: &std::net::TcpListener| socket.local_addr().ok() == Some(listener.address);
-        let place = self.offered.iter().position(|(other, socket)| other.is(listener) || bound(socket));
-        place.map(|place| self.offered.swap_remove(place).1).or_else(|| self.passed.take(&listener.name))
+        // If the system picked the port, the file may name it by now.
+        let is_bound = |socket: &std::net::TcpListener| socket.local_addr().ok() == Some(listener.address);
+        let is_listener = |(other, socket): &(Listener, std::net::TcpListener)| {
+            other.is_same_socket(listener) || is_bound(socket)
+        };
+        match self.handed_over.iter().position(is_listener) {
+            Some(index) => Some(self.handed_over.swap_remove(index).1),
+            None => self.activation.take(&listener.name),
+        }
     }
 }
 
-/// Listens for those that `wanted` names: on a socket that another has opened, or on its address.
+/// Listens for each of `listeners` whose index is in `indices`: on an inherited socket, or on its address.
 pub async fn bind(
     listeners: &[Listener],
-    wanted: impl Iterator<Item = usize>,
-    opened: &mut Opened,
-) -> Result<Bound, Box<dyn Error>> {
+    indices: impl Iterator<Item = usize>,
+    inherited: &mut InheritedSockets,
+) -> Result<Bound, ConfigureError> {
     let mut bound = Vec::new();
-    for place in wanted {
-        let listener = match opened.take(&listeners[place]) {
-            Some(socket) => {
-                socket.set_nonblocking(true)?;
-                TcpListener::from_std(socket)?
-            }
+    for index in indices {
+        let listener = &listeners[index];
+        let socket = match inherited.take(listener) {
+            Some(socket) => adopt(socket)
+                .map_err(|error| ConfigureError::InheritedSocket { name: listener.name.clone(), error })?,
             None => {
-                let address = listeners[place].address;
+                let address = listener.address;
                 let bound = TcpListener::bind(address).await;
-                bound.map_err(|error| format!("cannot listen on {address}: {error}"))?
+                bound.map_err(|error| ConfigureError::Listen { address, error })?
             }
         };
-        bound.push((place, listener));
+        bound.push((index, socket));
     }
     Ok(bound)
 }
 
-/// All of them, in the configuration's order.
+fn adopt(socket: std::net::TcpListener) -> io::Result<TcpListener> {
+    socket.set_nonblocking(true)?;
+    TcpListener::from_std(socket)
+}
+
+/// The listeners, in the order of the configuration.
 pub struct Listeners {
     front: Rc<Front>,
     running: Vec<Running>,
-    /// Those that were removed and have not ended yet.
+    /// Removed listeners that have not closed yet.
     removed: JoinSet<()>,
 }
 
 struct Running {
-    /// Goes with its serving, which holds it open.
+    /// The task that serves holds it open.
     socket: Weak<TcpListener>,
-    stage: watch::Sender<Stage>,
+    phase: watch::Sender<ShutdownPhase>,
     serving: JoinHandle<()>,
 }
 
 impl Running {
     async fn close(self) {
-        self.stage.send_replace(Stage::Leaving);
-        sleep(LEAVING).await;
-        self.stage.send_replace(Stage::Closing);
-        // One that panicked has ended too.
+        self.phase.send_replace(ShutdownPhase::Draining);
+        sleep(DRAIN_DELAY).await;
+        self.phase.send_replace(ShutdownPhase::Closing);
+        // A task that panicked has ended, too.
         let _ = self.serving.await;
     }
 }
 
 impl Listeners {
-    /// Accepts on none yet.
+    /// No listeners yet.
     pub fn new(front: Rc<Front>) -> Self {
         Self { front, running: Vec::new(), removed: JoinSet::new() }
     }
 
-    /// Takes on what a new configuration says, with a socket for each listener that it adds. What was taken on one that
-    /// it lacks is finished.
+    /// Applies a new configuration. `bound` has a socket for each listener that it adds. A listener that it lacks finishes
+    /// its requests and closes.
     pub fn change(&mut self, name: &str, change: &Change, bound: Bound) {
         while self.removed.try_join_next().is_some() {}
         let mut before: Vec<_> = std::mem::take(&mut self.running).into_iter().map(Some).collect();
         let mut bound = bound.into_iter();
-        for place in &change.listeners {
-            let running = match place.and_then(|place| before[place].take()) {
+        for index in &change.listeners {
+            let running = match index.and_then(|index| before[index].take()) {
                 Some(running) => Some(running),
-                None => bound.next().map(|(_, socket)| self.begin(name, socket)),
+                None => bound.next().map(|(_, socket)| self.start(name, socket)),
             };
             self.running.extend(running);
         }
@@ -112,66 +124,68 @@
         }
     }
 
-    /// Waits until those that were removed listen no more: one of them may come back with the next configuration.
+    /// Waits until removed listeners have closed: the next configuration may add one of them again.
     pub async fn wait_for_removed(&mut self) {
         while self.removed.join_next().await.is_some() {}
     }
 
-    fn begin(&self, name: &str, socket: TcpListener) -> Running {
+    fn start(&self, name: &str, socket: TcpListener) -> Running {
         if let Ok(address) = socket.local_addr() {
             log!("node {name} listens on {address}");
         }
-        let (stage, watched) = watch::channel(Stage::Serving);
+        let (phase, watched_phase) = watch::channel(ShutdownPhase::Serving);
         let socket = Rc::new(socket);
         let weak = Rc::downgrade(&socket);
-        Running { socket: weak, stage, serving: spawn_local(serve(socket, watched, self.front.clone())) }
+        let serving = spawn_local(serve(socket, watched_phase, self.front.clone()));
+        Running { socket: weak, phase, serving }
     }
 
-    /// Accepts on none until [`Listeners::resume`], with all left open.
+    /// Stops accepting until [`Listeners::resume`]. The sockets stay open.
     pub fn pause(&self) {
-        self.enter(Stage::Paused);
+        self.enter(ShutdownPhase::Paused);
     }
 
-    /// Accepts again.
+    /// Accepts again after [`Listeners::pause`] or [`Listeners::stand_by`].
     pub fn resume(&self) {
-        self.enter(Stage::Serving);
+        self.enter(ShutdownPhase::Serving);
     }
 
-    fn enter(&self, stage: Stage) {
+    fn enter(&self, phase: ShutdownPhase) {
         for running in &self.running {
-            running.stage.send_replace(stage);
+            running.phase.send_replace(phase);
         }
     }
 
-    /// A descriptor of each socket, by its place in the configuration. One that cannot be had is left out.
+    /// A descriptor of each socket, with the index of its listener in the configuration. A socket that cannot be duplicated
+    /// is left out.
     pub fn sockets(&self) -> Vec<(usize, OwnedFd)> {
         let all = self.running.iter().enumerate();
         let socket = |running: &Running| running.socket.upgrade()?.as_fd().try_clone_to_owned().ok();
-        all.filter_map(|(place, running)| Some((place, socket(running)?))).collect()
+        all.filter_map(|(index, running)| Some((index, socket(running)?))).collect()
     }
 
-    /// Leaves accepting to a process that has taken over, until [`Listeners::resume`].
+    /// Leaves accepting to the successor, until [`Listeners::resume`].
     pub fn stand_by(&self) {
-        self.enter(Stage::StandingBy);
+        self.enter(ShutdownPhase::StandingBy);
     }
 
-    /// Waits until every connection of clients has ended.
+    /// Waits until every client connection has ended.
     pub async fn drained(&self) {
         self.front.table.drained().await;
     }
 
-    /// Leaves accepting to the process that has taken over, for good.
+    /// Leaves accepting to another process for good.
     pub fn hand_over(&self) {
-        self.enter(Stage::HandedOver);
+        self.enter(ShutdownPhase::HandedOver);
     }
 
-    /// Waits until every connection has ended by itself, which those that nobody uses do by their time.
+    /// Waits until every connection has ended by itself; idle ones end by their time limit.
     pub async fn ended(&mut self) {
         self.wait_for_removed().await;
         self.front.table.drained().await;
     }
 
-    /// Closes all and waits until every connection has ended.
+    /// Closes all listeners, and waits until every connection has ended.
     pub async fn close(mut self) {
         for running in std::mem::take(&mut self.running) {
             self.removed.spawn_local(running.close());
--- a/crates/cache-balancer/src/daemon/node.rs
+++ b/crates/cache-balancer/src/daemon/node.rs
@@ -1,45 +1,41 @@
-//! A node at work, and how it goes over to another configuration.
+//! The parts of a node, and how it applies a new configuration.
 
 use super::change::Change;
-use super::listeners::{bind, Bound, Listeners, Opened};
+use super::error::ConfigureError;
+use super::listeners::{bind, Bound, InheritedSockets, Listeners};
 use super::pools::Pools;
-use super::{within_own_descriptors, Origin};
-use crate::config::{operator, platform, Config};
+use super::{limit_descriptors, ConfigSource};
+use crate::config::{operator, platform, Config, HandoverConfig};
 use crate::fronts::http1::Front;
-use crate::handover::{Giver, PoolState, State};
+use crate::handover::{PoolState, PredecessorEndpoint, State};
 use crate::input::Input;
 use crate::log::log;
 use crate::readiness::Readiness;
 use crate::upstream::Places;
-use std::error::Error;
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 use tokio::task::{spawn_blocking, spawn_local};
 
-/// Descriptors left for the runtime, one listener, one pool's list and the standard streams.
-const SPARE_DESCRIPTORS: usize = 24;
-/// With fewer left than one connection each way for a handful of clients there is no work to be done.
-const LEAST_PLACES: usize = 4;
+/// Descriptors reserved for the runtime, one listener, one pool's list and the standard streams.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// With fewer connections each way than for a handful of clients, a node is of no use.
+const MIN_CONNECTIONS: usize = 4;
 
-/// Connections to clients, and to cache servers, that a node so configured holds at the most.
-pub fn places(config: &Config) -> Result<usize, Box<dyn Error>> {
-    // For a hand-over its socket, its link, and each listener's socket once more.
-    let handing_over = config.hand_over.as_ref().map_or(0, |_| 2 + config.listeners.len());
-    let spare = SPARE_DESCRIPTORS + (config.listeners.len() - 1) + (config.pools.len() - 1) + handing_over;
-    // A request holds a connection of its client for as long as one to a cache server.
-    let most = config.descriptors.saturating_sub(spare) / 2;
-    if most < LEAST_PLACES {
-        let descriptors = config.descriptors;
-        return Err(format!(
-            "{descriptors} descriptors leave no room to work beside {spare} of the node's own"
-        )
-        .into());
+/// The largest number of client connections, and of connections to cache servers, that the node can hold.
+pub fn max_connections(config: &Config) -> Result<usize, ConfigureError> {
+    // A hand-over needs its socket, its link, and a second descriptor for each listener.
+    let handover = config.handover.as_ref().map_or(0, |_| 2 + config.listeners.len());
+    let reserved = RESERVED_DESCRIPTORS + (config.listeners.len() - 1) + (config.pools.len() - 1) + handover;
+    // A request holds a client connection for as long as a connection to a cache server.
+    let connections = config.descriptors.saturating_sub(reserved) / 2;
+    if connections < MIN_CONNECTIONS {
+        return Err(ConfigureError::Descriptors { descriptors: config.descriptors, reserved });
     }
-    Ok(most)
+    Ok(connections)
 }
 
-/// A node at work.
+/// A node that serves.
 pub struct Node {
     pub config: Config,
     upstream: Rc<Places>,
@@ -50,92 +46,101 @@
     pub listeners: Listeners,
 }
 
-/// A new configuration with all that it takes to go over to it at once.
-pub struct Prepared {
+/// A new configuration, with everything that could fail done.
+pub struct PreparedReload {
     config: Config,
     change: Change,
-    places: usize,
+    max_connections: usize,
     bound: Bound,
-    /// A socket for hand-overs, where there is to be another one.
-    giver: Option<Giver>,
+    /// The end for hand-overs, if its socket has moved.
+    endpoint: Option<PredecessorEndpoint>,
 }
 
 impl Node {
-    /// One that accepts nobody yet.
-    pub fn start(config: Config, places: usize, known: Vec<PoolState>) -> Self {
-        let upstream = Rc::new(Places::new(places));
-        let pools = Pools::start(&config, upstream.clone(), known);
+    /// Starts a node that does not accept connections yet. `learned` is the state of its predecessor's pools.
+    pub fn start(config: Config, max_connections: usize, learned: Vec<PoolState>) -> Self {
+        let upstream = Rc::new(Places::new(max_connections));
+        let pools = Pools::start(&config, upstream.clone(), learned);
         let readiness = Rc::new(Readiness::new(pools.ready()));
-        let front = Rc::new(Front::new(pools.routes(), readiness.clone(), config.descriptors, places));
+        let front =
+            Rc::new(Front::new(pools.routes(), readiness.clone(), config.descriptors, max_connections));
         spawn_local(front.table.clone().sweep());
         let listeners = Listeners::new(front.clone());
         let drivers = watch::Sender::new(pools.drivers());
         Self { config, upstream, pools, drivers, readiness, front, listeners }
     }
 
-    /// Accepts clients on these sockets, one for each listener.
+    /// Accepts connections on these sockets, one for each listener.
     pub fn listen(&mut self, bound: Bound) {
-        let nothing = Config { listeners: Vec::new(), ..self.config.clone() };
-        self.listeners.change(&self.config.name, &Change::between(&nothing, &self.config), bound);
+        let without_listeners = Config { listeners: Vec::new(), ..self.config.clone() };
+        let change = Change::between(&without_listeners, &self.config);
+        self.listeners.change(&self.config.name, &change, bound);
     }
 
-    /// What is known by now.
-    pub async fn state(&self) -> State {
-        State::new(self.pools.report().await)
+    /// The learned state, for a successor.
+    pub async fn learned_state(&self) -> State {
+        State::new(self.pools.learned_state().await)
     }
 
-    /// What the process knows by now whose place this one takes.
-    pub fn recall(&self, state: State) {
-        self.pools.recall(state.pools);
+    /// Restores the learned state of the predecessor.
+    pub fn restore(&self, state: State) {
+        self.pools.restore(state.pools);
     }
 
-    /// Reads the configuration again and gets all that may fail done. Nothing of the node changes by it.
-    pub async fn prepare(&mut self, origin: &Origin) -> Result<Prepared, Box<dyn Error>> {
-        let config = match origin.clone() {
-            Origin::Platform => self.moved_discovery()?,
-            // Not on the one thread of all requests: a share that is away may let the reader wait.
-            Origin::Operator(path) => {
-                let read = spawn_blocking(move || operator::load(&path)).await?;
-                within_own_descriptors(read?)
+    /// Reads the configuration again, and does everything that can fail. The node itself does not change.
+    pub async fn prepare_reload(&mut self, source: &ConfigSource) -> Result<PreparedReload, ConfigureError> {
+        let config = match source.clone() {
+            ConfigSource::Platform => self.config_with_moved_discovery()?,
+            // Not on the thread of all requests: a file on an unreachable share blocks its reader.
+            ConfigSource::Operator(path) => {
+                let config = spawn_blocking(move || operator::load(&path)).await?;
+                limit_descriptors(config?)
             }
         };
         let change = Change::between(&self.config, &config);
-        let places = places(&config)?;
-        let added = change.listeners.iter().enumerate().filter(|(_, held)| held.is_none());
+        let max_connections = max_connections(&config)?;
+        let added = change.listeners.iter().enumerate().filter(|(_, current)| current.is_none());
         if added.clone().next().is_some() {
             self.listeners.wait_for_removed().await;
         }
-        let bound = bind(&config.listeners, added.map(|(place, _)| place), &mut Opened::default()).await?;
-        let moved = config
-            .hand_over
-            .clone()
-            .filter(|new| self.config.hand_over.as_ref().is_none_or(|held| held.socket != new.socket));
-        let giver =
-            moved.map(Giver::bind).transpose().map_err(|error| format!("hand_over.socket: {error}"))?;
-        Ok(Prepared { config, change, places, bound, giver })
+        let added = added.map(|(index, _)| index);
+        let bound = bind(&config.listeners, added, &mut InheritedSockets::default()).await?;
+        let endpoint = self.bind_moved_endpoint(&config)?;
+        Ok(PreparedReload { config, change, max_connections, bound, endpoint })
     }
 
-    /// Of the platform's configuration only `discovery` is taken anew; the rest of it holds from the start.
-    fn moved_discovery(&self) -> Result<Config, Box<dyn Error>> {
+    /// Listens for a successor if `config` has another socket for that.
+    fn bind_moved_endpoint(&self, config: &Config) -> Result<Option<PredecessorEndpoint>, ConfigureError> {
+        let is_moved = |new: &HandoverConfig| {
+            self.config.handover.as_ref().is_none_or(|current| current.socket != new.socket)
+        };
+        let moved = config.handover.clone().filter(is_moved);
+        moved.map(PredecessorEndpoint::bind).transpose().map_err(ConfigureError::HandoverSocket)
+    }
+
+    /// The current configuration with the platform's new `discovery`; the rest holds from the start on.
+    fn config_with_moved_discovery(&self) -> Result<Config, ConfigureError> {
         let new = platform::load(|name| std::env::var(name).ok().filter(|_| name != platform::DISCOVERY))?;
         let mut config = self.config.clone();
-        for (held, new) in config.pools.iter_mut().zip(new.pools) {
-            held.source = new.source;
+        for (pool, new) in config.pools.iter_mut().zip(new.pools) {
+            pool.source = new.source;
         }
         Ok(config)
     }
 
-    /// Goes over to a new configuration, in one step: no request sees part of one and part of the other. Gives the new socket for hand-overs, if there is one.
-    pub fn apply(&mut self, Prepared { config, change, places, bound, giver }: Prepared) -> Option<Giver> {
+    /// Applies a new configuration in one step: no request sees part of one and part of the other. Returns the end for
+    /// hand-overs, if its socket has moved.
+    pub fn apply(&mut self, prepared: PreparedReload) -> Option<PredecessorEndpoint> {
+        let PreparedReload { config, change, max_connections, bound, endpoint } = prepared;
         log!("configuration read again: {change}");
-        self.upstream.most.set(places);
+        self.upstream.most.set(max_connections);
         self.pools.change(&change, &config);
         self.drivers.send_replace(self.pools.drivers());
         self.readiness.replace(self.pools.ready());
         self.front.route(self.pools.routes());
-        self.front.resize(config.descriptors, places);
+        self.front.resize(config.descriptors, max_connections);
         self.listeners.change(&config.name, &change, bound);
         self.config = config;
-        giver
+        endpoint
     }
 }
--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -1,4 +1,4 @@
-//! The pools at work: for each a driver with decisions of its own, its connections, and whoever brings its list.
+//! The pools of a node: each has a driver with decisions of its own, connections, and a source of its endpoint list.
 
 use super::change::Change;
 use crate::config::{Config, DiscoveryReplicas, Pool, Source};
@@ -21,36 +21,37 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::{spawn_local, AbortHandle};
 
-/// All of them, in the configuration's order.
+/// The pools, in the order of the configuration.
 pub struct Pools {
     running: Vec<Running>,
     places: Rc<Places>,
-    /// The node's name, and whether its pools tally what they do.
+    /// The name of the node.
     node: String,
+    /// Whether the pools log a line of counts for each second.
     tally: Rc<Cell<bool>>,
     seed: u64,
-    /// How many there have been, so that each draws numbers of its own.
-    begun: u64,
+    /// The number of pools started so far: each has a random sequence of its own.
+    started: u64,
 }
 
 struct Running {
     pool: Pool,
-    /// To its driver.
+    /// Leads to its driver.
     events: UnboundedSender<Input>,
     ready: watch::Receiver<bool>,
-    list: List,
-    /// How its discovery is asked.
+    list: ListWatch,
+    /// The terms on which discovery is polled.
     terms: Rc<Cell<Terms>>,
 }
 
-/// Who brings the list.
-enum List {
+/// The task that follows the source of an endpoint list.
+enum ListWatch {
     Discovery(watch::Sender<DiscoveryReplicas>, AbortHandle),
     File(AbortHandle),
     Fixed,
 }
 
-impl Drop for List {
+impl Drop for ListWatch {
     fn drop(&mut self) {
         match self {
             Self::Discovery(_, task) | Self::File(task) => task.abort(),
@@ -60,80 +61,80 @@
 }
 
 impl Running {
-    /// Takes on what another process knew. The list that stands in the file itself is as the file has it.
-    fn recall(&self, PoolState { listing, knowledge, .. }: PoolState) {
+    /// Restores the state of the predecessor's pool. A list in the configuration itself goes before the predecessor's.
+    fn restore(&self, PoolState { listing, learned_state, .. }: PoolState) {
         let listing = match self.pool.source {
             Source::Fixed => self.pool.known.clone(),
             Source::Discovery(_) | Source::File(_) => listing,
         };
-        // The driver only goes once it is retired.
-        let _ = self.events.send(Input::Recalled(Box::new((listing, knowledge))));
+        // The driver ends only once it is retired.
+        let _ = self.events.send(Input::Recalled(Box::new((listing, learned_state))));
     }
 }
 
 impl Pools {
-    /// Begins them, with what another process knew of them.
-    pub fn start(config: &Config, places: Rc<Places>, mut known: Vec<PoolState>) -> Self {
+    /// Starts the pools, with the state of the predecessor's pools of the same names.
+    pub fn start(config: &Config, places: Rc<Places>, mut learned: Vec<PoolState>) -> Self {
         let (node, tally) = (config.name.clone(), Rc::new(Cell::new(config.tally)));
-        let mut all = Self { running: Vec::new(), places, node, tally, seed: config.seed, begun: 0 };
+        let mut pools = Self { running: Vec::new(), places, node, tally, seed: config.seed, started: 0 };
         for pool in config.pools.iter().cloned() {
-            let place = known.iter().position(|known| known.name == pool.name);
-            let running = all.begin(pool, place.map(|place| known.swap_remove(place)));
-            all.running.push(running);
+            let index = learned.iter().position(|learned| learned.name == pool.name);
+            let running = pools.start_pool(pool, index.map(|index| learned.swap_remove(index)));
+            pools.running.push(running);
         }
-        all
+        pools
     }
 
-    /// What another process knows by now, whose place this one takes.
-    pub fn recall(&self, known: Vec<PoolState>) {
-        for known in known {
-            if let Some(running) = self.running.iter().find(|running| running.pool.name == known.name) {
-                running.recall(known);
+    /// Restores the latest state of the predecessor's pools.
+    pub fn restore(&self, learned: Vec<PoolState>) {
+        for learned in learned {
+            if let Some(running) = self.running.iter().find(|running| running.pool.name == learned.name) {
+                running.restore(learned);
             }
         }
     }
 
-    /// What is known by now.
-    pub async fn report(&self) -> Vec<PoolState> {
-        let mut reports = Vec::new();
+    /// The learned state of each pool.
+    pub async fn learned_state(&self) -> Vec<PoolState> {
+        let mut states = Vec::new();
         for Running { pool, events, .. } in &self.running {
-            let (answer, report) = oneshot::channel();
-            // The driver only goes once it is retired.
+            let (answer, state) = oneshot::channel();
+            // The driver ends only once it is retired.
             let _ = events.send(Input::Report(answer));
-            let Ok((listing, knowledge)) = report.await else { continue };
-            reports.push(PoolState::new(&pool.name, &pool.source, listing, knowledge));
+            let Ok((listing, learned_state)) = state.await else { continue };
+            states.push(PoolState::new(&pool.name, &pool.source, listing, learned_state));
         }
-        reports
+        states
     }
 
-    /// Takes on what a new configuration says. A pool that it lacks takes nothing more and ends with its last request.
+    /// Applies a new configuration. A pool that it lacks finishes its requests and ends.
     pub fn change(&mut self, change: &Change, config: &Config) {
         self.tally.set(config.tally);
         let mut before: Vec<_> = std::mem::take(&mut self.running).into_iter().map(Some).collect();
-        for (place, pool) in change.pools.iter().zip(&config.pools) {
-            let running = match place.and_then(|place| before[place].take()) {
-                Some(running) => self.go_on(running, pool.clone()),
-                None => self.begin(pool.clone(), None),
+        for (index, pool) in change.pools.iter().zip(&config.pools) {
+            let running = match index.and_then(|index| before[index].take()) {
+                Some(running) => self.reconfigure_pool(running, pool.clone()),
+                None => self.start_pool(pool.clone(), None),
             };
             self.running.push(running);
         }
         for removed in before.into_iter().flatten() {
-            // Its driver only goes once it is retired.
+            // Its driver ends only once it is retired.
             let _ = removed.events.send(Input::Retired);
         }
     }
 
-    /// The way to each driver.
+    /// The inputs of the drivers.
     pub fn drivers(&self) -> Vec<UnboundedSender<Input>> {
         self.running.iter().map(|running| running.events.clone()).collect()
     }
 
-    /// For each, whether it has known a server that takes work.
+    /// Whether each pool has had a server that takes work.
     pub fn ready(&self) -> Vec<readiness::Pool> {
         self.running.iter().map(|running| (running.pool.name.clone(), running.ready.clone())).collect()
     }
 
-    /// Which class goes to which of them.
+    /// The pool of each class.
     pub fn routes(&self) -> Routes {
         let classes =
             |running: &Running| Class::all(&running.pool.settings, &running.events).collect::<Vec<_>>();
@@ -146,54 +147,50 @@
         }
     }
 
-    fn begin(&mut self, pool: Pool, recalled: Option<PoolState>) -> Running {
-        let seed = self.seed.wrapping_add(self.begun);
-        self.begun += 1;
-        // Unbounded, and bounded all the same by the connections: each has one request, or one attempt, in it.
+    fn start_pool(&mut self, pool: Pool, learned: Option<PoolState>) -> Running {
+        let seed = self.seed.wrapping_add(self.started);
+        self.started += 1;
+        // The number of connections bounds it: each has one request, or one attempt, in the channel.
         let (events, inputs) = mpsc::unbounded_channel();
         let (has_servers, ready) = watch::channel(false);
         let Pool { settings, known, .. } = &pool;
         let (connecting, idle) = (settings.connect_timeout, settings.server_idle_timeout);
         let upstream = Rc::new(Upstream::new(self.places.clone(), connecting, idle));
         spawn_local(Upstream::sweep(Rc::downgrade(&upstream)));
-        // A watch goes on from the version that the other process had, if it was the same discovery's.
-        let membership = match &recalled {
-            Some(other) if other.shares_versions_with(&pool.source) => {
-                Membership::new(Some(other.listing.seq), other.listing.ready())
-            }
-            _ => Membership::new((!known.hosts.is_empty()).then_some(known.seq), known.ready()),
-        };
+        let membership = initial_membership(&pool, learned.as_ref());
         let terms = Rc::new(Cell::new(Terms::of(settings)));
-        let list = List::begin(&self.node, &pool.source, membership, seed, &terms, &events);
+        let list = ListWatch::start(&self.node, &pool.source, membership, seed, &terms, &events);
         let balancer = Balancer::new(settings.clone(), seed);
         let tally = Tally::new(&self.node, &pool.name, self.tally.clone());
         let driver = Driver::new(balancer, upstream, has_servers, events.clone(), tally);
         spawn_local(driver.run(known.clone(), inputs));
         let running = Running { pool, events, ready, list, terms };
-        recalled.into_iter().for_each(|recalled| running.recall(recalled));
+        if let Some(learned) = learned {
+            running.restore(learned);
+        }
         running
     }
 
-    /// The same pool under another description.
-    fn go_on(&self, mut running: Running, pool: Pool) -> Running {
+    /// Applies a new configuration to a pool that goes on.
+    fn reconfigure_pool(&self, mut running: Running, pool: Pool) -> Running {
         let before = std::mem::replace(&mut running.pool, pool);
         let Pool { source, known, settings, .. } = &running.pool;
         running.terms.set(Terms::of(settings));
         if *settings != before.settings {
-            // The driver only goes once it is retired.
+            // The driver ends only once it is retired.
             let _ = running.events.send(Input::Reconfigured(Box::new(settings.clone())));
         }
         match (source, &running.list) {
-            (Source::Discovery(wanted), List::Discovery(held, _)) => {
-                // Replicas that stay are not asked again: a watch is as good as it was.
-                held.send_if_modified(|held| std::mem::replace(held, wanted.clone()) != *wanted);
+            (Source::Discovery(new), ListWatch::Discovery(current, _)) => {
+                // The watch of a replica that stays goes on.
+                current.send_if_modified(|current| std::mem::replace(current, new.clone()) != *new);
             }
             _ if *source == before.source => {}
             _ => {
-                let seed = self.seed.wrapping_add(self.begun);
+                let seed = self.seed.wrapping_add(self.started);
                 let membership = Membership::default();
                 running.list =
-                    List::begin(&self.node, source, membership, seed, &running.terms, &running.events);
+                    ListWatch::start(&self.node, source, membership, seed, &running.terms, &running.events);
             }
         }
         if *source == Source::Fixed && (before.source != Source::Fixed || known.hosts != before.known.hosts) {
@@ -203,9 +200,9 @@
     }
 }
 
-impl List {
-    /// `membership` knows what the driver holds of a discovery's list, and `node` is the name of the node that asks.
-    fn begin(
+impl ListWatch {
+    /// Starts to follow `source`. `membership` is what the driver holds of the list, and `node` the name of the node.
+    fn start(
         node: &str,
         source: &Source,
         membership: Membership,
@@ -215,7 +212,7 @@
     ) -> Self {
         match source {
             Source::Discovery(replicas) => {
-                // Pools that lost one discovery together do not come back together either.
+                // With a random sequence for each, pools that lost discovery together do not return together.
                 let random = fastrand::Rng::with_seed(seed);
                 let (sender, replicas) = watch::channel(replicas.clone());
                 let (terms, events) = (terms.clone(), events.clone());
@@ -231,5 +228,19 @@
     }
 }
 
+/// The list that a pool starts with. A watch goes on from the version of the predecessor, if that is of the same discovery
+/// service.
+fn initial_membership(pool: &Pool, learned: Option<&PoolState>) -> Membership {
+    match learned {
+        Some(learned) if learned.shares_versions_with(&pool.source) => {
+            Membership::new(Some(learned.listing.seq), learned.listing.ready())
+        }
+        _ => {
+            let known = &pool.known;
+            Membership::new((!known.hosts.is_empty()).then_some(known.seq), known.ready())
+        }
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/cache-balancer/src/daemon/pools/tests.rs
+++ b/crates/cache-balancer/src/daemon/pools/tests.rs
@@ -99,7 +99,7 @@
         pool: pool.clone(),
         events,
         ready: watch::channel(false).1,
-        list: List::Discovery(sender, client.clone()),
+        list: ListWatch::Discovery(sender, client.clone()),
         terms: Rc::new(Cell::new(Terms::of(&pool.settings))),
     };
     (running, Ends { replicas, inputs, client })
@@ -114,7 +114,7 @@
         node: config.name.clone(),
         tally: Rc::default(),
         seed: config.seed,
-        begun: POOLS.len() as u64,
+        started: POOLS.len() as u64,
     };
     (pools, ends)
 }
@@ -183,16 +183,16 @@
 }
 
 proptest! {
-    // Guards against a watch that is ended by a reload that says the same, and against replicas that the client never hears of.
+    /// A reload that changes nothing could end a watch, or a client could never hear of other replicas.
     #[test]
-    fn clients_and_log_hear_of_other_replicas_and_capacities_and_of_nothing_else(files in files()) {
+    fn reloads_report_other_replicas_and_capacities_and_nothing_else(files in files()) {
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
         runtime.block_on(reload_each(files))?;
     }
 }
 
 #[tokio::test]
-async fn a_pool_that_is_removed_takes_its_client_with_it() {
+async fn a_removed_pool_ends_its_discovery_client() {
     let file = File {
         pools: [(); POOLS.len()].map(|()| Wanted { ports: vec![1, 2], capacity: None }),
         backwards: false,
--- /dev/null
+++ b/crates/cache-balancer/src/daemon/startup.rs
@@ -0,0 +1,103 @@
+//! The start of a node, alone or in place of the process that serves.
+
+use super::error::{ConfigureError, StartError};
+use super::graceful_restart::{take_over, GracefulRestart, Takeover};
+use super::listeners::{bind, Bound, InheritedSockets};
+use super::node::{max_connections, Node};
+use super::serve::{finish, Daemon};
+use super::{ConfigSource, Signals};
+use crate::config::Config;
+use crate::handover::{PoolState, PredecessorEndpoint, SuccessorEndpoint};
+use crate::log::log;
+use crate::readiness::Readiness;
+use crate::service_manager::{ActivationSockets, ServiceManager};
+use std::rc::Rc;
+use tokio::task::spawn_local;
+
+/// Starts the node, and serves until it is told to stop or another process has taken over.
+pub(super) async fn run(config: Config, source: ConfigSource) -> Result<(), StartError> {
+    // Before anything else: a signal without a handler ends the process.
+    let mut signals = Signals::install()?;
+    let (manager, activation) = connect_service_manager(&config, &source)?;
+    let max_connections = max_connections(&config)?;
+    let (predecessor, mut inherited, learned) = request_handover(&config, activation).await?;
+    let bound = bind(&config.listeners, 0..config.listeners.len(), &mut inherited).await?;
+    let mut node = Node::start(config, max_connections, learned);
+    let restart = match predecessor {
+        None => serve_alone(&mut node, bound)?,
+        Some(endpoint) => match take_over(&mut node, endpoint, bound, &mut signals.terminate).await? {
+            Takeover::Serving(predecessor) => {
+                let restart = GracefulRestart::new(Some(predecessor), listen_for_successor(&node));
+                if !restart.on_probation() {
+                    manager.notify_main_process(std::process::id());
+                }
+                restart
+            }
+            // The service manager is not notified: the process that serves may go on.
+            Takeover::Terminated => {
+                node.listeners.hand_over();
+                node.listeners.close().await;
+                return Ok(());
+            }
+            Takeover::Cancelled(error) => {
+                finish(node, &mut signals.terminate).await;
+                return Err(error.into());
+            }
+        },
+    };
+    spawn_local(notify_readiness(manager.clone(), node.readiness.clone()));
+    Daemon::new(node, restart, manager, source).serve(signals).await;
+    Ok(())
+}
+
+fn connect_service_manager(
+    config: &Config,
+    source: &ConfigSource,
+) -> Result<(ServiceManager, ActivationSockets), StartError> {
+    match source {
+        ConfigSource::Platform => Ok((ServiceManager::none(), ActivationSockets::default())),
+        ConfigSource::Operator(_) => {
+            let names: Vec<_> = config.listeners.iter().map(|listener| listener.name.as_str()).collect();
+            Ok((ServiceManager::from_env(), ActivationSockets::from_env(&names)?))
+        }
+    }
+}
+
+/// Requests a hand-over from the process that serves, if there is one. Returns the endpoint, the inherited sockets and
+/// the learned state of the pools.
+async fn request_handover(
+    config: &Config,
+    activation: ActivationSockets,
+) -> Result<(Option<SuccessorEndpoint>, InheritedSockets, Vec<PoolState>), StartError> {
+    let response = match &config.handover {
+        Some(config) => SuccessorEndpoint::request(config).await?,
+        None => None,
+    };
+    Ok(match response {
+        Some((endpoint, offered)) => {
+            let learned = offered.state.map_or(Vec::new(), |state| state.pools);
+            (Some(endpoint), InheritedSockets { activation, handed_over: offered.sockets }, learned)
+        }
+        None => (None, InheritedSockets { activation, handed_over: Vec::new() }, Vec::new()),
+    })
+}
+
+/// Serves without a predecessor. A socket for hand-overs that cannot be bound is an error: no client is lost by it.
+fn serve_alone(node: &mut Node, bound: Bound) -> Result<GracefulRestart, StartError> {
+    let endpoint = node.config.handover.clone().map(PredecessorEndpoint::bind).transpose();
+    let endpoint = endpoint.map_err(ConfigureError::HandoverSocket)?;
+    node.listen(bound);
+    Ok(GracefulRestart::new(None, endpoint))
+}
+
+/// Listens for a successor, in place of the predecessor. This process has clients by now, and serves on if that fails.
+fn listen_for_successor(node: &Node) -> Option<PredecessorEndpoint> {
+    let endpoint = node.config.handover.clone().map(PredecessorEndpoint::bind).transpose();
+    endpoint.inspect_err(|error| log!("hand-over: nobody can take over: {error}")).unwrap_or_default()
+}
+
+/// Notifies the service manager once every pool has had a server that takes work, and until then of the pool that has not.
+async fn notify_readiness(manager: ServiceManager, readiness: Rc<Readiness>) {
+    readiness.wait(|pool| manager.notify_status(format!("waiting for cache servers of pool {pool}"))).await;
+    manager.notify_ready();
+}
--- a/crates/cache-balancer/src/fleet/mod.rs
+++ b/crates/cache-balancer/src/fleet/mod.rs
@@ -1,33 +1,32 @@
-//! `cache-balancer fleet`: many instances of one file on one machine, kept going, rolled and drained, for trials. What is done
-//! when is decided in [`balancer_core::supervise`].
+//! `cache-balancer fleet`: many instances of one file on one machine, kept running, upgraded and drained, for trials.
+//! [`balancer_core::supervisor`] decides what happens when; this module starts the processes and sends the signals.
 
+mod command;
 mod files;
 mod process;
 
 use crate::config::Config;
 use crate::log::log;
-use balancer_core::supervise::{Action, Event, Limits, ProcessId, Supervisor};
+use balancer_core::supervisor::{Action, Event, InstanceId, InstanceStatus, Limits, ProcessId, Supervisor};
 use balancer_core::Timestamp;
 use comfy_table::Table;
+use command::Command;
+use files::FilesError;
 use process::Process;
-use rustix::process::Signal as Kill;
+use rustix::process::Signal as SignalNumber;
 use std::collections::BTreeMap;
-use std::error::Error;
-use std::io::BufRead;
-use std::path::PathBuf;
+use std::future::pending;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::str::FromStr;
 use std::time::Duration;
 use thiserror::Error;
 use tokio::runtime;
-use tokio::signal::unix::{signal, SignalKind};
+use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::LocalSet;
 use tokio::time::{sleep_until, Instant};
 
-/// What can be said while it runs.
-const COMMANDS: &str = "state, roll, reload, drain N, drain all, start N and stop";
-
 /// Keeps many instances of one file going. Instance 0 listens where the file says, each further one a port higher; `nodes`
 /// is the number of instances. Reads commands, a line each: state, roll, reload, drain N, drain all, start N, stop.
 #[derive(clap::Args, Debug)]
@@ -43,54 +42,29 @@
     folder: Option<PathBuf>,
 }
 
-/// A command that was said.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Said {
-    State,
-    Reload,
-    Do(Event),
-}
-
+/// Why a fleet does not start.
 #[derive(Debug, Error)]
-#[error("expected one of {COMMANDS}, found \"{0}\"")]
-struct Unknown(String);
-
-impl FromStr for Said {
-    type Err = Unknown;
-
-    fn from_str(text: &str) -> Result<Self, Unknown> {
-        let words: Vec<_> = text.split_whitespace().collect();
-        let unknown = |_| Unknown(text.chars().take(80).collect());
-        Ok(match words[..] {
-            ["state"] => Self::State,
-            ["reload"] => Self::Reload,
-            ["roll"] => Self::Do(Event::Roll),
-            ["stop"] => Self::Do(Event::Stop),
-            ["drain", "all"] => Self::Do(Event::DrainAll),
-            ["drain", number] => Self::Do(Event::Drain(number.parse().map_err(unknown)?)),
-            ["start", number] => Self::Do(Event::Start(number.parse().map_err(unknown)?)),
-            _ => return Err(Unknown(text.chars().take(80).collect())),
-        })
-    }
+enum FleetError {
+    #[error("{folder}: {error}", folder = folder.display())]
+    Folder { folder: PathBuf, error: io::Error },
+    #[error("{0}")]
+    Files(#[from] FilesError),
+    /// The runtime, or a signal handler.
+    #[error("{0}")]
+    System(#[from] io::Error),
 }
 
-/// Runs until all instances are told to stop and have ended.
+/// Runs until all instances are told to stop and have exited.
 pub fn run(arguments: Arguments) -> ExitCode {
-    let made = arguments.folder.is_none();
+    let temporary = arguments.folder.is_none();
     let own = || std::env::temp_dir().join(format!("cache-balancer-fleet-{}", std::process::id()));
     let folder = arguments.folder.clone().unwrap_or_else(own);
-    let ended = std::fs::create_dir_all(&folder)
-        .map_err(|error| format!("{}: {error}", folder.display()).into())
-        .and_then(|()| Fleet::new(arguments, folder.clone()))
-        .and_then(|fleet| {
-            let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
-            LocalSet::new().block_on(&runtime, fleet.serve())
-        });
-    if made {
-        // What is left in it is of no use to anyone.
+    let result = run_in(&folder, &arguments);
+    if temporary {
+        // Its files are of no further use.
         let _ = std::fs::remove_dir_all(&folder);
     }
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log!("{error}");
@@ -99,179 +73,193 @@
     }
 }
 
+fn run_in(folder: &Path, arguments: &Arguments) -> Result<(), FleetError> {
+    std::fs::create_dir_all(folder)
+        .map_err(|error| FleetError::Folder { folder: folder.to_owned(), error })?;
+    let (events, received) = unbounded_channel();
+    let fleet = Fleet::new(arguments, folder, events)?;
+    let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
+    LocalSet::new().block_on(&runtime, fleet.run(received))
+}
+
 struct Fleet {
-    config: PathBuf,
+    config_path: PathBuf,
     folder: PathBuf,
-    configurations: Vec<Config>,
+    configs: Vec<Config>,
     limits: Limits,
     supervisor: Supervisor,
     processes: BTreeMap<ProcessId, Process>,
-    begun: Instant,
-    wake: Option<Timestamp>,
+    started_at: Instant,
+    timer: Option<Timestamp>,
     events: UnboundedSender<Event>,
-    heard: Option<UnboundedReceiver<Event>>,
+}
+
+struct Signals {
+    terminate: Signal,
+    interrupt: Signal,
+    reload: Signal,
+    upgrade: Signal,
+}
+
+impl Signals {
+    fn install() -> io::Result<Self> {
+        Ok(Self {
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+            reload: signal(SignalKind::hangup())?,
+            upgrade: signal(SignalKind::user_defined2())?,
+        })
+    }
 }
 
 impl Fleet {
-    fn new(arguments: Arguments, folder: PathBuf) -> Result<Self, Box<dyn Error>> {
+    fn new(arguments: &Arguments, folder: &Path, events: UnboundedSender<Event>) -> Result<Self, FleetError> {
         let instances = usize::from(arguments.instances);
         let folder = std::path::absolute(folder)?;
-        let configurations = files::configurations(&arguments.config, &folder, instances)?;
-        files::write(&folder, &configurations)?;
-        let stand_by =
-            configurations.iter().filter_map(|config| Some(config.hand_over.as_ref()?.probation)).max();
-        let limits = Limits::default();
-        let limits = Limits { ends_within: limits.ends_within + stand_by.unwrap_or_default(), ..limits };
-        let (events, heard) = unbounded_channel();
+        let configs = files::configs(&arguments.config, &folder, instances)?;
+        files::write(&folder, &configs)?;
+        let limits = limits(&configs);
         Ok(Self {
-            config: arguments.config,
+            config_path: arguments.config.clone(),
             folder,
-            configurations,
+            configs,
             supervisor: Supervisor::new(instances, limits.clone()),
             limits,
             processes: BTreeMap::new(),
-            begun: Instant::now(),
-            wake: None,
+            started_at: Instant::now(),
+            timer: None,
             events,
-            heard: Some(heard),
         })
     }
 
-    async fn serve(mut self) -> Result<(), Box<dyn Error>> {
-        let mut terminate = signal(SignalKind::terminate())?;
-        let mut interrupt = signal(SignalKind::interrupt())?;
-        let mut hangup = signal(SignalKind::hangup())?;
-        let mut roll = signal(SignalKind::user_defined2())?;
-        let mut said = commands();
-        let Some(mut heard) = self.heard.take() else { return Ok(()) };
-        self.handle(Event::Timer);
-        while !self.supervisor.is_over() {
-            let wake = self.wake;
-            let begun = self.begun;
-            let timer = async {
-                match wake {
-                    Some(at) => sleep_until(begun + Duration::from_micros(at.as_micros())).await,
-                    None => std::future::pending().await,
-                }
-            };
+    async fn run(mut self, mut events: UnboundedReceiver<Event>) -> Result<(), FleetError> {
+        let mut signals = Signals::install()?;
+        let mut lines = command::lines();
+        self.handle(Event::TimerExpired);
+        while !self.supervisor.is_finished() {
+            let timer = sleep_to(self.timer.map(|at| self.instant(at)));
             tokio::select! {
-                // The sending end is held here.
-                Some(event) = heard.recv() => self.handle(event),
-                () = timer => self.handle(Event::Timer),
-                _ = terminate.recv() => self.handle(Event::Stop),
-                _ = interrupt.recv() => self.handle(Event::Stop),
-                _ = hangup.recv() => self.reload(),
-                _ = roll.recv() => self.handle(Event::Roll),
-                Some(line) = said.recv() => match line.parse() {
-                    Ok(Said::State) => self.show(),
-                    Ok(Said::Reload) => self.reload(),
-                    Ok(Said::Do(event)) => self.handle(event),
-                    Err(unknown) => log!("{unknown}"),
-                },
+                // `self.events` keeps the channel open.
+                Some(event) = events.recv() => self.handle(event),
+                () = timer => self.handle(Event::TimerExpired),
+                _ = signals.terminate.recv() => self.handle(Event::Stop),
+                _ = signals.interrupt.recv() => self.handle(Event::Stop),
+                _ = signals.reload.recv() => self.reload(),
+                _ = signals.upgrade.recv() => self.handle(Event::Upgrade),
+                Some(line) = lines.recv() => self.execute(&line),
             }
         }
         log!("all instances have ended");
         Ok(())
     }
 
+    fn execute(&mut self, line: &str) {
+        match line.parse() {
+            Ok(Command::State) => self.print_state(),
+            Ok(Command::Reload) => self.reload(),
+            Ok(Command::Supervise(event)) => self.handle(event),
+            Err(unknown) => log!("{unknown}"),
+        }
+    }
+
     fn handle(&mut self, event: Event) {
-        if let Event::Ended(process) = event {
+        if let Event::Exited(process) = event {
             self.processes.remove(&process);
         }
-        let now = Timestamp::default() + self.begun.elapsed();
+        let now = Timestamp::default() + self.started_at.elapsed();
         let mut actions = Vec::new();
-        self.wake = None;
+        self.timer = None;
         self.supervisor.handle(now, event, &mut actions);
         for action in actions {
-            match action {
-                Action::Start { instance, process } => self.start(instance, process),
-                Action::Terminate(process) => self.signal(process, Kill::TERM),
-                Action::Kill(process) => self.signal(process, Kill::KILL),
-                Action::Reload(process) => self.signal(process, Kill::HUP),
-                Action::Wake(at) => self.wake = Some(at),
-                Action::Log(text) => log!("{text}"),
-            }
+            self.carry_out(action);
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Start { instance, process } => self.start(instance, process),
+            Action::Terminate(process) => self.signal(process, SignalNumber::TERM),
+            Action::Kill(process) => self.signal(process, SignalNumber::KILL),
+            Action::Reload(process) => self.signal(process, SignalNumber::HUP),
+            Action::SetTimer(at) => self.timer = Some(at),
+            Action::Log(notice) => log!("{notice}"),
         }
     }
 
-    fn start(&mut self, instance: usize, id: ProcessId) {
+    fn start(&mut self, instance: InstanceId, id: ProcessId) {
         let file = files::path(&self.folder, instance);
-        match Process::start(id, &file, self.limits.alive_within, self.events.clone()) {
+        match Process::start(id, &file, self.limits.watchdog_timeout, self.events.clone()) {
             Ok(process) => {
                 log!("instance {instance}: process {id} started as {}", process.pid);
                 self.processes.insert(id, process);
             }
             Err(error) => {
                 log!("instance {instance}: process {id} cannot be started: {error}");
-                // The receiving end is read by this very program.
-                let _ = self.events.send(Event::Ended(id));
+                // The loop that reads it runs for as long as the fleet.
+                let _ = self.events.send(Event::Exited(id));
             }
         }
     }
 
-    fn signal(&self, process: ProcessId, signal: Kill) {
+    fn signal(&self, process: ProcessId, signal: SignalNumber) {
         if let Some(process) = self.processes.get(&process) {
             process.signal(signal);
         }
     }
 
-    /// Takes the file anew: the instances' files are made from it, and these read.
+    /// Reads the file again, writes the instances' files, and has the instances read them.
     fn reload(&mut self) {
-        let taken = files::configurations(&self.config, &self.folder, self.configurations.len())
-            .and_then(|taken| files::write(&self.folder, &taken).map(|()| taken));
-        match taken {
-            Ok(configurations) => {
-                self.configurations = configurations;
+        let written = files::configs(&self.config_path, &self.folder, self.configs.len())
+            .and_then(|configs| files::write(&self.folder, &configs).map(|()| configs));
+        match written {
+            Ok(configs) => {
+                self.configs = configs;
                 self.handle(Event::Reload);
             }
             Err(error) => log!("configuration not taken: {error}"),
         }
     }
 
-    fn show(&self) {
+    fn print_state(&self) {
         let mut table = Table::new();
         table.load_preset(comfy_table::presets::ASCII_MARKDOWN);
         table.set_header(["instance", "state", "process", "listens on", "ended by itself", "upgrades"]);
-        for (shown, config) in self.supervisor.shown().zip(&self.configurations) {
-            let process = shown.process.and_then(|process| self.processes.get(&process));
-            let addresses: Vec<_> =
-                config.listeners.iter().map(|listener| listener.address.to_string()).collect();
-            table.add_row([
-                config.name.clone(),
-                shown.state.as_str().to_owned(),
-                process.map_or("-".to_owned(), |process| process.pid.to_string()),
-                addresses.join(", "),
-                shown.failures.to_string(),
-                shown.upgrades.to_string(),
-            ]);
+        for (status, config) in self.supervisor.statuses().zip(&self.configs) {
+            table.add_row(self.row(status, config));
         }
         println!("{table}");
     }
-}
 
-/// Lines of standard input, from a thread that ends with it.
-fn commands() -> UnboundedReceiver<String> {
-    let (lines, said) = unbounded_channel();
-    std::thread::spawn(move || {
-        for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-            if lines.send(line).is_err() {
-                return;
-            }
-        }
-    });
-    said
+    fn row(&self, status: InstanceStatus, config: &Config) -> [String; 6] {
+        let process = status.process.and_then(|process| self.processes.get(&process));
+        let addresses: Vec<_> =
+            config.listeners.iter().map(|listener| listener.address.to_string()).collect();
+        [
+            config.name.clone(),
+            status.state.as_str().to_owned(),
+            process.map_or("-".to_owned(), |process| process.pid.to_string()),
+            addresses.join(", "),
+            status.failures.to_string(),
+            status.upgrades.to_string(),
+        ]
+    }
+
+    fn instant(&self, at: Timestamp) -> Instant {
+        self.started_at + Duration::from_micros(at.as_micros())
+    }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+/// The limits of the supervisor. A process that has handed over stands by for its probation before it has to exit.
+fn limits(configs: &[Config]) -> Limits {
+    let probations = configs.iter().filter_map(|config| Some(config.handover.as_ref()?.probation));
+    let mut limits = Limits::default();
+    limits.termination_timeout += probations.max().unwrap_or_default();
+    limits
+}
 
-    #[test]
-    fn what_is_no_command_is_named_with_what_was_expected() {
-        for line in ["", "drain", "drain -1", "start x", "stop 3", "rol"] {
-            let error = line.parse::<Said>().unwrap_err().to_string();
-            assert_eq!(error, format!("expected one of {COMMANDS}, found \"{line}\""));
-        }
-        assert_eq!(" drain  7 ".parse::<Said>().unwrap(), Said::Do(Event::Drain(7)));
+async fn sleep_to(time: Option<Instant>) {
+    match time {
+        Some(time) => sleep_until(time).await,
+        None => pending().await,
     }
 }
--- a/crates/cache-balancer/src/fronts/http1.rs
+++ b/crates/cache-balancer/src/fronts/http1.rs
@@ -4,7 +4,7 @@
 use crate::input::{Answer, Input, Taken};
 use crate::log::log;
 use crate::readiness::Readiness;
-use crate::stage::Stage;
+use crate::shutdown_phase::ShutdownPhase;
 use crate::upstream::{Message, OpenIds, Owed, IDEMPOTENCY_KEY, LARGEST_BODY, REQ_DEADLINE, REQ_ID};
 use balancer_core::{ClassId, Name, Settings, TenantId};
 use bytes::Bytes;
@@ -129,20 +129,20 @@
 
 /// Accepts and serves until `stage` is that of closing. All listeners together hold the front's places; further connections wait
 /// unaccepted.
-pub async fn serve(listener: Rc<TcpListener>, stage: watch::Receiver<Stage>, front: Rc<Front>) {
+pub async fn serve(listener: Rc<TcpListener>, stage: watch::Receiver<ShutdownPhase>, front: Rc<Front>) {
     let slots = front.places.clone();
     let mut watched = stage.clone();
     loop {
         let now = *watched.borrow_and_update();
         match now {
-            Stage::Serving | Stage::Leaving => {}
-            Stage::Paused | Stage::StandingBy => {
+            ShutdownPhase::Serving | ShutdownPhase::Draining => {}
+            ShutdownPhase::Paused | ShutdownPhase::StandingBy => {
                 // The stage goes with the node only.
                 let _ = watched.changed().await;
                 continue;
             }
-            Stage::HandedOver => return,
-            Stage::Closing => break,
+            ShutdownPhase::HandedOver => return,
+            ShutdownPhase::Closing => break,
         }
         let accepted = tokio::select! {
             // What the machine has accepted by then is taken: it comes before the end.
@@ -180,7 +180,7 @@
 fn spawn_connection(
     stream: TcpStream,
     slot: OwnedSemaphorePermit,
-    stage: &watch::Receiver<Stage>,
+    stage: &watch::Receiver<ShutdownPhase>,
     front: &Rc<Front>,
 ) {
     let (stage, front) = (stage.clone(), front.clone());
@@ -212,7 +212,7 @@
     Ok((stream, slot))
 }
 
-async fn connection(place: Place, stage: watch::Receiver<Stage>, front: Rc<Front>) {
+async fn connection(place: Place, stage: watch::Receiver<ShutdownPhase>, front: Rc<Front>) {
     let (place, front, stage) = (&place, &*front, &stage);
     let service = service_fn(|request: Request<Incoming>| {
         // Not in the future: hyper reads on before it polls that for the first time.
@@ -251,7 +251,7 @@
 async fn respond(
     front: &Front,
     place: &Place,
-    stage: &watch::Receiver<Stage>,
+    stage: &watch::Receiver<ShutdownPhase>,
     request: Request<Incoming>,
 ) -> Reply {
     let (mut response, usable) = match answer(front, place, stage, request).await {
@@ -260,7 +260,7 @@
     };
     // A client that sends what can't be used comes again at once: not on this connection, where it would cost
     // the others the least of waits between two.
-    if !usable || *stage.borrow() >= Stage::StandingBy || !place.keeps() {
+    if !usable || *stage.borrow() >= ShutdownPhase::StandingBy || !place.keeps() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
@@ -271,7 +271,7 @@
 async fn answer(
     front: &Front,
     place: &Place,
-    stage: &watch::Receiver<Stage>,
+    stage: &watch::Receiver<ShutdownPhase>,
     request: Request<Incoming>,
 ) -> Result<Reply, Reply> {
     let at = Instant::now();
@@ -280,7 +280,7 @@
         head.uri.path_and_query().cloned().ok_or_else(|| plain(StatusCode::BAD_REQUEST, "no path"))?;
     if target.path() == "/healthz" {
         return match head.method {
-            Method::GET if front.ready.reached() && *stage.borrow() < Stage::StandingBy => {
+            Method::GET if front.ready.reached() && *stage.borrow() < ShutdownPhase::StandingBy => {
                 Ok(plain(StatusCode::OK, "ready"))
             }
             Method::GET => Ok(plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")),
--- a/crates/cache-balancer/src/fronts/http1/tests.rs
+++ b/crates/cache-balancer/src/fronts/http1/tests.rs
@@ -15,7 +15,7 @@
         listener.set_nonblocking(true).expect("a socket for the runtime");
         let address = listener.local_addr().expect("its address");
         let listener = Rc::new(TcpListener::from_std(listener).expect("a socket of the runtime"));
-        let (front, (_stage, closing)) = (front(), watch::channel(Stage::Closing));
+        let (front, (_stage, closing)) = (front(), watch::channel(ShutdownPhase::Closing));
         let mut clients: Vec<_> =
             (0..3).map(|_| std::net::TcpStream::connect(address).expect("a client")).collect();
         for client in &mut clients {
--- a/crates/cache-balancer/src/fronts/table.rs
+++ b/crates/cache-balancer/src/fronts/table.rs
@@ -1,7 +1,7 @@
 //! The table of clients' connections: what each is at, how long it may be, how many are kept that nobody uses,
 //! and which one gives way when no place is left.
 
-use crate::stage::Stage;
+use crate::shutdown_phase::ShutdownPhase;
 use bytes::{Buf, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use socket2::SockRef;
@@ -373,12 +373,16 @@
 
     /// Drives a connection to its end: what was taken is finished when the node closes; a connection whose
     /// time is up is dropped, but for an idle one, which may be met by a request just then.
-    pub async fn drive<C>(&self, serving: C, close: impl Fn(Pin<&mut C>), mut stage: watch::Receiver<Stage>)
-    where
+    pub async fn drive<C>(
+        &self,
+        serving: C,
+        close: impl Fn(Pin<&mut C>),
+        mut stage: watch::Receiver<ShutdownPhase>,
+    ) where
         C: Future,
     {
         let mut serving = pin!(serving);
-        let mut closing = pin!(stage.wait_for(|stage| *stage == Stage::Closing));
+        let mut closing = pin!(stage.wait_for(|stage| *stage == ShutdownPhase::Closing));
         let mut greeted = pin!(sleep_until(self.state.since.get() + GREETING));
         let (mut closed, mut greeting) = (false, false);
         loop {
--- a/crates/cache-balancer/src/fronts/table/tests.rs
+++ b/crates/cache-balancer/src/fronts/table/tests.rs
@@ -59,7 +59,7 @@
     client: std::net::TcpStream,
     state: Rc<State>,
     asked: Rc<Cell<usize>>,
-    stage: watch::Sender<Stage>,
+    stage: watch::Sender<ShutdownPhase>,
     ended: tokio::task::JoinHandle<()>,
 }
 
@@ -70,7 +70,7 @@
 impl Served {
     fn start() -> Self {
         let (client, place) = connected();
-        let (stage, watched) = watch::channel(Stage::Serving);
+        let (stage, watched) = watch::channel(ShutdownPhase::Serving);
         let (state, asked) = (place.state.clone(), Rc::new(Cell::new(0)));
         let count = asked.clone();
         let ended = tokio::task::spawn_local(async move {
@@ -81,7 +81,7 @@
                     place.opened();
                     count.set(count.get() + 1);
                     let mut answer = hyper::Response::new(http_body_util::Empty::<bytes::Bytes>::new());
-                    if *watched.borrow() == Stage::Closing {
+                    if *watched.borrow() == ShutdownPhase::Closing {
                         answer
                             .headers_mut()
                             .insert("connection", hyper::http::HeaderValue::from_static("close"));
@@ -144,7 +144,7 @@
             if read_ahead {
                 served.reach(1, Phase::Asking).await;
             }
-            served.stage.send_replace(Stage::Closing);
+            served.stage.send_replace(ShutdownPhase::Closing);
             tokio::task::yield_now().await;
             served.send(&ASKS[ahead..]);
             assert_eq!(served.answers().await, 2, "{ahead} bytes, read {read_ahead}");
@@ -168,13 +168,13 @@
 async fn a_connection_accepted_as_the_node_ends_is_given_time_for_its_first_request() {
     let all = async {
         let served = Served::start();
-        served.stage.send_replace(Stage::Closing);
+        served.stage.send_replace(ShutdownPhase::Closing);
         tokio::task::yield_now().await;
         served.send(ASKS);
         assert_eq!(served.answers().await, 1);
         // And no more than that where nothing comes.
         let silent = Served::start();
-        silent.stage.send_replace(Stage::Closing);
+        silent.stage.send_replace(ShutdownPhase::Closing);
         assert_eq!(silent.answers().await, 0);
     };
     tokio::task::LocalSet::new().run_until(all).await;
--- /dev/null
+++ b/crates/cache-balancer/src/handover/frame.rs
@@ -0,0 +1,128 @@
+//! Frames, the units of a link.
+//!
+//! A frame is a header of 12 bytes, numbers in network order, and a text in JSON:
+//!
+//! | bytes | content |
+//! | --- | --- |
+//! | 0 to 3 | `PHHO` |
+//! | 4, 5 | version of the format, 1 |
+//! | 6, 7 | kind, see [`Kind`] |
+//! | 8 to 11 | length of the text in bytes |
+
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use thiserror::Error;
+
+const MAGIC: &[u8; 4] = b"PHHO";
+const VERSION: u16 = 1;
+const HEADER_BYTES: usize = 12;
+/// The longest text: an endpoint list of 8 MiB, the longest that discovery may send, and the learned state of its
+/// servers.
+const MAX_TEXT_BYTES: usize = 32 << 20;
+
+/// What a frame means.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Kind {
+    Request = 1,
+    Offer = 2,
+    Ready = 3,
+    Proceed = 4,
+    Accepting = 5,
+    Cancel = 6,
+    // Those that follow are sent only to a peer that supports probation.
+    Commit = 7,
+    Departed = 8,
+    Release = 9,
+    Decline = 10,
+}
+
+impl Kind {
+    const ALL: [Self; 10] = [
+        Self::Request,
+        Self::Offer,
+        Self::Ready,
+        Self::Proceed,
+        Self::Accepting,
+        Self::Cancel,
+        Self::Commit,
+        Self::Departed,
+        Self::Release,
+        Self::Decline,
+    ];
+
+    fn from_number(number: u16) -> Option<Self> {
+        Self::ALL.into_iter().find(|kind| *kind as u16 == number)
+    }
+}
+
+/// Why bytes are no frame, or a frame's text is not the one expected.
+#[derive(Debug, Error)]
+pub enum FrameError {
+    #[error("byte 0 of a frame: expected \"PHHO\", found {0:?}")]
+    Magic([u8; 4]),
+    #[error("byte 4 of a frame: expected version {VERSION}, found {0}")]
+    Version(u16),
+    #[error("byte 6 of a frame: expected a kind from 1 to 10, found {0}")]
+    Kind(u16),
+    #[error("byte 8 of a frame: expected a length of {MAX_TEXT_BYTES} at the most, found {0}")]
+    Length(u32),
+    #[error("the text of a frame: {0}")]
+    Text(#[from] serde_json::Error),
+}
+
+/// A complete frame.
+#[derive(Debug)]
+pub(super) struct Frame {
+    pub kind: Kind,
+    text: Vec<u8>,
+}
+
+impl Frame {
+    /// Parses the text.
+    pub fn parse<T: DeserializeOwned>(&self) -> Result<T, FrameError> {
+        Ok(serde_json::from_slice(&self.text)?)
+    }
+
+    /// Removes the first frame from `received`; `None` if it is not complete yet.
+    pub fn decode(received: &mut Vec<u8>) -> Result<Option<Self>, FrameError> {
+        // Each field is checked as soon as it is there: the rest of what is no frame may never come.
+        if let Some(magic) = received.first_chunk::<4>().filter(|magic| *magic != MAGIC) {
+            return Err(FrameError::Magic(*magic));
+        }
+        let Some(header) = received.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
+        let [_, _, _, _, version @ .., k1, k2, l1, l2, l3, l4] = *header;
+        let version = u16::from_be_bytes(version);
+        if version != VERSION {
+            return Err(FrameError::Version(version));
+        }
+        let number = u16::from_be_bytes([k1, k2]);
+        let kind = Kind::from_number(number).ok_or(FrameError::Kind(number))?;
+        let length = u32::from_be_bytes([l1, l2, l3, l4]);
+        if length as usize > MAX_TEXT_BYTES {
+            return Err(FrameError::Length(length));
+        }
+        let end = HEADER_BYTES + length as usize;
+        if received.len() < end {
+            return Ok(None);
+        }
+        let text = received[HEADER_BYTES..end].to_vec();
+        received.drain(..end);
+        Ok(Some(Self { kind, text }))
+    }
+}
+
+/// The bytes of a frame with `message` as its text.
+pub(super) fn encode(kind: Kind, message: &impl Serialize) -> Vec<u8> {
+    // Messages are structures of texts and numbers: each of them can be written.
+    let text = serde_json::to_vec(message).unwrap_or_default();
+    let mut frame = Vec::with_capacity(HEADER_BYTES + text.len());
+    frame.extend_from_slice(MAGIC);
+    frame.extend_from_slice(&VERSION.to_be_bytes());
+    frame.extend_from_slice(&(kind as u16).to_be_bytes());
+    frame.extend_from_slice(&(text.len() as u32).to_be_bytes());
+    frame.extend_from_slice(&text);
+    frame
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/cache-balancer/src/handover/frame/tests.rs
@@ -0,0 +1,55 @@
+use super::*;
+use crate::handover::messages::Cancel;
+
+fn header(magic: &[u8; 4], version: u16, kind: u16, length: u32) -> Vec<u8> {
+    let mut header = magic.to_vec();
+    header.extend(version.to_be_bytes());
+    header.extend(kind.to_be_bytes());
+    header.extend(length.to_be_bytes());
+    header
+}
+
+fn decode_all(received: &mut Vec<u8>) -> Vec<Kind> {
+    std::iter::from_fn(|| Frame::decode(received).unwrap()).map(|frame| frame.kind).collect()
+}
+
+#[test]
+fn bytes_that_are_no_frame_are_named_by_place_and_expectation() {
+    let cases = [
+        (
+            header(b"PHHO", 1, 1, 0).split_off(1),
+            "byte 0 of a frame: expected \"PHHO\", found [72, 72, 79, 0]",
+        ),
+        (b"GET ".to_vec(), "byte 0 of a frame: expected \"PHHO\", found [71, 69, 84, 32]"),
+        (header(b"PHHO", 2, 1, 0), "byte 4 of a frame: expected version 1, found 2"),
+        (header(b"PHHO", 1, 0, 0), "byte 6 of a frame: expected a kind from 1 to 10, found 0"),
+        (header(b"PHHO", 1, 11, 0), "byte 6 of a frame: expected a kind from 1 to 10, found 11"),
+        (
+            header(b"PHHO", 1, 2, u32::MAX),
+            "byte 8 of a frame: expected a length of 33554432 at the most, found 4294967295",
+        ),
+    ];
+    for (mut bytes, expected) in cases {
+        assert_eq!(Frame::decode(&mut bytes).unwrap_err().to_string(), expected);
+    }
+    let mut unreadable = header(b"PHHO", 1, 6, 1);
+    unreadable.push(b'{');
+    let frame = Frame::decode(&mut unreadable).unwrap().unwrap();
+    assert!(frame.parse::<Cancel>().is_err());
+}
+
+#[test]
+fn an_incomplete_frame_is_waited_for_wherever_it_is_cut() {
+    let mut two = header(b"PHHO", 1, 3, 2);
+    two.extend(b"{}");
+    two.extend(header(b"PHHO", 1, 5, 4));
+    two.extend(b"null");
+    for cut in 0..two.len() {
+        let mut received = two[..cut].to_vec();
+        let mut kinds = decode_all(&mut received);
+        received.extend(&two[cut..]);
+        kinds.extend(decode_all(&mut received));
+        assert_eq!(kinds, [Kind::Ready, Kind::Accepting], "cut at {cut}");
+        assert!(received.is_empty());
+    }
+}
--- a/crates/cache-balancer/src/handover/state.rs
+++ b/crates/cache-balancer/src/handover/state.rs
@@ -1,4 +1,4 @@
-//! What one process knows, in the words in which it tells another.
+//! The learned state of a node, as one process sends it to another.
 
 use crate::config::{DiscoveryReplicas, Source};
 use crate::listing::Listing;
@@ -10,29 +10,30 @@
 /// The version of [`State`] that this program writes, and the only one that it reads.
 const STATE_VERSION: u64 = 1;
 
-/// What a node knows, pool by pool.
+/// What a node has learned, by pool. Processes of other versions read and write it, so serialised names stay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct State {
     version: u64,
     pub pools: Vec<PoolState>,
 }
 
-/// What is known of one pool.
+/// What a node has learned of one pool.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PoolState {
     pub name: String,
-    /// The one address of the discovery whose list it is. Programs that know of no replicas have this alone.
+    /// The one address of the discovery service that the endpoint list is from. Versions without replicas have this alone.
     discovery: Option<SocketAddr>,
-    /// The replicas of that discovery, where there are several.
+    /// The replicas of that discovery service, if there are several.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     replicas: Vec<SocketAddr>,
     pub listing: Listing,
-    pub knowledge: LearnedState,
+    #[serde(rename = "knowledge")]
+    pub learned_state: LearnedState,
 }
 
 impl PoolState {
-    /// What is known of the pool of this name, whose list comes from `source`.
-    pub fn new(name: &str, source: &Source, listing: Listing, knowledge: LearnedState) -> Self {
+    /// The state of the pool of this name, whose endpoint list is from `source`.
+    pub fn new(name: &str, source: &Source, listing: Listing, learned_state: LearnedState) -> Self {
         let (discovery, replicas) = match source {
             Source::Discovery(DiscoveryReplicas { addresses, .. }) => match addresses[..] {
                 [only] => (Some(only), Vec::new()),
@@ -40,18 +41,18 @@
             },
             Source::File(_) | Source::Fixed => (None, Vec::new()),
         };
-        Self { name: name.to_owned(), discovery, replicas, listing, knowledge }
+        Self { name: name.to_owned(), discovery, replicas, listing, learned_state }
     }
 
-    /// Whether its list is of the discovery that `source` names: versions of it mean nothing at another one. Replicas
-    /// share their versions, so one that both name is enough.
+    /// Whether its endpoint list is from the discovery service of `source`: its version has no meaning at another one.
+    /// Replicas share their versions, so one common replica suffices.
     pub fn shares_versions_with(&self, source: &Source) -> bool {
         let Source::Discovery(DiscoveryReplicas { addresses, .. }) = source else { return false };
         self.discovery.iter().chain(&self.replicas).any(|address| addresses.contains(address))
     }
 }
 
-/// Why a state is of no use. The node starts without.
+/// Why a state cannot be used. The node starts without it.
 #[derive(Debug, Error)]
 pub enum StateError {
     #[error("expected a state of version {STATE_VERSION}, found {0}")]
@@ -61,12 +62,12 @@
 }
 
 impl State {
-    /// Of these pools.
+    /// The state of these pools.
     pub fn new(pools: Vec<PoolState>) -> Self {
         Self { version: STATE_VERSION, pools }
     }
 
-    /// Reads one. The version is looked at first: what else another version holds may be anything.
+    /// Reads a state. Its version is checked first, since the rest of another version may have any form.
     pub(super) fn read(value: serde_json::Value) -> Result<Self, StateError> {
         match value.get("version").and_then(serde_json::Value::as_u64) {
             Some(STATE_VERSION) | None => Ok(serde_json::from_value(value)?),
--- a/crates/cache-balancer/src/handover/state/tests.rs
+++ b/crates/cache-balancer/src/handover/state/tests.rs
@@ -15,7 +15,7 @@
     PoolState::new("p", source, Listing::default(), LearnedState::default())
 }
 
-/// What is known of a pool, as it goes over the link.
+/// The state of a pool, as it goes over the link.
 fn written(source: &Source) -> Value {
     let state = serde_json::to_value(State::new(vec![pool(source)])).expect("JSON of a state");
     state["pools"][0].clone()
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_state_of_the_version_before_is_read_and_its_one_address_is_compared() {
+fn a_state_of_the_version_before_is_read_and_its_address_compared() {
     let of_one = read(json!({"discovery": "127.0.0.1:1"}));
     assert_eq!(of_one.listing.seq, 7);
     assert!(of_one.shares_versions_with(&replicas(&[1])));
@@ -47,9 +47,9 @@
     assert!(!of_a_file.shares_versions_with(&Source::Fixed));
 }
 
-// Guards against a state that the version before cannot read: the node would forget its list and its breakers.
+/// A state that the version before cannot read would make the node forget its list and its breakers on a rollback.
 #[test]
-fn what_is_written_of_one_address_is_what_the_version_before_wrote() {
+fn one_address_is_written_as_the_version_before_wrote_it() {
     let one = written(&replicas(&[1]));
     assert_eq!(one["discovery"], "127.0.0.1:1");
     assert_eq!(one.get("replicas"), None);
@@ -58,14 +58,14 @@
 }
 
 #[test]
-fn of_several_replicas_all_are_written_and_the_version_before_finds_no_address() {
+fn several_replicas_are_all_written_and_the_one_address_is_left_out() {
     let several = written(&replicas(&[2, 1]));
     assert_eq!(several["discovery"], Value::Null);
     assert_eq!(several["replicas"], json!(["127.0.0.1:1", "127.0.0.1:2"]));
 }
 
 #[test]
-fn versions_stay_good_while_one_replica_is_common() {
+fn versions_are_shared_while_one_replica_is_common() {
     let cases: [(&[u16], &[u16], bool); 7] = [
         (&[1], &[1], true),
         (&[1, 2], &[2, 1], true),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn capacity_does_not_tell_one_discovery_from_another() {
+fn capacity_does_not_distinguish_discovery_services() {
     let capacity = Some(Capacity { lines_per_second: 200.0, call_lines: 10.0 });
     let stated = Source::Discovery(DiscoveryReplicas::new(vec![address(1)], capacity));
     assert!(pool(&stated).shares_versions_with(&replicas(&[1])));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn replicas_of_no_use_make_a_state_that_is_not_read() {
+fn a_state_with_invalid_replicas_is_rejected() {
     let state = |replicas: Value| {
         let pool = json!({
             "name": "p", "discovery": null, "replicas": replicas,
--- a/crates/cache-balancer/src/handover/successor.rs
+++ b/crates/cache-balancer/src/handover/successor.rs
@@ -1,55 +1,231 @@
-//! SIGUSR2: this process starts its own successor, from the program that stands at its path by now.
+//! The end of the process that replaces the one that serves: it connects to the predecessor, and carries the messages of
+//! [`balancer_core::graceful_restart::Successor`].
 
+use super::frame::{Frame, FrameError, Kind};
+use super::link::{Link, LinkError};
+use super::messages::{Cancel, Offer, Proceed, Request};
+use super::peer::Peer;
+use super::State;
+use crate::config::{HandoverConfig, Listener};
 use crate::log::log;
-use std::ffi::OsString;
-use std::os::unix::ffi::{OsStrExt, OsStringExt};
-use std::path::PathBuf;
-use tokio::process::{Child, Command};
-
-/// One that was started, as long as it lives.
-#[derive(Debug, Default)]
-pub struct Successor(Option<Child>);
-
-impl Successor {
-    /// Starts one with the arguments that this process was started with, unless one is under way.
-    pub fn start(&mut self) {
-        if let Some(child) = &mut self.0 {
-            if matches!(child.try_wait(), Ok(None)) {
-                log!("hand-over: a successor is under way already");
-                return;
+use rustix::process::Signal;
+use std::fmt;
+use std::io;
+use std::net::TcpListener;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::net::UnixStream;
+use tokio::time::timeout;
+
+/// The time limit for the last message on a link. A predecessor that does not take it learns from the end of the link.
+const LAST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Why the process that serves offered nothing.
+#[derive(Debug, Error)]
+pub enum HandoverError {
+    #[error("the process that serves cannot be asked for a hand-over: {0}")]
+    Unreachable(io::Error),
+    #[error("the process that serves did not hand over: {0}")]
+    Link(#[from] LinkError),
+    #[error("the process that serves did not hand over: {0}")]
+    Cancelled(CancelCause),
+    #[error("the process that serves went away before it handed over")]
+    Disconnected,
+    #[error("the process that serves did not hand over in time")]
+    TimedOut,
+    #[error("a socket that was handed over is no listening TCP socket: {0}")]
+    Socket(io::Error),
+}
+
+/// Why a predecessor goes on by itself.
+#[derive(Debug)]
+pub enum CancelCause {
+    /// Its own reason, as a text.
+    Stated(String),
+    /// It sent a frame of this kind, out of order.
+    OutOfOrder(Kind),
+    /// Its message could not be read.
+    Unreadable(FrameError),
+}
+
+impl fmt::Display for CancelCause {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Stated(reason) => f.write_str(reason),
+            Self::OutOfOrder(kind) => write!(f, "a message out of order ({kind:?})"),
+            Self::Unreadable(error) => write!(f, "{error}"),
+        }
+    }
+}
+
+/// The successor's end of a hand-over, from the offer on.
+#[derive(Debug)]
+pub struct SuccessorEndpoint {
+    /// `None` once it has ended.
+    link: Option<Link>,
+    predecessor: Peer,
+    /// The predecessor supports probation.
+    probation: bool,
+    /// The loss of the link was reported.
+    loss_reported: bool,
+}
+
+/// What the predecessor offers.
+#[derive(Debug)]
+pub struct Offered {
+    pub sockets: Vec<(Listener, TcpListener)>,
+    /// `None` if this version cannot read it.
+    pub state: Option<State>,
+}
+
+/// The next message of the predecessor, or the end of the link.
+#[derive(Debug)]
+pub enum Message {
+    /// The predecessor has paused. With its latest state, if this version can read it.
+    Proceed(Option<State>),
+    Committed,
+    Departed,
+    Cancelled(CancelCause),
+    /// The predecessor has died, or has departed and does not support probation.
+    Died,
+    /// The link has ended, and the predecessor lives.
+    LinkLost,
+}
+
+impl SuccessorEndpoint {
+    /// Requests a hand-over from the process that serves; `None` if there is none.
+    pub async fn request(config: &HandoverConfig) -> Result<Option<(Self, Offered)>, HandoverError> {
+        let Some(stream) = connect(config).await? else { return Ok(None) };
+        let mut link = Link::new(stream);
+        let predecessor = Peer::new(link.peer_id());
+        let request = Request { version: env!("CARGO_PKG_VERSION").to_owned(), probation: true };
+        link.queue(Kind::Request, &request, Vec::new());
+        let frame =
+            timeout(config.step_timeout, link.next()).await.map_err(|_| HandoverError::TimedOut)??;
+        let frame = frame.ok_or(HandoverError::Disconnected)?;
+        let (offered, probation) = read_offer(&frame, &mut link)?;
+        Ok(Some((Self { link: Some(link), predecessor, probation, loss_reported: false }, offered)))
+    }
+
+    /// The next message. Cancel safe.
+    pub async fn next(&mut self) -> Message {
+        if let Some(link) = &mut self.link {
+            match link.next().await {
+                Ok(Some(frame)) => return message(&frame),
+                Ok(None) => self.link = None,
+                Err(error) => {
+                    log!("hand-over: {error}");
+                    self.link = None;
+                }
             }
         }
-        let mut command = Command::new(program());
-        command.args(std::env::args_os().skip(1));
-        // These name the process that the service manager started; what it feeds the watchdog for is the service.
-        for variable in ["WATCHDOG_PID", "LISTEN_PID", "LISTEN_FDS", "LISTEN_FDNAMES"] {
-            command.env_remove(variable);
+        self.link_ended().await
+    }
+
+    /// Tells the predecessor that this process is prepared to serve.
+    pub fn send_ready(&mut self) {
+        self.send(Kind::Ready);
+    }
+
+    /// Tells the predecessor that this process accepts connections.
+    pub fn send_accepting(&mut self) {
+        self.send(Kind::Accepting);
+    }
+
+    /// Tells the predecessor that this process gives up.
+    pub async fn decline(&mut self) {
+        self.send_last(Kind::Decline).await;
+    }
+
+    /// Tells the predecessor that it need not stand by.
+    pub async fn release(&mut self) {
+        if !self.send_last(Kind::Release).await {
+            self.terminate_predecessor();
         }
-        match command.spawn() {
-            Ok(child) => {
-                log!("hand-over: successor {} started", child.id().unwrap_or_default());
-                self.0 = Some(child);
-            }
-            Err(error) => log!("hand-over: no successor: {error}"),
+    }
+
+    /// Sends the predecessor a termination signal, past the link.
+    pub fn terminate_predecessor(&self) {
+        if let Err(error) = self.predecessor.signal(Signal::TERM) {
+            log!("hand-over: the predecessor cannot be signalled: {error}");
+        }
+    }
+
+    /// What the end of the link means.
+    async fn link_ended(&mut self) -> Message {
+        if !self.probation {
+            return Message::Died;
+        }
+        if !self.loss_reported && !self.predecessor.has_died().await {
+            self.loss_reported = true;
+            return Message::LinkLost;
         }
+        self.predecessor.died().await;
+        Message::Died
     }
 
-    /// Waits for the end of the one that was started. Dropped before that, it loses nothing.
-    pub async fn ended(&mut self) {
-        let Some(child) = &mut self.0 else { return std::future::pending().await };
-        match child.wait().await {
-            Ok(status) => log!("hand-over: the successor has ended: {status}"),
-            Err(error) => log!("hand-over: the successor is lost: {error}"),
+    fn send(&mut self, kind: Kind) {
+        if let Some(link) = &mut self.link {
+            link.queue(kind, &(), Vec::new());
         }
-        self.0 = None;
+    }
+
+    /// Sends the last message and ends the link. Returns whether the message was sent.
+    async fn send_last(&mut self, kind: Kind) -> bool {
+        let Some(mut link) = self.link.take().filter(|_| self.probation) else { return false };
+        link.queue(kind, &(), Vec::new());
+        matches!(timeout(LAST_MESSAGE_TIMEOUT, link.flush()).await, Ok(Ok(())))
     }
 }
 
-/// The path of this program. Linux marks that of one that was replaced since.
-pub fn program() -> PathBuf {
-    let path =
-        std::env::current_exe().unwrap_or_else(|_| std::env::args_os().next().unwrap_or_default().into());
-    let bytes = path.as_os_str().as_bytes();
-    let replaced = bytes.strip_suffix(b" (deleted)").map(|bytes| OsString::from_vec(bytes.to_vec()));
-    replaced.map_or(path.clone(), PathBuf::from)
+/// Connects to the process that serves; `None` if there is none, or it has died.
+async fn connect(config: &HandoverConfig) -> Result<Option<UnixStream>, HandoverError> {
+    match UnixStream::connect(&config.socket).await {
+        Ok(stream) => Ok(Some(stream)),
+        Err(error) => match error.kind() {
+            io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused => Ok(None),
+            _ => Err(HandoverError::Unreachable(error)),
+        },
+    }
+}
+
+fn message(frame: &Frame) -> Message {
+    match frame.kind {
+        Kind::Proceed => match frame.parse::<Proceed>() {
+            Ok(Proceed { state }) => Message::Proceed(read_state(state)),
+            Err(error) => Message::Cancelled(CancelCause::Unreadable(error)),
+        },
+        Kind::Commit => Message::Committed,
+        Kind::Departed => Message::Departed,
+        _ => Message::Cancelled(cancel_cause(frame)),
+    }
+}
+
+/// Returns the offer, and whether the predecessor supports probation.
+fn read_offer(frame: &Frame, link: &mut Link) -> Result<(Offered, bool), HandoverError> {
+    if frame.kind != Kind::Offer {
+        return Err(HandoverError::Cancelled(cancel_cause(frame)));
+    }
+    let Offer { listeners, state, probation } = frame.parse().map_err(LinkError::from)?;
+    let sockets = listeners.into_iter().zip(link.take_descriptors()).map(|(offered, socket)| {
+        let socket = TcpListener::from(socket);
+        // A socket that does not listen is found now, not at the first client.
+        socket.local_addr().map_err(HandoverError::Socket)?;
+        Ok((Listener { name: offered.name, address: offered.address }, socket))
+    });
+    let sockets = sockets.collect::<Result<_, HandoverError>>()?;
+    Ok((Offered { sockets, state: read_state(state) }, probation))
+}
+
+fn read_state(value: serde_json::Value) -> Option<State> {
+    State::read(value)
+        .inspect_err(|error| log!("hand-over: starting without what the other process knew: {error}"))
+        .ok()
+}
+
+fn cancel_cause(frame: &Frame) -> CancelCause {
+    match frame.parse::<Cancel>() {
+        Ok(Cancel { reason }) if frame.kind == Kind::Cancel => CancelCause::Stated(reason),
+        _ => CancelCause::OutOfOrder(frame.kind),
+    }
 }
--- a/crates/cache-balancer/src/log.rs
+++ b/crates/cache-balancer/src/log.rs
@@ -3,19 +3,19 @@
 use std::fmt::Arguments;
 use std::io::Write;
 
-/// Writes a line whole, in one call: lines of processes that share a log do not mix, and one that nobody reads any more
-/// ends no node, as `eprintln!` would.
+/// Writes a line in one call, so that lines of processes that share a log do not mix. Unlike `eprintln!`, it does not panic
+/// when standard error is closed.
 macro_rules! log {
-    ($($words:tt)*) => {
-        $crate::log::line(format_args!($($words)*))
+    ($($text:tt)*) => {
+        $crate::log::line(format_args!($($text)*))
     };
 }
 
 pub(crate) use log;
 
-/// See [`log`].
-pub fn line(words: Arguments) {
-    let line = format!("{words}\n");
-    // There is nowhere else to say so.
+/// Writes a line. Used by [`log`].
+pub fn line(text: Arguments) {
+    let line = format!("{text}\n");
+    // There is nowhere else to report a failure.
     let _ = std::io::stderr().write_all(line.as_bytes());
 }
--- a/crates/cache-balancer/src/main.rs
+++ b/crates/cache-balancer/src/main.rs
@@ -13,21 +13,21 @@
 mod list_file;
 mod listing;
 mod log;
-mod manager;
 mod readiness;
 mod scale;
 mod scenario;
-mod stage;
+mod service_manager;
+mod shutdown_phase;
 mod tally;
 mod upstream;
 
 use crate::config::operator;
 use clap::{Parser, Subcommand};
-use std::error::Error;
+use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Load-balancing node for fleets of cache servers. Without a command it serves, as LB_CONFIG says.
+/// Load-balancing node for fleets of cache servers. Without a command it serves with the configuration of LB_CONFIG.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
@@ -37,7 +37,7 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serves as an operator's file says
+    /// Serves with the configuration of an operator's file
     Run {
         /// The file
         #[arg(long)]
@@ -48,7 +48,7 @@
     },
     /// Keeps many instances of one file going, for trials
     Fleet(fleet::Arguments),
-    /// Says all that is wrong with an operator's file, or what holds, defaults and all
+    /// Prints all faults of an operator's file, or its effective configuration
     Check {
         /// The file
         file: PathBuf,
@@ -69,7 +69,7 @@
     ScaleHollow,
 }
 
-/// A file that cannot be used.
+/// The exit code for a file that cannot be used.
 const UNUSABLE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -78,15 +78,15 @@
         Some(Command::Scale(arguments)) => scale::run(arguments),
         Some(Command::Aggregate(arguments)) => aggregate::run(&arguments),
         Some(Command::Check { file }) => check(&file),
-        Some(Command::Run { config, with_parent }) => served(daemon::start_from(&config, with_parent)),
+        Some(Command::Run { config, with_parent }) => exit_code(daemon::start_from(&config, with_parent)),
         Some(Command::Fleet(arguments)) => fleet::run(arguments),
-        Some(Command::ScaleReplica) => served(testbed::scale::replica::run().map_err(Into::into)),
-        Some(Command::ScaleHollow) => served(hollow::run().map_err(Into::into)),
-        None => served(daemon::start()),
+        Some(Command::ScaleReplica) => exit_code(testbed::scale::replica::run()),
+        Some(Command::ScaleHollow) => exit_code(hollow::run()),
+        None => exit_code(daemon::start()),
     }
 }
 
-fn served(result: Result<(), Box<dyn Error>>) -> ExitCode {
+fn exit_code<E: Display>(result: Result<(), E>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/cache-balancer/src/readiness.rs
+++ b/crates/cache-balancer/src/readiness.rs
@@ -1,12 +1,12 @@
-//! Whether the node can serve: every pool of its start has known a cache server that takes work.
+//! Whether the node can serve: every pool of its start has had a cache server that takes work.
 
 use std::cell::Cell;
 use tokio::sync::watch;
 
-/// A pool's name, and whether it has known such a server.
+/// The name of a pool, and whether it has had a server that takes work.
 pub type Pool = (String, watch::Receiver<bool>);
 
-/// Once reached it holds for good: a pool that a reload adds is no reason to send clients of the others away.
+/// Once reached, readiness holds for good: a pool that a reload adds must not turn away the clients of the others.
 #[derive(Debug)]
 pub struct Readiness {
     pools: watch::Sender<Vec<Pool>>,
@@ -14,17 +14,17 @@
 }
 
 impl Readiness {
-    /// Of these pools.
+    /// The readiness of these pools.
     pub fn new(pools: Vec<Pool>) -> Self {
         Self { pools: watch::Sender::new(pools), reached: Cell::default() }
     }
 
-    /// A reload changed them.
+    /// Replaces the pools, after a reload.
     pub fn replace(&self, pools: Vec<Pool>) {
         self.pools.send_replace(pools);
     }
 
-    /// Whether it is.
+    /// Whether the node can serve.
     pub fn reached(&self) -> bool {
         if !self.reached.get() {
             self.reached.set(self.pools.borrow().iter().all(|(_, ready)| *ready.borrow()));
@@ -32,7 +32,7 @@
         self.reached.get()
     }
 
-    /// Waits until it is, and names each pool that is waited for.
+    /// Waits until the node can serve. Calls `waits_for` with the name of each pool that is waited for.
     pub async fn wait(&self, waits_for: impl Fn(&str)) {
         let mut changes = self.pools.subscribe();
         while !self.reached() {
--- /dev/null
+++ b/crates/cache-balancer/tests/handover_predecessor.rs
@@ -0,0 +1,94 @@
+//! A real predecessor, and scripted successors that crash, hang, or send messages out of order.
+
+mod common;
+mod handover_support;
+
+use common::{read, wait_for, CacheServer, Client};
+use handover_support::scripted::{frame, ACCEPTING, CANCEL, OFFER, PROCEED, READY};
+use handover_support::{fixed, Fixture};
+use std::io::Write;
+use std::os::unix::net::UnixStream;
+
+#[test]
+fn a_successor_that_dies_at_any_step_leaves_the_predecessor_serving() {
+    let server = CacheServer::serving("a");
+    let fixture = Fixture::new(&fixed(&server), "20s");
+    let old = fixture.ready();
+    // It connects and sends nothing, or what is no frame.
+    drop(UnixStream::connect(fixture.socket()).unwrap());
+    UnixStream::connect(fixture.socket()).unwrap().write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
+    assert_eq!(fixture.read(1), b"a");
+    // It dies after its request, and after it has received the sockets.
+    for (before, heard) in [false, true].into_iter().enumerate() {
+        let mut peer = fixture.request_hand_over();
+        if heard {
+            peer.expect(OFFER);
+        }
+        drop(peer);
+        wait_for("the node to see it", || old.said("has died") == before + 1);
+        assert_eq!(fixture.read(2), b"a");
+    }
+    // It dies while neither accepts: the predecessor serves the clients that came meanwhile.
+    let mut peer = fixture.request_hand_over();
+    peer.expect(OFFER);
+    peer.send(READY);
+    peer.expect(PROCEED);
+    let mut waiting = Client::to(fixture.address);
+    waiting.send(&read("read", 3, 20_000));
+    drop(peer);
+    assert_eq!(waiting.answer().unwrap().body, b"a");
+    let new = fixture.start();
+    assert!(old.exit().success());
+    assert_eq!(fixture.read(4), b"a");
+    drop(new);
+}
+
+/// A predecessor that still accepted after it told the successor to proceed would compete with it for clients, and take some
+/// into a process that is about to leave.
+#[test]
+fn clients_that_come_after_the_pause_are_the_successors() {
+    let server = CacheServer::serving("a");
+    let fixture = Fixture::new(&fixed(&server), "20s");
+    let old = fixture.ready();
+    let mut peer = fixture.request_hand_over();
+    let (_, socket) = peer.receive_with_socket();
+    peer.send(READY);
+    peer.expect(PROCEED);
+    let clients: Vec<_> = (0..20).map(|_| Client::to(fixture.address)).collect();
+    socket.set_nonblocking(true).unwrap();
+    for _ in &clients {
+        wait_for("each of them at the successor", || socket.accept().is_ok());
+    }
+    peer.send(ACCEPTING);
+    assert!(peer.receive().is_none());
+    assert!(old.exit().success());
+}
+
+#[test]
+fn a_successor_that_hangs_or_is_out_of_order_is_cancelled() {
+    let server = CacheServer::serving("a");
+    let fixture = Fixture::new(&fixed(&server), "200ms");
+    let old = fixture.ready();
+    let in_time = "the successor was not done in time";
+    let mut peer = fixture.request_hand_over();
+    peer.expect(OFFER);
+    assert_eq!(peer.expect(CANCEL)["why"], in_time);
+    assert!(peer.receive().is_none());
+    let mut peer = fixture.request_hand_over();
+    peer.expect(OFFER);
+    peer.send(READY);
+    peer.expect(PROCEED);
+    let mut waiting = Client::to(fixture.address);
+    waiting.send(&read("read", 1, 20_000));
+    assert_eq!(peer.expect(CANCEL)["why"], in_time);
+    assert_eq!(waiting.answer().unwrap().body, b"a");
+    // It resumes too late.
+    assert!(peer.0.write_all(&frame(ACCEPTING.0, ACCEPTING.1)).is_err() || peer.receive().is_none());
+    // A successor that sends a message out of order is not trusted with clients.
+    let mut peer = fixture.request_hand_over();
+    peer.expect(OFFER);
+    peer.send(ACCEPTING);
+    assert_eq!(peer.expect(CANCEL)["why"], "the successor's words came out of their order");
+    assert_eq!(fixture.read(2), b"a");
+    assert_eq!(old.said("has handed over"), 0);
+}
--- /dev/null
+++ b/crates/cache-balancer/tests/handover_probation.rs
@@ -0,0 +1,258 @@
+//! The probation after a hand-over: deaths, lost links and stops of either process.
+
+mod common;
+mod handover_support;
+
+use common::{ended, read, wait_for, CacheServer, Client, Node, PATIENCE};
+use handover_support::scripted::{Peer, ACCEPTING, COMMIT, OFFER, PROCEED, READY, REQUEST_WITH_PROBATION};
+use handover_support::Fixture;
+use std::os::unix::net::{UnixDatagram, UnixStream};
+use std::process::{Command, Stdio};
+
+/// A scripted successor in a process of its own, so that its death can be told from this process's. It carries out the
+/// steps of its script, and then lives on until a signal ends it.
+struct SuccessorProcess {
+    process: std::process::Child,
+    done: std::path::PathBuf,
+}
+
+impl SuccessorProcess {
+    /// The steps, separated by spaces: `request`, expect `offer`, `ready`, expect `proceed`, `accepting`, expect `commit`,
+    /// `close` the link.
+    fn start(fixture: &Fixture, script: &str) -> Self {
+        let done = fixture.folder.0.join(format!("done-{}", script.replace(' ', "-")));
+        let mut command = Command::new(std::env::current_exe().unwrap());
+        command.args(["--exact", "acts_as_a_successor", "--ignored"]).stdout(Stdio::null());
+        command.env("SOCKET", fixture.socket()).env("SCRIPT", script).env("DONE", &done);
+        Self { process: command.spawn().unwrap(), done }
+    }
+
+    /// Starts one, and returns once its script is done.
+    fn done(fixture: &Fixture, script: &str) -> Self {
+        let successor = Self::start(fixture, script);
+        wait_for("the script", || successor.done.exists());
+        successor
+    }
+
+    /// The signal that ended it.
+    fn ended_by(&mut self) -> Option<i32> {
+        use std::os::unix::process::ExitStatusExt;
+        let mut status = None;
+        wait_for("the successor's end", || {
+            status = self.process.try_wait().unwrap();
+            status.is_some()
+        });
+        status.unwrap().signal()
+    }
+}
+
+impl Drop for SuccessorProcess {
+    fn drop(&mut self) {
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+    }
+}
+
+#[test]
+#[ignore = "the process of a SuccessorProcess, and no test"]
+fn acts_as_a_successor() {
+    let variable = |name| std::env::var_os(name).expect("started by a test");
+    let mut peer = Some(Peer(UnixStream::connect(variable("SOCKET")).unwrap()));
+    for step in variable("SCRIPT").into_string().unwrap().split(' ') {
+        let Some(link) = &mut peer else { break };
+        match step {
+            "request" => link.send(REQUEST_WITH_PROBATION),
+            "offer" => assert_eq!(link.expect(OFFER)["probation"], true),
+            "ready" => link.send(READY),
+            "proceed" => drop(link.expect(PROCEED)),
+            "accepting" => link.send(ACCEPTING),
+            "commit" => drop(link.expect(COMMIT)),
+            "close" => peer = None,
+            other => panic!("no such step: {other}"),
+        }
+    }
+    std::fs::write(variable("DONE"), "").unwrap();
+    std::thread::sleep(PATIENCE);
+}
+
+/// A successor that a node has started, and that outlives it. It is killed with the test.
+struct Spawned(rustix::process::Pid);
+
+impl Spawned {
+    fn by(node: &Node) -> Self {
+        let number = |line: &String| line.split("successor ").nth(1)?.split(' ').next()?.parse().ok();
+        let log = node.log.lock().unwrap();
+        let line = log.iter().find(|line| line.ends_with(" started")).expect("a successor");
+        Self(rustix::process::Pid::from_raw(number(line).expect("its number")).unwrap())
+    }
+}
+
+impl Drop for Spawned {
+    fn drop(&mut self) {
+        let _ = rustix::process::kill_process(self.0, rustix::process::Signal::KILL);
+    }
+}
+
+/// The usual bad upgrade: a program that starts well and dies on its first real requests. Without a rollback, the service
+/// would be down until somebody intervened.
+#[test]
+fn a_successor_that_dies_on_probation_is_rolled_back() {
+    let (server, gate) = CacheServer::gated("a");
+    let fixture = Fixture::with_long_probation(&server);
+    let notify = UnixDatagram::bind(fixture.folder.0.join("notify")).unwrap();
+    notify.set_read_timeout(Some(PATIENCE)).unwrap();
+    let mut command = fixture.command();
+    command.env("NOTIFY_SOCKET", fixture.folder.0.join("notify"));
+    let old = fixture.spawn(command);
+    wait_for("the socket", || fixture.socket().exists());
+    let mut taken_by_old = old.client();
+    taken_by_old.send(&read("read", 1, 20_000));
+    wait_for("the request", || server.count() == 1);
+    let mut new = fixture.take_over(&old);
+    let mut taken_by_new = Client::to(fixture.address);
+    taken_by_new.send(&read("read", 2, 20_000));
+    wait_for("the request", || server.count() == 2);
+    // A client that comes while no process accepts waits, and is served.
+    rustix::process::kill_process(
+        rustix::process::Pid::from_child(&new.child),
+        rustix::process::Signal::STOP,
+    )
+    .unwrap();
+    let mut waiting = Client::to(fixture.address);
+    waiting.send(&read("read", 3, 20_000));
+    new.child.kill().unwrap();
+    wait_for("the taking back", || old.said("has taken the clients back and serves again") == 1);
+    wait_for("the request", || server.count() == 3);
+    gate.open();
+    assert_eq!(waiting.answer().unwrap().body, b"a");
+    assert_eq!(taken_by_old.answer().unwrap().body, b"a");
+    assert!(taken_by_new.answer().is_none(), "lost with the process that had taken it");
+    for key in 4..20 {
+        assert_eq!(fixture.read(key), b"a");
+    }
+    // New connections are kept open again.
+    let mut kept = Client::to(fixture.address);
+    assert_eq!(kept.ask(&read("read", 21, 20_000)).header("connection"), None);
+    let mut said = Vec::new();
+    let main = format!("MAINPID={}", old.child.id());
+    while !said.ends_with(&["READY=1".to_owned()]) || !said.contains(&main) {
+        said.push(common::word(&notify));
+    }
+    let status = "STATUS=serving: the successor has died, and its clients were taken back";
+    assert!(said.iter().any(|word| word == status), "{said:?}");
+    assert_eq!(old.get("/healthz").status(), 200);
+    // The next successor is accepted.
+    let new = fixture.take_over(&old);
+    assert_eq!(fixture.read(22), b"a");
+    drop(new);
+}
+
+#[test]
+fn two_deaths_on_probation_reject_the_next_successor_until_the_backoff_ends() {
+    let server = CacheServer::serving("a");
+    let fixture = Fixture::with_long_probation(&server);
+    let old = fixture.ready();
+    for turn in 1..=2 {
+        // It is killed on probation.
+        drop(fixture.take_over(&old));
+        wait_for("the taking back", || old.said("has taken the clients back") == turn);
+    }
+    assert_eq!(old.said("none is let in for 1s"), 1);
+    old.signal("-USR2");
+    wait_for("a word", || old.said("no successor is started: two have died") == 1);
+    let output = ended(fixture.command());
+    let said = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(1));
+    assert!(
+        said.contains("did not hand over: two successors have died with clients in their hands"),
+        "{said}"
+    );
+    assert_eq!(fixture.read(1), b"a");
+    wait_for("the end of the bar", || {
+        let mut peer = fixture.request_hand_over();
+        peer.receive().is_some_and(|(kind, _)| kind == OFFER)
+    });
+    assert_eq!(fixture.read(2), b"a");
+}
+
+#[test]
+fn a_stop_on_probation_is_no_death_on_either_side() {
+    let server = CacheServer::serving("a");
+    let fixture = Fixture::with_long_probation(&server);
+    let old = fixture.ready();
+    let new = fixture.take_over(&old);
+    new.terminate();
+    assert!(new.exit().success());
+    assert_eq!(old.said("taken the clients back"), 0);
+    assert!(old.exit().success());
+    let old = fixture.ready();
+    let new = fixture.take_over(&old);
+    old.terminate();
+    assert!(old.exit().success());
+    assert_eq!(fixture.read(1), b"a");
+    // It has a socket of its own by now, and no process on standby behind it.
+    let next = fixture.take_over(&new);
+    assert_eq!(fixture.read(2), b"a");
+    drop(next);
+    wait_for("the taking back", || new.said("taken the clients back") == 1);
+    assert_eq!(fixture.read(3), b"a");
+}
+
+#[test]
+fn an_upgrade_on_probation_releases_the_first_and_signals_are_forwarded() {
+    let server = CacheServer::serving("a");
+    let fixture = Fixture::with_long_probation(&server);
+    let first = fixture.ready();
+    let second = fixture.take_over(&first);
+    let text = format!("{}[[class]]\nname = \"new\"\neffect = \"safe\"\n", fixture.text);
+    first.reload(&text);
+    wait_for("the reload", || second.said("configuration read again: class new added") == 1);
+    assert_eq!(first.said("configuration read again"), 0);
+    first.signal("-USR2");
+    wait_for("the third process", || second.said("stands by") == 1);
+    let third = Spawned::by(&second);
+    assert!(first.exit().success());
+    assert_eq!(Client::to(fixture.address).ask(&read("new", 1, 20_000)).body, b"a");
+    second.terminate();
+    assert!(second.exit().success());
+    assert_eq!(fixture.read(2), b"a");
+    drop(third);
+}
+
+#[test]
+fn a_cut_off_successor_is_fenced_before_it_serves_and_left_alone_after() {
+    let server = CacheServer::serving("a");
+    let fixture = Fixture::with_long_probation(&server);
+    let old = fixture.ready();
+    let mut fenced = SuccessorProcess::done(&fixture, "request offer ready proceed close");
+    assert_eq!(fenced.ended_by(), Some(15));
+    assert_eq!(fixture.read(1), b"a");
+    assert_eq!(old.said("cannot be heard any more, and lives"), 1);
+    // It may serve: only its death has an effect.
+    let mut serving = SuccessorProcess::done(&fixture, "request offer ready proceed accepting commit close");
+    wait_for("the cut", || old.said("cannot be heard any more, and lives") == 2);
+    let mut waiting = Client::to(fixture.address);
+    waiting.send(&read("read", 2, 20_000));
+    assert_eq!(old.said("taken the clients back"), 0);
+    assert_eq!(serving.process.try_wait().unwrap(), None);
+    serving.process.kill().unwrap();
+    assert_eq!(waiting.answer().unwrap().body, b"a");
+    assert_eq!(old.said("taken the clients back"), 1);
+}
+
+#[test]
+fn a_rollback_succeeds_without_a_manager_and_without_a_socket() {
+    let server = CacheServer::serving("a");
+    let fixture = Fixture::with_long_probation(&server);
+    let mut command = fixture.command();
+    command.env("NOTIFY_SOCKET", fixture.folder.0.join("nobody"));
+    let old = fixture.spawn(command);
+    wait_for("the socket", || fixture.socket().exists());
+    let new = fixture.take_over(&old);
+    // A directory takes the fixture of its socket.
+    fixture.block_socket();
+    drop(new);
+    wait_for("the taking back", || old.said("taken the clients back") == 1);
+    assert_eq!(fixture.read(1), b"a");
+    assert_eq!(old.said("hand-over: nobody can take over: "), 1);
+}
--- /dev/null
+++ b/crates/cache-balancer/tests/handover_successor.rs
@@ -0,0 +1,194 @@
+//! A real successor, and scripted predecessors that crash, cancel, or send what it cannot read.
+
+mod common;
+mod handover_support;
+
+use common::{ended, read, wait_for, CacheServer, Client, Discovery, Node, PATIENCE};
+use handover_support::scripted::{
+    empty_state, frame, ScriptedPredecessor, ACCEPTING, CANCEL, OFFER, PROCEED, READY,
+};
+use handover_support::{fixed, Fixture};
+use serde_json::json;
+use std::io::Write;
+use std::os::unix::net::UnixDatagram;
+use std::process::{Command, Stdio};
+
+#[test]
+fn a_successor_that_cannot_read_the_state_starts_without_it() {
+    let server = CacheServer::serving("a");
+    for (state, why) in [
+        (json!({"version": 99, "pools": "?"}), "expected a state of version 1, found 99"),
+        (json!({"version": 1, "pools": 7}), "expected a state of version 1: invalid type: integer `7`"),
+        (json!(null), "expected a state of version 1: invalid type: null"),
+    ] {
+        let fixture = Fixture::new(&fixed(&server), "20s");
+        let scripted = ScriptedPredecessor::at(&fixture);
+        let starting = std::thread::scope(|scope| {
+            let node = scope.spawn(|| fixture.start());
+            let mut peer = scripted.accept_request();
+            scripted.offer(&fixture, &peer, &state);
+            peer.expect(READY.0);
+            peer.send((PROCEED, &json!({"state": state}).to_string()));
+            peer.expect(ACCEPTING.0);
+            drop(peer);
+            node.join().unwrap()
+        });
+        // The same socket, on which no other process accepts.
+        assert_eq!(fixture.read(1), b"a");
+        assert!(starting.first.contains(why), "{}", starting.first);
+        drop(scripted);
+        assert_eq!(fixture.read(2), b"a");
+    }
+}
+
+#[test]
+fn a_successor_takes_over_from_a_predecessor_that_dies_before_it_proceeds() {
+    let server = CacheServer::serving("a");
+    let fixture = Fixture::new(&fixed(&server), "20s");
+    let scripted = ScriptedPredecessor::at(&fixture);
+    let mut waiting = Client::to(fixture.address);
+    waiting.send(&read("read", 1, 20_000));
+    let node = std::thread::scope(|scope| {
+        let node = scope.spawn(|| fixture.start());
+        let mut peer = scripted.accept_request();
+        scripted.offer(&fixture, &peer, &empty_state());
+        peer.expect(READY.0);
+        drop(peer);
+        drop(scripted);
+        node.join().unwrap()
+    });
+    assert_eq!(waiting.answer().unwrap().body, b"a");
+    drop(node);
+}
+
+#[test]
+fn a_cancelled_successor_exits_and_accepts_no_client() {
+    let server = CacheServer::serving("a");
+    let fixture = Fixture::new(&fixed(&server), "20s");
+    let scripted = ScriptedPredecessor::at(&fixture);
+    let output = std::thread::scope(|scope| {
+        let node = scope.spawn(|| ended(fixture.command()));
+        let mut peer = scripted.accept_request();
+        scripted.offer(&fixture, &peer, &empty_state());
+        peer.expect(READY.0);
+        peer.send((CANCEL, "{\"why\":\"a change of mind\"}"));
+        node.join().unwrap()
+    });
+    assert_eq!(output.status.code(), Some(1));
+    let said = String::from_utf8(output.stderr).unwrap();
+    assert!(
+        said.contains("cache-balancer: the process that serves goes on by itself: a change of mind"),
+        "{said}"
+    );
+    assert!(!said.contains("listens on"), "{said}");
+    // What is no offer is named in the error.
+    for (bytes, why) in [
+        (b"HTTP".to_vec(), "byte 0 of a frame: expected \"PHHO\""),
+        (frame(CANCEL, "{\"why\":\"busy\"}"), "did not hand over: busy"),
+        (frame(OFFER, "{}"), "the text of a frame: missing field `listeners`"),
+        (Vec::new(), "went away before it handed over"),
+    ] {
+        let output = std::thread::scope(|scope| {
+            let node = scope.spawn(|| ended(fixture.command()));
+            let mut peer = scripted.accept_request();
+            peer.0.write_all(&bytes).unwrap();
+            drop(peer);
+            node.join().unwrap()
+        });
+        let said = String::from_utf8(output.stderr).unwrap();
+        assert!(output.status.code() == Some(1) && said.contains(why), "{why}: {said}");
+    }
+}
+
+/// A successor that hung right after it began to accept would go on to accept beside the predecessor that cancelled it.
+#[test]
+fn a_successor_cancelled_while_it_accepts_finishes_its_requests() {
+    let (server, gate) = CacheServer::gated("a");
+    let fixture = Fixture::new(&fixed(&server), "20s");
+    let scripted = ScriptedPredecessor::at(&fixture);
+    let (node, mut client) = std::thread::scope(|scope| {
+        let node = scope.spawn(|| fixture.start());
+        let mut peer = scripted.accept_request();
+        scripted.offer(&fixture, &peer, &empty_state());
+        peer.expect(READY.0);
+        peer.send((PROCEED, &json!({"state": empty_state()}).to_string()));
+        peer.expect(ACCEPTING.0);
+        let mut client = Client::to(fixture.address);
+        client.send(&read("read", 1, 20_000));
+        wait_for("the request", || server.count() == 1);
+        peer.send((CANCEL, "{\"why\":\"too late\"}"));
+        let node = node.join().unwrap();
+        // It accepts no more: new clients wait for the predecessor.
+        wait_for("the listener's end", || {
+            let probe = Client::to(fixture.address);
+            scripted.clients.set_nonblocking(true).unwrap();
+            let accepted = scripted.clients.accept().is_ok();
+            drop(probe);
+            accepted
+        });
+        (node, client)
+    });
+    gate.open();
+    assert_eq!(client.answer().unwrap().body, b"a");
+    drop(client);
+    assert_eq!(node.exit().code(), Some(1));
+}
+
+#[test]
+fn a_predecessor_killed_during_a_hand_over_is_followed_by_its_successor() {
+    let server = CacheServer::serving("a");
+    let discovery = Discovery::start(&[]);
+    let fixture = Fixture::new(&format!("discovery = \"{}\"\n", discovery.address), "20s");
+    let mut old = fixture.start();
+    wait_for("the socket", || fixture.socket().exists());
+    discovery.wait_until_told(1);
+    // Neither has had a server yet: the successor cannot become ready.
+    let node = std::thread::scope(|scope| {
+        let node = scope.spawn(|| fixture.start());
+        wait_for("the question", || old.said("requested by version") == 1);
+        let calls = discovery.calls();
+        wait_for("the new one's watch", || discovery.calls() > calls || discovery.calls() >= 3);
+        old.child.kill().unwrap();
+        node.join().unwrap()
+    });
+    discovery.tell(true, &[server.entry("box", "ready")]);
+    wait_for("the node's readiness", || node.get("/healthz").status() == 200);
+    assert_eq!(fixture.read(1), b"a");
+}
+
+/// A process that has clients could exit because its socket's path is taken, or the stop of a successor that never served
+/// could look to the service manager like a stop of the service.
+#[test]
+fn a_successor_without_a_socket_serves_and_one_stopped_early_is_silent() {
+    let server = CacheServer::serving("a");
+    let fixture = Fixture::new(&fixed(&server), "20s");
+    let scripted = ScriptedPredecessor::at(&fixture);
+    let notify = UnixDatagram::bind(fixture.folder.0.join("notify")).unwrap();
+    notify.set_read_timeout(Some(PATIENCE)).unwrap();
+    let start = || {
+        let mut command = fixture.command();
+        command.env("NOTIFY_SOCKET", fixture.folder.0.join("notify")).stderr(Stdio::piped());
+        command
+    };
+    let mut early = start().spawn().unwrap();
+    let mut peer = scripted.accept_request();
+    scripted.offer(&fixture, &peer, &empty_state());
+    peer.expect(READY.0);
+    assert!(Command::new("kill").args(["-TERM", &early.id().to_string()]).status().unwrap().success());
+    assert!(peer.receive().is_none() && early.wait().unwrap().success());
+    notify.set_nonblocking(true).unwrap();
+    assert!(notify.recv(&mut [0; 64]).is_err(), "it said something");
+    let node = std::thread::scope(|scope| {
+        let node = scope.spawn(|| Node::spawn(start(), fixture.folder.0.join("cache-balancer.toml")));
+        let mut peer = scripted.accept_request();
+        scripted.offer(&fixture, &peer, &empty_state());
+        peer.expect(READY.0);
+        // A directory takes the fixture of its socket.
+        fixture.block_socket();
+        drop(peer);
+        node.join().unwrap()
+    });
+    wait_for("a word of it", || node.said("hand-over: nobody can take over: ") == 1);
+    drop(scripted);
+    assert_eq!(fixture.read(1), b"a");
+}
