--- a/crates/cache-balancer/tests/handover_support/mod.rs
+++ b/crates/cache-balancer/tests/handover_support/mod.rs
@@ -2,6 +2,7 @@
 // Each test file uses a part of it.
 #![allow(dead_code)]
 
+pub mod recorded;
 pub mod scripted;
 
 use super::common::{command, own_address, read, wait_for, CacheServer, Client, Folder, Node, PATIENCE};
