--- a/crates/cache-balancer/src/config/operator.rs
+++ b/crates/cache-balancer/src/config/operator.rs
@@ -14,7 +14,7 @@
 use rustix::process::{getrlimit, Resource};
 use std::collections::BTreeSet;
 use std::io::Read;
-use std::net::SocketAddr;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -34,6 +34,8 @@
 const FRACTION: RangeInclusive<f64> = 0.0..=1.0;
 /// The name of a node whose file has none.
 const DEFAULT_NAME: &str = "cache-balancer";
+/// The port of the listener that a file without one gets.
+const DEFAULT_PORT: u16 = 7070;
 const NAME: &str = "a name of up to 64 letters, digits, '-', '_' and '.'";
 
 /// Why a file cannot be used.
@@ -104,7 +106,19 @@
 
 fn config(top: &Table, folder: &Path) -> Config {
     version(top);
-    let node_name = top.text("name", NAME, is_name).unwrap_or_else(|| DEFAULT_NAME.into());
+    let name = top.text("name", NAME, is_name).unwrap_or_else(|| DEFAULT_NAME.into());
+    let (descriptors, settings) = general_settings(top);
+    let listeners = listeners(top);
+    let mut pools = pools(top, &settings, folder);
+    classes(top, &mut pools);
+    let seed = top.count("seed", 0..=u64::MAX).unwrap_or_else(|| fastrand::u64(..));
+    let handover = top.table("hand_over", |t| handover(t, folder));
+    let tally = top.table("log", |t| t.flag("tally").unwrap_or(false)).unwrap_or(false);
+    Config { name, listeners, seed, descriptors, pools, handover, tally }
+}
+
+/// The number of descriptors, and the settings that hold for all pools.
+fn general_settings(top: &Table) -> (usize, Settings) {
     let base = Settings {
         cancellation_allowed: true,
         hedging_allowed: true,
@@ -114,22 +128,31 @@
     let limits = top.table("limits", |t| limits(t, &base));
     let (descriptors, base) = limits.unwrap_or_else(|| (descriptor_limit(), base));
     let base = top.table("servers", |t| server_settings(t, &base)).unwrap_or(base);
-    let base = Settings {
+    let settings = Settings {
         zone: top.text("zone", NAME, is_name).map(|zone| zone.as_str().into()),
         nodes: top.count("nodes", 1..=MAX_NODES).map_or(base.nodes, |n| n as u32),
         ..base
     };
+    (descriptors, settings)
+}
+
+fn listeners(top: &Table) -> Vec<Listener> {
     let mut taken = BTreeSet::new();
-    let mut listeners = top.tables("listener", |t| Listener {
+    let listeners = top.tables("listener", |t| Listener {
         name: name(t, &mut taken),
-        address: address(t).unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0))),
+        address: address(t).unwrap_or_else(|| SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
     });
-    if listeners.is_empty() {
-        let address = SocketAddr::from(([127, 0, 0, 1], 7070));
-        listeners.push(Listener { name: "clients".into(), address });
+    if !listeners.is_empty() {
+        return listeners;
     }
+    let address = SocketAddr::from((Ipv4Addr::LOCALHOST, DEFAULT_PORT));
+    vec![Listener { name: "clients".into(), address }]
+}
+
+/// The pools, without their classes.
+fn pools(top: &Table, settings: &Settings, folder: &Path) -> Vec<Pool> {
     let mut taken = BTreeSet::new();
-    let mut pools = top.tables("pool", |t| pool(t, name(t, &mut taken), &base, folder));
+    let pools = top.tables("pool", |t| pool(t, name(t, &mut taken), settings, folder));
     if pools.is_empty() {
         top.fault("pool", "expected at least one [[pool]]");
     }
@@ -137,17 +160,15 @@
     if pools.iter().any(|pool| pool.source.has_replicas()) && !top.has("name") {
         top.fault("name", "is missing: nodes spread over replicas of discovery by their names");
     }
+    pools
+}
+
+/// Adds each class to its pool.
+fn classes(top: &Table, pools: &mut [Pool]) {
     let mut taken = BTreeSet::new();
     let classes = top.tables("class", |t| {
         let class = class(t, name(t, &mut taken));
-        let wanted = t.text("pool", "the name of a [[pool]]", |name| pools.iter().any(|p| p.name == name));
-        let pool = match &pools[..] {
-            // The lack of a pool is a fault of its own.
-            [] => String::new(),
-            [only] => wanted.unwrap_or_else(|| only.name.clone()),
-            _ => t.need("pool", wanted),
-        };
-        (pool, class)
+        (pool_of_class(t, pools), class)
     });
     if classes.is_empty() {
         top.fault("class", "expected at least one [[class]]: requests of others are turned away");
@@ -157,10 +178,17 @@
             pool.settings.classes.push(class);
         }
     }
-    let seed = top.count("seed", 0..=u64::MAX).unwrap_or_else(|| fastrand::u64(..));
-    let handover = top.table("hand_over", |t| handover(t, folder));
-    let tally = top.table("log", |t| t.flag("tally").unwrap_or(false)).unwrap_or(false);
-    Config { name: node_name, listeners, seed, descriptors, pools, handover, tally }
+}
+
+/// The name of the pool that serves a class.
+fn pool_of_class(t: &Table, pools: &[Pool]) -> String {
+    let pool = t.text("pool", "the name of a [[pool]]", |name| pools.iter().any(|pool| pool.name == name));
+    match pools {
+        // The lack of a pool is a fault of its own.
+        [] => String::new(),
+        [only] => pool.unwrap_or_else(|| only.name.clone()),
+        _ => t.need("pool", pool),
+    }
 }
 
 /// The system's limit on the descriptors of this process.
--- a/crates/cache-balancer/tests/fleet.rs
+++ b/crates/cache-balancer/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! `cache-balancer fleet`: real instances, kept going, rolled, drained and stopped.
+//! `cache-balancer fleet`: real instances, restarted, upgraded, drained and stopped.
 
 mod common;
 
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn instances_are_kept_going_and_stop_with_the_fleet() {
+fn instances_are_restarted_and_stop_with_the_fleet() {
     let server = CacheServer::serving("a");
     let mut fleet = Fleet::start(&server, 3);
     assert_eq!([0, 1, 2].map(|instance| fleet.read(instance, "read")), [200; 3]);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_roll_replaces_every_instance_under_load_and_no_client_notices() {
+fn an_upgrade_replaces_every_instance_under_load_and_loses_no_request() {
     let server = CacheServer::serving("a");
     let mut fleet = Fleet::start(&server, 3);
     let over = Arc::new(AtomicBool::new(false));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn one_instance_is_drained_and_started_again_and_a_reload_reaches_all() {
+fn one_instance_is_drained_and_restarted_and_a_reload_reaches_all() {
     let server = CacheServer::serving("a");
     let mut fleet = Fleet::start(&server, 3);
     fleet.say("drain 1");
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn instances_end_with_a_fleet_that_is_killed() {
+fn instances_end_with_a_killed_fleet() {
     let server = CacheServer::serving("a");
     let mut fleet = Fleet::start(&server, 3);
     fleet.child.kill().unwrap();
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_file_that_makes_no_fleet_is_named_and_nothing_is_started() {
+fn a_file_that_makes_no_fleet_is_named_and_starts_nothing() {
     let folder = Folder::new();
     let rest = format!("[[pool]]\nname = \"p\"\ndiscovery = \"127.0.0.1:1\"\n{CLASS}");
     let listener =
--- a/crates/cache-balancer/tests/handover_replicas.rs
+++ b/crates/cache-balancer/tests/handover_replicas.rs
@@ -1,4 +1,4 @@
-//! A process takes another's place whose file names other replicas of discovery.
+//! A hand-over to a process whose file names other replicas of discovery.
 
 mod common;
 
@@ -61,9 +61,9 @@
     [(); 2].map(|()| Discovery::start(&[server.entry("a", "ready")]))
 }
 
-// Guards against a whole list for every node of a fleet that is upgraded while replicas are added.
+/// An upgrade that adds replicas could have every node of the fleet request a snapshot.
 #[test]
-fn the_watch_goes_on_from_the_version_known_where_one_replica_is_common() {
+fn the_watch_goes_on_from_the_known_version_if_one_replica_is_common() {
     let server = CacheServer::serving("a");
     let [one, other] = service(&server);
     let place = Place::new();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_list_of_replicas_none_of_which_stays_is_asked_for_as_a_whole() {
+fn a_snapshot_is_requested_if_no_replica_stays() {
     let server = CacheServer::serving("a");
     let ([one, other], [elsewhere, beside]) = (service(&server), service(&server));
     let place = Place::new();
--- a/crates/cache-balancer/tests/lifecycle.rs
+++ b/crates/cache-balancer/tests/lifecycle.rs
@@ -6,9 +6,9 @@
 use serde_json::json;
 use std::sync::{Arc, Condvar, Mutex};
 
-// Guards against a planned restart that loses what was taken.
+/// A planned restart could lose the requests in flight.
 #[test]
-fn a_terminated_node_finishes_what_it_took_and_exits_well() {
+fn a_terminated_node_finishes_its_requests_and_exits_with_success() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
     let held = gate.clone();
     let server = CacheServer::start(move |asked| {
@@ -36,7 +36,7 @@
     assert!(node.exit().success());
 }
 
-// Guards against clients that sit idle and keep a node from its end.
+/// Idle clients could keep a node from its exit.
 #[test]
 fn a_terminated_node_does_not_wait_for_idle_clients() {
     let server = CacheServer::serving("value");
@@ -50,7 +50,7 @@
     assert!(node.exit().success());
 }
 
-// Guards against a node that starts on half a configuration, or that dies with a panic's many lines.
+/// A node could start with half a configuration, or exit with the many lines of a panic.
 #[test]
 fn a_missing_or_broken_configuration_is_one_line_and_a_failure() {
     let good = config("127.0.0.1:1".parse().unwrap());
@@ -84,9 +84,9 @@
     }
 }
 
-// Guards against a node that starts on settings it has to guess at, and against an error that leaves its reader to guess.
+/// A node could start with settings it has to guess at, or report a fault without its place.
 #[test]
-fn a_setting_of_no_use_ends_the_start_with_its_name_and_what_was_expected() {
+fn an_invalid_setting_fails_the_start_with_its_name_and_expectation() {
     let good = config("127.0.0.1:1".parse().unwrap());
     let cases = [
         ("lanes/0/promise_us", json!("soon"), "settings.lanes.0.promise_us: expected a whole number of microseconds, a year at the most, found \"soon\""),
@@ -128,10 +128,10 @@
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-// Guards against a node that SIGHUP ends, that stays with its old discovery, and that asks the new one for what
-// came after a version of the old one's.
+/// SIGHUP could end the node, leave it with its old discovery, or have it poll the new one for changes after a version of
+/// the old one.
 #[test]
-fn a_reload_moves_the_watch_to_the_new_discovery_and_starts_from_its_whole_list() {
+fn a_reload_moves_the_watch_to_the_new_discovery_from_a_snapshot_on() {
     let servers = [CacheServer::serving("0"), CacheServer::serving("1"), CacheServer::serving("2")];
     let lists = servers.each_ref().map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
     let node = Node::ready(&config(lists[0].address));
@@ -153,8 +153,7 @@
     assert_eq!(lists.each_ref().map(|list| list.calls()), [2, 2, 3]);
 }
 
-// Guards against a reload that takes the node down or leaves it without a list: it serves from the old one for
-// as long as the new discovery says nothing.
+/// A reload could end the node or leave it without a list: it serves with the old one while the new discovery is silent.
 #[test]
 fn a_bad_reload_is_one_line_and_a_silent_discovery_leaves_the_old_list() {
     let server = CacheServer::serving("value");
@@ -188,9 +187,9 @@
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-// Guards against a planned restart with every place taken: what waits in the machine's queue was taken too.
+/// A planned restart at full capacity could lose the connections that wait in the kernel's queue.
 #[test]
-fn a_terminated_node_with_a_full_table_answers_those_that_wait_unaccepted_too() {
+fn a_terminated_node_at_capacity_answers_unaccepted_connections_too() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
     let held = gate.clone();
     let server = CacheServer::start(move |_| {
--- a/crates/cache-balancer/tests/manager.rs
+++ b/crates/cache-balancer/tests/manager.rs
@@ -1,5 +1,5 @@
-//! An operator's node under a service manager: a stand-in that takes what sd_notify(3) sends, and passes sockets as
-//! sd_listen_fds(3) has it.
+//! An operator's node under a service manager: a stand-in receives what sd_notify(3) sends, and passes sockets as
+//! sd_listen_fds(3) specifies.
 
 mod common;
 
@@ -24,12 +24,12 @@
         Self { folder, socket }
     }
 
-    /// The next word of the node's.
+    /// The next notification of the node.
     fn word(&self) -> String {
         common::word(&self.socket)
     }
 
-    /// Waits for this word, and gives those before it.
+    /// Waits for this notification, and returns those before it.
     fn until(&self, wanted: &str) -> Vec<String> {
         let words = std::iter::repeat_with(|| self.word());
         words.take_while(|word| word != wanted).collect()
@@ -60,11 +60,11 @@
 }
 
 #[test]
-fn it_is_told_when_the_node_can_serve_and_not_before_and_when_it_stops() {
+fn readiness_and_a_stop_are_notified_when_they_happen() {
     let (manager, server, discovery) = (Manager::start(), CacheServer::serving("a"), Discovery::start(&[]));
     let (command, path) = manager.command(&following(&discovery));
     let node = Node::spawn(command, path);
-    // The list has come and holds nobody: the node listens, and cannot serve.
+    // The list has arrived and is empty: the node listens, and cannot serve.
     discovery.wait_until_told(1);
     assert_eq!(manager.word(), "STATUS=waiting for cache servers of pool records");
     assert_eq!(node.get("/healthz").status(), 503);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_watchdog_is_fed_for_as_long_as_the_node_works_and_by_no_node_that_was_not_asked_to() {
+fn the_watchdog_is_fed_while_the_node_works_and_only_if_requested() {
     let (manager, server) = (Manager::start(), CacheServer::serving("a"));
     let (mut command, path) = manager.command(&fixed(&server, LISTENER));
     command.env("WATCHDOG_USEC", "100000");
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_manager_that_is_away_or_takes_nothing_holds_up_no_request() {
+fn a_manager_that_is_away_or_reads_nothing_delays_no_request() {
     let server = CacheServer::serving("a");
     let away = Manager::start();
     let (mut command, path) = away.command(&fixed(&server, LISTENER));
@@ -103,7 +103,7 @@
     wait_for("a word of it in the log", || told() > 0);
     assert_eq!(node.read("read", 1).body, b"a");
     assert_eq!(told(), 1, "one line, however many words are lost");
-    // Its queue is full: whoever writes to it now waits.
+    // Its queue is full: a write to it blocks.
     let full = Manager::start();
     let filler = UnixDatagram::unbound().unwrap();
     filler.set_nonblocking(true).unwrap();
@@ -117,15 +117,15 @@
     assert!(node.exit().success());
 }
 
-// Guards against a start that never ends for the manager, because the word of it was dropped where many waited.
+/// A notification of readiness that was dropped from a full queue would leave the start unfinished forever.
 #[test]
-fn a_manager_that_takes_nothing_for_a_while_hears_of_the_readiness_afterwards() {
+fn a_manager_that_reads_nothing_for_a_while_learns_of_readiness_afterwards() {
     let (manager, server, discovery) = (Manager::start(), CacheServer::serving("a"), Discovery::start(&[]));
     let filler = UnixDatagram::unbound().unwrap();
     filler.set_nonblocking(true).unwrap();
     while filler.send_to(b"X=1", manager.folder.0.join("notify")).is_ok() {}
     let (mut command, path) = manager.command(&following(&discovery));
-    // So often that words that the node lives would fill any queue.
+    // So often that notifications of the watchdog would fill any queue.
     command.env("WATCHDOG_USEC", "200");
     let node = Node::spawn(command, path);
     discovery.wait_until_told(1);
@@ -139,7 +139,7 @@
     );
 }
 
-/// A node that is started with this socket as its descriptor 3, and 4 where there are two names, set apart by a colon.
+/// A node that is started with this socket as its descriptor 3, and also 4 if there are two names, separated by a colon.
 fn activated(manager: &Manager, text: &str, socket: TcpListener, names: &str) -> (Command, PathBuf) {
     let (inner, path) = manager.command(text);
     let mut command = Command::new("sh");
@@ -158,13 +158,13 @@
 }
 
 #[test]
-fn a_socket_that_was_passed_is_listened_on_in_place_of_the_address() {
+fn a_passed_socket_is_used_in_place_of_the_address() {
     let (manager, server) = (Manager::start(), CacheServer::serving("a"));
     let two = format!("{LISTENER}{}", LISTENER.replace("clients", "others"));
     for (listeners, name) in [(LISTENER, "cache-balancer.socket"), (&two, "others")] {
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = socket.local_addr().unwrap();
-        // A client that came before the node: the machine holds its connection.
+        // A client that came before the node: the kernel holds its connection.
         let mut early = Client::to(address);
         early.send(&read("read", 1, 20_000));
         let (command, path) = activated(&manager, &fixed(&server, listeners), socket, name);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_socket_that_no_listener_wants_is_named_and_nothing_is_served() {
+fn a_passed_socket_without_a_listener_is_named_and_fails_the_start() {
     let (manager, server) = (Manager::start(), CacheServer::serving("a"));
     let two = format!("{LISTENER}{}", LISTENER.replace("clients", "others"));
     for (names, expected) in [
--- a/crates/cache-balancer/tests/operator.rs
+++ b/crates/cache-balancer/tests/operator.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_example_is_without_fault_and_says_what_holds() {
+fn the_example_has_no_fault_and_shows_the_effective_configuration() {
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/cache-balancer.toml");
     let checked = check(&example);
     assert!(checked.status.success(), "{}", text(&checked.stderr));
@@ -48,10 +48,10 @@
     assert_eq!(text(&again.stdout), effective, "{}", text(&again.stderr));
 }
 
-// Guards against a default that holds only where its table stands in the file, and against a path that means another file
-// once what holds is written down elsewhere.
+/// A default could apply only if its table is in the file, or a path could mean another file once the effective
+/// configuration is written to another folder.
 #[test]
-fn the_shortest_file_has_the_defaults_that_the_example_shows_and_its_paths_stay_what_they_are() {
+fn the_shortest_file_has_the_defaults_of_the_example_and_keeps_its_paths() {
     let folder = Folder::new();
     let pool = "[[pool]]\nname = \"p\"\nfile = \"boxes.toml\"\n";
     folder.write("short.toml", &format!("version = 1\n{pool}{CLASS}"));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_node_holds_no_more_descriptors_than_the_system_lets_it_and_says_when_these_are_too_few() {
+fn the_systems_limit_on_descriptors_holds_and_too_few_fail_the_start() {
     let server = CacheServer::serving("a");
     let folder = Folder::new();
     let pool = format!("[[pool]]\nname = \"p\"\n{}", server_table("box", &server));
@@ -94,9 +94,9 @@
     assert_eq!(first.trim_end(), "the system lets this process hold 256 descriptors, not 65536");
 }
 
-// Guards against units that call what the program has no more.
+/// Units could call a command that the program no longer has.
 #[test]
-fn the_units_call_the_program_as_it_is_called() {
+fn the_units_call_commands_that_the_program_has() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let example = deploy.join("cache-balancer.toml");
     for unit in ["cache-balancer.service", "cache-balancer@.service"] {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn each_fault_has_its_line_its_field_and_what_was_expected() {
+fn each_fault_has_its_line_its_field_and_an_expectation() {
     let pool = "[[pool]]\nname = \"p\"\ndiscovery = \"127.0.0.1:1\"\n";
     let good = format!("{pool}{CLASS}");
     let class = |rest: &str| format!("{pool}[[class]]\nname = \"a\"\n{rest}");
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn all_faults_come_in_one_reading_and_nothing_is_served() {
+fn all_faults_are_reported_in_one_reading_and_fail_the_start() {
     let bad = "nodes = 0\nodd = 1\n[limits]\nmax_attempts = 99\n[[listener]]\naddress = \"x\"\n";
     let found = faults(bad);
     let fields: Vec<_> = found.iter().filter_map(|line| line.split(": ").nth(1)).collect();
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_pool_may_follow_discovery_and_is_not_ready_before_its_list_has_come() {
+fn a_pool_that_follows_discovery_is_not_ready_before_its_list_arrives() {
     let server = CacheServer::serving("a");
     let discovery = Discovery::start(&[]);
     let folder = Folder::new();
@@ -248,9 +248,9 @@
     assert_eq!(node.read("read", 1).body, b"a");
 }
 
-// Guards against a list that is lost by a file that is replaced half-written, or not at all for a while.
+/// A file that is replaced half-written, or missing for a while, could lose the list.
 #[test]
-fn a_list_in_a_file_is_followed_and_one_that_cannot_be_read_changes_nothing() {
+fn a_list_in_a_file_is_followed_and_an_unreadable_one_changes_nothing() {
     let (one, other) = (CacheServer::serving("one"), CacheServer::serving("other"));
     let list = |entries: &[(&str, &CacheServer, &str)]| {
         let tables = entries.iter().map(|(name, server, health)| {
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn a_request_that_is_out_when_the_node_is_told_to_stop_is_finished_on_every_listener() {
+fn a_stop_finishes_the_requests_in_flight_on_every_listener() {
     let (sender, receiver) = std::sync::mpsc::channel::<()>();
     let receiver = std::sync::Mutex::new(receiver);
     let slow = CacheServer::start(move |_| {
--- a/crates/cache-balancer/tests/operator_replicas.rs
+++ b/crates/cache-balancer/tests/operator_replicas.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn what_holds_is_a_file_that_says_the_same() {
+fn the_effective_configuration_reads_as_the_same() {
     let many = loopback(1..=MOST);
     for lines in [
         "discovery = \"127.0.0.1:1\"\n".to_owned(),
@@ -60,16 +60,16 @@
 }
 
 #[test]
-fn what_holds_names_every_replica_and_the_capacity() {
+fn the_effective_configuration_names_replicas_and_capacity() {
     let effective = check(&format!("{}{CAPACITY}", list(&["127.0.0.1:2", "127.0.0.1:1"]))).unwrap();
     let expected = "discovery = [\n    \"127.0.0.1:1\",\n    \"127.0.0.1:2\",\n]\n\
                     discovery_lines_per_second = 200.0\ndiscovery_call_lines = 10.0\n";
     assert!(effective.contains(expected), "{effective}");
 }
 
-// Guards against an example that cannot be used once its comment signs are taken away.
+/// The example could have a fault in what it shows as comments.
 #[test]
-fn the_replicas_that_the_example_shows_in_comments_are_without_fault() {
+fn the_replicas_in_the_comments_of_the_example_have_no_fault() {
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/cache-balancer.toml");
     let example = std::fs::read_to_string(example).unwrap();
     let replicas: Vec<_> = example.lines().filter_map(|line| line.strip_prefix("# discovery")).collect();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_list_of_one_says_what_one_address_says() {
+fn a_list_of_one_equals_one_address() {
     let one = check("discovery = \"127.0.0.1:1\"\n").unwrap();
     assert!(one.contains("\ndiscovery = \"127.0.0.1:1\"\n"), "{one}");
     assert!(!one.contains("discovery_"), "{one}");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn each_fault_has_its_line_its_field_and_what_was_expected() {
+fn each_fault_has_its_line_its_field_and_an_expectation() {
     let one = "discovery = \"127.0.0.1:1\"\n";
     let or_list = "expected an address and port, such as \"127.0.0.1:7100\", or a list of 1 to 64, found";
     let entry = "expected an address and port, such as \"127.0.0.1:7100\", found";
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn the_ends_of_each_range_are_in_it() {
+fn both_ends_of_each_range_are_valid() {
     for (lines, call) in [("1", "0.01"), ("100000000", "1000000")] {
         let capacity = format!("discovery_lines_per_second = {lines}\ndiscovery_call_lines = {call}\n");
         assert!(check(&format!("discovery = \"127.0.0.1:1\"\n{capacity}")).is_ok(), "{capacity}");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn all_faults_of_replicas_come_in_one_reading_with_those_of_the_rest() {
+fn all_faults_of_replicas_are_reported_with_the_other_faults() {
     let lines =
         "discovery = [\n\"x\",\n\"127.0.0.1:1\",\n\"127.0.0.1:1\",\n7]\ndiscovery_call_lines = 0\nodd = 1\n";
     let found = check(lines).expect_err("faults");
@@ -165,9 +165,9 @@
     assert_eq!(fields, expected, "{found:#?}");
 }
 
-// Guards against a fleet whose nodes all ask one replica: they spread by their names.
+/// Nodes spread over the replicas by their names: without names of their own, all would poll one replica.
 #[test]
-fn a_node_needs_a_name_of_its_own_where_there_are_replicas_to_choose_from() {
+fn a_node_needs_a_name_of_its_own_if_there_are_several_replicas() {
     let without = |lines: &str| check_text(&file(lines).replace("name = \"n0\"\n", ""));
     let fault = "bad.toml:1: name: is missing: nodes spread over replicas of discovery by their names";
     assert_eq!(without(&list(&loopback([1, 2]))), Err(vec![fault.to_owned()]));
--- a/crates/cache-balancer/tests/reload.rs
+++ b/crates/cache-balancer/tests/reload.rs
@@ -33,12 +33,12 @@
     format!("version = 1\n{CLIENTS}{}", parts.concat())
 }
 
-/// An address that nothing listens on just now.
+/// An address on which no process listens.
 fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// Asks on a connection of its own, and gives what comes of it once it does.
+/// Sends a request on a connection of its own. The thread returns the answer.
 fn asking(node: &Node, class: &str, key: u64) -> std::thread::JoinHandle<(u16, Vec<u8>)> {
     let (mut client, text) = (node.client(), read(class, key, 20_000));
     std::thread::spawn(move || {
@@ -48,8 +48,7 @@
 }
 
 #[test]
-fn a_request_whose_class_is_removed_or_changed_while_it_is_out_is_finished_and_later_ones_go_by_the_new_file()
-{
+fn a_request_in_flight_keeps_its_class_and_later_ones_get_the_new_one() {
     let (server, gate) = CacheServer::gated("a");
     let folder = Folder::new();
     let pool = pool("p", &[&server]);
@@ -67,9 +66,9 @@
     assert_eq!(node.read("new", 4).status(), 200);
 }
 
-// Guards against a request that goes out under what held when its head came: it is taken with its last byte.
+/// A request is accepted with its last byte. One whose header came before the reload was served under the old file.
 #[test]
-fn a_request_whose_body_is_on_its_way_over_a_reload_goes_by_the_new_file() {
+fn a_request_whose_body_arrives_after_a_reload_goes_by_the_new_file() {
     let (one, other) = (CacheServer::serving("one"), CacheServer::serving("other"));
     let folder = Folder::new();
     let pools = format!("{}{}", pool("p", &[&one]), pool("q", &[&other]));
@@ -93,7 +92,7 @@
 }
 
 #[test]
-fn a_pool_that_is_removed_finishes_what_it_took_and_one_that_is_added_serves() {
+fn a_removed_pool_finishes_its_requests_and_an_added_one_serves() {
     let ((old, gate), new) = (CacheServer::gated("old"), CacheServer::serving("new"));
     let folder = Folder::new();
     // No connection is closed for having stood idle.
@@ -111,9 +110,9 @@
     assert_eq!((old.count(), node.get("/healthz").status()), (2, 200));
 }
 
-// Guards against a pool that is begun anew because its list comes from elsewhere now: what is out would be lost.
+/// A pool that was started anew because the source of its list changed would lose its requests in flight.
 #[test]
-fn a_pools_list_may_come_from_elsewhere_and_what_is_out_is_finished() {
+fn a_pool_may_change_the_source_of_its_list_with_requests_in_flight() {
     let (gate, other) = (Gate::default(), CacheServer::serving("other"));
     let held = gate.clone();
     let slow = CacheServer::start(move |asked| {
@@ -145,7 +144,7 @@
     assert_eq!(out.join().unwrap(), (200, b"slow".to_vec()));
 }
 
-// Guards against what is known of servers being lost: a breaker that a reload closes sends work to a broken server.
+/// A reload that lost the learned state would close breakers, and send requests to a broken server.
 #[test]
 fn a_reload_leaves_breakers_as_they_are() {
     let broken = CacheServer::start(|_| Does::Close(String::new()));
@@ -170,7 +169,7 @@
 }
 
 #[test]
-fn a_listener_that_is_removed_finishes_what_it_took_and_listens_no_more_until_it_is_back() {
+fn a_removed_listener_finishes_its_requests_and_closes_until_it_is_back() {
     let (server, gate) = CacheServer::gated("a");
     let folder = Folder::new();
     let second = free_address();
@@ -199,9 +198,9 @@
     assert_eq!(node.said("configuration not taken"), 0);
 }
 
-// Guards against half of a file that cannot be used being taken.
+/// A file with a fault could be applied in part.
 #[test]
-fn a_file_that_cannot_be_used_changes_nothing_and_says_why() {
+fn a_file_with_a_fault_changes_nothing_and_the_log_names_the_fault() {
     let (server, taken) = (CacheServer::serving("a"), TcpListener::bind("127.0.0.1:0").unwrap());
     let folder = Folder::new();
     let pool = pool("p", &[&server]);
@@ -237,7 +236,7 @@
 }
 
 #[test]
-fn more_descriptors_are_of_use_at_once_and_fewer_end_nothing_that_was_taken() {
+fn more_descriptors_are_used_at_once_and_fewer_end_no_request() {
     let (server, gate) = CacheServer::gated("a");
     let folder = Folder::new();
     let rest = format!("{CLIENTS}{}{}", pool("p", &[&server]), safe("read"));
@@ -258,7 +257,7 @@
 }
 
 #[test]
-fn a_hundred_signals_a_second_with_half_written_files_among_them_cost_no_request_its_one_answer() {
+fn a_hundred_reloads_a_second_with_half_written_files_lose_no_answer() {
     let server = CacheServer::serving("a");
     let folder = Folder::new();
     let rest = |turn: u32| {
@@ -299,9 +298,9 @@
     assert!(node.said("configuration read again: ") > 0);
 }
 
-// Guards against a node that cannot be stopped while it waits for its file.
+/// A file whose read blocks could keep a node from serving, or from stopping.
 #[test]
-fn a_node_that_waits_for_its_file_serves_and_stops_when_it_is_told_to() {
+fn a_node_whose_file_blocks_serves_and_can_be_stopped() {
     let server = CacheServer::serving("a");
     let folder = Folder::new();
     let node = run(&folder, &file(&[&pool("p", &[&server]), &safe("read")]));
@@ -328,7 +327,7 @@
 }
 
 #[test]
-fn the_manager_is_told_when_a_reload_begins_and_when_it_is_over_and_why_it_came_to_nothing() {
+fn the_manager_is_notified_of_the_start_the_end_and_the_failure_of_a_reload() {
     let (server, folder) = (CacheServer::serving("a"), Folder::new());
     let socket = UnixDatagram::bind(folder.0.join("notify")).unwrap();
     socket.set_read_timeout(Some(PATIENCE)).unwrap();
--- a/crates/cache-balancer/tests/reload_replicas.rs
+++ b/crates/cache-balancer/tests/reload_replicas.rs
@@ -59,9 +59,9 @@
     replicas.iter().map(|replica| replica.address).collect()
 }
 
-// Guards against half of a file that cannot be used being taken.
+/// A file with a fault could be applied in part.
 #[test]
-fn a_faulty_reload_leaves_the_node_with_its_replicas_and_the_log_names_the_fault() {
+fn a_faulty_reload_keeps_the_replicas_and_the_log_names_the_fault() {
     let (server, other) = (CacheServer::serving("a"), CacheServer::serving("b"));
     let discovery = Discovery::start(&[server.entry("a", "ready")]);
     let elsewhere = Discovery::start(&[other.entry("b", "ready")]);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn replicas_beside_the_one_that_is_watched_come_and_go_and_its_watch_goes_on() {
+fn other_replicas_come_and_go_and_the_watch_goes_on() {
     let (server, folder) = (CacheServer::serving("a"), Folder::new());
     let replicas: [_; 2] = service(&server);
     let (node, current) = watching(&folder, &replicas);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_capacity_that_is_stated_or_taken_away_leaves_the_watch_as_it_is() {
+fn a_capacity_that_is_stated_or_removed_keeps_the_watch() {
     let (server, folder) = (CacheServer::serving("a"), Folder::new());
     let replicas: [_; 2] = service(&server);
     let (node, current) = watching(&folder, &replicas);
@@ -145,9 +145,9 @@
     assert_eq!(calls(replicas), 3);
 }
 
-// Guards against a whole list for every node whenever a replica is taken out.
+/// The removal of a replica could have every node request a snapshot.
 #[test]
-fn a_node_whose_replica_is_taken_out_watches_another_one_from_the_version_that_it_holds() {
+fn a_node_whose_replica_is_removed_watches_another_from_its_version() {
     let (server, folder) = (CacheServer::serving("a"), Folder::new());
     let replicas: [_; 3] = service(&server);
     let (node, current) = watching(&folder, &replicas);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn where_no_replica_stays_the_whole_list_is_asked_for() {
+fn a_snapshot_is_requested_if_no_replica_stays() {
     let ((server, other), folder) = ((CacheServer::serving("a"), CacheServer::serving("b")), Folder::new());
     let replicas: [_; 2] = service(&server);
     let (node, _) = watching(&folder, &replicas);
--- a/crates/cache-balancer/tests/shutdown.rs
+++ b/crates/cache-balancer/tests/shutdown.rs
@@ -18,9 +18,9 @@
     (first.to_owned(), second.to_owned())
 }
 
-// Guards against a request that is dropped because its first half had been read when the node closed.
+/// A request of which the first half was read when the node closed could be dropped.
 #[test]
-fn a_request_that_is_half_read_when_the_node_closes_is_answered() {
+fn a_request_half_read_when_the_node_closes_is_answered() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -42,9 +42,9 @@
     assert_eq!(server.count(), 3);
 }
 
-// Guards against a node that is held up by half a request that never comes whole.
+/// Half a request whose rest never comes could keep the node from its exit.
 #[test]
-fn half_a_request_does_not_keep_the_node_from_its_end() {
+fn half_a_request_does_not_delay_the_exit() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -55,9 +55,9 @@
     assert_eq!(server.count(), 0);
 }
 
-// Guards against a request that is read and sent on after the node has closed its side: its client has asked elsewhere by now.
+/// A request read after the node closed its side could be forwarded, though its client has retried elsewhere by then.
 #[test]
-fn what_comes_after_the_close_is_not_sent_on() {
+fn a_request_after_the_close_is_not_forwarded() {
     let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -77,9 +77,9 @@
     assert_eq!(server.count(), 1);
 }
 
-// Guards against a second signal that ends the node with requests in its hands, and one that comes during a reload.
+/// A second termination signal, or one during a reload, could end the node with requests in flight.
 #[test]
-fn a_node_that_is_told_to_end_twice_and_to_reload_between_finishes_what_it_took() {
+fn two_termination_signals_and_a_reload_between_finish_the_requests() {
     let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let good = config(discovery.address);
@@ -99,9 +99,9 @@
     assert_eq!(server.count(), 1);
 }
 
-// Guards against a node that cannot be told to end before it has a list, and while discovery does not answer.
+/// A node without a list, whose discovery does not answer, could ignore a termination signal.
 #[test]
-fn a_node_that_knows_no_server_yet_ends_well() {
+fn a_node_without_a_server_exits_with_success() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start(&config(silent.local_addr().unwrap()));
     let (_call, _) = silent.accept().unwrap();
@@ -110,9 +110,9 @@
     assert!(node.exit().success());
 }
 
-// Guards against an answer that goes down with the process: the system still holds most of it when the node has written it.
+/// An answer could be lost with the process: the system still holds most of it when the node has written it.
 #[test]
-fn a_long_answer_that_its_client_reads_slowly_arrives_whole_though_the_node_ends() {
+fn a_long_answer_read_slowly_arrives_complete_though_the_node_exits() {
     let body = "v".repeat(60 << 10);
     let text = answer("200 OK", "", &body);
     let server = CacheServer::start(move |_| Does::Answer(text.clone()));
@@ -132,9 +132,9 @@
     assert!(node.exit().success());
 }
 
-// Guards against a node at its end that goes on with an attempt whose server drains just then, or whose client leaves.
+/// A node that stops could go on with an attempt whose server drains just then, or whose client disconnects.
 #[test]
-fn a_node_that_ends_heeds_drains_and_departures_as_ever() {
+fn a_stopping_node_still_obeys_drains_and_disconnects() {
     let late = unreachable::Unreachable::start();
     let other = CacheServer::serving("value");
     let discovery = Discovery::start(&[host("s-1", late.address, "ready")]);
