--- a/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
@@ -162,8 +162,8 @@
     fn log_event(&self, event: PredecessorEvent) {
         let what = match event {
             PredecessorEvent::SuccessorDied => "has died",
-            PredecessorEvent::LinkLost => "cannot be heard any more, and lives",
-            PredecessorEvent::Declined => "gives up",
+            PredecessorEvent::LinkLost => "has lost its link, and lives",
+            PredecessorEvent::Declined => "declines",
             _ => return,
         };
         let process = self.endpoint.successor_process().unwrap_or_default();
--- a/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
@@ -24,11 +24,11 @@
 /// Why a predecessor goes on by itself.
 #[derive(Debug, Error)]
 pub enum TakeoverError {
-    #[error("the process that serves goes on by itself: {0}")]
+    #[error("the predecessor goes on by itself: {0}")]
     Cancelled(CancelCause),
-    #[error("the link to the process that serves was cut, and that goes on")]
+    #[error("the link to the predecessor was lost, and it goes on by itself")]
     LinkLost,
-    #[error("the process that serves goes on by itself: its messages came out of order")]
+    #[error("the predecessor goes on by itself: its messages came out of order")]
     OutOfOrder,
 }
 
--- a/crates/cache-balancer/src/daemon/serve.rs
+++ b/crates/cache-balancer/src/daemon/serve.rs
@@ -82,7 +82,7 @@
             }
             Transition::RolledBack => {
                 self.watchdog = start_watchdog(&self.node, &self.manager);
-                log!("node {name} has taken the clients back and serves again");
+                log!("node {name} has rolled back and serves again");
                 self.manager.notify_rolled_back();
             }
             Transition::Departed => log!("node {name} has handed over"),
@@ -129,7 +129,7 @@
             log!("hand-over: the configuration has no [hand_over]");
         } else if let Some(remaining) = self.restart.backoff_remaining() {
             log!(
-                "hand-over: no successor is started: two have died with clients in their hands; ask again in {:.0} s",
+                "hand-over: no successor is started: two died while they served; retry in {:.0} s",
                 remaining.as_secs_f64()
             );
         } else {
--- a/crates/cache-balancer/src/daemon/startup.rs
+++ b/crates/cache-balancer/src/daemon/startup.rs
@@ -93,7 +93,7 @@
 /// Listens for a successor, in place of the predecessor. This process has clients by now, and serves on if that fails.
 fn listen_for_successor(node: &Node) -> Option<PredecessorEndpoint> {
     let endpoint = node.config.handover.clone().map(PredecessorEndpoint::bind).transpose();
-    endpoint.inspect_err(|error| log!("hand-over: nobody can take over: {error}")).unwrap_or_default()
+    endpoint.inspect_err(|error| log!("hand-over: no successor can connect: {error}")).unwrap_or_default()
 }
 
 /// Notifies the service manager once every pool has had a server that takes work, and until then of the pool that has not.
--- a/crates/cache-balancer/src/handover/predecessor/mod.rs
+++ b/crates/cache-balancer/src/handover/predecessor/mod.rs
@@ -95,7 +95,7 @@
         match listen(&self.config.socket) {
             Ok(listener) => self.listener = Some(listener),
             // Serving matters more than the next hand-over.
-            Err(error) => log!("hand-over: nobody can take over: {error}"),
+            Err(error) => log!("hand-over: no successor can connect: {error}"),
         }
     }
 
@@ -103,7 +103,7 @@
     pub fn back_off(&mut self) {
         self.backoff_until = Some(Instant::now() + self.config.backoff);
         log!(
-            "hand-over: two successors have died with clients in their hands; none is let in for {:?}",
+            "hand-over: two successors died while they served; further ones are rejected for {:?}",
             self.config.backoff
         );
     }
--- a/crates/cache-balancer/src/handover/spawn.rs
+++ b/crates/cache-balancer/src/handover/spawn.rs
@@ -22,7 +22,7 @@
     pub fn start(&mut self) {
         if let Some(child) = &mut self.0 {
             if matches!(child.try_wait(), Ok(None)) {
-                log!("hand-over: a successor is under way already");
+                log!("hand-over: a successor is already running");
                 return;
             }
         }
--- a/crates/cache-balancer/src/handover/successor.rs
+++ b/crates/cache-balancer/src/handover/successor.rs
@@ -23,15 +23,15 @@
 /// Why the process that serves offered nothing.
 #[derive(Debug, Error)]
 pub enum HandoverError {
-    #[error("the process that serves cannot be asked for a hand-over: {0}")]
+    #[error("no hand-over can be requested from the predecessor: {0}")]
     Unreachable(io::Error),
-    #[error("the process that serves did not hand over: {0}")]
+    #[error("the predecessor did not hand over: {0}")]
     Link(#[from] LinkError),
-    #[error("the process that serves did not hand over: {0}")]
+    #[error("the predecessor did not hand over: {0}")]
     Cancelled(CancelCause),
-    #[error("the process that serves went away before it handed over")]
+    #[error("the predecessor disconnected before it handed over")]
     Disconnected,
-    #[error("the process that serves did not hand over in time")]
+    #[error("the predecessor did not hand over in time")]
     TimedOut,
     #[error("a socket that was handed over is no listening TCP socket: {0}")]
     Socket(io::Error),
@@ -219,7 +219,7 @@
 
 fn read_state(value: serde_json::Value) -> Option<State> {
     State::read(value)
-        .inspect_err(|error| log!("hand-over: starting without what the other process knew: {error}"))
+        .inspect_err(|error| log!("hand-over: starting without the state of the predecessor: {error}"))
         .ok()
 }
 
--- a/crates/cache-balancer/src/service_manager/notifier.rs
+++ b/crates/cache-balancer/src/service_manager/notifier.rs
@@ -41,7 +41,7 @@
         match thread.spawn(move || send_all(notifications, &queued)) {
             Ok(_) => Some(Self { queue, watchdog_queued }),
             Err(error) => {
-                log!("the service manager is not told: {error}");
+                log!("the service manager is not notified: {error}");
                 None
             }
         }
@@ -80,7 +80,7 @@
         };
         if let Err(error) = &result {
             if !failed {
-                log!("the service manager is not told: {error}");
+                log!("the service manager is not notified: {error}");
             }
         }
         failed = result.is_err();
