--- a/crates/cache-balancer/src/daemon/mod.rs
+++ b/crates/cache-balancer/src/daemon/mod.rs
@@ -22,7 +22,6 @@
 use std::io;
 use std::path::{Path, PathBuf};
 use tokio::runtime;
-use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::task::LocalSet;
 
 /// The source of the configuration.
@@ -70,22 +69,3 @@
     }
     config
 }
-
-/// The signals that a node handles.
-struct Signals {
-    terminate: Signal,
-    /// SIGHUP: read the configuration again.
-    reload: Signal,
-    /// SIGUSR2: start a successor.
-    upgrade: Signal,
-}
-
-impl Signals {
-    fn install() -> io::Result<Self> {
-        Ok(Self {
-            terminate: signal(SignalKind::terminate())?,
-            reload: signal(SignalKind::hangup())?,
-            upgrade: signal(SignalKind::user_defined2())?,
-        })
-    }
-}
--- a/crates/cache-balancer/src/daemon/serve.rs
+++ b/crates/cache-balancer/src/daemon/serve.rs
@@ -2,10 +2,11 @@
 
 use super::graceful_restart::{GracefulRestart, RestartEvent, Transition};
 use super::node::Node;
-use super::{ConfigSource, Signals};
+use super::ConfigSource;
 use crate::handover::SpawnedSuccessor;
 use crate::log::log;
 use crate::service_manager::ServiceManager;
+use crate::signals::Signals;
 use rustix::process::Signal as SignalNumber;
 use std::ops::ControlFlow;
 use tokio::signal::unix::Signal;
--- a/crates/cache-balancer/src/daemon/startup.rs
+++ b/crates/cache-balancer/src/daemon/startup.rs
@@ -5,12 +5,13 @@
 use super::listeners::{bind, Bound, InheritedSockets};
 use super::node::{max_connections, Node};
 use super::serve::{finish, Daemon};
-use super::{ConfigSource, Signals};
+use super::ConfigSource;
 use crate::config::Config;
 use crate::handover::{PoolState, PredecessorEndpoint, SuccessorEndpoint};
 use crate::log::log;
 use crate::readiness::Readiness;
 use crate::service_manager::{ActivationSockets, ServiceManager};
+use crate::signals::Signals;
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
--- a/crates/cache-balancer/src/fleet/mod.rs
+++ b/crates/cache-balancer/src/fleet/mod.rs
@@ -7,6 +7,7 @@
 
 use crate::config::Config;
 use crate::log::log;
+use crate::signals::Signals;
 use balancer_core::supervisor::{Action, Event, InstanceId, InstanceStatus, Limits, ProcessId, Supervisor};
 use balancer_core::Timestamp;
 use comfy_table::Table;
@@ -22,7 +23,7 @@
 use std::time::Duration;
 use thiserror::Error;
 use tokio::runtime;
-use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::LocalSet;
 use tokio::time::{sleep_until, Instant};
@@ -94,24 +95,6 @@
     events: UnboundedSender<Event>,
 }
 
-struct Signals {
-    terminate: Signal,
-    interrupt: Signal,
-    reload: Signal,
-    upgrade: Signal,
-}
-
-impl Signals {
-    fn install() -> io::Result<Self> {
-        Ok(Self {
-            terminate: signal(SignalKind::terminate())?,
-            interrupt: signal(SignalKind::interrupt())?,
-            reload: signal(SignalKind::hangup())?,
-            upgrade: signal(SignalKind::user_defined2())?,
-        })
-    }
-}
-
 impl Fleet {
     fn new(arguments: &Arguments, folder: &Path, events: UnboundedSender<Event>) -> Result<Self, FleetError> {
         let instances = usize::from(arguments.instances);
@@ -134,6 +117,7 @@
 
     async fn run(mut self, mut events: UnboundedReceiver<Event>) -> Result<(), FleetError> {
         let mut signals = Signals::install()?;
+        let mut interrupt = signal(SignalKind::interrupt())?;
         let mut lines = command::lines();
         self.handle(Event::TimerExpired);
         while !self.supervisor.is_finished() {
@@ -143,7 +127,7 @@
                 Some(event) = events.recv() => self.handle(event),
                 () = timer => self.handle(Event::TimerExpired),
                 _ = signals.terminate.recv() => self.handle(Event::Stop),
-                _ = signals.interrupt.recv() => self.handle(Event::Stop),
+                _ = interrupt.recv() => self.handle(Event::Stop),
                 _ = signals.reload.recv() => self.reload(),
                 _ = signals.upgrade.recv() => self.handle(Event::Upgrade),
                 Some(line) = lines.recv() => self.execute(&line),
--- a/crates/cache-balancer/src/handover/mod.rs
+++ b/crates/cache-balancer/src/handover/mod.rs
@@ -10,6 +10,7 @@
 mod link;
 mod messages;
 mod peer;
+mod peer_link;
 mod predecessor;
 mod spawn;
 mod state;
--- a/crates/cache-balancer/src/handover/predecessor/successor_link.rs
+++ b/crates/cache-balancer/src/handover/predecessor/successor_link.rs
@@ -1,9 +1,9 @@
 //! The link to one successor, and what its frames and its end mean.
 
 use crate::handover::frame::{Frame, FrameError, Kind};
-use crate::handover::link::{Link, LinkError};
+use crate::handover::link::LinkError;
 use crate::handover::messages::Request;
-use crate::handover::peer::Peer;
+use crate::handover::peer_link::{LinkEnd, PeerLink};
 use crate::log::log;
 use balancer_core::graceful_restart::PredecessorEvent;
 use rustix::process::Signal;
@@ -11,38 +11,25 @@
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 use tokio::net::UnixStream;
-use tokio::time::{timeout, timeout_at, Instant};
-
-/// The time limit for the last message on a link. A successor that does not take it learns from the end of the link.
-const LAST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(200);
+use tokio::time::{timeout_at, Instant};
 
 #[derive(Debug)]
 pub(super) struct SuccessorLink {
-    /// `None` once it has ended.
-    link: Option<Link>,
-    peer: Peer,
+    link: PeerLink,
     /// It has requested a hand-over.
     requested: bool,
-    /// It supports probation.
-    probation: bool,
     /// It accepts and does not support probation: it serves for good.
     released: bool,
-    /// The loss of the link was reported.
-    loss_reported: bool,
     /// When it has to have taken the next step.
     deadline: Option<Instant>,
 }
 
 impl SuccessorLink {
     pub fn new(stream: UnixStream, step_timeout: Duration) -> Self {
-        let link = Link::new(stream);
         Self {
-            peer: Peer::new(link.peer_id()),
-            link: Some(link),
+            link: PeerLink::new(stream),
             requested: false,
-            probation: false,
             released: false,
-            loss_reported: false,
             deadline: Some(Instant::now() + step_timeout),
         }
     }
@@ -53,12 +40,12 @@
     }
 
     pub fn supports_probation(&self) -> bool {
-        self.probation
+        self.link.supports_probation()
     }
 
     /// The process number of the successor, where the system reports it.
     pub fn process(&self) -> Option<u32> {
-        self.peer.id
+        self.link.process()
     }
 
     /// The next event. Cancel safe.
@@ -66,25 +53,20 @@
         if self.released {
             return Ok(PredecessorEvent::Released);
         }
-        if let Some(link) = &mut self.link {
-            let frame = match self.deadline {
-                Some(deadline) => match timeout_at(deadline, link.next()).await {
-                    Ok(frame) => frame,
-                    Err(_) => return Ok(PredecessorEvent::TimedOut),
-                },
-                None => link.next().await,
-            };
-            match frame {
-                Ok(Some(frame)) => return Ok(self.event(&frame)?),
-                // What the end means is determined below, also if this future is dropped meanwhile.
-                Ok(None) => self.link = None,
-                Err(error) => {
-                    self.link = None;
-                    return Err(error);
-                }
-            }
+        let frame = match self.deadline {
+            Some(deadline) => match timeout_at(deadline, self.link.next_frame()).await {
+                Ok(frame) => frame?,
+                Err(_) => return Ok(PredecessorEvent::TimedOut),
+            },
+            None => self.link.next_frame().await?,
+        };
+        match frame {
+            Some(frame) => Ok(self.event(&frame)?),
+            None => Ok(match self.link.ended().await {
+                LinkEnd::Lost => PredecessorEvent::LinkLost,
+                LinkEnd::PeerDied => PredecessorEvent::SuccessorDied,
+            }),
         }
-        Ok(self.ended().await)
     }
 
     /// Queues a message and starts the time limit of the next step.
@@ -96,61 +78,45 @@
         step_timeout: Duration,
     ) {
         self.deadline = Some(Instant::now() + step_timeout);
-        if let Some(link) = &mut self.link {
-            link.queue(kind, message, sockets);
-        }
+        self.link.send(kind, message, sockets);
     }
 
     /// Tells a successor that supports probation that it serves, and lifts the time limit.
     pub fn send_commit(&mut self) {
         self.deadline = None;
-        if let Some(link) = self.link.as_mut().filter(|_| self.probation) {
-            link.queue(Kind::Commit, &(), Vec::new());
+        if self.supports_probation() {
+            self.link.send(Kind::Commit, &(), Vec::new());
         }
     }
 
     /// Sends the last message, and ends the link.
     pub async fn send_last(&mut self, kind: Kind, message: &impl Serialize) {
-        if let Some(mut link) = self.link.take() {
-            link.queue(kind, message, Vec::new());
-            let _ = timeout(LAST_MESSAGE_TIMEOUT, link.flush()).await;
-        }
+        // A successor that does not take it learns from the end of the link.
+        self.link.send_last(kind, message).await;
     }
 
     /// Sends the process a signal, past the link.
     pub fn signal(&self, signal: Signal) {
         // For versions without probation, the end of the link suffices.
-        if self.probation {
-            if let Err(error) = self.peer.signal(signal) {
+        if self.supports_probation() {
+            if let Err(error) = self.link.signal(signal) {
                 log!("hand-over: the successor cannot be signalled: {error}");
             }
         }
     }
 
-    /// What the end of the link means.
-    async fn ended(&mut self) -> PredecessorEvent {
-        if !self.probation {
-            return PredecessorEvent::SuccessorDied;
-        }
-        if !self.loss_reported && !self.peer.has_died().await {
-            self.loss_reported = true;
-            return PredecessorEvent::LinkLost;
-        }
-        self.peer.died().await;
-        PredecessorEvent::SuccessorDied
-    }
-
     fn event(&mut self, frame: &Frame) -> Result<PredecessorEvent, FrameError> {
         Ok(match frame.kind {
             Kind::Request => {
                 let Request { version, probation } = frame.parse()?;
                 log!("hand-over: requested by version {version}");
-                (self.requested, self.probation) = (true, probation);
+                self.requested = true;
+                self.link.set_supports_probation(probation);
                 PredecessorEvent::Requested
             }
             Kind::Ready => PredecessorEvent::SuccessorReady,
             Kind::Accepting => {
-                self.released = !self.probation;
+                self.released = !self.supports_probation();
                 PredecessorEvent::SuccessorAccepting
             }
             Kind::Release => PredecessorEvent::Released,
--- a/crates/cache-balancer/src/handover/successor.rs
+++ b/crates/cache-balancer/src/handover/successor.rs
@@ -2,9 +2,9 @@
 //! [`balancer_core::graceful_restart::Successor`].
 
 use super::frame::{Frame, FrameError, Kind};
-use super::link::{Link, LinkError};
+use super::link::LinkError;
 use super::messages::{Cancel, Offer, Proceed, Request};
-use super::peer::Peer;
+use super::peer_link::{LinkEnd, PeerLink};
 use super::State;
 use crate::config::{HandoverConfig, Listener};
 use crate::log::log;
@@ -12,14 +12,10 @@
 use std::fmt;
 use std::io;
 use std::net::TcpListener;
-use std::time::Duration;
 use thiserror::Error;
 use tokio::net::UnixStream;
 use tokio::time::timeout;
 
-/// The time limit for the last message on a link. A predecessor that does not take it learns from the end of the link.
-const LAST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(200);
-
 /// Why the process that serves offered nothing.
 #[derive(Debug, Error)]
 pub enum HandoverError {
@@ -61,13 +57,7 @@
 /// The successor's end of a hand-over, from the offer on.
 #[derive(Debug)]
 pub struct SuccessorEndpoint {
-    /// `None` once it has ended.
-    link: Option<Link>,
-    predecessor: Peer,
-    /// The predecessor supports probation.
-    probation: bool,
-    /// The loss of the link was reported.
-    loss_reported: bool,
+    link: PeerLink,
 }
 
 /// What the predecessor offers.
@@ -96,40 +86,36 @@
     /// Requests a hand-over from the process that serves; `None` if there is none.
     pub async fn request(config: &HandoverConfig) -> Result<Option<(Self, Offered)>, HandoverError> {
         let Some(stream) = connect(config).await? else { return Ok(None) };
-        let mut link = Link::new(stream);
-        let predecessor = Peer::new(link.peer_id());
+        let mut link = PeerLink::new(stream);
         let request = Request { version: env!("CARGO_PKG_VERSION").to_owned(), probation: true };
-        link.queue(Kind::Request, &request, Vec::new());
-        let frame =
-            timeout(config.step_timeout, link.next()).await.map_err(|_| HandoverError::TimedOut)??;
-        let frame = frame.ok_or(HandoverError::Disconnected)?;
-        let (offered, probation) = read_offer(&frame, &mut link)?;
-        Ok(Some((Self { link: Some(link), predecessor, probation, loss_reported: false }, offered)))
+        link.send(Kind::Request, &request, Vec::new());
+        let frame = timeout(config.step_timeout, link.next_frame()).await;
+        let frame = frame.map_err(|_| HandoverError::TimedOut)??.ok_or(HandoverError::Disconnected)?;
+        let offered = read_offer(&frame, &mut link)?;
+        Ok(Some((Self { link }, offered)))
     }
 
     /// The next message. Cancel safe.
     pub async fn next(&mut self) -> Message {
-        if let Some(link) = &mut self.link {
-            match link.next().await {
-                Ok(Some(frame)) => return message(&frame),
-                Ok(None) => self.link = None,
-                Err(error) => {
-                    log!("hand-over: {error}");
-                    self.link = None;
-                }
-            }
+        match self.link.next_frame().await {
+            Ok(Some(frame)) => return message(&frame),
+            Ok(None) => {}
+            Err(error) => log!("hand-over: {error}"),
+        }
+        match self.link.ended().await {
+            LinkEnd::Lost => Message::LinkLost,
+            LinkEnd::PeerDied => Message::Died,
         }
-        self.link_ended().await
     }
 
     /// Tells the predecessor that this process is prepared to serve.
     pub fn send_ready(&mut self) {
-        self.send(Kind::Ready);
+        self.link.send(Kind::Ready, &(), Vec::new());
     }
 
     /// Tells the predecessor that this process accepts connections.
     pub fn send_accepting(&mut self) {
-        self.send(Kind::Accepting);
+        self.link.send(Kind::Accepting, &(), Vec::new());
     }
 
     /// Tells the predecessor that this process gives up.
@@ -146,35 +132,19 @@
 
     /// Sends the predecessor a termination signal, past the link.
     pub fn terminate_predecessor(&self) {
-        if let Err(error) = self.predecessor.signal(Signal::TERM) {
+        if let Err(error) = self.link.signal(Signal::TERM) {
             log!("hand-over: the predecessor cannot be signalled: {error}");
         }
     }
 
-    /// What the end of the link means.
-    async fn link_ended(&mut self) -> Message {
-        if !self.probation {
-            return Message::Died;
-        }
-        if !self.loss_reported && !self.predecessor.has_died().await {
-            self.loss_reported = true;
-            return Message::LinkLost;
-        }
-        self.predecessor.died().await;
-        Message::Died
-    }
-
-    fn send(&mut self, kind: Kind) {
-        if let Some(link) = &mut self.link {
-            link.queue(kind, &(), Vec::new());
-        }
-    }
-
-    /// Sends the last message and ends the link. Returns whether the message was sent.
+    /// Sends the last message to a predecessor that supports probation, and ends the link. Returns whether the message was
+    /// sent.
     async fn send_last(&mut self, kind: Kind) -> bool {
-        let Some(mut link) = self.link.take().filter(|_| self.probation) else { return false };
-        link.queue(kind, &(), Vec::new());
-        matches!(timeout(LAST_MESSAGE_TIMEOUT, link.flush()).await, Ok(Ok(())))
+        if !self.link.supports_probation() {
+            self.link.disconnect();
+            return false;
+        }
+        self.link.send_last(kind, &()).await
     }
 }
 
@@ -201,12 +171,13 @@
     }
 }
 
-/// Returns the offer, and whether the predecessor supports probation.
-fn read_offer(frame: &Frame, link: &mut Link) -> Result<(Offered, bool), HandoverError> {
+/// Reads the offer, and the sockets that came with it.
+fn read_offer(frame: &Frame, link: &mut PeerLink) -> Result<Offered, HandoverError> {
     if frame.kind != Kind::Offer {
         return Err(HandoverError::Cancelled(cancel_cause(frame)));
     }
     let Offer { listeners, state, probation } = frame.parse().map_err(LinkError::from)?;
+    link.set_supports_probation(probation);
     let sockets = listeners.into_iter().zip(link.take_descriptors()).map(|(offered, socket)| {
         let socket = TcpListener::from(socket);
         // A socket that does not listen is found now, not at the first client.
@@ -214,7 +185,7 @@
         Ok((Listener { name: offered.name, address: offered.address }, socket))
     });
     let sockets = sockets.collect::<Result<_, HandoverError>>()?;
-    Ok((Offered { sockets, state: read_state(state) }, probation))
+    Ok(Offered { sockets, state: read_state(state) })
 }
 
 fn read_state(value: serde_json::Value) -> Option<State> {
--- a/crates/cache-balancer/src/main.rs
+++ b/crates/cache-balancer/src/main.rs
@@ -18,6 +18,7 @@
 mod scenario;
 mod service_manager;
 mod shutdown_phase;
+mod signals;
 mod tally;
 mod upstream;
 
