--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -29,11 +29,11 @@
 //!
 //! - [`balance`]: which server a request goes to, when it is retried, and when it is rejected; [`admission`]: how much of
 //!   the demand is admitted; [`hot_keys`]: how many replicas a key has; [`learned_state`]: what a successor takes on;
-//! - [`handover`]: who accepts clients while one process takes another's place;
+//! - [`graceful_restart`]: which process accepts clients while one takes the place of another;
 //! - [`asking`]: when discovery is polled, and when a watch is dead; [`replicas`]: which replica of discovery;
 //!   [`share`]: what one replica can do for its share of the nodes; [`discovery_client`]: these three put together;
 //! - [`membership`]: which endpoint lists are accepted;
-//! - [`supervise`]: when the instances of a fleet are started, and restarted.
+//! - [`supervisor`]: when the instances of a fleet are started, and restarted.
 //!
 //! [`platform`] maps the platform's own names of settings and load reports to these types.
 
@@ -45,7 +45,7 @@
 pub mod discovery_client;
 pub mod endpoints;
 pub mod events;
-pub mod handover;
+pub mod graceful_restart;
 mod hashing;
 pub mod hot_keys;
 pub mod learned_state;
@@ -56,7 +56,7 @@
 pub mod requests;
 pub mod settings;
 pub mod share;
-pub mod supervise;
+pub mod supervisor;
 pub mod time;
 
 pub use api::*;
