--- a/crates/cache-balancer/src/main.rs
+++ b/crates/cache-balancer/src/main.rs
@@ -1,6 +1,7 @@
 //! `cache-balancer`: the command line. Without arguments it is the platform's node.
 
 mod aggregate;
+mod cli;
 mod config;
 mod daemon;
 mod discovery;
--- a/crates/cache-balancer/src/scale/virtual_time.rs
+++ b/crates/cache-balancer/src/scale/virtual_time.rs
@@ -1,44 +1,33 @@
 //! `cache-balancer scale --player virtual`: clients of discovery alone, without sockets and clock.
 
-use super::{failed, overridden, script, Run, UNUSABLE};
+use super::{overridden, script, RunArguments, ScaleError};
 use std::process::ExitCode;
 use testbed::scale::scenarios;
 use testbed::scale::virtual_time::scenes::{self, Size, VIRTUAL_ONLY};
-use testbed::scale::virtual_time::{play, table, Scene, SceneError};
-use testbed::scale::ScaleScript;
+use testbed::scale::virtual_time::{play, table, Scene};
 
-/// Plays a scene and prints what came of it.
-pub(super) fn run(arguments: &Run) -> ExitCode {
+/// Runs a scene, prints its outcome and returns the exit code.
+pub(super) fn run(arguments: &RunArguments) -> Result<ExitCode, ScaleError> {
     if arguments.svg.is_some() {
-        return failed("--svg: expected --player sockets; times in virtual time are not plotted");
+        return Err(ScaleError::PlotOfVirtualTime);
     }
-    let name = arguments.script.as_str();
-    let only = VIRTUAL_ONLY.iter().any(|(known, _)| *known == name);
-    let Some(script) = script(if only { scenarios::DEFAULT } else { name }) else {
-        return ExitCode::from(UNUSABLE);
-    };
-    let scene = match scene(name, only, overridden(script, arguments)) {
-        Ok(scene) => scene,
-        Err(error) => return failed(&error.to_string()),
-    };
+    let scene = scene(arguments)?;
     let outcome = play(&scene);
-    if !arguments.json {
+    if arguments.json {
+        println!("{}", serde_json::to_string(&outcome).map_err(|error| ScaleError::Json("result", error))?);
+    } else {
         println!("{}", table([(scene.script.name.as_str(), &outcome)]));
-        return ExitCode::SUCCESS;
-    }
-    match serde_json::to_string(&outcome) {
-        Ok(line) => {
-            println!("{line}");
-            ExitCode::SUCCESS
-        }
-        Err(error) => failed(&format!("the result can't be written: {error}")),
     }
+    Ok(ExitCode::SUCCESS)
 }
 
-fn scene(name: &str, virtual_only: bool, script: ScaleScript) -> Result<Scene, SceneError> {
-    if virtual_only {
-        scenes::named(name, &Size::of(&script))
-    } else {
-        scenes::of_script(script)
-    }
+/// The scene of a script, or one that exists in virtual time only and takes its size from the default script.
+fn scene(arguments: &RunArguments) -> Result<Scene, ScaleError> {
+    let name = arguments.script.as_str();
+    let virtual_only = VIRTUAL_ONLY.iter().any(|(known, _)| *known == name);
+    let script = script(if virtual_only { scenarios::DEFAULT } else { name })?;
+    let script = overridden(script, arguments);
+    let scene =
+        if virtual_only { scenes::named(name, &Size::of(&script)) } else { scenes::of_script(script) };
+    scene.map_err(|error| ScaleError::Run(error.into()))
 }
--- /dev/null
+++ b/crates/cache-balancer/src/scenario/run.rs
@@ -0,0 +1,70 @@
+//! Runs one scenario.
+
+use super::sockets::{self, SocketRunError};
+use super::{script, unusable, Player, RunArguments, VOID};
+use std::path::Path;
+use std::process::ExitCode;
+use testbed::page::page;
+use testbed::report::Report;
+use testbed::{simulate, Script};
+use thiserror::Error;
+
+/// The page of timelines could not be written.
+#[derive(Debug, Error)]
+#[error("{file}: the page could not be written: {cause}")]
+struct PageError {
+    file: String,
+    cause: Box<dyn std::error::Error>,
+}
+
+/// Runs a scenario, prints its report and returns the exit code.
+pub(super) fn run(arguments: &RunArguments) -> ExitCode {
+    let mut script = match script(&arguments.script) {
+        Ok(script) => script,
+        Err(error) => return unusable(&error),
+    };
+    script.seed = arguments.seed.unwrap_or(script.seed);
+    script.nodes = arguments.nodes.unwrap_or(script.nodes);
+    if !arguments.json {
+        eprintln!("{}: {}", script.name, script.about);
+    }
+    let report = match report(&script, arguments) {
+        Ok(report) => report,
+        Err(SocketRunError::Void(void)) => {
+            eprintln!("{void}");
+            return ExitCode::from(VOID);
+        }
+        Err(error) => return unusable(&error),
+    };
+    if let Some(path) = &arguments.html {
+        if let Err(error) = write_page(path, &report) {
+            return unusable(&error);
+        }
+    }
+    if arguments.json {
+        println!("{}", report.json());
+    } else {
+        print!("{}", report.text());
+    }
+    if report.held() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
+fn report(script: &Script, arguments: &RunArguments) -> Result<Report, SocketRunError> {
+    let (played, partial) = match arguments.player {
+        Player::Virtual => (simulate::play(script), false),
+        Player::Sockets => {
+            let run = sockets::run(script, !arguments.json)?;
+            (run.played, run.partial)
+        }
+    };
+    Ok(Report { partial, ..Report::new(script, played) })
+}
+
+fn write_page(path: &Path, report: &Report) -> Result<(), PageError> {
+    let written = page(report).and_then(|html| Ok(std::fs::write(path, html)?));
+    written.map_err(|cause| PageError { file: path.display().to_string(), cause })
+}
--- /dev/null
+++ b/crates/cache-balancer/src/scenario/sockets.rs
@@ -0,0 +1,79 @@
+//! Runs a scenario with processes of this program, on loopback and in real time.
+
+use crate::cli::progress::ProgressDisplay;
+use crate::cli::{program, ProgramNotFound};
+use std::time::Duration;
+use testbed::simulate::{Played, Sample};
+use testbed::{live, Script};
+use thiserror::Error;
+
+/// Why a run on sockets has no result.
+#[derive(Debug, Error)]
+pub(super) enum SocketRunError {
+    /// The nodes could not be started.
+    #[error(transparent)]
+    Program(#[from] ProgramNotFound),
+    /// The run could not be carried out.
+    #[error("{0}")]
+    Run(Box<dyn std::error::Error>),
+    /// Its figures would be the machine's.
+    #[error(transparent)]
+    Void(#[from] VoidRun),
+}
+
+/// The machine was too busy for a run: its timers rang late.
+#[derive(Debug, Error)]
+#[error(
+    "VOID: this machine was too busy, timers rang {percentile_99:?} late at the 99th percentile and {max:?} at most"
+)]
+pub(super) struct VoidRun {
+    percentile_99: Duration,
+    max: Duration,
+}
+
+/// The result of a run on sockets.
+pub(super) struct SocketRun {
+    pub(super) played: Played,
+    /// Whether it was broken off.
+    pub(super) partial: bool,
+}
+
+/// Runs a scenario until its end, or until Ctrl-C. `show_progress` shows a line of progress each second.
+pub(super) fn run(script: &Script, show_progress: bool) -> Result<SocketRun, SocketRunError> {
+    let program = program()?;
+    let length_s = script.length.as_secs();
+    let mut display = show_progress.then(ProgressDisplay::rewriting);
+    let progress = move |at: Duration, sample: &Sample| {
+        if let Some(display) = &mut display {
+            display.show(&progress_line(at, length_s, sample), false);
+        }
+    };
+    let live = live::play(script, &program, progress, interrupted())
+        .map_err(|error| SocketRunError::Run(error.into()))?;
+    if show_progress {
+        eprintln!();
+    }
+    if let Some(error) = &live.failed {
+        eprintln!("the play is broken off: {error}");
+    }
+    if live.void() {
+        let (percentile_99, max) = live.late;
+        return Err(VoidRun { percentile_99, max }.into());
+    }
+    Ok(SocketRun { played: live.played, partial: live.partial })
+}
+
+fn progress_line(at: Duration, length_s: u64, sample: &Sample) -> String {
+    let Sample { running, cold, held, origin_waiting, .. } = sample;
+    format!(
+        "{:>4} of {length_s} s: {running} boxes, {cold} cold, {held} requests in them, {origin_waiting} wait at the origin",
+        at.as_secs()
+    )
+}
+
+/// Ends with Ctrl-C. Where the signal can't be had, the run goes to its end.
+async fn interrupted() {
+    if tokio::signal::ctrl_c().await.is_err() {
+        std::future::pending().await
+    }
+}
