--- a/crates/cache-balancer/src/daemon/node.rs
+++ b/crates/cache-balancer/src/daemon/node.rs
@@ -7,10 +7,10 @@
 use crate::config::{operator, platform, Config};
 use crate::fronts::http1::Front;
 use crate::handover::{Giver, PoolState, State};
-use crate::input::Input;
+use crate::input::DriverInput;
 use crate::log::log;
 use crate::readiness::Readiness;
-use crate::upstream::Places;
+use crate::upstream::ConnectionLimit;
 use std::error::Error;
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
@@ -42,9 +42,9 @@
 /// A node at work.
 pub struct Node {
     pub config: Config,
-    upstream: Rc<Places>,
+    upstream: Rc<ConnectionLimit>,
     pools: Pools,
-    pub drivers: watch::Sender<Vec<UnboundedSender<Input>>>,
+    pub drivers: watch::Sender<Vec<UnboundedSender<DriverInput>>>,
     pub readiness: Rc<Readiness>,
     front: Rc<Front>,
     pub listeners: Listeners,
@@ -63,11 +63,11 @@
 impl Node {
     /// One that accepts nobody yet.
     pub fn start(config: Config, places: usize, known: Vec<PoolState>) -> Self {
-        let upstream = Rc::new(Places::new(places));
+        let upstream = Rc::new(ConnectionLimit::new(places));
         let pools = Pools::start(&config, upstream.clone(), known);
         let readiness = Rc::new(Readiness::new(pools.ready()));
         let front = Rc::new(Front::new(pools.routes(), readiness.clone(), config.descriptors, places));
-        spawn_local(front.table.clone().sweep());
+        spawn_local(front.table.clone().enforce_limits());
         let listeners = Listeners::new(front.clone());
         let drivers = watch::Sender::new(pools.drivers());
         Self { config, upstream, pools, drivers, readiness, front, listeners }
@@ -128,11 +128,11 @@
     /// Goes over to a new configuration, in one step: no request sees part of one and part of the other. Gives the new socket for hand-overs, if there is one.
     pub fn apply(&mut self, Prepared { config, change, places, bound, giver }: Prepared) -> Option<Giver> {
         log!("configuration read again: {change}");
-        self.upstream.most.set(places);
+        self.upstream.set_max(places);
         self.pools.change(&change, &config);
         self.drivers.send_replace(self.pools.drivers());
         self.readiness.replace(self.pools.ready());
-        self.front.route(self.pools.routes());
+        self.front.set_routes(self.pools.routes());
         self.front.resize(config.descriptors, places);
         self.listeners.change(&config.name, &change, bound);
         self.config = config;
--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -6,12 +6,12 @@
 use crate::driver::Driver;
 use crate::fronts::http1::{Class, Routes};
 use crate::handover::PoolState;
-use crate::input::Input;
+use crate::input::DriverInput;
 use crate::list_file;
 use crate::listing::Listing;
 use crate::readiness;
 use crate::tally::Tally;
-use crate::upstream::{Places, Upstream};
+use crate::upstream::{ConnectionLimit, Upstream};
 use balancer_core::asking::Terms;
 use balancer_core::membership::Membership;
 use balancer_core::Balancer;
@@ -24,7 +24,7 @@
 /// All of them, in the configuration's order.
 pub struct Pools {
     running: Vec<Running>,
-    places: Rc<Places>,
+    places: Rc<ConnectionLimit>,
     /// The node's name, and whether its pools tally what they do.
     node: String,
     tally: Rc<Cell<bool>>,
@@ -36,7 +36,7 @@
 struct Running {
     pool: Pool,
     /// To its driver.
-    events: UnboundedSender<Input>,
+    events: UnboundedSender<DriverInput>,
     ready: watch::Receiver<bool>,
     list: List,
     /// How its discovery is asked.
@@ -67,13 +67,13 @@
             Source::Discovery(_) | Source::File(_) => listing,
         };
         // The driver only goes once it is retired.
-        let _ = self.events.send(Input::Recalled(Box::new((listing, knowledge))));
+        let _ = self.events.send(DriverInput::StateRestored(Box::new((listing, knowledge))));
     }
 }
 
 impl Pools {
     /// Begins them, with what another process knew of them.
-    pub fn start(config: &Config, places: Rc<Places>, mut known: Vec<PoolState>) -> Self {
+    pub fn start(config: &Config, places: Rc<ConnectionLimit>, mut known: Vec<PoolState>) -> Self {
         let (node, tally) = (config.name.clone(), Rc::new(Cell::new(config.tally)));
         let mut all = Self { running: Vec::new(), places, node, tally, seed: config.seed, begun: 0 };
         for pool in config.pools.iter().cloned() {
@@ -99,7 +99,7 @@
         for Running { pool, events, .. } in &self.running {
             let (answer, report) = oneshot::channel();
             // The driver only goes once it is retired.
-            let _ = events.send(Input::Report(answer));
+            let _ = events.send(DriverInput::StateRequested(answer));
             let Ok((listing, knowledge)) = report.await else { continue };
             reports.push(PoolState::new(&pool.name, &pool.source, listing, knowledge));
         }
@@ -119,12 +119,12 @@
         }
         for removed in before.into_iter().flatten() {
             // Its driver only goes once it is retired.
-            let _ = removed.events.send(Input::Retired);
+            let _ = removed.events.send(DriverInput::PoolRemoved);
         }
     }
 
     /// The way to each driver.
-    pub fn drivers(&self) -> Vec<UnboundedSender<Input>> {
+    pub fn drivers(&self) -> Vec<UnboundedSender<DriverInput>> {
         self.running.iter().map(|running| running.events.clone()).collect()
     }
 
@@ -155,7 +155,7 @@
         let Pool { settings, known, .. } = &pool;
         let (connecting, idle) = (settings.connect_timeout, settings.server_idle_timeout);
         let upstream = Rc::new(Upstream::new(self.places.clone(), connecting, idle));
-        spawn_local(Upstream::sweep(Rc::downgrade(&upstream)));
+        spawn_local(Upstream::close_idle_on_time(Rc::downgrade(&upstream)));
         // A watch goes on from the version that the other process had, if it was the same discovery's.
         let membership = match &recalled {
             Some(other) if other.shares_versions_with(&pool.source) => {
@@ -181,7 +181,7 @@
         running.terms.set(Terms::of(settings));
         if *settings != before.settings {
             // The driver only goes once it is retired.
-            let _ = running.events.send(Input::Reconfigured(Box::new(settings.clone())));
+            let _ = running.events.send(DriverInput::Reconfigured(Box::new(settings.clone())));
         }
         match (source, &running.list) {
             (Source::Discovery(wanted), List::Discovery(held, _)) => {
@@ -197,7 +197,7 @@
             }
         }
         if *source == Source::Fixed && (before.source != Source::Fixed || known.hosts != before.known.hosts) {
-            let _ = running.events.send(Input::Listing(Listing { whole: true, ..known.clone() }));
+            let _ = running.events.send(DriverInput::EndpointList(Listing { whole: true, ..known.clone() }));
         }
         running
     }
@@ -211,7 +211,7 @@
         membership: Membership,
         seed: u64,
         terms: &Rc<Cell<Terms>>,
-        events: &UnboundedSender<Input>,
+        events: &UnboundedSender<DriverInput>,
     ) -> Self {
         match source {
             Source::Discovery(replicas) => {
--- a/crates/cache-balancer/src/daemon/pools/tests.rs
+++ b/crates/cache-balancer/src/daemon/pools/tests.rs
@@ -85,7 +85,7 @@
 /// The ends of a pool that its client and its driver hold.
 struct Ends {
     replicas: watch::Receiver<DiscoveryReplicas>,
-    inputs: UnboundedReceiver<Input>,
+    inputs: UnboundedReceiver<DriverInput>,
     client: AbortHandle,
 }
 
@@ -110,7 +110,7 @@
     let (running, ends): (Vec<_>, Vec<_>) = config.pools.iter().map(running).unzip();
     let pools = Pools {
         running,
-        places: Rc::new(Places::new(1)),
+        places: Rc::new(ConnectionLimit::new(1)),
         node: config.name.clone(),
         tally: Rc::default(),
         seed: config.seed,
@@ -205,6 +205,6 @@
     // An aborted task ends when it is looked at next.
     tokio::task::yield_now().await;
     assert_eq!([ends[0].client.is_finished(), ends[1].client.is_finished()], [false, true]);
-    assert!(matches!(ends[1].inputs.try_recv(), Ok(Input::Retired)));
+    assert!(matches!(ends[1].inputs.try_recv(), Ok(DriverInput::PoolRemoved)));
     assert!(ends[1].replicas.has_changed().is_err(), "nobody tells it of replicas any more");
 }
--- a/crates/cache-balancer/src/discovery.rs
+++ b/crates/cache-balancer/src/discovery.rs
@@ -3,7 +3,7 @@
 mod exchange;
 
 use crate::config::DiscoveryReplicas;
-use crate::input::Input;
+use crate::input::DriverInput;
 use crate::listing::{Listing, Malformed};
 use crate::log::log;
 use balancer_core::asking::{Call, End, Pace, Terms};
@@ -86,7 +86,7 @@
     /// What the settings say of asking by now.
     pub terms: Rc<Cell<Terms>>,
     pub random: fastrand::Rng,
-    pub events: UnboundedSender<Input>,
+    pub events: UnboundedSender<DriverInput>,
 }
 
 /// What a call came to.
@@ -195,13 +195,13 @@
         let (input, end) = match result.and_then(|()| self.judged(read)) {
             Ok(listing) => {
                 let end = End::Answered { took, news: !listing.hosts.is_empty() };
-                (Input::Listing(listing), CallEnd::Other(end))
+                (DriverInput::EndpointList(listing), CallEnd::Other(end))
             }
             Err(error) => {
                 self.link = None;
                 log!("{}: {}", self.wording(), bounded(&error.to_string()));
                 self.heed(read);
-                (Input::ListingFailed, error.end(took))
+                (DriverInput::EndpointListFailed, error.end(took))
             }
         };
         self.discovery.events.send(input).ok()?;
--- a/crates/cache-balancer/src/discovery/exchange.rs
+++ b/crates/cache-balancer/src/discovery/exchange.rs
@@ -1,7 +1,7 @@
 //! One call to a replica of discovery, on a connection that is kept.
 
 use super::{CallError, Wording};
-use crate::input::Input;
+use crate::input::DriverInput;
 use crate::listing::Listing;
 use crate::log::log;
 use bytes::Bytes;
@@ -80,7 +80,7 @@
     /// How often an answer that is still coming is looked into.
     pub look: Duration,
     pub wording: Wording,
-    pub events: UnboundedSender<Input>,
+    pub events: UnboundedSender<DriverInput>,
 }
 
 impl Exchange {
@@ -180,8 +180,12 @@
 }
 
 /// Tells the driver of servers that are leaving.
-pub fn heed(wording: &Wording, events: &UnboundedSender<Input>, names: std::collections::BTreeSet<String>) {
+pub fn heed(
+    wording: &Wording,
+    events: &UnboundedSender<DriverInput>,
+    names: std::collections::BTreeSet<String>,
+) {
     log!("{wording}: {} servers told to be leaving in an answer that is no list, heeded", names.len());
     // The driver only goes when the node does.
-    let _ = events.send(Input::Leaving(names));
+    let _ = events.send(DriverInput::ServersDraining(names));
 }
--- /dev/null
+++ b/crates/cache-balancer/src/driver/mod.rs
@@ -0,0 +1,297 @@
+//! The driver of a pool: the only owner of its decisions ([`Balancer`]) and of the requests in flight. It turns
+//! inputs into events and carries out the actions that come back, in order; it decides nothing itself.
+
+mod actions;
+mod clock;
+mod endpoints;
+mod in_flight;
+mod timers;
+
+use crate::input::{AcceptedRequest, DriverInput, FinalResponse, RequestNumber};
+use crate::listing::Listing;
+use crate::tally::{Tally, TallyLine};
+use crate::upstream::{AttemptResult, Upstream};
+use balancer_core::{AttemptOutcome, Balancer, EndpointUpdate, Event, Request, RequestId, Settings};
+use clock::Clock;
+use endpoints::EndpointTable;
+use in_flight::InFlightRequest;
+use std::collections::{HashMap, VecDeque};
+use std::rc::Rc;
+use std::sync::Arc;
+use timers::{Timer, Timers};
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
+use tokio::sync::watch;
+use tokio::time::{sleep_until, Instant};
+
+/// The outcome of a call to discovery, reported once the decisions have handled it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DiscoveryEvent {
+    /// An endpoint list was applied.
+    ListApplied {
+        /// Its version.
+        version: u64,
+        /// Whether it was a snapshot.
+        snapshot: bool,
+        /// The number of its entries.
+        entries: usize,
+    },
+    /// The call failed.
+    CallFailed,
+}
+
+impl DiscoveryEvent {
+    /// The event that an input is, or `None` for one that is no outcome of a call to discovery.
+    fn of(input: &DriverInput) -> Option<Self> {
+        match input {
+            DriverInput::EndpointList(list) => {
+                let (version, snapshot, entries) = (list.seq, list.whole, list.hosts.len());
+                Some(Self::ListApplied { version, snapshot, entries })
+            }
+            DriverInput::EndpointListFailed => Some(Self::CallFailed),
+            _ => None,
+        }
+    }
+}
+
+/// Is called with each [`DiscoveryEvent`].
+pub type DiscoveryObserver = Box<dyn Fn(DiscoveryEvent)>;
+
+/// See the module's page.
+pub struct Driver {
+    balancer: Balancer,
+    clock: Clock,
+    upstream: Rc<Upstream>,
+    /// To this driver's own queue, for the results of attempts.
+    inputs: UnboundedSender<DriverInput>,
+    requests: HashMap<RequestId, InFlightRequest>,
+    timers: Timers,
+    /// Events that the decisions have not handled yet.
+    events: VecDeque<Event>,
+    endpoints: EndpointTable,
+    pool_removed: bool,
+    tally: Tally,
+    observer: Option<DiscoveryObserver>,
+}
+
+impl Driver {
+    /// A driver that has not begun. `ready` is set with the first server that takes requests; `inputs` is the
+    /// sending end of the queue that [`Self::run`] reads.
+    pub fn new(
+        balancer: Balancer,
+        upstream: Rc<Upstream>,
+        ready: watch::Sender<bool>,
+        inputs: UnboundedSender<DriverInput>,
+        tally: Tally,
+    ) -> Self {
+        Self {
+            balancer,
+            clock: Clock::start(),
+            endpoints: EndpointTable::new(upstream.clone(), ready),
+            upstream,
+            inputs,
+            requests: HashMap::new(),
+            timers: Timers::default(),
+            events: VecDeque::new(),
+            pool_removed: false,
+            tally,
+            observer: None,
+        }
+    }
+
+    /// Sets the observer of discovery. The default is none.
+    pub fn observed(self, observer: DiscoveryObserver) -> Self {
+        Self { observer: Some(observer), ..self }
+    }
+
+    /// Runs until the senders of the queue are gone, or until the pool is removed and its last request complete.
+    /// It begins with the endpoint list `known`, which may be empty.
+    pub async fn run(mut self, known: Listing, mut queue: UnboundedReceiver<DriverInput>) {
+        self.restore_endpoints(known);
+        self.handle_events();
+        while !(self.pool_removed && self.requests.is_empty()) {
+            let next_expiry = self.timers.next_expiry();
+            let timer = async {
+                match next_expiry {
+                    Some(at) => sleep_until(at).await,
+                    None => std::future::pending().await,
+                }
+            };
+            tokio::select! {
+                input = queue.recv() => match input {
+                    Some(input) => {
+                        let discovery_event = DiscoveryEvent::of(&input);
+                        self.handle_input(input);
+                        self.handle_events();
+                        self.notify_observer(discovery_event);
+                    }
+                    None => return,
+                },
+                () = timer => {
+                    self.fire_timers();
+                    self.handle_events();
+                }
+            }
+        }
+    }
+
+    fn notify_observer(&self, event: Option<DiscoveryEvent>) {
+        if let (Some(observer), Some(event)) = (&self.observer, event) {
+            observer(event);
+        }
+    }
+
+    fn handle_input(&mut self, input: DriverInput) {
+        match input {
+            DriverInput::RequestAccepted(accepted) => self.accept_request(*accepted),
+            DriverInput::ClientDisconnected(number) => self.cancel_request(number),
+            DriverInput::AttemptEnded { id, attempt, result } => self.end_attempt(id, attempt, result),
+            DriverInput::EndpointList(list) => {
+                self.tally_line().lists += 1;
+                self.apply_endpoint_list(&list);
+            }
+            // The list held stays in force, and the client of discovery decides when it polls again.
+            DriverInput::EndpointListFailed => self.tally_line().lists_failed += 1,
+            DriverInput::ServersDraining(names) => {
+                let delta = self.endpoints.draining_delta(&names);
+                self.apply_endpoint_list(&delta);
+            }
+            DriverInput::Reconfigured(settings) => self.reconfigure(settings),
+            DriverInput::StateRestored(restored) => {
+                let (list, learned_state) = *restored;
+                self.restore_endpoints(list);
+                self.events.push_back(Event::StateRestored(Arc::new(learned_state)));
+            }
+            DriverInput::StateRequested(reply) => {
+                let learned_state = self.balancer.knowledge(self.clock.now());
+                // The receiver is gone if whoever asked has given up.
+                let _ = reply.send((self.endpoints.list().clone(), learned_state));
+            }
+            DriverInput::PoolRemoved => self.pool_removed = true,
+            // The receiver is gone if whoever asked has given up.
+            DriverInput::LivenessCheck(reply) => drop(reply.send(())),
+        }
+    }
+
+    fn accept_request(&mut self, accepted: AcceptedRequest) {
+        let id = RequestId::from(accepted.number);
+        let (class, tenant, key) = (Some(accepted.class), accepted.tenant, accepted.key);
+        let (expected_work, write) = (accepted.expected_work, accepted.write);
+        let client_retry = accepted.client_retry;
+        let request = InFlightRequest::new(accepted);
+        let deadline = self.clock.timestamp(request.deadline());
+        self.timers.set(request.deadline_timer(), Timer::Deadline(id.clone()));
+        self.requests.insert(id.clone(), request);
+        self.events.push_back(Event::Request(Request {
+            id,
+            class,
+            tenant,
+            key,
+            deadline,
+            expected_work,
+            write,
+            client_retry,
+        }));
+    }
+
+    /// Cancels a request whose client has disconnected; one that has its final response is not affected.
+    fn cancel_request(&mut self, number: RequestNumber) {
+        let id = RequestId::from(number);
+        let waiting = self.requests.get_mut(&id).filter(|request| request.awaits_response());
+        if let Some(request) = waiting {
+            request.cancel();
+            self.events.push_back(Event::RequestCancelled(id.clone()));
+            self.remove_if_complete(&id);
+        }
+    }
+
+    fn end_attempt(&mut self, id: RequestId, attempt: u32, result: AttemptResult) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(ended) = request.end_attempt(attempt) else { return };
+        let line = self.tally.line_at(self.clock.now());
+        line.record_attempt(&ended.server, result.status);
+        if let Some(body) = result.body {
+            line.served += u32::from(request.awaits_response());
+            request.respond(FinalResponse::Served(body));
+        }
+        let request_finished = !request.awaits_response();
+        self.remove_if_complete(&id);
+        self.events.push_back(Event::AttemptEnded(AttemptOutcome {
+            id,
+            attempt,
+            server: ended.server,
+            status: result.status,
+            cache_result: result.cache_result,
+            elapsed: ended.elapsed,
+            request_finished,
+            load: result.load,
+        }));
+    }
+
+    /// Removes a request that has its final response and no attempt in flight.
+    fn remove_if_complete(&mut self, id: &RequestId) {
+        if let Some(request) = self.requests.get(id).filter(|request| request.is_complete()) {
+            // Left to expire, the timers of completed requests would outnumber the requests in flight.
+            self.timers.cancel(request.deadline_timer(), Timer::Deadline(id.clone()));
+            self.requests.remove(id);
+        }
+    }
+
+    fn restore_endpoints(&mut self, list: Listing) {
+        let snapshot = Listing { whole: true, ..list };
+        let entries = self.endpoints.apply(&snapshot, self.tally.line_at(self.clock.now()));
+        self.events.push_back(Event::EndpointsRestored(entries));
+    }
+
+    fn apply_endpoint_list(&mut self, list: &Listing) {
+        let entries = self.endpoints.apply(list, self.tally.line_at(self.clock.now()));
+        let update =
+            if list.whole { EndpointUpdate::Snapshot(entries) } else { EndpointUpdate::Delta(entries) };
+        self.events.push_back(Event::EndpointsUpdated(update));
+    }
+
+    fn reconfigure(&mut self, settings: Box<Settings>) {
+        self.upstream.configure(settings.connect_timeout, settings.server_idle_timeout);
+        self.events.push_back(Event::Reconfigured(settings));
+    }
+
+    fn fire_timers(&mut self) {
+        let now = Instant::now();
+        while let Some(timer) = self.timers.pop_expired(now) {
+            match timer {
+                Timer::Decisions => self.events.push_back(Event::TimerExpired),
+                Timer::Deadline(id) => self.expire_request(id),
+            }
+        }
+    }
+
+    /// Fails a request whose time is over.
+    ///
+    /// The failure guarded against: the decisions leave a request open (a fault of theirs, or a server that never
+    /// responds), and its client would wait for a response that never comes. Each request has a timer from the
+    /// moment at which it is accepted, and the timer does not depend on the decisions. The decisions learn that
+    /// no response is due any more; the results of its attempts are still reported to them.
+    fn expire_request(&mut self, id: RequestId) {
+        let waiting = self.requests.get_mut(&id).filter(|request| request.awaits_response());
+        let Some(request) = waiting else { return };
+        request.respond(FinalResponse::Failed);
+        self.tally_line().failed += 1;
+        self.remove_if_complete(&id);
+        self.events.push_back(Event::RequestCancelled(id));
+    }
+
+    /// Has the decisions handle all events, and those that their actions bring about.
+    fn handle_events(&mut self) {
+        let mut actions = Vec::new();
+        while let Some(event) = self.events.pop_front() {
+            self.balancer.handle(self.clock.now(), event, &mut actions);
+            for action in actions.drain(..) {
+                self.carry_out(action);
+            }
+        }
+    }
+
+    /// The line of the current second.
+    fn tally_line(&mut self) -> &mut TallyLine {
+        self.tally.line_at(self.clock.now())
+    }
+}
--- /dev/null
+++ b/crates/cache-balancer/src/fronts/http1/connection.rs
@@ -0,0 +1,109 @@
+//! Serves the requests of one connection.
+
+use super::forward::forward;
+use super::request::{check_transfer, key_of, read_body, RequestError, RequestHead};
+use super::response::{self, HttpResponse};
+use super::Front;
+use crate::fronts::connections::TrackedConnection;
+use crate::stage::Stage;
+use crate::upstream::{ForwardedRequest, ResponsePending};
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderValue, CONNECTION};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Method, Request, StatusCode};
+use std::convert::Infallible;
+use std::rc::Rc;
+use tokio::sync::watch;
+use tokio::time::Instant;
+
+/// The longest request head, in bytes; a longer one gets status 431. With a body each it is the most that connections can
+/// make the node hold.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+const HEALTH_PATH: &str = "/healthz";
+
+/// Serves a connection to its end.
+pub(super) async fn serve_connection(
+    connection: TrackedConnection,
+    stage: watch::Receiver<Stage>,
+    front: Rc<Front>,
+) {
+    let (connection, front, stage) = (&connection, &*front, &stage);
+    let service = service_fn(|request: Request<Incoming>| {
+        // Not in the future: hyper reads on before it polls that for the first time.
+        connection.head_read(request.body().size_hint().lower() as usize);
+        async move {
+            let response = respond(front, connection, stage, request).await;
+            connection.response_ready();
+            Ok::<_, Infallible>(response)
+        }
+    });
+    let mut http = http1::Builder::new();
+    http.max_buf_size(MAX_HEAD_BYTES);
+    let serving = http.serve_connection(connection.stream(), service);
+    connection.drive(serving, |serving| serving.graceful_shutdown(), stage.clone()).await;
+}
+
+async fn respond(
+    front: &Front,
+    connection: &TrackedConnection,
+    stage: &watch::Receiver<Stage>,
+    request: Request<Incoming>,
+) -> HttpResponse {
+    let (mut response, valid) = match handle(front, connection, stage, request).await {
+        Ok(response) => (response, true),
+        Err(error) => (error.response(), false),
+    };
+    // A client whose request is invalid sends the next one at once: not on this connection, where its requests would take
+    // the node's time without a pause.
+    if !valid || *stage.borrow() >= Stage::StandingBy || !connection.may_stay_open() {
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    }
+    response
+}
+
+async fn handle(
+    front: &Front,
+    connection: &TrackedConnection,
+    stage: &watch::Receiver<Stage>,
+    request: Request<Incoming>,
+) -> Result<HttpResponse, RequestError> {
+    let received_at = Instant::now();
+    let (head, body) = request.into_parts();
+    let target = head.uri.path_and_query().cloned().ok_or(RequestError::NoPath)?;
+    if target.path() == HEALTH_PATH {
+        return health(front, *stage.borrow(), &head.method);
+    }
+    let key = key_of(target.path()).ok_or(RequestError::UnknownPath)?;
+    check_transfer(&head)?;
+    let routes = front.routes();
+    let mut request_head = RequestHead::read(&routes, &head.headers)?;
+    let body = read_body(body).await?;
+    // It is accepted now, and not when its head came: a reload may have changed the routes meanwhile.
+    if !Rc::ptr_eq(&routes, &front.routes()) {
+        request_head = RequestHead::read(&front.routes(), &head.headers)?;
+    }
+    // Forwarded, a second request of this id would pass for a copy of the first.
+    let id = front.in_flight_ids.insert(request_head.id).ok_or(RequestError::IdInFlight)?;
+    connection.request_read();
+    let message = ForwardedRequest {
+        method: head.method,
+        target,
+        id,
+        idempotency_key: request_head.idempotency_key,
+        body,
+        pending: ResponsePending::new(),
+    };
+    Ok(forward(front.request_number(), received_at, key, request_head.terms, message).await)
+}
+
+/// Whether the node is ready, for the platform's health checks.
+fn health(front: &Front, stage: Stage, method: &Method) -> Result<HttpResponse, RequestError> {
+    match *method {
+        Method::GET if front.ready.reached() && stage < Stage::StandingBy => {
+            Ok(response::text(StatusCode::OK, "ready"))
+        }
+        Method::GET => Ok(response::text(StatusCode::SERVICE_UNAVAILABLE, "not ready")),
+        _ => Err(RequestError::MethodNotAllowed { allowed: "GET" }),
+    }
+}
--- /dev/null
+++ b/crates/cache-balancer/src/fronts/http1/response.rs
@@ -0,0 +1,33 @@
+//! Writes responses.
+
+use crate::input::FinalResponse;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{HeaderValue, RETRY_AFTER};
+use hyper::{Response, StatusCode};
+
+/// A response to a client.
+pub(super) type HttpResponse = Response<Full<Bytes>>;
+
+/// A response of the node's own.
+pub(super) fn text(status: StatusCode, text: impl Into<Bytes>) -> HttpResponse {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response
+}
+
+/// The response for a final response of the driver.
+pub(super) fn of(result: FinalResponse) -> HttpResponse {
+    match result {
+        FinalResponse::Served(body) => Response::new(Full::new(body)),
+        FinalResponse::Rejected { retry_after } => {
+            let mut response = text(StatusCode::SERVICE_UNAVAILABLE, "refused: try again later");
+            let seconds = format!("{:.3}", retry_after.as_secs_f64());
+            if let Ok(seconds) = HeaderValue::try_from(seconds) {
+                response.headers_mut().insert(RETRY_AFTER, seconds);
+            }
+            response
+        }
+        FinalResponse::Failed => text(StatusCode::BAD_GATEWAY, "failed"),
+    }
+}
--- a/crates/cache-balancer/src/fronts/http1/tests.rs
+++ b/crates/cache-balancer/src/fronts/http1/tests.rs
@@ -1,15 +1,19 @@
 use super::*;
+use crate::stage::Stage;
 use std::io::{Read, Write};
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
 
 fn front() -> Rc<Front> {
     let routes = Routes { classes: Vec::new(), tenants: Vec::new() };
     Rc::new(Front::new(routes, Rc::new(Readiness::new(Vec::new())), 256, 116))
 }
 
-// Guards against a connection that the machine has accepted for the node and that is reset with its listener: it came since the
-// runtime last polled.
+/// A connection that the system had accepted for the node was reset with its listener as the node closed: it had come since the
+/// runtime last polled. Accepting by the runtime alone brings it back.
 #[tokio::test]
-async fn what_waits_in_the_machines_queue_when_the_node_closes_is_answered() {
+async fn connections_in_the_systems_queue_are_served_as_the_node_closes() {
     let all = async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a listener");
         listener.set_nonblocking(true).expect("a socket for the runtime");
--- a/crates/cache-balancer/src/hollow/node.rs
+++ b/crates/cache-balancer/src/hollow/node.rs
@@ -4,10 +4,10 @@
 use crate::config::DiscoveryReplicas;
 use crate::discovery::Discovery;
 use crate::driver::Driver;
-use crate::input::Input;
+use crate::input::DriverInput;
 use crate::listing::Listing;
 use crate::tally::Tally;
-use crate::upstream::{Places, Upstream};
+use crate::upstream::{ConnectionLimit, Upstream};
 use balancer_core::asking::Terms;
 use balancer_core::membership::Membership;
 use balancer_core::{Balancer, Idempotency, RequestClass, Settings};
@@ -72,7 +72,7 @@
 
 /// A node that is up. It is killed when this is dropped: its connections close, and all that it knows is lost.
 pub struct HollowNode {
-    events: UnboundedSender<Input>,
+    events: UnboundedSender<DriverInput>,
     driver: AbortHandle,
     discovery: AbortHandle,
 }
@@ -85,11 +85,11 @@
         let name = format!("h{number}");
         let (events, inputs) = mpsc::unbounded_channel();
         let upstream = Rc::new(Upstream::new(
-            Rc::new(Places::new(PLACES)),
+            Rc::new(ConnectionLimit::new(PLACES)),
             settings.connect_timeout,
             settings.server_idle_timeout,
         ));
-        spawn_local(Upstream::sweep(Rc::downgrade(&upstream)));
+        spawn_local(Upstream::close_idle_on_time(Rc::downgrade(&upstream)));
         let discovery = Discovery {
             node: name.clone(),
             replicas: common.replicas.clone(),
@@ -104,7 +104,7 @@
         let tally = Tally::new(&name, "pool", Rc::new(Cell::new(false)));
         let record = common.record.clone();
         let driver = Driver::new(balancer, upstream, ready, events.clone(), tally)
-            .observed(Box::new(move |heard| record.note(number, heard)));
+            .observed(Box::new(move |event| record.note(number, event)));
         let driver = spawn_local(driver.run(known, inputs)).abort_handle();
         let discovery = spawn_local(discovery.run()).abort_handle();
         Self { events, driver, discovery }
@@ -114,7 +114,7 @@
     pub fn begun(&self) -> oneshot::Receiver<()> {
         let (answer, begun) = oneshot::channel();
         // One that was killed answers nothing.
-        let _ = self.events.send(Input::Alive(answer));
+        let _ = self.events.send(DriverInput::LivenessCheck(answer));
         begun
     }
 }
--- a/crates/cache-balancer/src/hollow/record.rs
+++ b/crates/cache-balancer/src/hollow/record.rs
@@ -1,6 +1,6 @@
 //! What the hollow nodes of this process did since the last report.
 
-use crate::driver::Heard;
+use crate::driver::DiscoveryEvent;
 use std::cell::RefCell;
 use std::time::{SystemTime, UNIX_EPOCH};
 use testbed::scale::messages::{Applied, HollowReport};
@@ -11,14 +11,14 @@
 
 impl Record {
     /// Notes what a node's decisions just had. An answer that told nothing new is no list.
-    pub fn note(&self, node: u32, heard: Heard) {
+    pub fn note(&self, node: u32, event: DiscoveryEvent) {
         let mut report = self.0.borrow_mut();
-        match heard {
-            Heard::List { version, whole, entries } if whole || entries > 0 => {
-                report.applied.push(Applied { node, version, at_us: now_us(), whole });
+        match event {
+            DiscoveryEvent::ListApplied { version, snapshot, entries } if snapshot || entries > 0 => {
+                report.applied.push(Applied { node, version, at_us: now_us(), whole: snapshot });
             }
-            Heard::List { .. } => {}
-            Heard::CallFailed => report.failed_calls += 1,
+            DiscoveryEvent::ListApplied { .. } => {}
+            DiscoveryEvent::CallFailed => report.failed_calls += 1,
         }
     }
 
--- a/crates/cache-balancer/src/input.rs
+++ b/crates/cache-balancer/src/input.rs
@@ -1,7 +1,7 @@
-//! What the node's parts tell the driver, and how it answers them.
+//! What the parts of a node send to the driver, and the responses that they get.
 
 use crate::listing::Listing;
-use crate::upstream::{Ended, Message};
+use crate::upstream::{AttemptResult, ForwardedRequest};
 use balancer_core::{ClassId, LearnedState, RequestId, Settings, TenantId};
 use bytes::Bytes;
 use std::collections::BTreeSet;
@@ -9,58 +9,87 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A client's request, read whole.
+/// The number of a request, unique in its process. A client's own id can come again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RequestNumber(pub u64);
+
+impl From<RequestNumber> for RequestId {
+    fn from(number: RequestNumber) -> Self {
+        Self::from(number.0.to_string().as_str())
+    }
+}
+
+/// A client's request that has been read whole and found valid.
 #[derive(Debug)]
-pub struct Taken {
-    /// A number that is never used twice: a client's own id might come again.
-    pub ticket: u64,
-    pub at: Instant,
-    /// How long the client waits.
-    pub patience: Duration,
+pub struct AcceptedRequest {
+    /// Identifies it to the driver.
+    pub number: RequestNumber,
+    /// When its head was read.
+    pub received_at: Instant,
+    /// How long the client waits, from `received_at`.
+    pub client_timeout: Duration,
+    /// Its request class.
     pub class: ClassId,
+    /// Its tenant, where the configuration has tenants.
     pub tenant: Option<TenantId>,
+    /// The key that it reads or writes.
     pub key: Option<u64>,
+    /// The service time that the client expects.
     pub expected_work: Option<Duration>,
+    /// Whether it writes.
     pub write: bool,
+    /// Whether it is a client's retry.
     pub client_retry: bool,
-    pub message: Message,
-    pub answer: oneshot::Sender<Answer>,
+    /// What is forwarded.
+    pub message: ForwardedRequest,
+    /// Takes the final response.
+    pub response: oneshot::Sender<FinalResponse>,
 }
 
-/// The final answer to a request.
+/// The final response to a request.
 #[derive(Debug)]
-pub enum Answer {
-    /// The body of the cache server's answer.
+pub enum FinalResponse {
+    /// The body of the cache server's response.
     Served(Bytes),
-    /// Not done and safe to ask again.
-    Refused { retry_after: Duration },
-    /// Not done, or not known.
+    /// Not carried out, and safe to send again.
+    Rejected {
+        /// The client should wait so long before it does.
+        retry_after: Duration,
+    },
+    /// Not carried out, or the outcome is unknown.
     Failed,
 }
 
-/// What the node's other parts tell the driver.
+/// What the other parts of a node send to the driver of a pool.
 #[derive(Debug)]
-pub enum Input {
-    Taken(Box<Taken>),
-    /// The client of this ticket has gone.
-    Left(u64),
-    Ended {
+pub enum DriverInput {
+    /// A client's request.
+    RequestAccepted(Box<AcceptedRequest>),
+    /// The client of this request has disconnected before its final response.
+    ClientDisconnected(RequestNumber),
+    /// The result of an attempt.
+    AttemptEnded {
+        /// The request.
         id: RequestId,
+        /// The number of the attempt, from 0.
         attempt: u32,
-        ended: Ended,
+        /// How it ended.
+        result: AttemptResult,
     },
-    Listing(Listing),
-    ListingFailed,
-    /// Servers that an answer says are leaving, of which no list has been taken, or not yet.
-    Leaving(BTreeSet<String>),
-    /// Other settings hold for what is taken from here on.
+    /// An endpoint list: a snapshot or a delta.
+    EndpointList(Listing),
+    /// A call to discovery failed.
+    EndpointListFailed,
+    /// Servers that a response of discovery names as draining, while its list is not applied, or not yet.
+    ServersDraining(BTreeSet<String>),
+    /// These settings hold for requests that are accepted from here on.
     Reconfigured(Box<Settings>),
-    /// What the process knew whose place this one takes. It comes before the first request.
-    Recalled(Box<(Listing, LearnedState)>),
-    /// What is known by now is wanted.
-    Report(oneshot::Sender<(Listing, LearnedState)>),
-    /// Nothing more is taken: the driver ends once all that it has is finished.
-    Retired,
-    /// Whether the driver still does its work: it answers.
-    Alive(oneshot::Sender<()>),
+    /// The learned state of the predecessor process. It comes before the first request.
+    StateRestored(Box<(Listing, LearnedState)>),
+    /// Asks for the current endpoint list and learned state.
+    StateRequested(oneshot::Sender<(Listing, LearnedState)>),
+    /// The pool is removed: no request follows, and the driver ends once all in flight are complete.
+    PoolRemoved,
+    /// A liveness check: the driver answers it from its loop.
+    LivenessCheck(oneshot::Sender<()>),
 }
--- a/crates/cache-balancer/src/list_file.rs
+++ b/crates/cache-balancer/src/list_file.rs
@@ -1,7 +1,7 @@
 //! A pool's list in a file: read at the start, and again whenever it has changed.
 
 use crate::config::operator::{list_text, read_list};
-use crate::input::Input;
+use crate::input::DriverInput;
 use crate::log::log;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 /// Hands the driver each list that the file has held, for as long as the driver lives. A file that is of no use is one
 /// log line for each fault, and the list that was there goes on.
-pub async fn watch(path: PathBuf, events: UnboundedSender<Input>) {
+pub async fn watch(path: PathBuf, events: UnboundedSender<DriverInput>) {
     let (mut seq, mut seen) = (0, None);
     loop {
         let file = path.clone();
@@ -28,7 +28,7 @@
             match list.and_then(|text| read_list(&path, text, seq + 1).map_err(|error| error.to_string())) {
                 Ok(listing) => {
                     seq += 1;
-                    if events.send(Input::Listing(listing)).is_err() {
+                    if events.send(DriverInput::EndpointList(listing)).is_err() {
                         return;
                     }
                 }
--- a/crates/cache-balancer/src/manager.rs
+++ b/crates/cache-balancer/src/manager.rs
@@ -1,7 +1,7 @@
 //! The service manager: told how far the node is, by the protocol of sd_notify(3), and asked for listeners that it opened
 //! (sd_listen_fds(3)). Without one, nothing is told and nobody is asked.
 
-use crate::input::Input;
+use crate::input::DriverInput;
 use crate::log::log;
 use listenfd::ListenFd;
 use sd_notify::NotifyState;
@@ -174,14 +174,14 @@
     }
 
     /// Tells that the node lives, for as long as all drivers answer, if the manager wants to hear it.
-    pub async fn keep_watchdog(self, drivers: watch::Receiver<Vec<UnboundedSender<Input>>>) {
+    pub async fn keep_watchdog(self, drivers: watch::Receiver<Vec<UnboundedSender<DriverInput>>>) {
         let Some(limit) = sd_notify::watchdog_enabled() else { return };
         watch(limit, || drivers.borrow().clone(), || self.tell(Word::Alive)).await;
     }
 }
 
 /// Calls `alive` twice within each `limit`, as long as the loops that do the work answer.
-async fn watch(limit: Duration, drivers: impl Fn() -> Vec<UnboundedSender<Input>>, alive: impl Fn()) {
+async fn watch(limit: Duration, drivers: impl Fn() -> Vec<UnboundedSender<DriverInput>>, alive: impl Fn()) {
     let mut turns = interval(limit / 2);
     turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -193,11 +193,14 @@
 }
 
 /// Whether every driver takes a question out of its queue and answers it.
-async fn answered(drivers: Vec<UnboundedSender<Input>>) -> bool {
+async fn answered(drivers: Vec<UnboundedSender<DriverInput>>) -> bool {
     for driver in drivers {
         let (answer, asked) = oneshot::channel();
         // One that was retired ends when its work is done, also with a question before it.
-        if driver.send(Input::Alive(answer)).is_ok() && asked.await.is_err() && !driver.is_closed() {
+        if driver.send(DriverInput::LivenessCheck(answer)).is_ok()
+            && asked.await.is_err()
+            && !driver.is_closed()
+        {
             return false;
         }
     }
@@ -256,8 +259,8 @@
         let ((one, mut one_asked), (other, mut other_asked)) = (unbounded_channel(), unbounded_channel());
         let drivers = [one, other];
         let fed = Cell::new(0);
-        let answer = |input: Option<Input>| match input {
-            Some(Input::Alive(answer)) => answer.send(()).is_ok(),
+        let answer = |input: Option<DriverInput>| match input {
+            Some(DriverInput::LivenessCheck(answer)) => answer.send(()).is_ok(),
             _ => false,
         };
         let work = async {
--- /dev/null
+++ b/crates/cache-balancer/src/upstream/mod.rs
@@ -0,0 +1,21 @@
+//! Connections to cache servers, and the attempts that are made on them.
+//!
+//! [`Upstream`] holds the connections of a pool; [`Upstream::attempt`] forwards a [`ForwardedRequest`] to one server
+//! and returns an [`AttemptResult`]. HTTP/1.1, one request at a time on each connection.
+
+mod attempt;
+mod connection;
+mod limit;
+mod message;
+mod pool;
+mod response;
+
+pub use attempt::AttemptResult;
+pub use limit::ConnectionLimit;
+pub use message::{
+    ForwardedRequest, InFlightIds, ResponsePending, StartCondition, IDEMPOTENCY_KEY, REQ_DEADLINE, REQ_ID,
+};
+pub use pool::Upstream;
+
+/// The largest body, in bytes, of a request or a response.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
--- /dev/null
+++ b/crates/cache-balancer/src/upstream/response.rs
@@ -0,0 +1,82 @@
+//! Sends a request on a connection and reads the response.
+
+use super::attempt::AttemptResult;
+use super::MAX_BODY_BYTES;
+use balancer_core::platform::read_load;
+use balancer_core::{AttemptStatus, CacheResult, LoadReport};
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::client::conn::http1::SendRequest;
+use hyper::header::{HeaderMap, HeaderName};
+use hyper::{Request, Response, StatusCode};
+
+/// `1` where the server has not looked at the request, since its queue is full.
+const DECLINED: HeaderName = HeaderName::from_static("srv-declined");
+/// The server's load report.
+const LOAD: HeaderName = HeaderName::from_static("srv-load");
+/// Whether the server had the key cached.
+const CACHE: HeaderName = HeaderName::from_static("srv-cache");
+
+/// What came of a request whose response head was read.
+pub(super) struct Exchange {
+    pub(super) result: AttemptResult,
+    /// Whether the connection may carry another request.
+    pub(super) reusable: bool,
+}
+
+/// Sends a request and reads its response. Fails if the connection breaks before the response is whole.
+pub(super) async fn exchange(
+    sender: &mut SendRequest<Full<Bytes>>,
+    request: Request<Full<Bytes>>,
+) -> Result<Exchange, hyper::Error> {
+    let response = sender.send_request(request).await?;
+    let status = attempt_status(&response);
+    let cache_result = cache_result(response.headers());
+    let load = load_report(response.headers());
+    // A body above the limit means that the request ran and that its response can't be passed on.
+    let too_large = Exchange {
+        result: AttemptResult { status: AttemptStatus::Failed, cache_result, load, body: None },
+        reusable: false,
+    };
+    // One that is announced is not waited for.
+    if response.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return Ok(too_large);
+    }
+    match Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await {
+        Ok(body) => {
+            let body = (status == AttemptStatus::Ok).then(|| body.to_bytes());
+            Ok(Exchange { result: AttemptResult { status, cache_result, load, body }, reusable: true })
+        }
+        Err(error) => match error.downcast::<hyper::Error>() {
+            Ok(broken) => Err(*broken),
+            Err(_length_limit) => Ok(too_large),
+        },
+    }
+}
+
+fn attempt_status(response: &Response<Incoming>) -> AttemptStatus {
+    let declined = response.headers().get(DECLINED).is_some_and(|value| value == "1");
+    match response.status() {
+        StatusCode::OK => AttemptStatus::Ok,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => AttemptStatus::QueueFull,
+        _ => AttemptStatus::Failed,
+    }
+}
+
+fn cache_result(headers: &HeaderMap) -> Option<CacheResult> {
+    match text(headers, &CACHE)? {
+        "hit" => Some(CacheResult::Hit),
+        "miss" => Some(CacheResult::Miss),
+        "pending" => Some(CacheResult::MissFetchPending),
+        _ => None,
+    }
+}
+
+fn load_report(headers: &HeaderMap) -> LoadReport {
+    text(headers, &LOAD).map_or_else(LoadReport::default, |text| read_load(text, '='))
+}
+
+fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+    headers.get(name).and_then(|value| value.to_str().ok())
+}
