--- a/crates/cache-balancer/tests/aggregate.rs
+++ b/crates/cache-balancer/tests/aggregate.rs
@@ -1,14 +1,13 @@
-//! What several nodes did together, counted from their logs.
+//! `cache-balancer aggregate`: what several nodes did together, counted from their logs.
 
 mod common;
 
 use common::*;
 use serde_json::Value;
 use std::net::TcpListener;
-use std::process::Command;
 
-/// What `cache-balancer aggregate` says of these logs in one row, its exit code, and what it complained of.
-fn counted(logs: &[&str]) -> (Value, i32, String) {
+/// The one row into which these logs are aggregated, the exit code and the complaints.
+fn aggregated(logs: &[&str]) -> (Value, i32, String) {
     let folder = Folder::new();
     let mut command = command();
     command.args(["aggregate", "--json", "--every", "86400"]);
@@ -18,13 +17,13 @@
     let output = ended(command);
     let rows = String::from_utf8(output.stdout).unwrap();
     let rows: Vec<Value> = rows.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
-    assert!(rows.len() <= 1, "a play over midnight: {rows:?}");
+    assert!(rows.len() <= 1, "a run over midnight: {rows:?}");
     let row = rows.first().map_or(Value::Null, |row| row["row"].clone());
     (row, output.status.code().unwrap(), String::from_utf8(output.stderr).unwrap())
 }
 
 #[test]
-fn three_nodes_logs_tell_together_who_was_served_and_who_met_nobody() {
+fn the_logs_of_three_nodes_give_the_requests_and_attempts_of_all() {
     let good = CacheServer::serving("value");
     let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let discovery = Discovery::start(&[good.entry("s-1", "ready"), host("s-2", nobody, "ready")]);
@@ -41,7 +40,7 @@
         }
     }
     discovery.tell(false, &[host("s-2", nobody, "gone")]);
-    wait_for("all to be told", || {
+    wait_for("all nodes to be notified", || {
         discovery.asked.lock().unwrap().iter().filter(|path| path.contains("after=2&")).count() == 3
     });
     assert!(nodes.iter().all(|node| node.read("read", 1).status() == 200));
@@ -51,28 +50,28 @@
         assert!(node.exit().success());
     }
     let text = |log: &std::sync::Mutex<Vec<String>>| log.lock().unwrap().join("\n") + "\n";
-    // Each read's line comes after its node's end at the latest.
-    let served = |log: &std::sync::Mutex<Vec<String>>| counted(&[&text(log)]).0["served"].as_u64();
+    // The line of the last second is written when the node ends.
+    let served = |log: &std::sync::Mutex<Vec<String>>| aggregated(&[&text(log)]).0["served"].as_u64();
     logs.iter().for_each(|log| wait_for("a node's last line", || served(log) == Some(21)));
     let texts: Vec<_> = logs.iter().map(|log| text(log)).collect();
-    let (row, code, complaints) = counted(&texts.iter().map(String::as_str).collect::<Vec<_>>());
+    let (row, code, complaints) = aggregated(&texts.iter().map(String::as_str).collect::<Vec<_>>());
     assert_eq!((code, complaints.as_str()), (0, ""));
     let of = |name: &str| row[name].as_u64().unwrap();
     assert_eq!((of("nodes"), of("served"), of("refused"), of("failed")), (3, 63, 0, 0));
     assert_eq!(good.count(), 63);
-    assert!(of("connect") >= 3, "each met the one that is not there: {row}");
+    assert!(of("connect") >= 3, "each met the server that is not there: {row}");
     assert_eq!(of("repeats"), of("connect"), "{row}");
     assert!(of("trips") >= 3, "{row}");
-    // Of one row all is counted by what was known at its end of each second.
+    // Each attempt is counted under one state of its server.
     let met: u64 = ["well", "cold", "bad", "draining", "gone"].map(of).iter().sum();
     assert_eq!(met, 63 + of("connect"));
 }
 
 #[test]
-fn a_bad_line_is_named_by_file_and_line_and_the_rest_is_counted() {
+fn a_bad_line_is_reported_by_file_and_line_and_the_others_are_aggregated() {
     let log =
         "a word\ntally {\"second\":1}\ntally {\"second\":1,\"node\":\"a\",\"pool\":\"p\",\"served\":2}\n";
-    let (row, code, complaints) = counted(&[log]);
+    let (row, code, complaints) = aggregated(&[log]);
     assert_eq!((row["served"].as_u64(), code), (Some(2), 1));
     assert!(complaints.contains("0.log:2: no tally: missing field `node`"), "{complaints}");
     let mut command = command();
@@ -83,7 +82,7 @@
 }
 
 #[test]
-fn an_operators_node_tallies_where_its_file_says_so() {
+fn a_node_tallies_where_its_operators_file_says_so() {
     let server = CacheServer::serving("value");
     let folder = Folder::new();
     let file = |log: &str| {
@@ -97,7 +96,7 @@
     assert_eq!(node.read("read", 1).status(), 200);
     node.reconfigure(&file("[log]\ntally = true\n"));
     assert_eq!(node.said("tally on"), 1);
-    wait_for("a tally", || {
+    wait_for("a tally line", || {
         assert_eq!(node.read("read", 1).status(), 200);
         node.said("tally {") >= 1
     });
@@ -106,10 +105,7 @@
 /// Operators' scripts of version 0.2 call `count`; a name that is gone would stop them at their next run.
 #[test]
 fn the_former_command_name_is_accepted() {
-    let run = |name: &str| {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_cache-balancer"));
-        command.args([name, "no-such.log"]).output().unwrap()
-    };
+    let run = |name| run_program(&[name, "no-such.log"]);
     let (former, present) = (run("count"), run("aggregate"));
     assert_eq!((former.status.code(), former.stderr), (present.status.code(), present.stderr));
 }
--- a/crates/cache-balancer/tests/answers.rs
+++ b/crates/cache-balancer/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What comes of a cache server's answers and kept connections at odd moments.
+//! Responses of cache servers that break off, and bytes on idle connections.
 
 mod common;
 
@@ -10,8 +10,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// A server that hands each request, with its number, and the connection it came on to `does`; whether that goes on is its
-/// answer. With what it was asked, and a gate that opens once it has ended a connection.
+/// A server that passes each request's number, from 1, and its connection to `does`, which returns whether the connection stays
+/// open. Returns its address, the ids of the requests, and a gate that opens once it has ended a connection.
 fn scripted(
     does: impl Fn(usize, &mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<Mutex<Vec<String>>>, Gate) {
@@ -56,8 +56,8 @@
     false
 }
 
-/// The status, the body and how many attempts a request of this class comes to at two servers that do the same.
-fn comes_to(class: &str, does: fn(usize, &mut TcpStream) -> bool) -> (u16, String, usize) {
+/// The status, the body and the number of attempts of a request of this class, with two servers that do the same.
+fn outcome(class: &str, does: fn(usize, &mut TcpStream) -> bool) -> (u16, String, usize) {
     let servers = [scripted(does), scripted(does)];
     let [one, two] = servers.each_ref().map(|(address, ..)| *address);
     let discovery = Discovery::start(&[host("s-1", one, "ready"), host("s-2", two, "ready")]);
@@ -67,43 +67,46 @@
     (answer.status(), String::from_utf8(answer.body).unwrap(), attempts)
 }
 
-// Guards against half an answer that is taken for a whole one: with no length only an end is an end, and a reset is none.
+/// A response without a length is whole when its connection closes. A reset is no such close: taken for one, half a response was
+/// passed on as a whole one.
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection_and_not_with_a_reset() {
+fn a_response_without_a_length_ends_with_its_connection_and_not_with_a_reset() {
     let whole = |_: usize, stream: &mut TcpStream| {
         write(stream, "HTTP/1.1 200 OK\r\n\r\nvalue");
         false
     };
-    assert_eq!(comes_to("read", whole), (200, "value".into(), 1));
+    assert_eq!(outcome("read", whole), (200, "value".into(), 1));
     let broken = |_: usize, stream: &mut TcpStream| {
         write(stream, "HTTP/1.1 200 OK\r\n\r\nval");
         reset(stream)
     };
-    let (status, body, attempts) = comes_to("read", broken);
+    let (status, body, attempts) = outcome("read", broken);
     assert_eq!((status == 200, body.contains("val"), attempts), (false, false, 2));
-    // It has run.
-    let (status, body, attempts) = comes_to("once", broken);
+    // An unsafe request has run, and is not retried.
+    let (status, body, attempts) = outcome("once", broken);
     assert_eq!((status, body.contains("val"), attempts), (502, false, 1));
 }
 
-// Guards against an attempt that ends with its request's time because its answer never does, and against half a line.
+/// The request has run by the time at which its server begins to respond. An attempt that counts as not sent here is retried,
+/// and an unsafe request runs twice; one that is not seen to end waits until its request's deadline.
 #[test]
-fn an_answer_that_breaks_off_in_its_first_line_is_an_attempt_that_may_have_run() {
+fn a_response_that_breaks_off_in_its_head_is_an_attempt_that_may_have_run() {
     let halves: [fn(usize, &mut TcpStream) -> bool; 3] = [
         |_, stream| close_after(stream, "H"),
         |_, stream| close_after(stream, "HTTP/1.1 2"),
         |_, stream| write(stream, "HTTP/1.1 200 OK\r\nContent-Le") && reset(stream),
     ];
     for half in halves {
-        let (status, _, attempts) = comes_to("once", half);
+        let (status, _, attempts) = outcome("once", half);
         assert_eq!((status, attempts), (502, 1));
     }
 }
 
-// Guards against what a server writes to a connection that rests: half a line, a second answer, noise, then perhaps a close.
-// The next request must neither be answered by it nor be lost to it.
+/// A server writes to an idle connection: half a line, a second response, noise, then perhaps a close or a reset. The next request
+/// must neither get these bytes as its response nor fail because of them. A request that is written without a look at the
+/// socket brings both back.
 #[test]
-fn what_comes_on_a_resting_connection_ends_that_and_costs_no_request() {
+fn bytes_on_an_idle_connection_end_it_and_cost_no_request() {
     type Then = fn(&mut TcpStream) -> bool;
     let cases: [Then; 5] = [
         |stream| write(stream, "HTTP/1.1 2"),
@@ -113,7 +116,7 @@
         |stream| reset(stream),
     ];
     for (case, then) in cases.into_iter().enumerate() {
-        // The rest is said once the answer has been taken: the connection rests then.
+        // The bytes come once the response has been read: the connection is idle then.
         let gate = Gate::default();
         let said = Gate::default();
         let (held, done) = (gate.clone(), said.clone());
--- a/crates/cache-balancer/tests/clients.rs
+++ b/crates/cache-balancer/tests/clients.rs
@@ -1,15 +1,14 @@
-//! The node's clients' side, on loopback sockets.
+//! The node towards its clients, on loopback sockets.
 
 mod common;
 
 use common::*;
 use serde_json::json;
 use std::sync::atomic::Ordering;
-use std::sync::{Arc, Condvar, Mutex};
 
-// Guards against rewriting what only the client and the cache server may read.
+/// Only the client and the cache server may interpret path, body and idempotency key.
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
+fn a_request_and_its_response_are_forwarded_unchanged() {
     let server =
         CacheServer::start(|_| Does::Answer(answer("200 OK", "Srv-Load: queue=2\r\n", "the\r\n\r\nvalue")));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
@@ -32,9 +31,9 @@
     assert!(asked[0].body == body.as_bytes());
 }
 
-// Guards against bad input that takes the node down or reaches a cache server.
+/// Input that is not checked here ends the node, or is the cache server's to deal with.
 #[test]
-fn bad_input_is_answered_with_its_status_and_reaches_no_cache_server() {
+fn an_invalid_request_gets_its_status_and_reaches_no_cache_server() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -71,7 +70,7 @@
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-// Guards against taking clients before there is a server to send to.
+/// A node that is ready without a server to send to gets clients, and rejects all of them.
 #[test]
 fn a_node_is_ready_once_it_knows_a_ready_server() {
     let server = CacheServer::serving("value");
@@ -88,16 +87,16 @@
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-// Guards against keeping back a request that is given up, and against no word of when to come again.
+/// A rejection that is held back until the deadline, or that does not say when to retry, has clients retry at a bad time.
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_come_back() {
+fn a_rejection_comes_at_once_and_has_a_retry_after() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     discovery.tell(false, &[server.entry("s-1", "draining")]);
     discovery.wait_until_told(2);
     let mut client = node.client();
-    // The client would wait for an hour: an answer at all is one that was not held until its time was up.
+    // The client would wait for an hour: any response was not held until its deadline.
     let refused = client.ask(&read("read", 1, 3_600_000));
     assert_eq!(refused.status(), 503);
     let after: f64 = refused.header("retry-after").expect("Retry-After").parse().unwrap();
@@ -105,7 +104,8 @@
     assert_eq!(server.count(), 0);
 }
 
-// Guards against a request that is lost in the silence of its cache server, and against a second answer.
+/// A server that never responds must cost its request one failure, in time, and nothing of the next request: neither its
+/// connection nor its response.
 #[test]
 fn a_silent_server_ends_in_one_failure_before_the_client_gives_up() {
     let server = CacheServer::start(|asked| match asked.header("req-id") {
@@ -117,50 +117,35 @@
     let mut client = node.client();
     let failed = client.ask(&read("read", 1, 300));
     assert!(failed.status() >= 400, "{failed:?}");
-    // The same connection goes on, and what it answers belongs to the next request.
+    // The same connection stays open, and its next response belongs to the next request.
     assert_eq!(client.ask(&read("read", 2, 20_000)).body, b"value");
-    // The attempt was given up: its connection is closed.
-    wait_for("the given-up connection's end", || server.closed.load(Ordering::SeqCst) == 1);
+    // The attempt was cancelled: its connection is closed.
+    wait_for("the cancelled attempt's connection to close", || server.closed.load(Ordering::SeqCst) == 1);
 }
 
-// Guards against clients that hold idle connections and keep all others out of a full table.
+/// Clients held idle connections, and all others were kept out of a full table.
 #[test]
-fn idle_connections_give_way_when_the_table_is_full() {
-    let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let mut small = config(discovery.address);
-    small["limits"]["sockets"] = json!(40);
-    let node = Node::ready(&small);
+fn idle_connections_are_evicted_when_the_table_is_full() {
+    let (server, _discovery, node) = small_node(40);
     let mut clients: Vec<_> = (0..30).map(|_| node.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
         let text = read("read", i as u64, 20_000);
-        // One that was closed before it was used: a client opens another and sends once more.
+        // One that was closed before it was used: a client opens another and sends again.
         let mut answered = client.try_ask(&text);
         if answered.is_none() {
             *client = node.client();
             answered = client.try_ask(&text);
         }
-        assert_eq!(answered.expect("an answer").status(), 200, "client {i}");
+        assert_eq!(answered.expect("a response").status(), 200, "client {i}");
     }
     assert_eq!(server.count(), 30);
 }
 
-// Guards against work for a client that has gone: what its attempt comes to must not be tried again.
+/// An attempt breaks after its client has disconnected. A retry would be work for nobody.
 #[test]
-fn nothing_more_is_sent_for_a_client_that_left() {
-    let gate = Arc::new((Mutex::new(false), Condvar::new()));
-    let server = || {
-        let held = gate.clone();
-        CacheServer::start(move |asked| {
-            if asked.header("req-id") != Some("1") {
-                return Does::Answer(answer("200 OK", "", "value"));
-            }
-            let open = held.0.lock().unwrap();
-            drop(held.1.wait_timeout_while(open, PATIENCE, |open| !*open).unwrap());
-            Does::Close(String::new())
-        })
-    };
-    let (one, two) = (server(), server());
+fn no_attempt_is_made_for_a_client_that_disconnected() {
+    let gate = Gate::default();
+    let [one, two] = [(); 2].map(|()| CacheServer::breaking_the_first(&gate));
     let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
@@ -168,23 +153,22 @@
     wait_for("the attempt", || one.count() + two.count() == 1);
     client.leave();
     assert_eq!(client.answer(), None);
-    *gate.0.lock().unwrap() = true;
-    gate.1.notify_all();
+    gate.open();
     for key in 2..12 {
         assert_eq!(node.read("read", key).status(), 200);
     }
     assert_eq!(one.count() + two.count(), 11);
 }
 
-/// A read with these headers beside its own, and this behind its head.
+/// A read with these header lines besides its own, and with this behind its head.
 fn odd(key: u64, headers: &str, rest: &str) -> String {
     read("read", key, 20_000).replace("\r\n\r\n", &format!("\r\n{headers}\r\n{rest}"))
 }
 
-// Guards against a request that hides in another's body, and against a connection that goes on after one that
-// could not be read for certain.
+/// A request can hide in the body of another if the node and a parser before it read its length in different ways. A connection
+/// that stays open after such a request would read the hidden one as the next.
 #[test]
-fn a_request_of_doubtful_framing_is_turned_away_and_its_connection_closed() {
+fn a_request_of_doubtful_framing_is_rejected_and_its_connection_closed() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -212,16 +196,10 @@
     assert_eq!(server.count(), 0);
 }
 
-// Guards against a second copy of a request that another client asks for under the same id.
+/// Forwarded, a second request of the same id passes for a copy of the first, and gets its response.
 #[test]
-fn an_id_that_is_open_already_is_turned_away_and_free_again_afterwards() {
-    let gate = Arc::new((Mutex::new(false), Condvar::new()));
-    let held = gate.clone();
-    let server = CacheServer::start(move |_| {
-        let open = held.0.lock().unwrap();
-        drop(held.1.wait_timeout_while(open, PATIENCE, |open| !*open).unwrap());
-        Does::Answer(answer("200 OK", "", "value"))
-    });
+fn an_id_in_flight_is_rejected_and_free_again_afterwards() {
+    let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut first = node.client();
@@ -229,16 +207,15 @@
     wait_for("the attempt", || server.count() == 1);
     let answered = node.read("read", 1);
     assert!((400..500).contains(&answered.status()), "{}", answered.status());
-    *gate.0.lock().unwrap() = true;
-    gate.1.notify_all();
-    assert_eq!(first.answer().expect("an answer").status(), 200);
+    gate.open();
+    assert_eq!(first.answer().expect("a response").status(), 200);
     assert_eq!(node.read("read", 1).status(), 200);
     assert_eq!(server.count(), 2);
 }
 
-// Guards against clients that keep a place in the table with nothing, half a head or half a body.
+/// Clients that send nothing, half a head or half a body hold a connection each for as long as they like.
 #[test]
-fn what_does_not_come_whole_is_closed_within_its_time() {
+fn an_incomplete_request_is_closed_within_its_time() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -256,15 +233,11 @@
     assert_eq!(server.count(), 0);
 }
 
-// Guards against a silent flood that pushes the usual clients out of a full table, or a new one that is closed
-// before its first request.
+/// A flood of connections that send nothing fills the table. Usual clients must keep theirs, and a new one must be accepted and
+/// not be evicted before its first request.
 #[test]
-fn a_silent_flood_gives_way_before_the_usual_clients() {
-    let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let mut small = config(discovery.address);
-    small["limits"]["sockets"] = json!(40);
-    let node = Node::ready(&small);
+fn a_silent_flood_is_evicted_before_the_usual_clients() {
+    let (server, _discovery, node) = small_node(40);
     let mut usual = node.client();
     assert_eq!(usual.ask(&read("read", 1, 20_000)).status(), 200);
     let _flood: Vec<_> = (0..24).map(|_| node.client()).collect();
@@ -274,18 +247,8 @@
     assert_eq!(server.count(), 3);
 }
 
-/// A node for so many descriptors in front of one server that serves everything.
-fn small_node(sockets: usize) -> (CacheServer, Discovery, Node) {
-    let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let mut small = config(discovery.address);
-    small["limits"]["sockets"] = json!(sockets);
-    let node = Node::ready(&small);
-    (server, discovery, node)
-}
-
-/// Clients that come one after the other, ask once and keep their connection until the node closes it: the
-/// most connections that they held together. Each must be served.
+/// The largest number of connections that clients held together which came one after the other, sent one request and kept their
+/// connection until the node closed it. Each must be served.
 fn most_held(node: &Node, clients: u64) -> usize {
     let (mut held, mut most) = (Vec::new(), 0);
     for key in 0..clients {
@@ -301,29 +264,29 @@
     most
 }
 
-// Guards against clients that ask once and never close: a platform gives its clients a third of a node's
-// descriptors, and once all of these are held by such clients the next one is shut out.
+/// A platform gives its clients a third of a node's descriptors. Clients that send one request and never close held all of these,
+/// and the next one was shut out.
 #[test]
-fn the_next_client_finds_a_place_although_all_earlier_ones_hold_their_connections() {
+fn clients_that_never_close_keep_no_further_client_out() {
     let (server, _discovery, node) = small_node(96);
     let most = most_held(&node, 200);
-    assert!((8..=16).contains(&most), "{most} of 32 places held by clients that don't use them");
+    assert!((8..=16).contains(&most), "{most} of 32 connections held by clients that don't use them");
     assert_eq!(server.count(), 200);
 }
 
-// The same with a flood of connections that say nothing, which holds what is left of the table.
+/// The same with a flood of connections that send nothing, which holds what is left of the table.
 #[test]
-fn the_next_client_finds_a_place_beside_a_silent_flood_too() {
+fn clients_that_never_close_and_a_silent_flood_keep_no_client_out() {
     let (server, _discovery, node) = small_node(96);
     let _flood: Vec<_> = (0..100).map(|_| node.client()).collect();
     let most = most_held(&node, 100);
-    assert!(most <= 16, "{most} of 32 places held by clients that don't use them");
+    assert!(most <= 16, "{most} of 32 connections held by clients that don't use them");
     assert_eq!(server.count(), 100);
 }
 
-// Guards against a close where a client would go on: on a calm day connections are kept.
+/// While connections are few, a client must not pay for a new one.
 #[test]
-fn a_client_that_goes_on_keeps_its_connection() {
+fn a_client_that_sends_on_keeps_its_connection() {
     let (server, _discovery, node) = small_node(96);
     let mut clients: Vec<_> = (0..8).map(|_| node.client()).collect();
     for round in 0..20 {
@@ -335,22 +298,17 @@
     assert_eq!(server.count(), 160);
 }
 
-// Guards against a request that is lost with the connection that the answer before it closes.
+/// A pipelined request has been accepted. It was lost with the connection that the response before it closed.
 #[test]
-fn a_request_that_was_sent_ahead_is_answered_before_its_connection_closes() {
+fn a_pipelined_request_is_served_before_its_connection_closes() {
     let (server, _discovery, node) = small_node(40);
     let mut idle: Vec<_> = (0..4).map(|_| node.client()).collect();
     for (key, client) in idle.iter_mut().enumerate() {
         assert_eq!(client.ask(&read("read", key as u64, 20_000)).header("connection"), None);
     }
     let mut client = node.client();
-    let put = |key| {
-        read("keyed", key, 20_000)
-            .replace("GET", "PUT")
-            .replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\nContent-Length: 3\r\n\r\nnew")
-    };
-    client.send(&(put(10) + &read("read", 11, 20_000) + &put(12)));
-    let answers: Vec<_> = (0..3).map(|_| client.answer().expect("an answer")).collect();
+    client.send(&(put(10, 20_000) + &read("read", 11, 20_000) + &put(12, 20_000)));
+    let answers: Vec<_> = (0..3).map(|_| client.answer().expect("a response")).collect();
     assert_eq!(answers.iter().map(Message::status).collect::<Vec<_>>(), [200; 3]);
     let closes: Vec<_> = answers.iter().map(|answer| answer.header("connection")).collect();
     assert_eq!(closes, [None, None, Some("close")]);
@@ -358,14 +316,14 @@
     assert_eq!(server.count(), 7);
 }
 
-// Guards against a reset that overtakes an answer: closed with a body half read, a connection is reset.
+/// A connection that is closed with half a body unread is reset, and the reset can overtake the response.
 #[test]
-fn a_client_that_is_still_sending_when_its_answer_comes_is_not_reset() {
+fn a_client_that_is_still_sending_at_its_response_is_not_reset() {
     let (server, _discovery, node) = small_node(96);
     let mut client = node.client();
     let length = 128 << 10;
     client.send(&odd(1, &format!("Content-Length: {length}\r\n"), "").replace("GET", "PUT"));
-    assert_eq!(client.answer().expect("an answer").status(), 413);
+    assert_eq!(client.answer().expect("a response").status(), 413);
     assert_eq!(client.answer(), None);
     for _ in 0..16 {
         client.send(&"v".repeat(length / 16));
@@ -375,11 +333,11 @@
     assert_eq!(server.count(), 0);
 }
 
-// Guards against connections that nobody uses and that hold all idle places against those who come later.
+/// Connections that nobody uses held all idle connections that are kept, against those of later clients.
 #[test]
-fn the_longest_idle_connection_makes_way_for_one_just_used() {
+fn the_longest_idle_connection_is_closed_for_one_just_used() {
     let (_server, _discovery, node) = small_node(42);
-    // Nine places: four may lie idle, beside a request under way or not.
+    // Nine connections: four may be idle, beside a request in flight or not.
     let mut keys = 0..;
     let mut ask = |client: &mut Client| {
         let answered = client.ask(&read("read", keys.next().unwrap(), 20_000));
@@ -387,8 +345,8 @@
     };
     let mut idle: Vec<_> = (0..4).map(|_| node.client()).collect();
     assert!(idle.iter_mut().all(&mut ask));
-    // Until the first of them is unused for long enough, each further one is told to close.
-    wait_for("a place among the idle", || ask(&mut node.client()));
+    // Until the first of them has been idle for long enough, each further one is asked to close.
+    wait_for("a place among the idle connections", || ask(&mut node.client()));
     assert_eq!(idle[0].answer(), None);
-    assert!(idle[1..].iter().all(Client::is_open), "one makes way for one");
+    assert!(idle[1..].iter().all(Client::is_open), "one is closed for one");
 }
--- /dev/null
+++ b/crates/cache-balancer/tests/common/client.rs
@@ -0,0 +1,63 @@
+//! A client on one connection.
+
+use super::http::Message;
+use super::wait::PATIENCE;
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
+
+/// A client's connection.
+pub struct Client(pub BufReader<TcpStream>);
+
+impl From<TcpStream> for Client {
+    fn from(stream: TcpStream) -> Self {
+        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        Self(BufReader::new(stream))
+    }
+}
+
+impl Client {
+    /// A new connection to this address.
+    pub fn to(address: SocketAddr) -> Self {
+        TcpStream::connect(address).unwrap().into()
+    }
+
+    /// Sends a request, or a part of one.
+    pub fn send(&mut self, text: &str) {
+        self.0.get_mut().write_all(text.as_bytes()).unwrap();
+    }
+
+    /// Closes its sending side: the node sees that the client has disconnected.
+    pub fn leave(&self) {
+        self.0.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
+    }
+
+    /// The next response, or `None` if the node closes the connection first.
+    pub fn answer(&mut self) -> Option<Message> {
+        match Message::read(&mut self.0) {
+            Ok(message) => message,
+            Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => None,
+            Err(error) => panic!("no response: {error}"),
+        }
+    }
+
+    /// Whether the node has left the connection open, as far as this end knows.
+    pub fn is_open(&self) -> bool {
+        let stream = self.0.get_ref();
+        stream.set_nonblocking(true).unwrap();
+        let peeked = stream.peek(&mut [0]);
+        stream.set_nonblocking(false).unwrap();
+        peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
+    }
+
+    /// The response to a request, or `None` if the node has closed the connection.
+    pub fn try_ask(&mut self, text: &str) -> Option<Message> {
+        self.0.get_mut().write_all(text.as_bytes()).ok()?;
+        self.answer()
+    }
+
+    /// The response to a request.
+    pub fn ask(&mut self, text: &str) -> Message {
+        self.send(text);
+        self.answer().expect("a response")
+    }
+}
--- /dev/null
+++ b/crates/cache-balancer/tests/common/files.rs
@@ -0,0 +1,52 @@
+//! Files and addresses that belong to one test.
+
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::atomic::{AtomicU32, Ordering};
+
+/// Makes names and addresses of one test process differ.
+static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+
+/// A folder of a test's own, which is removed when this is dropped.
+pub struct Folder(pub std::path::PathBuf);
+
+impl Folder {
+    /// Creates one.
+    pub fn new() -> Self {
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
+        let path = std::env::temp_dir().join(format!("cache-balancer-{}-{number}", std::process::id()));
+        std::fs::create_dir_all(&path).unwrap();
+        Self(path)
+    }
+
+    /// Writes a file in it and returns its path.
+    pub fn write(&self, name: &str, text: &str) -> std::path::PathBuf {
+        let path = self.0.join(name);
+        std::fs::write(&path, text).unwrap();
+        path
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// Writes a configuration file of a test's own and returns its path.
+pub fn write_config(text: &str) -> std::path::PathBuf {
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
+    let path = std::env::temp_dir().join(format!("cache-balancer-{}-{number}.json", std::process::id()));
+    std::fs::write(&path, text).unwrap();
+    path
+}
+
+/// An address on loopback that no other test uses, with a port on which nobody listens.
+///
+/// A port that a listener has found free and released is not safe to use: a process that another test is just starting may
+/// still hold it (its file descriptors are copied, and closed only when the program begins), and on 127.0.0.1 another test's
+/// connection may take it meanwhile.
+pub fn own_address() -> SocketAddr {
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst) % 250;
+    let [.., high, low] = std::process::id().to_be_bytes();
+    (Ipv4Addr::new(127, 2 + number as u8, high, low.max(1)), 7070).into()
+}
--- a/crates/cache-balancer/tests/departures.rs
+++ b/crates/cache-balancer/tests/departures.rs
@@ -1,4 +1,4 @@
-//! Clients that leave, on sockets: no attempt begins for one that has gone, however the node hears of it and wherever the
+//! Clients that disconnect, on sockets: no attempt starts for one that has, however the node learns of it and wherever its
 //! request is just then.
 
 mod common;
@@ -11,13 +11,14 @@
 use std::time::Duration;
 use unreachable::Unreachable;
 
-fn gone(mut client: Client) {
+/// Disconnects a client, and waits until the node has seen it.
+fn disconnect(mut client: Client) {
     client.leave();
-    // The node has seen it once it closes its side.
+    // The node closes its side once it has seen the client's end.
     assert_eq!(client.answer(), None);
 }
 
-/// What comes on this connection before the node closes it, or by the first whole head.
+/// The first head that comes on this connection, or what comes before the node closes it.
 fn first_head(stream: &mut TcpStream) -> String {
     let mut read = Vec::new();
     let mut byte = [0];
@@ -27,38 +28,38 @@
     String::from_utf8(read).unwrap()
 }
 
-// Guards against an attempt that sets out in time and begins when its connection comes up, long after its client left.
+/// An attempt set out in time and started when its connection came up, long after its client had disconnected.
 #[test]
-fn no_attempt_begins_for_a_client_that_left_while_the_connection_was_made() {
+fn no_attempt_starts_for_a_client_that_left_while_it_was_connecting() {
     let server = Unreachable::start();
     let discovery = Discovery::start(&[host("s-1", server.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
     client.send(&read("read", 1, 60_000));
     wait_for("the attempt's connection", || server.connecting() == 1);
-    gone(client);
+    disconnect(client);
     let mut connection = server.admit();
     let mut next = node.client();
     next.send(&read("read", 2, 60_000));
-    // The connection that was made for the one who left carries the next one's request.
+    // The connection that was made for the client that left carries the next one's request.
     assert!(first_head(&mut connection).contains("req-id: 2\r\n"));
 }
 
-// The same with a further attempt: the first one breaks, and its client leaves while the second's connection is made.
+/// The same with a retry: the first attempt breaks, and its client disconnects while the retry's connection is made.
 #[test]
-fn no_further_attempt_begins_for_a_client_that_left_while_its_connection_was_made() {
+fn no_retry_starts_for_a_client_that_left_while_it_was_connecting() {
     let unreachable = Unreachable::start();
     let broken = CacheServer::start(|_| Does::Close(String::new()));
     let discovery =
         Discovery::start(&[broken.entry("s-1", "ready"), host("s-2", unreachable.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
-    // Keys whose own server is the other one get there at once: they leave too, and so does the first that comes by way of
-    // the broken one.
+    // Keys whose own server is the unreachable one get there at once: their clients leave too, and so does that of the first key
+    // that comes by way of the broken one.
     for key in 1.. {
         let mut client = node.client();
         client.send(&read("read", key, 60_000));
         wait_for("the attempt's connection", || unreachable.connecting() as u64 == key);
-        gone(client);
+        disconnect(client);
         if broken.count() > 0 {
             break;
         }
@@ -70,10 +71,10 @@
     assert!(head.is_empty() || head.contains("req-id: ffff\r\n"), "{head}");
 }
 
-// Guards against a client that is not seen to go because of what it sent ahead: bytes of a next request, many of these, or
-// more than the node reads ahead.
+/// A client was not seen to disconnect because of what it had pipelined: bytes of a next request, many requests, or more than
+/// the node keeps. The end of its stream stood behind bytes that nobody read.
 #[test]
-fn a_client_is_seen_to_go_behind_whatever_it_has_sent_ahead() {
+fn a_disconnection_is_seen_behind_whatever_was_pipelined() {
     let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -84,19 +85,19 @@
         client.send(&read("read", key, 60_000));
         wait_for("the attempt", || server.count() == key as usize);
         client.send(ahead);
-        gone(client);
+        disconnect(client);
     }
     gate.open();
-    // Nothing of what they sent ahead has been sent on: the next request is the next one there.
+    // Nothing of what they pipelined has been forwarded: the next request is the next one there.
     assert_eq!(node.read("read", 0xffff).status(), 200);
     let asked = server.asked.lock().unwrap();
     let ids: Vec<_> = asked.iter().map(|message| message.header("req-id").unwrap().to_owned()).collect();
     assert_eq!(ids, ["1", "2", "3", "4", "5", "ffff"]);
 }
 
-// Guards against a client that has the node read without end while its request is under way.
+/// A client had the node read without end while its request was in flight.
 #[test]
-fn a_client_that_sends_ahead_without_end_is_closed_before_its_answer() {
+fn a_client_that_pipelines_without_end_is_closed_before_its_response() {
     let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -112,17 +113,14 @@
     assert_eq!(server.count(), 2);
 }
 
-// A body that breaks off is no request.
+/// Half a body is no request: forwarded, it would write half a value.
 #[test]
-fn a_client_that_leaves_within_a_body_has_asked_nothing() {
+fn a_client_that_leaves_within_a_body_has_no_request_forwarded() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
-    let put = read("keyed", 1, 60_000)
-        .replace("GET", "PUT")
-        .replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\nContent-Length: 30\r\n\r\nnew");
-    client.send(&put);
+    client.send(&put(1, 60_000).replace("Content-Length: 3\r\n", "Content-Length: 30\r\n"));
     client.leave();
     assert_eq!(client.answer().map(|answer| answer.status()), Some(400));
     assert_eq!(client.answer(), None);
@@ -130,21 +128,11 @@
     assert_eq!(server.count(), 1);
 }
 
-// A reset is an end too. It comes before the attempt breaks that would be repeated otherwise.
+/// A reset is a disconnection too. It comes before the attempt breaks, which would be retried otherwise.
 #[test]
-fn a_reset_is_seen_and_nothing_more_is_sent() {
+fn no_attempt_is_made_for_a_client_that_reset_its_connection() {
     let gate = Gate::default();
-    let server = || {
-        let held = gate.clone();
-        CacheServer::start(move |asked| {
-            if asked.header("req-id") != Some("1") {
-                return Does::Answer(answer("200 OK", "", "value"));
-            }
-            held.wait();
-            Does::Close(String::new())
-        })
-    };
-    let (one, two) = (server(), server());
+    let [one, two] = [(); 2].map(|()| CacheServer::breaking_the_first(&gate));
     let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let stream = TcpStream::connect(node.address).unwrap();
@@ -160,30 +148,30 @@
     assert_eq!(one.count() + two.count(), 11);
 }
 
-// Guards against work for a client that came, asked and left before the node accepted it, or read its request.
+/// A client connected, sent its request and disconnected before the node accepted it. Its request was forwarded all the same.
 #[test]
-fn a_client_that_left_before_it_was_accepted_has_nothing_sent_on() {
+fn a_client_that_left_before_it_was_accepted_has_nothing_forwarded() {
     let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut small = config(discovery.address);
     small["limits"]["sockets"] = serde_json::json!(40);
     let node = Node::ready(&small);
-    // Eight places.
+    // Eight connections are accepted.
     let mut holding: Vec<_> = (1..=8).map(|_| node.client()).collect();
     for (key, client) in (1..).zip(&mut holding) {
         client.send(&read("read", key, 60_000));
     }
-    wait_for("an attempt in every place", || server.count() == 8);
+    wait_for("an attempt for every connection", || server.count() == 8);
     for key in 100..103 {
         let mut unaccepted = node.client();
         unaccepted.send(&read("read", key, 60_000));
     }
     gate.open();
     for client in &mut holding {
-        assert_eq!(client.answer().expect("an answer").status(), 200);
+        assert_eq!(client.answer().expect("a response").status(), 200);
     }
     drop(holding);
-    // Those were before it in the machine's queue.
+    // The others were before it in the system's queue.
     assert_eq!(node.read("read", 200).status(), 200);
     assert_eq!(server.count(), 9);
 }
--- a/crates/cache-balancer/tests/descriptors.rs
+++ b/crates/cache-balancer/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! A node whose clients fill its descriptors while discovery is away: what it needs for itself is left.
+//! A node whose clients fill its descriptors while discovery is away keeps what it needs for itself.
 
 mod common;
 
@@ -7,12 +7,13 @@
 use std::net::SocketAddr;
 use std::process::Command;
 
-/// As many as the platform's smallest node has in these tests.
+/// The descriptors of a node in these tests.
 const DESCRIPTORS: usize = 64;
-/// Connections of clients, and to cache servers, that such a node holds.
-const PLACES: usize = (DESCRIPTORS - 24) / 2;
+/// The connections of clients that such a node holds, and those to cache servers.
+const CONNECTIONS: usize = (DESCRIPTORS - 24) / 2;
 
-/// A node that the system lets hold no more than it is told of, with a list and a discovery that is not there yet.
+/// A node that the system lets hold no more descriptors than its configuration says, with an endpoint list and a discovery that
+/// is not there yet.
 fn bounded(discovery: SocketAddr, servers: &[CacheServer]) -> Node {
     let entries = servers.iter().enumerate();
     let entries: Vec<_> = entries.map(|(i, server)| server.entry(&format!("s-1{i}"), "ready")).collect();
@@ -34,11 +35,12 @@
     std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count()
 }
 
-/// Brings discovery back, with a second server, and has the node serve from it.
-fn comes_back(node: &Node, discovery: Discovery, second: &CacheServer, before: usize) {
+/// Waits until the node has the list of `discovery`, moves discovery by a reload to one with a second server, and has the node
+/// serve from that.
+fn move_discovery(node: &Node, discovery: Discovery, second: &CacheServer, before: usize) {
     discovery.wait_until_told(1);
     assert!(descriptors(node) <= DESCRIPTORS);
-    // A new configuration is read beside all that, and moves discovery.
+    // A new configuration is read besides, and moves discovery.
     let moved = Discovery::start(&[second.entry("s-2", "ready")]);
     let text = std::fs::read_to_string(node.config()).unwrap();
     let mut config: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -50,18 +52,18 @@
     assert_eq!(node.read("read", 0xffff).status(), 200);
     assert_eq!(second.count(), before + 1);
     let failed = node.log.lock().unwrap().iter().filter(|line| line.contains("os error 24")).count();
-    assert_eq!(failed, 0, "a descriptor was wanted and there was none");
+    assert_eq!(failed, 0, "a descriptor was needed and there was none");
 }
 
-// Guards against clients that leave no descriptor for the call to discovery, for a new configuration or for a new client.
+/// Clients left no descriptor for the call to discovery, for a new configuration or for a new client.
 #[test]
-fn clients_that_rest_leave_the_node_what_it_needs_when_discovery_comes_back() {
+fn idle_clients_leave_the_node_the_descriptors_that_it_needs() {
     let (first, second) = (CacheServer::serving("value"), CacheServer::serving("value"));
     let away = own_address();
     let node = bounded(away, &[first]);
-    // More than there are places: some wait in the machine's queue. Half of them say nothing, half have asked once.
+    // More than are accepted: some wait in the system's queue. Some have sent one request, the others nothing.
     let mut rest = Vec::new();
-    for key in 1..=PLACES as u64 {
+    for key in 1..=CONNECTIONS as u64 {
         let mut client = node.client();
         assert_eq!(client.ask(&read("read", key, 20_000)).status(), 200);
         rest.push(client);
@@ -69,15 +71,15 @@
         rest.push(node.client());
     }
     let entries = [second.entry("s-2", "ready")];
-    comes_back(&node, Discovery::start_at(away, &entries), &second, 0);
+    move_discovery(&node, Discovery::start_at(away, &entries), &second, 0);
     drop(rest);
 }
 
-// The same where every place is in use on both sides.
+/// The same where every connection is in use on both sides.
 #[test]
-fn requests_that_hold_every_place_leave_the_node_what_it_needs_when_discovery_comes_back() {
+fn requests_in_flight_leave_the_node_the_descriptors_that_it_needs() {
     let gate = Gate::default();
-    // So many that none of them has too much to do.
+    // A number at which none of them is overloaded.
     let servers: Vec<_> = (0..8)
         .map(|_| {
             let held = gate.clone();
@@ -90,24 +92,24 @@
     let second = CacheServer::serving("value");
     let away = own_address();
     let node = bounded(away, &servers);
-    let mut waiting: Vec<_> = (0..3 * PLACES).map(|_| node.client()).collect();
+    let mut waiting: Vec<_> = (0..3 * CONNECTIONS).map(|_| node.client()).collect();
     for (key, client) in (1..).zip(&mut waiting) {
         client.send(&read("read", key, 60_000));
     }
     let asked = || servers.iter().map(CacheServer::count).sum::<usize>();
-    wait_for("an attempt in every place", || asked() >= PLACES);
+    wait_for("an attempt for every connection", || asked() >= CONNECTIONS);
     let discovery = Discovery::start_at(away, &[second.entry("s-2", "ready")]);
     discovery.wait_until_told(1);
     assert!(descriptors(&node) <= DESCRIPTORS);
-    assert_eq!(asked(), PLACES, "the other requests wait in the machine's queue");
+    assert_eq!(asked(), CONNECTIONS, "the other requests wait in the system's queue");
     gate.open();
-    // Those that waited in the queue may be refused: all come at once to the one server that is left.
+    // Those that waited in the queue may be rejected: all come at once to the one server that is left.
     let answers: Vec<_> =
-        waiting.iter_mut().map(|client| client.answer().expect("an answer").status()).collect();
-    assert_eq!(answers[..PLACES], [200; PLACES]);
-    assert!(answers[PLACES..].iter().all(|status| [200, 503].contains(status)), "{answers:?}");
+        waiting.iter_mut().map(|client| client.answer().expect("a response").status()).collect();
+    assert_eq!(answers[..CONNECTIONS], [200; CONNECTIONS]);
+    assert!(answers[CONNECTIONS..].iter().all(|status| [200, 503].contains(status)), "{answers:?}");
     drop(waiting);
-    // What came after discovery went to its server.
+    // Requests after the list went to its server.
     let before = second.count();
-    comes_back(&node, discovery, &second, before);
+    move_discovery(&node, discovery, &second, before);
 }
--- a/crates/cache-balancer/tests/scale.rs
+++ b/crates/cache-balancer/tests/scale.rs
@@ -1,4 +1,4 @@
-//! `cache-balancer scale`, as an operator calls it, at a size that fits into a test.
+//! `cache-balancer scale` as a command, at a size that fits into a test.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader};
@@ -94,12 +94,12 @@
         let status = self.child.wait().unwrap();
         let progress: Vec<String> = progress.join().unwrap();
         assert_eq!(lines.len(), 1, "{status}: {progress:#?}");
-        self.leaves_nothing();
+        self.assert_nothing_left();
         (ScaleReport::parse(&lines[0]).unwrap(), status)
     }
 
     /// Waits until it measures: then all of its processes run.
-    fn measures(&mut self) {
+    fn wait_until_measuring(&mut self) {
         let stderr = self.child.stderr.as_mut().unwrap();
         let begun =
             BufReader::new(stderr).lines().map_while(Result::ok).any(|line| line.starts_with("measuring"));
@@ -111,7 +111,7 @@
     }
 
     /// Waits until none of its processes runs, and looks for files other than the script.
-    fn leaves_nothing(&self) {
+    fn assert_nothing_left(&self) {
         let until = Instant::now() + PATIENCE;
         while !processes_with(&self.mark).is_empty() {
             assert!(Instant::now() < until, "processes run on: {:?}", processes_with(&self.mark));
@@ -135,7 +135,7 @@
     marked.map(|folder| folder.display().to_string()).collect()
 }
 
-/// Changes that the script has after the replica is lost.
+/// The number of changes that the script has after the replica is lost.
 fn changes_after_the_loss(text: &str) -> u64 {
     let script = ScaleScript::parse("test", text).unwrap();
     let steps = plan(&script, &servers_at_start(&script));
@@ -144,8 +144,9 @@
     steps[lost..].iter().filter(|planned| matches!(planned.step, Step::Change { .. })).count() as u64
 }
 
+/// Nodes that know all replicas poll another one: none misses a change.
 #[test]
-fn every_node_acts_on_every_change_though_a_replica_is_lost_in_the_middle_of_them() {
+fn every_node_acts_on_every_change_though_a_replica_is_lost() {
     let text = script(true, "60s");
     let (report, status) = Run::start("on", &text).result();
     let shown = report.text();
@@ -162,8 +163,9 @@
     assert!(report.held() && status.success(), "{shown}");
 }
 
+/// The comparison that shows that the test above can fail.
 #[test]
-fn without_the_mechanism_no_node_acts_on_a_change_after_its_one_machine_is_lost() {
+fn without_the_mechanism_no_node_acts_on_a_change_after_its_replica_is_lost() {
     let text = script(false, "5s");
     let (report, status) = Run::start("off", &text).result();
     let shown = report.text();
@@ -176,22 +178,23 @@
     assert_eq!(status.code(), Some(1), "{shown}");
 }
 
+/// Processes of a run outlived it and took the machine's time from the next one.
 #[test]
-fn a_run_that_is_broken_off_or_killed_leaves_no_process_and_no_file() {
+fn a_run_that_is_interrupted_or_killed_leaves_no_process_and_no_file() {
     for signal in [Signal::INT, Signal::TERM, Signal::KILL] {
         let mut run = Run::start("ended", &script(true, "5s"));
-        run.measures();
+        run.wait_until_measuring();
         // The run, 2 processes of hollow nodes, 3 replicas and 3 real nodes.
         assert_eq!(processes_with(&run.mark).len(), 9);
         run.signal(signal);
         let status = run.child.wait().unwrap();
         assert_eq!(status.code(), (signal != Signal::KILL).then_some(2), "{signal:?}: {status}");
-        run.leaves_nothing();
+        run.assert_nothing_left();
     }
 }
 
 #[test]
-fn a_script_with_a_fault_and_a_run_that_does_not_fit_are_refused_before_anything_starts() {
+fn a_faulty_script_and_a_run_that_does_not_fit_are_refused_at_once() {
     let refused = |arguments: &[&str]| {
         let output =
             Command::new(env!("CARGO_BIN_EXE_cache-balancer")).arg("scale").args(arguments).output().unwrap();
--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -1,4 +1,4 @@
-//! Real nodes of a scale run with the real program: stand-in cache servers and clients round them, judged by the rules.
+//! The real nodes of a scale run with the real program: stand-in cache servers and clients around them, judged by the rules.
 
 mod common;
 
@@ -16,8 +16,8 @@
 const PATIENCE: Duration = Duration::from_secs(120);
 const NODES: u32 = 3;
 const SERVERS: u32 = 40;
-/// Requests that are out at one node at the most.
-const MOST_OUT: u64 = 32;
+/// The largest number of requests that are in flight at one node.
+const MAX_IN_FLIGHT: u64 = 32;
 
 /// A fleet of cache servers, what discovery has of it, and nodes.
 struct Run {
@@ -59,8 +59,8 @@
         Self { listed, discovery, nodes }
     }
 
-    /// Waits until so many more requests were made.
-    async fn more(&self, requests: u64) {
+    /// Waits until this number of further requests were made.
+    async fn wait_for_requests(&self, requests: u64) {
         let (start, enough) = (Instant::now(), self.nodes.asked() + requests);
         while self.nodes.asked() < enough {
             assert!(start.elapsed() < PATIENCE, "waited in vain for {requests} requests");
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Changes entries of the list, and tells the judge and the servers.
+    /// Changes entries of the list, and notifies the judge and the servers.
     fn change(&mut self, places: std::ops::Range<usize>, change: impl Fn(&mut ListedServer)) {
         for place in places {
             change(&mut self.listed[place]);
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Discovery tells what it has.
-    fn tell(&self) {
+    /// Has discovery send the list.
+    fn send_list(&self) {
         self.discovery.tell(true, &entries(&self.listed));
     }
 }
@@ -86,10 +86,11 @@
     move |server| server.health = health.into()
 }
 
-fn accounted(report: &RealReport, asked: u64) {
+/// Each request has one outcome.
+fn assert_accounted(report: &RealReport, asked: u64) {
     let answers = report.served + report.refused + report.failed + report.unanswered;
     assert_eq!(report.requests, answers, "{report:#?}");
-    // What was not taken found no node where it was sent.
+    // A request that was not accepted met no node.
     assert!(report.requests <= asked, "{report:#?}");
     assert!(report.attempts >= report.served, "{report:#?}");
     assert_eq!((report.turned_away, report.nodes.len()), (0, NODES as usize));
@@ -97,54 +98,55 @@
 }
 
 #[tokio::test]
-async fn nodes_keep_the_rules_through_drains_departures_a_cold_return_and_a_kill() {
+async fn nodes_keep_the_rules_through_drains_removals_a_cold_return_and_a_kill() {
     let mut run = Run::start().await;
-    run.more(100).await;
+    run.wait_for_requests(100).await;
     run.change(0..8, health("draining"));
-    run.tell();
+    run.send_list();
     let drained = Instant::now();
-    run.more(100).await;
+    run.wait_for_requests(100).await;
     run.nodes.kill(1).await.unwrap();
-    run.more(50).await;
+    run.wait_for_requests(50).await;
     assert!(matches!(run.nodes.kill(1).await, Err(RealError::NoNode { node: 1, expected: "runs" })));
     assert!(matches!(run.nodes.kill(NODES).await, Err(RealError::NoNode { .. })));
     run.nodes.launch(1).await.unwrap();
     assert!(matches!(run.nodes.launch(1).await, Err(RealError::NoNode { node: 1, expected: "was killed" })));
     run.change(0..4, health("gone"));
-    run.tell();
-    // The judge has an eye on drains from then on.
+    run.send_list();
+    // From then on the judge counts requests to draining servers.
     let term = TOLD_AFTER + DRAIN_GRACE * 2;
     sleep(term.saturating_sub(drained.elapsed())).await;
-    run.more(100).await;
+    run.wait_for_requests(100).await;
     run.change(0..2, |server| {
         server.host += ".1";
         server.health = "ready".into();
         server.born_ms = now_us() / 1_000;
     });
-    run.tell();
-    run.more(100).await;
+    run.send_list();
+    run.wait_for_requests(100).await;
     let asked = run.nodes.asked();
     let usage = run.nodes.usage();
     let names: Vec<_> = usage.iter().map(|node| (node.name.as_str(), node.running)).collect();
     assert_eq!(names, [("real-0", true), ("real-1", true), ("real-2", true)]);
     assert!(usage.iter().all(|node| node.rss_anon > 0), "{usage:?}");
     let report = run.nodes.finish().await;
-    accounted(&report, asked + MOST_OUT * u64::from(NODES));
+    assert_accounted(&report, asked + MAX_IN_FLIGHT * u64::from(NODES));
     assert_eq!(report.rules_broken, RulesBroken::default(), "{report:#?}");
     // Only the killed node may leave requests without an answer.
-    assert!(report.unanswered <= MOST_OUT, "{report:#?}");
+    assert!(report.unanswered <= MAX_IN_FLIGHT, "{report:#?}");
     assert!(report.served > 0 && report.latency.p50_us > 0, "{report:#?}");
     assert!(report.latency.p50_us <= report.latency.p99_us);
 }
 
+/// The judge must see what it is there for.
 #[tokio::test]
-async fn a_drain_that_nodes_are_never_told_of_breaks_the_rule() {
+async fn a_drain_of_which_nodes_are_never_notified_breaks_the_rule() {
     let mut run = Run::start().await;
-    run.more(50).await;
-    // Not told by discovery: nodes go on sending there.
+    run.wait_for_requests(50).await;
+    // Discovery does not send it: nodes go on sending requests there.
     run.change(0..SERVERS as usize / 2, health("draining"));
     sleep(TOLD_AFTER + DRAIN_GRACE * 2).await;
-    run.more(100).await;
+    run.wait_for_requests(100).await;
     let report = run.nodes.finish().await;
     let RulesBroken { lost, repeated_effect, after_drain, cold_server_fell } = report.rules_broken;
     assert!(after_drain > 0, "{report:#?}");
@@ -153,22 +155,22 @@
 }
 
 #[tokio::test]
-async fn an_outage_of_discovery_excuses_what_nodes_could_not_hear() {
+async fn an_outage_of_discovery_excuses_what_nodes_were_not_notified_of() {
     let mut run = Run::start().await;
-    run.more(50).await;
+    run.wait_for_requests(50).await;
     let from = now_us();
     run.change(0..SERVERS as usize / 2, health("draining"));
     sleep(TOLD_AFTER + DRAIN_GRACE * 2).await;
-    run.more(100).await;
+    run.wait_for_requests(100).await;
     let asked = run.nodes.asked();
     run.nodes.discovery_away(from, now_us());
     let report = run.nodes.finish().await;
-    accounted(&report, asked + MOST_OUT * u64::from(NODES));
+    assert_accounted(&report, asked + MAX_IN_FLIGHT * u64::from(NODES));
     assert_eq!(report.rules_broken, RulesBroken::default(), "{report:#?}");
 }
 
 #[tokio::test]
-async fn a_cold_server_that_is_sent_too_much_falls() {
+async fn a_cold_server_that_gets_too_many_requests_is_overloaded() {
     let zones = vec!["a".into()];
     let servers = CacheServers::start(ServerSettings { count: 2, zones }).await.unwrap();
     let listed = servers.servers();
@@ -177,12 +179,12 @@
     costly.iter_mut().for_each(|class| class.work = Duration::from_secs(5));
     let nodes = RealNodes::start(&servers, RealSettings { classes: costly, ..settings(&discovery) });
     let nodes = nodes.await.unwrap();
-    // Nodes are not told that they are cold, and so do not spare them.
+    // Nodes are not notified that they are cold, and so send them as much as others.
     for server in &listed {
         nodes.notify(&ListedServer { born_ms: now_us() / 1_000, ..server.clone() }, now_us()).unwrap();
     }
     let run = Run { listed, discovery, nodes };
-    run.more(100).await;
+    run.wait_for_requests(100).await;
     let report = run.nodes.finish().await;
     let RulesBroken { lost, repeated_effect, after_drain, cold_server_fell } = report.rules_broken;
     assert!((1..=2).contains(&cold_server_fell), "{report:#?}");
@@ -190,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn without_load_nothing_is_asked_and_nothing_is_broken() {
+async fn without_load_no_request_is_made_and_no_rule_is_broken() {
     let zones = vec!["a".into()];
     let servers = CacheServers::start(ServerSettings { count: 2, zones }).await.unwrap();
     let discovery = Discovery::start(&entries(&servers.servers()));
@@ -198,13 +200,13 @@
     let nodes = RealNodes::start(&servers, idle).await.unwrap();
     discovery.wait_until_told(1);
     let report = nodes.finish().await;
-    accounted(&report, 0);
+    assert_accounted(&report, 0);
     assert_eq!((report.attempts, report.held_back, report.rules_broken), (0, 0, RulesBroken::default()));
     assert_eq!((report.latency.p50_us, report.latency.p99_us), (0, 0));
 }
 
 #[tokio::test]
-async fn files_and_processes_go_with_the_nodes() {
+async fn files_and_processes_end_with_the_nodes() {
     let run = Run::start().await;
     let folder = run.nodes.folder().to_owned();
     let files = std::fs::read_dir(&folder).unwrap().count();
@@ -215,7 +217,7 @@
     assert!(processes.iter().all(|id| group(*id) == Some(*id)));
     drop(run);
     assert!(!folder.exists());
-    // Killed and not waited for, they are gone when the runtime has had its turn.
+    // Killed and not waited for, they are gone once the runtime has reaped them.
     let start = Instant::now();
     while processes.iter().any(|id| runs(*id)) {
         assert!(start.elapsed() < PATIENCE, "a node outlives its run");
@@ -229,14 +231,14 @@
     stat.rsplit_once(") ")?.1.split(' ').nth(2)?.parse().ok()
 }
 
-/// Whether a process runs: it is there, and not one that has ended and is not waited for.
+/// Whether a process runs and is no zombie.
 fn runs(process: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat"));
     stat.is_ok_and(|stat| !stat.rsplit_once(") ").is_some_and(|(_, rest)| rest.starts_with('Z')))
 }
 
 #[tokio::test]
-async fn a_node_that_does_not_start_is_an_error_that_says_why() {
+async fn a_node_that_does_not_start_is_an_error_with_its_reason() {
     let zones = vec!["a".into()];
     let servers = CacheServers::start(ServerSettings { count: 1, zones }).await.unwrap();
     let discovery = Discovery::start(&entries(&servers.servers()));
--- a/crates/cache-balancer/tests/servers.rs
+++ b/crates/cache-balancer/tests/servers.rs
@@ -1,4 +1,4 @@
-//! The node's side towards cache servers and discovery, on loopback sockets.
+//! The node towards cache servers and discovery, on loopback sockets.
 
 mod common;
 
@@ -6,37 +6,37 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 
-// Guards against new work to a server that the node was told to leave alone, also on kept connections.
+/// A request on an idle connection reached a server after the node had been notified of its drain.
 #[test]
-fn a_draining_server_gets_nothing_new_and_its_idle_connections_close() {
+fn a_draining_server_gets_no_request_and_its_idle_connections_close() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     assert_eq!(node.read("read", 1).body, b"old");
     discovery.tell(false, &[old.entry("s-1", "draining"), new.entry("s-2", "ready")]);
     discovery.wait_until_told(2);
-    wait_for("the idle connection's end", || old.closed.load(Ordering::SeqCst) == 1);
+    wait_for("the idle connection to close", || old.closed.load(Ordering::SeqCst) == 1);
     for key in 0..20 {
         assert_eq!(node.read("read", key).body, b"new");
     }
     assert_eq!((old.count(), new.count()), (1, 20));
 }
 
-// Guards against work for a server that a whole list lacks: what is not in it is gone.
+/// A snapshot names all servers: one that is not in it is removed.
 #[test]
-fn a_whole_list_without_a_server_ends_work_to_it() {
+fn a_server_that_a_snapshot_lacks_gets_no_request() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     assert_eq!(node.read("read", 1).body, b"old");
     discovery.tell(true, &[new.entry("s-2", "ready")]);
     discovery.wait_until_told(2);
-    wait_for("the idle connection's end", || old.closed.load(Ordering::SeqCst) == 1);
+    wait_for("the idle connection to close", || old.closed.load(Ordering::SeqCst) == 1);
     assert_eq!(node.read("read", 1).body, b"new");
     assert_eq!(old.count(), 1);
 }
 
-// Guards against a request written to a kept connection that its server has closed meanwhile.
+/// A request that is written to an idle connection which its server has closed meanwhile is reset.
 #[test]
 fn a_connection_that_its_server_closed_is_not_used_again() {
     let server = CacheServer::start(|_| Does::Close(answer("200 OK", "", "value")));
@@ -50,7 +50,7 @@
     assert_eq!((server.count(), server.connections.load(Ordering::SeqCst)), (10, 10));
 }
 
-// Guards against a new connection, and its handshake, for each request.
+/// A new connection for each request costs a handshake each time.
 #[test]
 fn a_connection_is_kept_for_the_next_request() {
     let server = CacheServer::serving("value");
@@ -62,7 +62,8 @@
     assert_eq!((server.count(), server.connections.load(Ordering::SeqCst)), (10, 1));
 }
 
-/// Two servers, of which the first to be asked does as told and the other one serves.
+/// The status and the number of attempts of a request of this class, where the first attempt meets `does` and all others are
+/// served.
 fn after_one(does: fn() -> Does, class: &str) -> (u16, usize) {
     let asked = Arc::new(AtomicU32::new(0));
     let server = || {
@@ -79,9 +80,9 @@
     (status, one.count() + two.count())
 }
 
-// Guards against an outcome that is read wrong: what may have run must not run twice, what never ran may.
+/// A result that is read wrong has a request run twice, or fail though it never ran.
 #[test]
-fn an_unsafe_request_is_sent_again_only_after_an_end_that_proves_it_never_ran() {
+fn an_unsafe_request_is_retried_only_after_a_result_that_proves_it_never_ran() {
     let declined = || Does::Answer(answer("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
     assert_eq!(after_one(declined, "once"), (200, 2));
     let over = || Does::Answer(answer("504 Gateway Timeout", "Srv-Declined: 1\r\n", ""));
@@ -99,16 +100,16 @@
     }
 }
 
-// Guards against half an answer passed on as a whole one.
+/// Half a response must not be passed on as a whole one.
 #[test]
-fn a_safe_request_is_served_whole_after_an_answer_that_broke_off() {
+fn an_idempotent_request_is_retried_after_a_response_that_broke_off() {
     let half = || Does::Close("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned());
     assert_eq!(after_one(half, "read"), (200, 2));
 }
 
-// Guards against a refused connection that is taken for a request that may have run.
+/// A refused connection proves that the request never ran.
 #[test]
-fn an_unsafe_request_goes_on_after_a_refused_connection() {
+fn an_unsafe_request_is_retried_after_a_refused_connection() {
     let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[host("s-1", closed, "ready"), server.entry("s-2", "ready")]);
@@ -119,9 +120,9 @@
     assert_eq!(server.count(), 6);
 }
 
-// Guards against a list that cannot be read: the node goes on with what it has, and asks again.
+/// A list that cannot be read leaves the node with the one it has, at its version, and it polls again.
 #[test]
-fn a_broken_list_is_a_failed_call_and_the_watch_comes_back() {
+fn a_broken_list_is_a_failed_call_and_the_watch_goes_on() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -130,7 +131,7 @@
     discovery.tell_text("{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":".to_owned());
     wait_for("another call", || discovery.calls() > calls);
     assert_eq!(node.read("read", 1).status(), 200);
-    // The version held has not moved.
+    // The version that the node has is the same.
     assert!(discovery.asked.lock().unwrap()[calls..].iter().all(|path| path.contains("after=1&")));
     let new = CacheServer::serving("new");
     discovery.tell(true, &[new.entry("s-2", "ready")]);
@@ -138,9 +139,9 @@
     assert_eq!(node.read("read", 1).body, b"new");
 }
 
-// Guards against what a server sends behind an answer being read as the answer to the next request.
+/// A server that sends a second response behind the first gave it to the next client.
 #[test]
-fn what_follows_an_answer_is_never_the_next_ones() {
+fn bytes_behind_a_response_are_never_the_response_to_the_next_request() {
     let server = CacheServer::start(|asked| {
         let own = answer("200 OK", "", asked.header("req-id").unwrap());
         let extra = answer("200 OK", "", "a copy");
@@ -156,16 +157,16 @@
     assert_eq!(server.count(), 199);
 }
 
-// Guards against waiting for an answer that is said to be larger than any may be: the time is the repeat's.
+/// The time that is spent waiting for it is the retry's.
 #[test]
-fn an_answer_of_a_stated_length_over_the_limit_ends_its_attempt_at_once() {
+fn a_response_of_an_announced_length_over_the_limit_ends_its_attempt_at_once() {
     let huge = || Does::Answer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome".to_owned());
     assert_eq!(after_one(huge, "read"), (200, 2));
 }
 
-// Guards against a head without end that fills memory, and against taking a 1xx answer for the final one.
+/// A head without end fills the memory; a 1xx response is not the final one.
 #[test]
-fn an_endless_head_fails_its_attempt_and_interim_answers_are_passed_over() {
+fn an_endless_head_fails_its_attempt_and_interim_responses_are_skipped() {
     let endless = || Does::Answer(format!("HTTP/1.1 200 OK\r\n{}", "X-Noise: noise\r\n".repeat(2_000)));
     assert_eq!(after_one(endless, "read"), (200, 2));
     let switched = || Does::Answer("HTTP/1.1 101 Switching Protocols\r\n\r\n".to_owned());
@@ -177,10 +178,10 @@
     assert_eq!(after_one(interim, "read"), (200, 1));
 }
 
-// Guards against one class that a server turns away (a release that does not know it, say) costing that server
-// the keys of all classes: they would be missed elsewhere, and the misses of a whole fleet drown the origin.
+/// A server rejects one class (a release that does not know it, say). It lost the keys of all classes, these were missed elsewhere,
+/// and the misses of a whole fleet overload the origin.
 #[test]
-fn a_class_that_a_server_turns_away_leaves_its_other_keys_there() {
+fn a_class_that_a_server_rejects_leaves_the_keys_of_others_there() {
     let picky = CacheServer::start(|asked| match asked.header("idempotency-key") {
         Some(_) => {
             Does::Answer(answer("503 Service Unavailable", "Srv-Declined: 1\r\nSrv-Load: waiting=0\r\n", ""))
@@ -206,9 +207,9 @@
     }
 }
 
-/// Asks for these keys at once. The servers hold what reaches them until each request has reached one or has its
-/// answer; returns how many came that far, and all answers.
-fn at_once(node: &Node, gate: &Gate, keys: std::ops::Range<u64>) -> (usize, Vec<Message>) {
+/// Reads these keys at once. The servers hold the requests that reach them until each has reached one or has its response.
+/// Returns the number that reached one, and all responses.
+fn at_once(node: &Node, gate: &HoldingGate, keys: std::ops::Range<u64>) -> (usize, Vec<Message>) {
     gate.hold(true);
     let before = gate.reached.load(Ordering::SeqCst);
     let (sender, answers) = std::sync::mpsc::channel();
@@ -218,27 +219,27 @@
     }
     let mut got = Vec::new();
     let mut reached = 0;
-    wait_for("each request at a server or answered", || {
+    wait_for("each request to reach a server or to have its response", || {
         got.extend(answers.try_iter());
         reached = gate.reached.load(Ordering::SeqCst) - before;
         got.len() + reached == keys.clone().count()
     });
     gate.hold(false);
     while got.len() < keys.clone().count() {
-        got.push(answers.recv_timeout(PATIENCE).expect("an answer"));
+        got.push(answers.recv_timeout(PATIENCE).expect("a response"));
     }
     (reached, got)
 }
 
-/// What the servers of a test wait for before they answer.
+/// Holds the responses of servers back while it is closed, and counts the requests that reach it.
 #[derive(Default)]
-struct Gate {
+struct HoldingGate {
     held: Mutex<bool>,
     opened: Condvar,
     reached: AtomicUsize,
 }
 
-impl Gate {
+impl HoldingGate {
     fn hold(&self, held: bool) {
         *self.held.lock().unwrap() = held;
         self.opened.notify_all();
@@ -251,15 +252,15 @@
     }
 }
 
-// Guards against a day that stays down: an origin with too much to do fails the misses, their clients and the
-// node ask for the same again, and the servers never get to hold what they are asked for.
+/// An overloaded origin failed the misses, clients and node retried them, and the servers never got to cache what they were
+/// asked for: the overload did not end.
 #[test]
-fn likely_misses_are_limited_while_their_fetches_fail_and_hits_go_on() {
-    let gate = Arc::new(Gate::default());
+fn probable_misses_are_limited_while_fetches_fail_and_hits_go_on() {
+    let gate = Arc::new(HoldingGate::default());
     let down = Arc::new(AtomicBool::new(false));
     let server = || {
         let (gate, down) = (gate.clone(), down.clone());
-        // Keys under 1000 it holds, all others it has to fetch.
+        // Keys under 1000 are cached, all others must be fetched.
         CacheServer::start(move |asked| {
             let key = asked.header("req-id").and_then(|id| u64::from_str_radix(id, 16).ok());
             if key.is_some_and(|key| key < 1000) {
@@ -279,13 +280,13 @@
     (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"held"));
     let mut keys = (1..).map(|round| round * 1000..round * 1000 + 20);
     let mut ask = || at_once(&node, &gate, keys.next().unwrap());
-    // In good times none is held back.
+    // While fetches succeed none is limited.
     assert_eq!(ask().0, 20);
     down.store(true, Ordering::SeqCst);
     wait_for("a limit", || ask().0 <= 3);
     let (_, answers) = ask();
-    let refused = answers.iter().filter(|answer| answer.status() == 503).collect::<Vec<_>>();
-    assert!(refused.len() >= 17 && refused.iter().all(|answer| answer.header("retry-after").is_some()));
+    let rejected = answers.iter().filter(|answer| answer.status() == 503).collect::<Vec<_>>();
+    assert!(rejected.len() >= 17 && rejected.iter().all(|answer| answer.header("retry-after").is_some()));
     (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"held", "key {key}"));
     down.store(false, Ordering::SeqCst);
     wait_for("the limit's end", || ask().0 == 20);
--- a/crates/cache-balancer/tests/sizes.rs
+++ b/crates/cache-balancer/tests/sizes.rs
@@ -1,5 +1,5 @@
-//! Large fleets on sockets: a node that is one of 1,024, and is told of 1,024 cache servers and more. Every one of them is
-//! read, can be picked, and is left when it drains, however the list arrives.
+//! Large fleets on sockets: a node that is one of 1,024 and has an endpoint list of 1,024 cache servers and more. Each of them can
+//! be selected, and gets no request when it drains, however the list arrives.
 
 mod common;
 
@@ -21,7 +21,7 @@
     (Ipv4Addr::new(127, 1, high, low), port).into()
 }
 
-/// All servers by one listener. It notes which of them were sent something since it was last asked.
+/// All servers, on one listener. Returns its port, and the set of the servers that got a request, which a test clears.
 fn servers() -> (u16, Arc<Mutex<BTreeSet<SocketAddr>>>) {
     let listener = TcpListener::bind("0.0.0.0:0").unwrap();
     let port = listener.local_addr().unwrap().port();
@@ -50,7 +50,7 @@
     numbers.map(|number| host(&format!("s-{number:05}"), dial(number, port), health)).collect()
 }
 
-/// An answer that arrives in pieces.
+/// Writes a response in pieces.
 fn in_pieces(stream: &mut impl Write, body: &str) {
     let text = answer("200 OK", "", body);
     for piece in text.as_bytes().chunks(text.len() / 7 + 1) {
@@ -60,7 +60,8 @@
     }
 }
 
-/// A discovery that tells these lists one after the other, indented and in pieces, each once the one before is taken.
+/// A discovery that sends these lists one after the other, indented and in pieces. Returns its address, and the number of lists
+/// that it may send.
 fn discovery(lists: Vec<Value>) -> (SocketAddr, Arc<Mutex<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -86,7 +87,7 @@
     (address, let_go)
 }
 
-/// Reads keys until every server of these has been met, and returns whom else.
+/// Reads keys until each of these servers has got a request. Returns the other servers that got one.
 fn meet(
     node: &Node,
     met: &Mutex<BTreeSet<SocketAddr>>,
@@ -95,7 +96,7 @@
     met.lock().unwrap().clear();
     let mut client = node.client();
     let mut key = 0;
-    wait_for("every server to be met", || {
+    wait_for("every server to get a request", || {
         for _ in 0..500 {
             key += 1;
             assert_eq!(client.ask(&read("read", key, 20_000)).status(), 200);
@@ -105,8 +106,9 @@
     met.lock().unwrap().difference(wanted).copied().collect()
 }
 
+/// Each server of a large fleet must be selected by some key, and none that has left the list.
 #[test]
-fn one_of_1024_nodes_reads_1024_servers_whole_and_in_changes_and_can_pick_every_one() {
+fn one_of_1024_nodes_selects_each_of_1024_servers_of_a_snapshot_and_a_delta() {
     let (port, met) = servers();
     let addresses = |numbers: &mut dyn Iterator<Item = usize>| -> BTreeSet<_> {
         numbers.map(|number| dial(number, port)).collect()
@@ -121,14 +123,14 @@
     ];
     let (address, let_go) = discovery(lists);
     let mut config = config(address);
-    // What it knew at its start has gone since.
+    // The servers that it knows at its start have left since.
     config["known"] = json!({"seq": 0, "whole": true, "hosts": entries(old.clone(), port, "ready")});
     config["settings"]["balancers"] = json!(NODES);
     config["seed"] = json!("8c1f30d27a5be964");
     let node = Node::ready(&config);
     *let_go.lock().unwrap() = 1;
-    // The list that it starts with is as good as any until another has come.
-    wait_for("the whole list", || {
+    // The list that it starts with holds until another has come.
+    wait_for("the snapshot", || {
         met.lock().unwrap().clear();
         (0..200).for_each(|key| drop(node.read("read", key)));
         met.lock().unwrap().is_disjoint(&addresses(&mut old.clone()))
@@ -136,7 +138,7 @@
     let others = meet(&node, &met, &addresses(&mut (0..SERVERS)));
     assert_eq!(others.len(), 0, "{others:?}");
     *let_go.lock().unwrap() = 2;
-    wait_for("the changes", || {
+    wait_for("the delta", || {
         met.lock().unwrap().clear();
         (0..200).for_each(|key| drop(node.read("read", key)));
         met.lock().unwrap().is_disjoint(&addresses(&mut leaving.clone()))
@@ -146,7 +148,7 @@
 }
 
 #[test]
-fn a_list_of_5000_servers_that_arrives_in_pieces_is_taken() {
+fn a_list_of_5000_servers_that_arrives_in_pieces_is_applied() {
     let (port, met) = servers();
     let mut hosts = entries(0..5_000, port, "draining");
     hosts[4_999] = entries(4_999..5_000, port, "ready").remove(0);
@@ -156,7 +158,7 @@
     assert_eq!(met.lock().unwrap().iter().collect::<Vec<_>>(), [&dial(4_999, port)]);
 }
 
-/// What a node holds for itself, in KiB.
+/// The anonymous memory of a node, in KiB.
 fn own_memory(node: &Node) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).unwrap();
     let line = status.lines().find_map(|line| line.strip_prefix("RssAnon:")).unwrap();
@@ -177,7 +179,7 @@
         let memory = own_memory(&node);
         println!("| {servers} | {memory} KiB |");
         if let Some((fewer, less)) = before {
-            // A list indented, as it is held, and as the module knows it: some KiB for each server, and nothing set aside.
+            // A list as text, as it is held, and as the decisions have it: some KiB for each server, and nothing reserved.
             let grown = memory.saturating_sub(less);
             assert!(
                 grown <= 8 * (servers - fewer) as u64 + 1_024,
