--- a/crates/cache-balancer/src/cli/mod.rs
+++ b/crates/cache-balancer/src/cli/mod.rs
@@ -1,10 +1,12 @@
-//! What the commands of the command line have in common: exit codes, scripts, progress.
+//! What the commands of the command line have in common: exit codes, players, scripts, progress.
 
 pub mod progress;
 pub mod scripts;
 
+use clap::ValueEnum;
 use std::io;
 use std::path::PathBuf;
+use std::process::ExitCode;
 use thiserror::Error;
 
 /// Exit code: a script or result that cannot be used, or a run that came to nothing. A run that misses what its script
@@ -20,3 +22,30 @@
 pub fn program() -> Result<PathBuf, ProgramNotFound> {
     Ok(std::env::current_exe()?)
 }
+
+/// What runs a script. Its values have no help text, so that `--help` lists them in one line.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
+pub enum Player {
+    /// Processes of this program, on loopback and in real time.
+    #[value(help = None)]
+    Sockets,
+    /// The decisions alone, in virtual time.
+    #[value(help = None)]
+    Virtual,
+}
+
+/// The exit code of a run whose report holds, or does not hold, what its script expects.
+pub fn exit_code(held: bool) -> ExitCode {
+    if held {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
+/// Ends with Ctrl-C. Where the signal can't be had, a run goes to its end.
+pub async fn interrupted() {
+    if tokio::signal::ctrl_c().await.is_err() {
+        std::future::pending().await
+    }
+}
--- a/crates/cache-balancer/src/driver/actions.rs
+++ b/crates/cache-balancer/src/driver/actions.rs
@@ -84,6 +84,6 @@
 
 /// Whether a log line of the decisions reports that a circuit breaker tripped. The decisions have no action for
 /// it, and the tally counts trips, so it is recognised by the text of `Action::Log`.
-fn is_breaker_trip(text: &str) -> bool {
+pub(super) fn is_breaker_trip(text: &str) -> bool {
     text.starts_with("breaker of ") && text.contains(" tripped")
 }
--- a/crates/cache-balancer/src/driver/in_flight.rs
+++ b/crates/cache-balancer/src/driver/in_flight.rs
@@ -1,6 +1,6 @@
 //! Requests that have been accepted and are not complete, with their attempts.
 
-use crate::input::{AcceptedRequest, FinalResponse};
+use crate::input::FinalResponse;
 use crate::upstream::ForwardedRequest;
 use balancer_core::ServerId;
 use std::rc::Rc;
@@ -15,6 +15,11 @@
 /// How long past a request's deadline the decisions may take for their own response.
 const DECISION_GRACE: Duration = Duration::from_millis(4);
 
+/// The instant by which the node must have the response of a request, so that its client gets it in time.
+pub fn deadline(received_at: Instant, client_timeout: Duration) -> Instant {
+    received_at + client_timeout.saturating_sub(NETWORK_MARGIN)
+}
+
 /// A request that lacks its final response or has an attempt in flight.
 #[derive(Debug)]
 pub struct InFlightRequest {
@@ -44,14 +49,13 @@
 }
 
 impl InFlightRequest {
-    /// A request without attempts. Its deadline is the client's, less the way back of the response.
-    pub fn new(accepted: AcceptedRequest) -> Self {
-        Self {
-            deadline: accepted.received_at + accepted.client_timeout.saturating_sub(NETWORK_MARGIN),
-            message: Rc::new(accepted.message),
-            response: Some(accepted.response),
-            attempts: Vec::new(),
-        }
+    /// A request without attempts, of which the response is due by `deadline`.
+    pub fn new(
+        message: ForwardedRequest,
+        response: oneshot::Sender<FinalResponse>,
+        deadline: Instant,
+    ) -> Self {
+        Self { message: Rc::new(message), response: Some(response), deadline, attempts: Vec::new() }
     }
 
     /// The instant by which an attempt must have ended to be of use to the client.
--- a/crates/cache-balancer/src/driver/mod.rs
+++ b/crates/cache-balancer/src/driver/mod.rs
@@ -174,22 +174,19 @@
 
     fn accept_request(&mut self, accepted: AcceptedRequest) {
         let id = RequestId::from(accepted.number);
-        let (class, tenant, key) = (Some(accepted.class), accepted.tenant, accepted.key);
-        let (expected_work, write) = (accepted.expected_work, accepted.write);
-        let client_retry = accepted.client_retry;
-        let request = InFlightRequest::new(accepted);
-        let deadline = self.clock.timestamp(request.deadline());
+        let deadline = in_flight::deadline(accepted.received_at, accepted.client_timeout);
+        let request = InFlightRequest::new(accepted.message, accepted.response, deadline);
         self.timers.set(request.deadline_timer(), Timer::Deadline(id.clone()));
         self.requests.insert(id.clone(), request);
         self.events.push_back(Event::Request(Request {
             id,
-            class,
-            tenant,
-            key,
-            deadline,
-            expected_work,
-            write,
-            client_retry,
+            class: Some(accepted.class),
+            tenant: accepted.tenant,
+            key: accepted.key,
+            deadline: self.clock.timestamp(deadline),
+            expected_work: accepted.expected_work,
+            write: accepted.write,
+            client_retry: accepted.client_retry,
         }));
     }
 
@@ -295,3 +292,6 @@
         self.tally.line_at(self.clock.now())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/cache-balancer/src/scale/mod.rs
+++ b/crates/cache-balancer/src/scale/mod.rs
@@ -5,7 +5,7 @@
 mod virtual_time;
 
 use crate::cli::scripts::{self, ScriptError};
-use crate::cli::{ProgramNotFound, UNUSABLE};
+use crate::cli::{Player, ProgramNotFound, UNUSABLE};
 use checked_toml::time_text;
 use clap::{Args, Subcommand, ValueEnum};
 use std::io;
@@ -109,12 +109,6 @@
     Off,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-enum Player {
-    Sockets,
-    Virtual,
-}
-
 #[derive(Debug, Subcommand)]
 enum Command {
     /// Lists the scripts that ship with the program
--- a/crates/cache-balancer/src/scale/run.rs
+++ b/crates/cache-balancer/src/scale/run.rs
@@ -1,8 +1,8 @@
 //! Runs a script with processes of this program.
 
 use super::{overridden, script, write_plot, RunArguments, ScaleError};
-use crate::cli::program;
 use crate::cli::progress::ProgressDisplay;
+use crate::cli::{exit_code, interrupted, program};
 use std::process::ExitCode;
 use testbed::scale::run::{self, Phase, Progress};
 use testbed::scale::{plot, ScaleReport, ScaleScript};
@@ -21,7 +21,7 @@
     } else {
         print!("{}", report.text());
     }
-    Ok(if report.held() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(exit_code(report.held()))
 }
 
 fn report(script: &ScaleScript) -> Result<ScaleReport, ScaleError> {
@@ -63,13 +63,8 @@
             Err(_) => std::future::pending().await,
         }
     };
-    let interrupted = async {
-        if tokio::signal::ctrl_c().await.is_err() {
-            std::future::pending().await
-        }
-    };
     tokio::select! {
         _ = terminated => {}
-        () = interrupted => {}
+        () = interrupted() => {}
     }
 }
--- a/crates/cache-balancer/src/scenario/mod.rs
+++ b/crates/cache-balancer/src/scenario/mod.rs
@@ -5,9 +5,9 @@
 mod spread;
 
 use crate::cli::scripts::{self, ScriptError};
-use crate::cli::UNUSABLE;
+use crate::cli::{Player, UNUSABLE};
 use checked_toml::time_text;
-use clap::{Args, Subcommand, ValueEnum};
+use clap::{Args, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use testbed::report::words;
@@ -65,12 +65,6 @@
     player: Player,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-enum Player {
-    Sockets,
-    Virtual,
-}
-
 #[derive(Debug, Subcommand)]
 enum Command {
     /// Runs a scenario and judges it; the same as the command without a subcommand
--- a/crates/cache-balancer/src/scenario/run.rs
+++ b/crates/cache-balancer/src/scenario/run.rs
@@ -1,7 +1,8 @@
 //! Runs one scenario.
 
 use super::sockets::{self, SocketRunError};
-use super::{script, unusable, Player, RunArguments, VOID};
+use super::{script, unusable, RunArguments, VOID};
+use crate::cli::{exit_code, Player};
 use std::path::Path;
 use std::process::ExitCode;
 use testbed::page::page;
@@ -46,11 +47,7 @@
     } else {
         print!("{}", report.text());
     }
-    if report.held() {
-        ExitCode::SUCCESS
-    } else {
-        ExitCode::FAILURE
-    }
+    exit_code(report.held())
 }
 
 fn report(script: &Script, arguments: &RunArguments) -> Result<Report, SocketRunError> {
--- a/crates/cache-balancer/src/scenario/sockets.rs
+++ b/crates/cache-balancer/src/scenario/sockets.rs
@@ -1,7 +1,7 @@
 //! Runs a scenario with processes of this program, on loopback and in real time.
 
 use crate::cli::progress::ProgressDisplay;
-use crate::cli::{program, ProgramNotFound};
+use crate::cli::{interrupted, program, ProgramNotFound};
 use std::time::Duration;
 use testbed::simulate::{Played, Sample};
 use testbed::{live, Script};
@@ -70,10 +70,3 @@
         at.as_secs()
     )
 }
-
-/// Ends with Ctrl-C. Where the signal can't be had, the run goes to its end.
-async fn interrupted() {
-    if tokio::signal::ctrl_c().await.is_err() {
-        std::future::pending().await
-    }
-}
--- a/crates/cache-balancer/src/scenario/spread.rs
+++ b/crates/cache-balancer/src/scenario/spread.rs
@@ -1,7 +1,8 @@
 //! Runs scenarios several times and shows how far their figures lie apart.
 
 use super::sockets::{self, SocketRunError};
-use super::{script, unusable, Player, SpreadArguments, VOID};
+use super::{script, unusable, SpreadArguments, VOID};
+use crate::cli::{exit_code, Player};
 use std::process::ExitCode;
 use testbed::report::Report;
 use testbed::simulate::{self, Played};
@@ -23,11 +24,7 @@
         }
     }
     println!("{}", table(&rows));
-    if rows.iter().all(Spread::held) {
-        ExitCode::SUCCESS
-    } else {
-        ExitCode::FAILURE
-    }
+    exit_code(rows.iter().all(Spread::held))
 }
 
 /// All scripts, which are read before the first is run. Each that can't be used is reported.
