--- a/crates/cache-balancer/src/daemon/node.rs
+++ b/crates/cache-balancer/src/daemon/node.rs
@@ -8,10 +8,10 @@
 use crate::config::{operator, platform, Config, HandoverConfig};
 use crate::fronts::http1::Front;
 use crate::handover::{PoolState, PredecessorEndpoint, State};
-use crate::input::Input;
+use crate::input::DriverInput;
 use crate::log::log;
 use crate::readiness::Readiness;
-use crate::upstream::Places;
+use crate::upstream::ConnectionLimit;
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
@@ -38,9 +38,9 @@
 /// A node that serves.
 pub struct Node {
     pub config: Config,
-    upstream: Rc<Places>,
+    upstream: Rc<ConnectionLimit>,
     pools: Pools,
-    pub drivers: watch::Sender<Vec<UnboundedSender<Input>>>,
+    pub drivers: watch::Sender<Vec<UnboundedSender<DriverInput>>>,
     pub readiness: Rc<Readiness>,
     front: Rc<Front>,
     pub listeners: Listeners,
@@ -59,12 +59,12 @@
 impl Node {
     /// Starts a node that does not accept connections yet. `learned` is the state of its predecessor's pools.
     pub fn start(config: Config, max_connections: usize, learned: Vec<PoolState>) -> Self {
-        let upstream = Rc::new(Places::new(max_connections));
+        let upstream = Rc::new(ConnectionLimit::new(max_connections));
         let pools = Pools::start(&config, upstream.clone(), learned);
         let readiness = Rc::new(Readiness::new(pools.ready()));
         let front =
             Rc::new(Front::new(pools.routes(), readiness.clone(), config.descriptors, max_connections));
-        spawn_local(front.table.clone().sweep());
+        spawn_local(front.table.clone().enforce_limits());
         let listeners = Listeners::new(front.clone());
         let drivers = watch::Sender::new(pools.drivers());
         Self { config, upstream, pools, drivers, readiness, front, listeners }
@@ -133,11 +133,11 @@
     pub fn apply(&mut self, prepared: PreparedReload) -> Option<PredecessorEndpoint> {
         let PreparedReload { config, change, max_connections, bound, endpoint } = prepared;
         log!("configuration read again: {change}");
-        self.upstream.most.set(max_connections);
+        self.upstream.set_max(max_connections);
         self.pools.change(&change, &config);
         self.drivers.send_replace(self.pools.drivers());
         self.readiness.replace(self.pools.ready());
-        self.front.route(self.pools.routes());
+        self.front.set_routes(self.pools.routes());
         self.front.resize(config.descriptors, max_connections);
         self.listeners.change(&config.name, &change, bound);
         self.config = config;
--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -6,12 +6,12 @@
 use crate::driver::Driver;
 use crate::fronts::http1::{Class, Routes};
 use crate::handover::PoolState;
-use crate::input::Input;
+use crate::input::DriverInput;
 use crate::list_file;
 use crate::listing::Listing;
 use crate::readiness;
 use crate::tally::Tally;
-use crate::upstream::{Places, Upstream};
+use crate::upstream::{ConnectionLimit, Upstream};
 use balancer_core::asking::Terms;
 use balancer_core::membership::Membership;
 use balancer_core::Balancer;
@@ -24,7 +24,7 @@
 /// The pools, in the order of the configuration.
 pub struct Pools {
     running: Vec<Running>,
-    places: Rc<Places>,
+    places: Rc<ConnectionLimit>,
     /// The name of the node.
     node: String,
     /// Whether the pools log a line of counts for each second.
@@ -37,7 +37,7 @@
 struct Running {
     pool: Pool,
     /// Leads to its driver.
-    events: UnboundedSender<Input>,
+    events: UnboundedSender<DriverInput>,
     ready: watch::Receiver<bool>,
     list: ListWatch,
     /// The terms on which discovery is polled.
@@ -68,13 +68,13 @@
             Source::Discovery(_) | Source::File(_) => listing,
         };
         // The driver ends only once it is retired.
-        let _ = self.events.send(Input::Recalled(Box::new((listing, learned_state))));
+        let _ = self.events.send(DriverInput::StateRestored(Box::new((listing, learned_state))));
     }
 }
 
 impl Pools {
     /// Starts the pools, with the state of the predecessor's pools of the same names.
-    pub fn start(config: &Config, places: Rc<Places>, mut learned: Vec<PoolState>) -> Self {
+    pub fn start(config: &Config, places: Rc<ConnectionLimit>, mut learned: Vec<PoolState>) -> Self {
         let (node, tally) = (config.name.clone(), Rc::new(Cell::new(config.tally)));
         let mut pools = Self { running: Vec::new(), places, node, tally, seed: config.seed, started: 0 };
         for pool in config.pools.iter().cloned() {
@@ -100,7 +100,7 @@
         for Running { pool, events, .. } in &self.running {
             let (answer, state) = oneshot::channel();
             // The driver ends only once it is retired.
-            let _ = events.send(Input::Report(answer));
+            let _ = events.send(DriverInput::StateRequested(answer));
             let Ok((listing, learned_state)) = state.await else { continue };
             states.push(PoolState::new(&pool.name, &pool.source, listing, learned_state));
         }
@@ -120,12 +120,12 @@
         }
         for removed in before.into_iter().flatten() {
             // Its driver ends only once it is retired.
-            let _ = removed.events.send(Input::Retired);
+            let _ = removed.events.send(DriverInput::PoolRemoved);
         }
     }
 
     /// The inputs of the drivers.
-    pub fn drivers(&self) -> Vec<UnboundedSender<Input>> {
+    pub fn drivers(&self) -> Vec<UnboundedSender<DriverInput>> {
         self.running.iter().map(|running| running.events.clone()).collect()
     }
 
@@ -156,7 +156,7 @@
         let Pool { settings, known, .. } = &pool;
         let (connecting, idle) = (settings.connect_timeout, settings.server_idle_timeout);
         let upstream = Rc::new(Upstream::new(self.places.clone(), connecting, idle));
-        spawn_local(Upstream::sweep(Rc::downgrade(&upstream)));
+        spawn_local(Upstream::close_idle_on_time(Rc::downgrade(&upstream)));
         let membership = initial_membership(&pool, learned.as_ref());
         let terms = Rc::new(Cell::new(Terms::of(settings)));
         let list = ListWatch::start(&self.node, &pool.source, membership, seed, &terms, &events);
@@ -178,7 +178,7 @@
         running.terms.set(Terms::of(settings));
         if *settings != before.settings {
             // The driver ends only once it is retired.
-            let _ = running.events.send(Input::Reconfigured(Box::new(settings.clone())));
+            let _ = running.events.send(DriverInput::Reconfigured(Box::new(settings.clone())));
         }
         match (source, &running.list) {
             (Source::Discovery(new), ListWatch::Discovery(current, _)) => {
@@ -194,7 +194,7 @@
             }
         }
         if *source == Source::Fixed && (before.source != Source::Fixed || known.hosts != before.known.hosts) {
-            let _ = running.events.send(Input::Listing(Listing { whole: true, ..known.clone() }));
+            let _ = running.events.send(DriverInput::EndpointList(Listing { whole: true, ..known.clone() }));
         }
         running
     }
@@ -208,7 +208,7 @@
         membership: Membership,
         seed: u64,
         terms: &Rc<Cell<Terms>>,
-        events: &UnboundedSender<Input>,
+        events: &UnboundedSender<DriverInput>,
     ) -> Self {
         match source {
             Source::Discovery(replicas) => {
--- a/crates/cache-balancer/src/service_manager/mod.rs
+++ b/crates/cache-balancer/src/service_manager/mod.rs
@@ -7,7 +7,7 @@
 
 pub use activation::{ActivationError, ActivationSockets};
 
-use crate::input::Input;
+use crate::input::DriverInput;
 use notifier::{Notification, Notifier};
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
@@ -91,7 +91,7 @@
     }
 
     /// Feeds the watchdog for as long as all drivers answer, if the service manager has one.
-    pub async fn feed_watchdog(self, drivers: watch::Receiver<Vec<UnboundedSender<Input>>>) {
+    pub async fn feed_watchdog(self, drivers: watch::Receiver<Vec<UnboundedSender<DriverInput>>>) {
         let Some(limit) = sd_notify::watchdog_enabled() else { return };
         watchdog::feed(limit, || drivers.borrow().clone(), || self.notify(Notification::Watchdog)).await;
     }
--- a/crates/cache-balancer/src/service_manager/watchdog.rs
+++ b/crates/cache-balancer/src/service_manager/watchdog.rs
@@ -1,6 +1,6 @@
 //! The watchdog. It is fed only while the loops that do the work answer: a timer alone would feed it for a stuck node.
 
-use crate::input::Input;
+use crate::input::DriverInput;
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -9,7 +9,7 @@
 /// Calls `notify` twice within each `limit`, for as long as all drivers answer.
 pub(super) async fn feed(
     limit: Duration,
-    drivers: impl Fn() -> Vec<UnboundedSender<Input>>,
+    drivers: impl Fn() -> Vec<UnboundedSender<DriverInput>>,
     notify: impl Fn(),
 ) {
     let mut ticks = interval(limit / 2);
@@ -23,11 +23,14 @@
 }
 
 /// Whether every driver takes a question out of its queue and answers it.
-async fn all_answer(drivers: Vec<UnboundedSender<Input>>) -> bool {
+async fn all_answer(drivers: Vec<UnboundedSender<DriverInput>>) -> bool {
     for driver in drivers {
         let (answer, answered) = oneshot::channel();
         // A retired driver ends when its work is done, also with a question in its queue.
-        if driver.send(Input::Alive(answer)).is_ok() && answered.await.is_err() && !driver.is_closed() {
+        if driver.send(DriverInput::LivenessCheck(answer)).is_ok()
+            && answered.await.is_err()
+            && !driver.is_closed()
+        {
             return false;
         }
     }
--- a/crates/cache-balancer/src/service_manager/watchdog/tests.rs
+++ b/crates/cache-balancer/src/service_manager/watchdog/tests.rs
@@ -9,8 +9,8 @@
     let ((one, mut one_asked), (other, mut other_asked)) = (unbounded_channel(), unbounded_channel());
     let drivers = [one, other];
     let fed = Cell::new(0);
-    let answer = |input: Option<Input>| match input {
-        Some(Input::Alive(answer)) => answer.send(()).is_ok(),
+    let answer = |input: Option<DriverInput>| match input {
+        Some(DriverInput::LivenessCheck(answer)) => answer.send(()).is_ok(),
         _ => false,
     };
     let work = async {
