--- /dev/null
+++ b/crates/balancer-core/src/discovery/poll_schedule.rs
@@ -0,0 +1,154 @@
+//! When one replica of discovery is polled: the wait and timeout of each poll, and the pause before the next.
+
+use super::backoff::{self, Backoff, FailedPoll};
+use super::pacing::PollPacing;
+use super::{local_agent, watch};
+use std::time::Duration;
+
+/// The timeout of a snapshot poll, beside the time that sending the list takes: discovery gives up queued polls after 3 s.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(3500);
+
+/// What a poll requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PollKind {
+    /// The full list, without a wait.
+    Snapshot,
+    /// Changes since the version held: a long poll.
+    Watch,
+}
+
+/// A poll.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Poll {
+    /// How long discovery is requested to wait for changes; zero for a snapshot.
+    pub wait: Duration,
+    /// The time from the request after which the poll fails without an answer.
+    pub timeout: Duration,
+}
+
+impl Poll {
+    /// Whether this is a long poll.
+    fn is_watch(self) -> bool {
+        !self.wait.is_zero()
+    }
+}
+
+/// How a poll ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PollOutcome {
+    /// With a list that was accepted.
+    Answered {
+        /// The time from the request to the answer.
+        took: Duration,
+        /// Whether the list has any entry.
+        has_changes: bool,
+    },
+    /// No complete answer came within [`Poll::timeout`].
+    TimedOut,
+    /// No connection to discovery could be opened.
+    Unreachable {
+        /// How long that was tried.
+        took: Duration,
+    },
+    /// With status 503: discovery is overloaded.
+    Overloaded {
+        /// The time from the request to the answer.
+        took: Duration,
+    },
+    /// In any other way: another status, a broken connection, or a list that was rejected.
+    Failed,
+}
+
+/// The schedule of polls to one replica. The default has not polled yet.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PollSchedule {
+    backoff: Backoff,
+    /// Answers in a row that neither waited as requested nor had changes.
+    early_answers: u32,
+    /// Another replica is polled than the last that answered, and has not answered yet.
+    replica_changed: bool,
+}
+
+impl PollSchedule {
+    /// The next poll. `jitter` is a random number from 0 to 1.
+    pub fn next_poll(&self, pacing: impl Into<PollPacing>, kind: PollKind, jitter: f64) -> Poll {
+        let pacing = pacing.into();
+        if !pacing.settings.is_polled {
+            return local_agent::next_poll(pacing.settings, kind);
+        }
+        match kind {
+            PollKind::Snapshot => {
+                let allowance = self.answer_allowance(pacing).unwrap_or_default();
+                Poll { wait: Duration::ZERO, timeout: SNAPSHOT_TIMEOUT + allowance }
+            }
+            PollKind::Watch => {
+                let is_uncertain = self.replica_changed || self.backoff.is_active();
+                watch::next_poll(pacing, is_uncertain, jitter)
+            }
+        }
+    }
+
+    /// How long the rest of an answer may take once it has begun. `None` where no capacity is stated: the answer then ends
+    /// within [`Poll::timeout`].
+    pub fn answer_allowance(&self, pacing: impl Into<PollPacing>) -> Option<Duration> {
+        pacing.into().answer_allowance(self.backoff.timeouts())
+    }
+
+    /// Records that the next poll goes to another replica than the last that answered: a network fault that dropped the
+    /// last watch may drop the next one too.
+    pub fn replica_changed(&mut self) {
+        self.replica_changed = true;
+    }
+
+    /// Records the outcome of a poll after which another replica is polled at once, without the pause of a backoff.
+    pub fn failed_over(&mut self, poll: Poll, outcome: PollOutcome) {
+        let failed = FailedPoll::new(poll, outcome).filter(|failed| !failed.is_overload());
+        if let Some(failed) = failed.filter(|_| !poll.is_watch()) {
+            self.backoff.record(failed);
+        }
+        self.replica_changed();
+    }
+
+    /// Records the outcome of `poll` and returns the pause before the next poll, which is of kind `next`. `jitter` is a
+    /// random number from 0 to 1.
+    pub fn poll_ended(
+        &mut self,
+        pacing: impl Into<PollPacing>,
+        poll: Poll,
+        outcome: PollOutcome,
+        next: PollKind,
+        jitter: f64,
+    ) -> Duration {
+        let pacing = pacing.into();
+        match outcome {
+            PollOutcome::Answered { took, has_changes } => {
+                let early = poll.is_watch() && !has_changes && watch::returned_early(poll.wait, took);
+                self.answered(pacing, early, jitter)
+            }
+            // The random waits of the watches spread the nodes already, and discovery did not refuse anything. A snapshot
+            // poll that times out shows a busy discovery instead.
+            PollOutcome::TimedOut if poll.is_watch() => {
+                *self = Self { backoff: Backoff::after_lost_watch(), ..Self::default() };
+                Duration::ZERO
+            }
+            _ => match FailedPoll::new(poll, outcome) {
+                Some(failed) => {
+                    self.early_answers = 0;
+                    self.backoff.next_pause(pacing, failed, next, jitter)
+                }
+                None => Duration::ZERO,
+            },
+        }
+    }
+
+    /// The pause after an answer. The first early one is followed at once; a discovery that never waits is polled with a
+    /// backoff, well within the time for which its last answer is valid.
+    fn answered(&mut self, pacing: PollPacing, early: bool, jitter: f64) -> Duration {
+        let early_answers = if early { self.early_answers.saturating_add(1) } else { 0 };
+        *self = Self { early_answers, ..Self::default() };
+        let settings = pacing.settings;
+        let limit = settings.max_poll_interval / 2;
+        let repeats = early_answers.saturating_sub(1);
+        backoff::pause(settings, settings.nodes, repeats, PollKind::Watch, limit, jitter)
+    }
+}
--- /dev/null
+++ b/crates/balancer-core/src/discovery/suppressed_servers.rs
@@ -0,0 +1,59 @@
+//! Servers that get no new work although an accepted list says that they are ready.
+//!
+//! A replica reported them as draining or removed in an answer that broke off or was rejected. Its neighbours may not know
+//! that yet: without this, their older lists would make the servers ready again, and requests would go to a server that is
+//! shutting down. A list as new as that answer settles it.
+
+use super::list_validator::ReceivedList;
+use std::collections::BTreeSet;
+
+/// The version of a damaged answer is trusted no further ahead of the held one than this: 2 h at 12,000 changes a day. Any
+/// bytes may stand for a version, and a server must not stay suppressed for good.
+const MAX_VERSIONS_AHEAD: u64 = 1_000;
+
+/// The suppressed servers, and the version from which on a list is as new as the answer that reported them.
+#[derive(Clone, Debug, Default)]
+pub(super) struct SuppressedServers {
+    ids: BTreeSet<String>,
+    version: u64,
+}
+
+impl SuppressedServers {
+    pub(super) fn ids(&self) -> &BTreeSet<String> {
+        &self.ids
+    }
+
+    /// Adds servers that an answer of this version reported as leaving; `held` is the version of the list held.
+    pub(super) fn add(&mut self, ids: BTreeSet<String>, version: Option<u64>, held: Option<u64>) {
+        // An entry that is older than the list held, and differs from it, has changed since: the next list tells.
+        let next = held.map_or(0, |held| held.saturating_add(1));
+        self.version = self.version.max(version.unwrap_or(next));
+        self.limit_version(held);
+        self.ids.extend(ids);
+    }
+
+    /// Bounds the version by that of the list held.
+    pub(super) fn limit_version(&mut self, held: Option<u64>) {
+        if let Some(held) = held {
+            self.version = self.version.min(held.saturating_add(1 + MAX_VERSIONS_AHEAD));
+        }
+    }
+
+    /// Releases the servers that an accepted list settles. Returns whether some are left that only a snapshot can settle: the
+    /// list is new enough and does not name them, so their state was never changed, or has been changed back.
+    pub(super) fn release(&mut self, list: &ReceivedList) -> bool {
+        if list.version < self.version {
+            return false;
+        }
+        if list.is_snapshot {
+            self.ids.clear();
+        }
+        for entry in list.entries {
+            self.ids.remove(entry.id);
+        }
+        if self.ids.is_empty() {
+            self.version = 0;
+        }
+        !self.ids.is_empty()
+    }
+}
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -5,32 +5,25 @@
 //! [`learned_state`] is what a balancer hands on to its successor.
 //! [`admission`] controls how much of the demand a node admits.
 //! [`handover`] decides who accepts clients while one process takes another's place.
-//! [`asking`] tells when a node asks discovery, and when a watch is dead.
-//! [`membership`] tells which lists of discovery's are taken.
+//! [`discovery`] is the client of the discovery service: when and where it is polled, and which lists are accepted.
 //! [`hot_keys`] has the replication factor of a key.
-//! [`replicas`] tells which replica of discovery a node asks, [`share`] what one can do for its share of the nodes, and
-//! [`discovery_client`] puts both together with [`asking`].
 //! [`supervise`] keeps a fleet of instances going. [`platform`] reads settings and load reports as the platform words them.
 
 pub mod admission;
 pub mod api;
-pub mod asking;
 pub mod balance;
-pub mod discovery_client;
+pub mod discovery;
 pub mod endpoints;
 pub mod events;
 pub mod handover;
 mod hashing;
 pub mod hot_keys;
 pub mod learned_state;
-pub mod membership;
 pub mod names;
 pub mod platform;
 mod recent;
-pub mod replicas;
 pub mod requests;
 pub mod settings;
-pub mod share;
 pub mod supervise;
 pub mod time;
 
--- /dev/null
+++ b/crates/balancer-core/tests/poll_schedule.rs
@@ -0,0 +1,190 @@
+//! The waits, timeouts and pauses of polls, outcome by outcome.
+
+use balancer_core::discovery::{
+    backoff, Poll, PollKind, PollOutcome, PollSchedule, PollSettings, MISSED_EVENT_DEADLINE,
+    NOTIFICATION_DEADLINE,
+};
+use proptest::prelude::*;
+use std::time::Duration;
+use PollKind::{Snapshot, Watch};
+
+/// Discovery gives up polls that it has queued for this long.
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(3);
+
+fn settings(nodes: u32) -> PollSettings {
+    PollSettings {
+        nodes,
+        max_poll_interval: Duration::from_secs(10),
+        drain_grace: Duration::from_millis(500),
+        is_polled: true,
+    }
+}
+
+#[test]
+fn the_backoff_is_drawn_from_zero_up_to_a_step_that_doubles() {
+    assert_eq!(backoff(450, 0, Snapshot, 1.0), Duration::ZERO);
+    let steps: Vec<_> = (1..=6).map(|failures| backoff(20, failures, Watch, 1.0).as_millis()).collect();
+    assert_eq!(steps, [400, 800, 1_600, 3_000, 3_000, 3_000]);
+    assert_eq!(backoff(20, 2, Watch, 0.25), Duration::from_millis(200));
+    assert_eq!(backoff(450, 30, Snapshot, 1.0), Duration::from_millis(112_500));
+    // Whatever was drawn, and whatever number of nodes is configured.
+    for jitter in [f64::NAN, f64::INFINITY, -1.0, 2.0] {
+        assert!(backoff(10_000, u32::MAX, Snapshot, jitter) <= Duration::from_secs(5_000));
+    }
+}
+
+/// Polls after a lost watch are retried sooner than others, since what it missed has a deadline. If that went on, a discovery
+/// that is down would be polled far more often after a network fault than at any other time. Two retries are urgent, no more.
+#[test]
+fn only_two_retries_after_a_lost_watch_are_urgent() {
+    let settings = settings(350);
+    let mut schedule = PollSchedule::default();
+    let poll = schedule.next_poll(settings, Watch, 0.5);
+    let mut pause = |outcome| schedule.poll_ended(settings, poll, outcome, Watch, 1.0);
+    assert_eq!(pause(PollOutcome::TimedOut), Duration::ZERO);
+    let urgent = [pause(PollOutcome::Failed), pause(PollOutcome::Failed)];
+    assert_eq!(urgent, [backoff(1, 1, Watch, 1.0), backoff(1, 2, Watch, 1.0)]);
+    assert!(urgent.iter().sum::<Duration>() <= MISSED_EVENT_DEADLINE);
+    // Changes still have a deadline: a step of hundreds of nodes would be longer.
+    assert_eq!(pause(PollOutcome::Failed), backoff(350, 3, Watch, 1.0).min(NOTIFICATION_DEADLINE / 2));
+    // After an answer failures count from the start.
+    pause(PollOutcome::Answered { took: Duration::ZERO, has_changes: true });
+    assert_eq!(pause(PollOutcome::Failed), backoff(350, 1, Watch, 1.0));
+}
+
+/// The network fault that dropped one poll may drop the next watch as well. With a usual wait of up to 20 s that would show
+/// too late for what the watch misses; with a short one there is time for another poll.
+#[test]
+fn the_watch_after_a_failed_poll_is_short_once_all_nodes_can_have_polled() {
+    for nodes in [1, 20, 60, 350] {
+        let settings = settings(nodes);
+        let unreachable = PollOutcome::Unreachable { took: Duration::ZERO };
+        for outcome in [PollOutcome::Failed, unreachable, PollOutcome::TimedOut] {
+            let mut schedule = PollSchedule::default();
+            let usual = schedule.next_poll(settings, Watch, 0.0);
+            schedule.poll_ended(settings, usual, outcome, Watch, 0.5);
+            let next = schedule.next_poll(settings, Watch, 1.0);
+            // In 50 ms for each node discovery has answered all first polls.
+            let first_polls = Duration::from_millis(50) * nodes;
+            assert_eq!(
+                next.wait,
+                Duration::from_secs(3).max(first_polls).min(Duration::from_secs(20)),
+                "{nodes} nodes, {outcome:?}"
+            );
+            let answered = PollOutcome::Answered { took: next.wait, has_changes: false };
+            schedule.poll_ended(settings, next, answered, Watch, 0.5);
+            assert_eq!(schedule.next_poll(settings, Watch, 0.0), usual);
+        }
+    }
+}
+
+/// A discovery that answers watches at once, without changes, would be polled in a loop without a pause by each of hundreds
+/// of nodes.
+#[test]
+fn a_discovery_that_never_waits_is_polled_a_bounded_number_of_times() {
+    const SPAN: Duration = Duration::from_secs(600);
+    for nodes in [1, 60, 350, 1_024] {
+        let mut random = fastrand::Rng::with_seed(u64::from(nodes));
+        let mut polls = 0_u64;
+        for _ in 0..nodes {
+            let (mut schedule, mut now) = (PollSchedule::default(), Duration::ZERO);
+            while now < SPAN {
+                let poll = schedule.next_poll(settings(nodes), Watch, random.f64());
+                let took = Duration::from_millis(1);
+                let outcome = PollOutcome::Answered { took, has_changes: false };
+                let pause = schedule.poll_ended(settings(nodes), poll, outcome, Watch, random.f64());
+                // The held list is valid for longer than that.
+                assert!(pause <= settings(nodes).max_poll_interval / 2);
+                now += took + pause;
+                polls += 1;
+            }
+        }
+        // One in 1.5 s by each node, in large fleets one in 2.5 s; and some at first.
+        let most = SPAN.as_secs_f64() / if nodes < 100 { 1.3 } else { 2.3 };
+        assert!(polls as f64 <= most * f64::from(nodes), "{nodes} nodes: {polls} polls");
+    }
+}
+
+#[test]
+fn a_local_agent_is_polled_again_within_any_drain_grace() {
+    for grace in [50, 150, 500, 3_000] {
+        let drain_grace = Duration::from_millis(grace);
+        let settings = PollSettings { is_polled: false, drain_grace, ..settings(350) };
+        let mut schedule = PollSchedule::default();
+        for failures in 0..40 {
+            let kind = if failures % 3 > 0 { Watch } else { Snapshot };
+            let poll = schedule.next_poll(settings, kind, 0.7);
+            let pause = schedule.poll_ended(settings, poll, PollOutcome::Failed, Watch, 1.0);
+            let in_time = poll.timeout + pause <= drain_grace;
+            assert!(in_time && !pause.is_zero(), "{drain_grace:?}: {poll:?}, {pause:?}");
+        }
+    }
+    // A grace of zero cannot be met; it must not lead to polls without a pause.
+    let none = PollSettings { is_polled: false, drain_grace: Duration::ZERO, ..settings(1) };
+    let poll = PollSchedule::default().next_poll(none, Watch, 0.0);
+    assert!(poll.wait >= Duration::from_millis(5) && poll.timeout > poll.wait);
+}
+
+#[test]
+fn snapshot_polls_that_keep_failing_pause_longer_than_the_list_is_valid() {
+    let settings = settings(450);
+    let mut schedule = PollSchedule::default();
+    let snapshot = Poll { wait: Duration::ZERO, timeout: QUEUE_TIMEOUT };
+    let mut longest = Duration::ZERO;
+    for _ in 0..20 {
+        longest = schedule.poll_ended(settings, snapshot, PollOutcome::Failed, Snapshot, 1.0);
+    }
+    assert!(longest > settings.max_poll_interval * 2, "{longest:?}");
+}
+
+proptest! {
+    /// A pause that is too long delays a change past its deadline; none at all floods discovery. So however polls end: a
+    /// watch times out, and the next poll is sent, before what it missed counts as notified; after failures there are at
+    /// least two polls in the time for which a failed one leaves the list valid; and polls repeat without a pause only after
+    /// a watch that waited, or changes.
+    #[test]
+    fn the_next_poll_is_in_time_however_polls_end(
+        nodes in 1..5_000_u32,
+        within in 500..60_000_u64,
+        ends in prop::collection::vec((0..6_u8, 0.01..1.0_f64, any::<bool>()), 1..60),
+    ) {
+        let max_poll_interval = Duration::from_millis(within);
+        let settings = PollSettings { nodes, max_poll_interval, ..settings(nodes) };
+        let (mut schedule, mut early_answers) = (PollSchedule::default(), 0);
+        for (end, jitter, is_watch) in ends {
+            let kind = if is_watch { Watch } else { Snapshot };
+            let poll = schedule.next_poll(settings, kind, jitter);
+            prop_assert!(poll.timeout > poll.wait);
+            let outcome = match end {
+                0 => PollOutcome::Answered { took: poll.wait, has_changes: false },
+                1 => PollOutcome::Answered { took: Duration::ZERO, has_changes: true },
+                2 => PollOutcome::Answered { took: Duration::ZERO, has_changes: false },
+                3 => PollOutcome::TimedOut,
+                4 => PollOutcome::Unreachable { took: QUEUE_TIMEOUT.mul_f64(jitter) },
+                _ => PollOutcome::Failed,
+            };
+            let early = outcome == PollOutcome::Answered { took: Duration::ZERO, has_changes: false } && is_watch;
+            early_answers = if early { early_answers + 1 } else { 0 };
+            let pause = schedule.poll_ended(settings, poll, outcome, kind, jitter);
+            match outcome {
+                PollOutcome::TimedOut if is_watch => {
+                    prop_assert!(poll.timeout + pause + Duration::from_secs(1) <= poll.wait + MISSED_EVENT_DEADLINE);
+                }
+                PollOutcome::TimedOut | PollOutcome::Failed => {
+                    let limit = (settings.max_poll_interval * 2).min(NOTIFICATION_DEADLINE / 2);
+                    prop_assert!(!pause.is_zero() && (!is_watch || pause <= limit));
+                }
+                // The time for which a connection was tried counts, for watches and snapshots.
+                PollOutcome::Unreachable { took } => {
+                    prop_assert!(!pause.is_zero() && pause <= settings.max_poll_interval * 2);
+                    prop_assert!(pause <= Duration::from_millis(200) || took + pause <= NOTIFICATION_DEADLINE / 2);
+                }
+                PollOutcome::Answered { .. } => {
+                    prop_assert_eq!(pause.is_zero(), early_answers < 2);
+                    prop_assert!(pause < settings.max_poll_interval);
+                }
+                PollOutcome::Overloaded { .. } => prop_assert!(false, "not generated here"),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer-core/tests/replica_capacity.rs
@@ -0,0 +1,303 @@
+//! Fleets that poll the replicas of one discovery service, in virtual time. Each replica sends [`CAPACITY`] lines a second,
+//! answers polls one after the other, and rejects with 503 those whose answer would begin too late.
+
+use balancer_core::discovery::{
+    DiscoveryClient, Jitter, PollKind, PollOutcome, PollPacing, PollSchedule, PollSettings, ReplicaCapacity,
+    ReplicaSelection,
+};
+use balancer_core::Timestamp;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::time::Duration;
+
+const CAPACITY: ReplicaCapacity = ReplicaCapacity { lines_per_second: 200.0, call_lines: 10.0 };
+/// A poll whose answer would begin later than this, in seconds, is rejected.
+const QUEUE_LIMIT: f64 = 3.0;
+/// Lines of a snapshot of the planned fleet.
+const LINES: u32 = 1_110;
+/// The end of a simulation, in seconds; none takes that long.
+const MAX_SECONDS: f64 = 50_000.0;
+
+fn settings(nodes: u32) -> PollSettings {
+    PollSettings {
+        nodes,
+        max_poll_interval: Duration::from_secs(10),
+        drain_grace: Duration::from_millis(500),
+        is_polled: true,
+    }
+}
+
+/// What the schedules of the nodes depend on.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Mode {
+    /// The number of all nodes, as with one address.
+    AllNodes,
+    /// The numbers of nodes and of replicas.
+    Replicas,
+    /// The capacity of a replica as well.
+    Capacity,
+}
+
+/// A fleet and its discovery.
+#[derive(Clone, Copy, Debug)]
+struct Fleet {
+    /// The number of nodes, as all of them are configured.
+    nodes: u32,
+    /// The number of these that poll.
+    polling: u32,
+    replicas: usize,
+    lines: u32,
+    mode: Mode,
+    /// The cost of a rejected poll, as a fraction of [`ReplicaCapacity::call_lines`].
+    rejection_cost: f64,
+    /// This replica refuses connections, and only the nodes that prefer it poll.
+    lost: Option<usize>,
+}
+
+/// The result of a simulation.
+#[derive(Clone, Copy, Debug)]
+struct Outcome {
+    /// When the last node had its list, in seconds.
+    last: f64,
+    /// The time that the busiest replica spent sending, in seconds.
+    sending: f64,
+    /// Polls of a node.
+    polls: f64,
+}
+
+/// A node that polls.
+struct Node {
+    client: DiscoveryClient,
+    random: fastrand::Rng,
+}
+
+/// Simulates nodes that all start within a second and hold no list, or one that is out of date by `changes` lines.
+fn simulate(fleet: Fleet, changes: Option<u32>, seed: u64) -> Outcome {
+    let names: Vec<String> = (0..fleet.replicas).map(|number| format!("10.1.{number}.18:7100")).collect();
+    let mut random = fastrand::Rng::with_seed(seed);
+    let mut nodes: Vec<_> = (0..fleet.polling)
+        .map(|number| Node {
+            client: DiscoveryClient::new(ReplicaSelection::new(&format!("h{seed}-{number}"), names.clone())),
+            random: fastrand::Rng::with_seed(random.u64(..)),
+        })
+        .collect();
+    if let Some(lost) = fleet.lost {
+        nodes.retain(|node| node.client.replicas().current() == lost);
+    }
+    let mut agenda: BinaryHeap<_> =
+        (0..nodes.len()).map(|node| Reverse((random.u64(0..1_000_000), node))).collect();
+    let (mut free, mut sending) = (vec![0.0_f64; fleet.replicas], vec![0.0; fleet.replicas]);
+    let (mut last, mut polls) = (0.0_f64, 0);
+    let call_time = CAPACITY.call_lines / CAPACITY.lines_per_second;
+    let answer_time = f64::from(changes.unwrap_or(fleet.lines)) / CAPACITY.lines_per_second;
+    while let Some(Reverse((at, place))) = agenda.pop() {
+        let now = at as f64 / 1e6;
+        assert!(now < MAX_SECONDS, "{fleet:?}, seed {seed}: not all have a list");
+        polls += 1;
+        let node = &mut nodes[place];
+        let held = changes.map(|_| fleet.lines);
+        let available = node.client.replicas().available();
+        let pacing = match fleet.mode {
+            Mode::AllNodes => PollPacing::from(settings(fleet.nodes)),
+            Mode::Replicas => PollPacing::new(settings(fleet.nodes), available, None, held),
+            Mode::Capacity => PollPacing::new(settings(fleet.nodes), available, Some(CAPACITY), held),
+        };
+        let replica = node.client.replicas().current();
+        let turn = free[replica].max(now) + call_time;
+        let reached = fleet.lost != Some(replica);
+        if reached && turn - now <= QUEUE_LIMIT {
+            free[replica] = turn + answer_time;
+            sending[replica] += call_time + answer_time;
+            last = last.max(free[replica]);
+            continue;
+        }
+        free[replica] += call_time * fleet.rejection_cost;
+        let took = Duration::from_millis(1);
+        let kind = if changes.is_some() { PollKind::Watch } else { PollKind::Snapshot };
+        let poll = node.client.next_poll(pacing, kind, node.random.f64());
+        let jitter = Jitter { pause: node.random.f64(), hold_down: node.random.f64() };
+        let outcome =
+            if reached { PollOutcome::Overloaded { took } } else { PollOutcome::Unreachable { took } };
+        let next = node.client.poll_ended(Timestamp::from_micros(at), pacing, poll, outcome, kind, jitter);
+        agenda.push(Reverse((at + 1_000 + next.pause.as_micros() as u64, place)));
+    }
+    Outcome {
+        last,
+        sending: sending.into_iter().fold(0.0, f64::max),
+        polls: f64::from(polls) / nodes.len() as f64,
+    }
+}
+
+/// Over some seeds: the longest time, as a multiple of the sending time of the mean share and of the busiest replica, and the
+/// most polls.
+fn worst(fleet: Fleet, changes: Option<u32>) -> (f64, f64, f64) {
+    let call_time = CAPACITY.call_lines / CAPACITY.lines_per_second;
+    let all = f64::from(fleet.polling) / fleet.replicas as f64;
+    let least = all * (call_time + f64::from(changes.unwrap_or(fleet.lines)) / CAPACITY.lines_per_second);
+    let outcomes: Vec<_> = (0..5).map(|seed| simulate(fleet, changes, seed)).collect();
+    let most = |of: fn(&Outcome) -> f64| outcomes.iter().map(of).fold(0.0, f64::max);
+    // Shares are not even: with a few nodes one replica may have several where others have none.
+    let (last, busiest) =
+        (most(|one| one.last), outcomes.iter().map(|one| one.last / one.sending).fold(0.0, f64::max));
+    (last / least, busiest, most(|one| one.polls))
+}
+
+fn fleets() -> Vec<(u32, u32, usize, u32)> {
+    // Nodes, how many of them poll, replicas, lines.
+    vec![
+        (1, 1, 1, LINES),
+        (20, 20, 1, 83),
+        (60, 60, 1, 83),
+        (60, 60, 4, LINES),
+        (369, 369, 1, LINES),
+        (5_900, 5_900, 16, LINES),
+        (5_900, 174, 16, LINES),
+        (5_900, 174, 1, LINES),
+        (1_000, 1_000, 4, 300),
+        (5_900, 5_900, 16, 5_000),
+    ]
+}
+
+/// Prints the results of the fleets in each mode, and returns those with a stated capacity.
+fn table(changes: Option<u32>, rejection_cost: f64) -> Vec<(Fleet, f64)> {
+    println!("| fleet | polling | replicas | lines | all nodes: last / sending | polls a node | replicas | polls a node | capacity | of the busiest | polls a node |");
+    println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    let mut outcomes = Vec::new();
+    for (nodes, polling, replicas, lines) in fleets() {
+        let fleet = |mode| Fleet { nodes, polling, replicas, lines, mode, rejection_cost, lost: None };
+        let [(all, _, polls_all), (shared, _, polls_shared), (stated, busiest, polls)] =
+            [Mode::AllNodes, Mode::Replicas, Mode::Capacity].map(|mode| worst(fleet(mode), changes));
+        println!("| {nodes} | {polling} | {replicas} | {lines} | {all:.2} | {polls_all:.0} | {shared:.2} | {polls_shared:.0} | {stated:.2} | {busiest:.2} | {polls:.0} |");
+        outcomes.push((fleet(Mode::Capacity), stated));
+    }
+    outcomes
+}
+
+#[test]
+fn nodes_without_a_list_have_one_within_1_5_times_the_sending_time() {
+    for (fleet, last) in table(None, 0.0) {
+        assert!(last <= 1.5, "{fleet:?}: {last}");
+    }
+}
+
+/// A discovery may spend as much on a rejected poll as on any other. Pauses that are too short would then use up its capacity
+/// with rejections, and lists would come ever later.
+#[test]
+fn rejected_polls_that_cost_as_much_as_others_leave_capacity_for_lists() {
+    for (fleet, last) in table(None, 1.0) {
+        assert!(last <= if fleet.lines < 1_000 { 6.0 } else { 2.0 }, "{fleet:?}: {last}");
+    }
+}
+
+/// After an outage all nodes poll at once for one line of changes each. A replica that cannot answer its share in time would
+/// be kept busy with rejections if they retried as soon as the deadline asks.
+#[test]
+fn an_overloaded_replica_answers_changes_within_1_7_times_the_sending_time() {
+    for rejection_cost in [0.0, 1.0] {
+        println!(
+            "| nodes of one replica | a rejected poll costs | last, of what answering takes | polls a node |"
+        );
+        println!("| --- | --- | --- | --- |");
+        for nodes in [1, 20, 60, 100, 200, 369, 900, 2_000] {
+            let fleet = Fleet {
+                nodes,
+                polling: nodes,
+                replicas: 1,
+                lines: LINES,
+                mode: Mode::Capacity,
+                rejection_cost,
+                lost: None,
+            };
+            let (last, _, polls) = worst(fleet, Some(1));
+            println!("| {nodes} | {rejection_cost} | {last:.2} | {polls:.1} |");
+            let least = f64::from(nodes) * 11.0 / CAPACITY.lines_per_second;
+            // They start within a second. Where rejections cost as much as answers it takes longer, and comes to an end.
+            let most = if rejection_cost == 0.0 { 1.7 } else { 30.0 };
+            assert!(last * least <= most * least + 1.5, "{fleet:?}: {last}");
+        }
+    }
+}
+
+#[test]
+fn idle_watches_use_at_most_half_of_a_replica() {
+    println!("| nodes of a replica | shortest wait | longest | utilization by idle watches |");
+    println!("| --- | --- | --- | --- |");
+    for nodes in [1, 20, 60, 100, 150, 200, 369, 450, 900] {
+        let pacing = PollPacing::new(settings(nodes), 1, Some(CAPACITY), Some(LINES));
+        let plain = PollPacing::from(settings(nodes));
+        let wait = |pacing: PollPacing, jitter: f64| {
+            PollSchedule::default().next_poll(pacing, PollKind::Watch, jitter).wait.as_secs_f64()
+        };
+        for draw in 0..=10 {
+            let draw = f64::from(draw) / 10.0;
+            assert!((wait(plain, draw)..=60.0).contains(&wait(pacing, draw)), "{nodes} nodes");
+        }
+        let (shortest, longest) = (wait(pacing, 0.0), wait(pacing, 1.0));
+        let all_calls = f64::from(nodes) * CAPACITY.call_lines / CAPACITY.lines_per_second;
+        let used = all_calls / ((shortest + longest) / 2.0);
+        println!("| {nodes} | {shortest:.1} s | {longest:.1} s | {:.0}% |", 100.0 * used);
+        // The protocol allows no wait longer than 60 s: from 450 nodes on the utilization is higher.
+        assert!(used <= 0.501 || longest == 60.0, "{nodes} nodes: {used}");
+        // Watches that one change ended do not return together.
+        assert!(longest - shortest >= all_calls.min(10.0), "{nodes} nodes");
+    }
+}
+
+#[test]
+fn a_snapshot_poll_times_out_after_the_sending_time_of_any_list() {
+    let timeout = |pacing: PollPacing, schedule: &PollSchedule| {
+        schedule.next_poll(pacing, PollKind::Snapshot, 0.5).timeout.as_secs_f64()
+    };
+    for lines in [1, 83, 1_110, 20_000] {
+        let pacing = PollPacing::new(settings(369), 1, Some(CAPACITY), Some(lines));
+        let sending = (f64::from(lines) + CAPACITY.call_lines) / CAPACITY.lines_per_second;
+        assert!(timeout(pacing, &PollSchedule::default()) >= QUEUE_LIMIT + sending, "{lines}");
+        assert!(timeout(pacing, &PollSchedule::default()) <= QUEUE_LIMIT + 1.5 * sending + 1.0, "{lines}");
+    }
+    // The timeout of a node without a list grows each time, up to that of the longest list.
+    let pacing = PollPacing::new(settings(369), 1, Some(CAPACITY), None);
+    let (mut schedule, mut timeouts) = (PollSchedule::default(), Vec::new());
+    for _ in 0..9 {
+        timeouts.push(timeout(pacing, &schedule));
+        let poll = schedule.next_poll(pacing, PollKind::Snapshot, 0.5);
+        schedule.poll_ended(pacing, poll, PollOutcome::TimedOut, PollKind::Snapshot, 0.5);
+    }
+    assert!(timeouts[0] >= QUEUE_LIMIT + 1_000.0 / 200.0, "{timeouts:?}");
+    assert!(timeouts.windows(2).all(|pair| pair[0] <= pair[1]) && timeouts[6] == timeouts[8], "{timeouts:?}");
+    assert!(timeouts[8] >= 64_000.0 / 200.0 && timeouts[8] <= 500.0, "{timeouts:?}");
+}
+
+#[test]
+fn returning_nodes_use_at_most_a_quarter_of_a_replica() {
+    for (nodes, replicas, capacity) in [(5_900, 16, Some(CAPACITY)), (5_900, 16, None), (20, 2, None)] {
+        let hold_down =
+            PollPacing::new(settings(nodes), replicas, capacity, None).min_hold_down().as_secs_f64();
+        let share = f64::from(nodes) / replicas as f64;
+        let call_time = CAPACITY.call_lines / CAPACITY.lines_per_second;
+        assert!(share * call_time <= 0.2501 * hold_down && hold_down >= 30.0, "{hold_down}");
+    }
+}
+
+/// A change is in force everywhere within 11 s. Nodes whose replica is lost at that moment would miss it if they waited for a
+/// backoff, or if all of them flooded one neighbour.
+#[test]
+fn nodes_of_a_lost_replica_are_notified_by_its_neighbours_in_time() {
+    println!("| fleet | replicas | last of the lost one's nodes has the changes after | polls a node |");
+    println!("| --- | --- | --- | --- |");
+    for (nodes, replicas, most) in [(100, 2, 5.0), (1_000, 4, 11.0), (2_000, 8, 5.0), (5_900, 16, 5.0)] {
+        let fleet = Fleet {
+            nodes,
+            polling: nodes,
+            replicas,
+            lines: LINES,
+            mode: Mode::Capacity,
+            rejection_cost: 0.0,
+            lost: Some(0),
+        };
+        let outcomes: Vec<_> = (0..5).map(|seed| simulate(fleet, Some(1), seed)).collect();
+        let last = outcomes.iter().map(|one| one.last).fold(0.0, f64::max);
+        let polls = outcomes.iter().map(|one| one.polls).fold(0.0, f64::max);
+        println!("| {nodes} | {replicas} | {last:.1} s | {polls:.1} |");
+        assert!(last <= most, "{fleet:?}: {last}");
+    }
+}
--- /dev/null
+++ b/crates/balancer-core/tests/single_address.rs
@@ -0,0 +1,85 @@
+//! A node with one address of discovery and no stated capacity polls as it did before there were replicas: the same waits,
+//! timeouts and pauses, whatever the outcomes of its polls.
+
+#[path = "reference/single_address_schedule.rs"]
+mod reference;
+
+use balancer_core::discovery::{
+    backoff, DiscoveryClient, Jitter, Poll, PollKind, PollOutcome, PollPacing, PollSettings,
+    ReplicaSelection, ReplicaTransition,
+};
+use balancer_core::Timestamp;
+use proptest::prelude::*;
+use std::time::Duration;
+
+fn kind(is_watch: bool) -> PollKind {
+    if is_watch {
+        PollKind::Watch
+    } else {
+        PollKind::Snapshot
+    }
+}
+
+/// One outcome of a poll, for the client and for the reference.
+fn outcomes(number: u8, poll: Poll, part: f64) -> (PollOutcome, reference::Outcome) {
+    use reference::Outcome as Reference;
+    let took = poll.timeout.mul_f64(part);
+    match number {
+        0 => (
+            PollOutcome::Answered { took, has_changes: false },
+            Reference::Answered { took, has_changes: false },
+        ),
+        1 => (
+            PollOutcome::Answered { took, has_changes: true },
+            Reference::Answered { took, has_changes: true },
+        ),
+        2 => (PollOutcome::TimedOut, Reference::TimedOut),
+        3 => (PollOutcome::Unreachable { took }, Reference::Unreachable { took }),
+        4 => (PollOutcome::Overloaded { took }, Reference::Failed),
+        _ => (PollOutcome::Failed, Reference::Failed),
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig::with_cases(1_000))]
+    /// Operators with one address were promised that replicas change nothing for them. A wait or pause that differs would
+    /// change the load of their discovery and the time within which their nodes hear of changes.
+    #[test]
+    fn one_address_without_a_capacity_is_polled_as_before_replicas(
+        nodes in 1..10_000_u32,
+        is_polled in prop::bool::weighted(0.9),
+        (within, grace) in (1..60_000_u64, 0..3_000_u64),
+        ends in prop::collection::vec((0..6_u8, 0.0..1.0_f64, 0.0..1.0_f64, any::<bool>()), 1..80),
+    ) {
+        let (max_poll_interval, drain_grace) = (Duration::from_millis(within), Duration::from_millis(grace));
+        let settings = PollSettings { nodes, max_poll_interval, drain_grace, is_polled };
+        let reference_settings = reference::Settings { nodes, max_poll_interval, drain_grace, is_polled };
+        let mut client = DiscoveryClient::new(ReplicaSelection::new("n0", vec!["127.0.0.1:7100".into()]));
+        let mut reference = reference::Schedule::default();
+        let pacing = |client: &DiscoveryClient| {
+            PollPacing::new(settings, client.replicas().available(), None, Some(40))
+        };
+        let mut is_watch = false;
+        for (number, part, jitter, next_is_watch) in ends {
+            let poll = client.next_poll(pacing(&client), kind(is_watch), jitter);
+            let reference_poll = reference.next_poll(reference_settings, is_watch, jitter);
+            prop_assert_eq!((poll.wait, poll.timeout), (reference_poll.wait, reference_poll.timeout));
+            prop_assert!(client.answer_allowance(pacing(&client)).is_none());
+            let (outcome, reference_outcome) = outcomes(number, poll, part);
+            is_watch = next_is_watch;
+            let next = client.poll_ended(
+                Timestamp::from_micros(0),
+                pacing(&client),
+                poll,
+                outcome,
+                kind(is_watch),
+                Jitter { pause: jitter, hold_down: part },
+            );
+            let reference_pause =
+                reference.poll_ended(reference_settings, reference_poll, reference_outcome, is_watch, jitter);
+            prop_assert_eq!(next.pause, reference_pause);
+            prop_assert_eq!(next.transition, ReplicaTransition::Stay);
+        }
+        prop_assert_eq!(backoff(nodes, 7, PollKind::Watch, 0.5), reference::backoff(nodes, 7, true, 0.5));
+    }
+}
--- a/crates/cache-balancer/src/config/mod.rs
+++ b/crates/cache-balancer/src/config/mod.rs
@@ -4,7 +4,7 @@
 pub mod platform;
 
 use crate::listing::Listing;
-use balancer_core::replicas::Capacity;
+use balancer_core::discovery::ReplicaCapacity;
 use balancer_core::Settings;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -108,7 +108,7 @@
     /// 1 to [`DiscoveryReplicas::MOST`], each once. In ascending order, so that equal sets are equal.
     pub addresses: Vec<SocketAddr>,
     /// What each of them can send; `None` where nobody has stated it.
-    pub capacity: Option<Capacity>,
+    pub capacity: Option<ReplicaCapacity>,
 }
 
 impl DiscoveryReplicas {
@@ -116,7 +116,7 @@
     pub const MOST: usize = 64;
 
     /// Of these addresses, in whatever order.
-    pub fn new(mut addresses: Vec<SocketAddr>, capacity: Option<Capacity>) -> Self {
+    pub fn new(mut addresses: Vec<SocketAddr>, capacity: Option<ReplicaCapacity>) -> Self {
         addresses.sort_unstable();
         Self { addresses, capacity }
     }
--- a/crates/cache-balancer/src/config/operator/discovery.rs
+++ b/crates/cache-balancer/src/config/operator/discovery.rs
@@ -1,7 +1,7 @@
 //! The replicas of discovery in an operator's file: one address or a list of them, and what each can send.
 
 use crate::config::DiscoveryReplicas;
-use balancer_core::replicas::Capacity;
+use balancer_core::discovery::ReplicaCapacity;
 use checked_toml::Table;
 use std::fmt::Write;
 use std::ops::RangeInclusive;
@@ -22,7 +22,7 @@
     Some(DiscoveryReplicas::new(addresses?, capacity))
 }
 
-fn capacity(pool: &Table) -> Option<Capacity> {
+fn capacity(pool: &Table) -> Option<ReplicaCapacity> {
     let lines_per_second = pool.number(LINES_PER_SECOND, LINES_PER_SECOND_RANGE);
     let call_lines = pool.number(CALL_LINES, CALL_LINES_RANGE);
     for (key, other) in [(LINES_PER_SECOND, CALL_LINES), (CALL_LINES, LINES_PER_SECOND)] {
@@ -33,7 +33,7 @@
             pool.fault(key, format!("expected {ADDRESSES} beside it"));
         }
     }
-    Some(Capacity { lines_per_second: lines_per_second?, call_lines: call_lines? })
+    Some(ReplicaCapacity { lines_per_second: lines_per_second?, call_lines: call_lines? })
 }
 
 /// Writes what [`read`] reads as the same.
@@ -48,7 +48,7 @@
             writeln!(text, "]")?;
         }
     }
-    if let Some(Capacity { lines_per_second, call_lines }) = replicas.capacity {
+    if let Some(ReplicaCapacity { lines_per_second, call_lines }) = replicas.capacity {
         writeln!(text, "{LINES_PER_SECOND} = {lines_per_second:?}\n{CALL_LINES} = {call_lines:?}")?;
     }
     Ok(())
--- a/crates/cache-balancer/src/config/operator/discovery/tests.rs
+++ b/crates/cache-balancer/src/config/operator/discovery/tests.rs
@@ -12,9 +12,9 @@
     config.pools[0].source.clone()
 }
 
-fn capacities() -> impl Strategy<Value = Option<Capacity>> {
+fn capacities() -> impl Strategy<Value = Option<ReplicaCapacity>> {
     let capacity = (LINES_PER_SECOND_RANGE, CALL_LINES_RANGE)
-        .prop_map(|(lines_per_second, call_lines)| Capacity { lines_per_second, call_lines });
+        .prop_map(|(lines_per_second, call_lines)| ReplicaCapacity { lines_per_second, call_lines });
     proptest::option::of(capacity)
 }
 
--- a/crates/cache-balancer/src/daemon/change.rs
+++ b/crates/cache-balancer/src/daemon/change.rs
@@ -1,7 +1,7 @@
 //! What a new configuration changes: which listeners and pools go on as they are, and the words for it.
 
 use crate::config::{Config, DiscoveryReplicas, Pool, Source};
-use balancer_core::replicas::Capacity;
+use balancer_core::discovery::ReplicaCapacity;
 use balancer_core::{RequestClass, Settings};
 use std::fmt;
 use std::net::SocketAddr;
@@ -119,7 +119,7 @@
     }
     if before.capacity != after.capacity {
         changes.push(match after.capacity {
-            Some(Capacity { lines_per_second, call_lines }) => {
+            Some(ReplicaCapacity { lines_per_second, call_lines }) => {
                 format!("discovery of {lines_per_second} lines a second and {call_lines} a call")
             }
             None => "discovery of unknown capacity".into(),
--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -12,8 +12,7 @@
 use crate::readiness;
 use crate::tally::Tally;
 use crate::upstream::{Places, Upstream};
-use balancer_core::asking::Terms;
-use balancer_core::membership::Membership;
+use balancer_core::discovery::{ListValidator, PollSettings};
 use balancer_core::Balancer;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -40,7 +39,7 @@
     ready: watch::Receiver<bool>,
     list: List,
     /// How its discovery is asked.
-    terms: Rc<Cell<Terms>>,
+    terms: Rc<Cell<PollSettings>>,
 }
 
 /// Who brings the list.
@@ -159,11 +158,11 @@
         // A watch goes on from the version that the other process had, if it was the same discovery's.
         let membership = match &recalled {
             Some(other) if other.shares_versions_with(&pool.source) => {
-                Membership::new(Some(other.listing.seq), other.listing.ready())
+                ListValidator::new(Some(other.listing.seq), other.listing.ready())
             }
-            _ => Membership::new((!known.hosts.is_empty()).then_some(known.seq), known.ready()),
+            _ => ListValidator::new((!known.hosts.is_empty()).then_some(known.seq), known.ready()),
         };
-        let terms = Rc::new(Cell::new(Terms::of(settings)));
+        let terms = Rc::new(Cell::new(PollSettings::from(settings)));
         let list = List::begin(&self.node, &pool.source, membership, seed, &terms, &events);
         let balancer = Balancer::new(settings.clone(), seed);
         let tally = Tally::new(&self.node, &pool.name, self.tally.clone());
@@ -178,7 +177,7 @@
     fn go_on(&self, mut running: Running, pool: Pool) -> Running {
         let before = std::mem::replace(&mut running.pool, pool);
         let Pool { source, known, settings, .. } = &running.pool;
-        running.terms.set(Terms::of(settings));
+        running.terms.set(PollSettings::from(settings));
         if *settings != before.settings {
             // The driver only goes once it is retired.
             let _ = running.events.send(Input::Reconfigured(Box::new(settings.clone())));
@@ -191,7 +190,7 @@
             _ if *source == before.source => {}
             _ => {
                 let seed = self.seed.wrapping_add(self.begun);
-                let membership = Membership::default();
+                let membership = ListValidator::default();
                 running.list =
                     List::begin(&self.node, source, membership, seed, &running.terms, &running.events);
             }
@@ -208,9 +207,9 @@
     fn begin(
         node: &str,
         source: &Source,
-        membership: Membership,
+        membership: ListValidator,
         seed: u64,
-        terms: &Rc<Cell<Terms>>,
+        terms: &Rc<Cell<PollSettings>>,
         events: &UnboundedSender<Input>,
     ) -> Self {
         match source {
--- a/crates/cache-balancer/src/daemon/pools/tests.rs
+++ b/crates/cache-balancer/src/daemon/pools/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::config::operator;
-use balancer_core::replicas::Capacity;
+use balancer_core::discovery::ReplicaCapacity;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 struct Wanted {
     ports: Vec<u16>,
-    capacity: Option<Capacity>,
+    capacity: Option<ReplicaCapacity>,
 }
 
 impl Wanted {
@@ -33,7 +33,7 @@
     fn text(&self, name: &str) -> String {
         let addresses: Vec<_> = self.ports.iter().map(|port| format!("\"127.0.0.1:{port}\"")).collect();
         let mut text = format!("[[pool]]\nname = \"{name}\"\ndiscovery = [{}]\n", addresses.join(", "));
-        if let Some(Capacity { lines_per_second, call_lines }) = self.capacity {
+        if let Some(ReplicaCapacity { lines_per_second, call_lines }) = self.capacity {
             text += &format!("discovery_lines_per_second = {lines_per_second:?}\n");
             text += &format!("discovery_call_lines = {call_lines:?}\n");
         }
@@ -71,8 +71,8 @@
     ];
     let capacity = proptest::sample::select(vec![
         None,
-        Some(Capacity { lines_per_second: 200.0, call_lines: 10.0 }),
-        Some(Capacity { lines_per_second: 400.0, call_lines: 10.0 }),
+        Some(ReplicaCapacity { lines_per_second: 200.0, call_lines: 10.0 }),
+        Some(ReplicaCapacity { lines_per_second: 400.0, call_lines: 10.0 }),
     ]);
     (ports, capacity).prop_map(|(ports, capacity)| Wanted { ports, capacity })
 }
@@ -100,7 +100,7 @@
         events,
         ready: watch::channel(false).1,
         list: List::Discovery(sender, client.clone()),
-        terms: Rc::new(Cell::new(Terms::of(&pool.settings))),
+        terms: Rc::new(Cell::new(PollSettings::from(&pool.settings))),
     };
     (running, Ends { replicas, inputs, client })
 }
@@ -129,7 +129,7 @@
     }
     if held.capacity != wanted.capacity {
         words.push(match wanted.capacity {
-            Some(Capacity { lines_per_second, .. }) => {
+            Some(ReplicaCapacity { lines_per_second, .. }) => {
                 format!("pool {name}: discovery of {lines_per_second} lines a second and 10 a call")
             }
             None => format!("pool {name}: discovery of unknown capacity"),
--- a/crates/cache-balancer/src/discovery.rs
+++ b/crates/cache-balancer/src/discovery.rs
@@ -6,10 +6,10 @@
 use crate::input::Input;
 use crate::listing::{Listing, Malformed};
 use crate::log::log;
-use balancer_core::asking::{Call, End, Pace, Terms};
-use balancer_core::discovery_client::{CallEnd, DiscoveryClient, Jitter};
-use balancer_core::membership::{Doubt, Membership, Teller};
-use balancer_core::replicas::{Changed, Replicas, Step};
+use balancer_core::discovery::{
+    DiscoveryClient, Jitter, ListError, ListSource, ListValidator, Poll, PollKind, PollOutcome, PollPacing,
+    PollSettings, ReceivedList, ReplicaSelection, ReplicaSetChange, ReplicaTransition,
+};
 use balancer_core::Timestamp;
 use exchange::{Exchange, Limits, Link};
 use hyper::StatusCode;
@@ -45,19 +45,19 @@
     #[error("{error}; it begins with \"{begin}\"")]
     Malformed { error: Malformed, begin: String },
     #[error("list not taken: {0}")]
-    Doubt(#[from] Doubt),
+    Rejected(#[from] ListError),
     #[error("no answer in time")]
     Overdue,
 }
 
 impl CallError {
     /// How the call ended, which was made so long ago.
-    fn end(&self, took: Duration) -> CallEnd {
+    fn end(&self, took: Duration) -> PollOutcome {
         match self {
-            Self::Status(StatusCode::SERVICE_UNAVAILABLE) => CallEnd::Refused { took },
-            Self::Overdue => CallEnd::Other(End::Overdue),
-            Self::Connect(_) => CallEnd::Other(End::Unreached { took }),
-            _ => CallEnd::Other(End::Failed),
+            Self::Status(StatusCode::SERVICE_UNAVAILABLE) => PollOutcome::Overloaded { took },
+            Self::Overdue => PollOutcome::TimedOut,
+            Self::Connect(_) => PollOutcome::Unreachable { took },
+            _ => PollOutcome::Failed,
         }
     }
 }
@@ -82,9 +82,9 @@
     /// Where it answers. The watch at a replica that stays goes on.
     pub replicas: watch::Receiver<DiscoveryReplicas>,
     /// Judges what it tells.
-    pub membership: Membership,
+    pub membership: ListValidator,
     /// What the settings say of asking by now.
-    pub terms: Rc<Cell<Terms>>,
+    pub terms: Rc<Cell<PollSettings>>,
     pub random: fastrand::Rng,
     pub events: UnboundedSender<Input>,
 }
@@ -118,7 +118,7 @@
         if addresses.is_empty() {
             return;
         }
-        let client = DiscoveryClient::new(Replicas::new(&self.node, names(&addresses)));
+        let client = DiscoveryClient::new(ReplicaSelection::new(&self.node, names(&addresses)));
         let running = Running { discovery: self, client, addresses, link: None, began: Instant::now() };
         running.run().await;
     }
@@ -127,8 +127,8 @@
 impl Running {
     async fn run(mut self) {
         loop {
-            let for_changes = self.asks_for_changes();
-            let call = self.client.call(self.pace(), for_changes, self.discovery.random.f64());
+            let kind = self.kind();
+            let call = self.client.next_poll(self.pace(), kind, self.discovery.random.f64());
             let at = Instant::now();
             let pause = match self.call(call).await {
                 Called::Ended(result, read) => match self.take_in(call, result, &read, at.elapsed()) {
@@ -145,7 +145,7 @@
     }
 
     /// Makes a call to the current replica. Other replicas may be named meanwhile; the call goes on if this one stays.
-    async fn call(&mut self, call: Call) -> Called {
+    async fn call(&mut self, call: Poll) -> Called {
         let exchange = self.exchange(call);
         let (mut link, mut read) = (self.link.take(), Vec::new());
         let ended = {
@@ -156,7 +156,7 @@
                     ended = &mut running => break ended,
                     changed = self.discovery.replicas.changed() => match changed {
                         Err(_) => return Called::Over,
-                        Ok(()) if self.change() != Changed::CurrentStays => return Called::Moved,
+                        Ok(()) if self.change() != ReplicaSetChange::CurrentRemains => return Called::Moved,
                         Ok(()) => {}
                     },
                 }
@@ -177,7 +177,7 @@
                 () = &mut pause => return true,
                 changed = self.discovery.replicas.changed() => match changed {
                     Err(_) => return false,
-                    Ok(()) if self.change() != Changed::CurrentStays => return true,
+                    Ok(()) if self.change() != ReplicaSetChange::CurrentRemains => return true,
                     Ok(()) => {}
                 },
             }
@@ -187,15 +187,15 @@
     /// Takes in how a call ended and gives the pause before the next one; `None` once the driver has gone.
     fn take_in(
         &mut self,
-        call: Call,
+        call: Poll,
         result: Result<(), CallError>,
         read: &[u8],
         took: Duration,
     ) -> Option<Duration> {
         let (input, end) = match result.and_then(|()| self.judged(read)) {
             Ok(listing) => {
-                let end = End::Answered { took, news: !listing.hosts.is_empty() };
-                (Input::Listing(listing), CallEnd::Other(end))
+                let end = PollOutcome::Answered { took, has_changes: !listing.hosts.is_empty() };
+                (Input::Listing(listing), end)
             }
             Err(error) => {
                 self.link = None;
@@ -210,9 +210,9 @@
         let hold_down = if self.addresses.len() > 1 { random.f64() } else { 0.0 };
         let jitter = Jitter { pause: random.f64(), hold_down };
         let now = Timestamp::from_micros(self.began.elapsed().as_micros() as u64);
-        let (pace, for_changes) = (self.pace(), self.asks_for_changes());
-        let next = self.client.ended(now, pace, call, end, for_changes, jitter);
-        if next.step != Step::Stay {
+        let (pace, kind) = (self.pace(), self.kind());
+        let next = self.client.poll_ended(now, pace, call, end, kind, jitter);
+        if next.transition != ReplicaTransition::Stay {
             self.link = None;
             log!("{}: asked from here on", self.wording());
         }
@@ -224,10 +224,12 @@
         let malformed = |error| CallError::Malformed { error, begin: begin(read) };
         let mut listing = Listing::read(read).map_err(malformed)?;
         let address = self.address().to_string();
-        let teller = Teller { replica: &address, replicas: self.addresses.len() };
+        let source = ListSource { replica: &address, replicas: self.addresses.len() };
+        let entries = listing.listed();
+        let received = ReceivedList { version: listing.seq, is_snapshot: listing.whole, entries: &entries };
         let membership = &mut self.discovery.membership;
-        let remarks = membership.judge_from(teller, listing.seq, listing.whole, &listing.listed())?;
-        listing.withhold(membership.withheld());
+        let remarks = membership.validate(source, &received)?;
+        listing.withhold(membership.suppressed());
         let wording = self.wording();
         for remark in remarks.iter().take(REMARKS) {
             log!("{wording}: {remark}");
@@ -242,7 +244,7 @@
     fn heed(&mut self, read: &[u8]) {
         let mut leaving = Listing::leaving(read);
         let membership = &mut self.discovery.membership;
-        if self.addresses.len() > 1 && membership.holds_list() {
+        if self.addresses.len() > 1 && membership.has_list() {
             // Of the others a replica that lags tells nothing that would have to be asked for.
             leaving.names.retain(|name| membership.is_ready(name));
         }
@@ -251,50 +253,52 @@
         }
         exchange::heed(&self.wording(), &self.discovery.events, leaving.names.clone());
         let address = self.address().to_string();
-        let teller = Teller { replica: &address, replicas: self.addresses.len() };
-        self.discovery.membership.heeded_from(teller, leaving.version, leaving.names);
+        let source = ListSource { replica: &address, replicas: self.addresses.len() };
+        self.discovery.membership.leaving_reported(source, leaving.version, leaving.names);
     }
 
     /// Takes on the replicas that are named now.
-    fn change(&mut self) -> Changed {
+    fn change(&mut self) -> ReplicaSetChange {
         let addresses = self.discovery.replicas.borrow_and_update().addresses.clone();
         if addresses.is_empty() || addresses == self.addresses {
-            return Changed::CurrentStays;
+            return ReplicaSetChange::CurrentRemains;
         }
-        let changed = self.client.change(names(&addresses));
+        let changed = self.client.replace_replicas(names(&addresses));
         self.addresses = addresses;
         match changed {
-            Changed::CurrentStays | Changed::OthersStay => self.discovery.membership.replicas_changed(),
-            Changed::NoneStays => self.discovery.membership.moved(),
+            ReplicaSetChange::CurrentRemains | ReplicaSetChange::OthersRemain => {
+                self.discovery.membership.replicas_replaced()
+            }
+            ReplicaSetChange::NoneRemains => self.discovery.membership.service_replaced(),
         }
-        if changed != Changed::CurrentStays {
+        if changed != ReplicaSetChange::CurrentRemains {
             self.link = None;
         }
         changed
     }
 
-    fn exchange(&self, call: Call) -> Exchange {
-        let limits = Limits { call: call.limit, sending: self.client.sending(self.pace()) };
+    fn exchange(&self, call: Poll) -> Exchange {
+        let limits = Limits { call: call.timeout, sending: self.client.answer_allowance(self.pace()) };
         Exchange {
             address: self.address(),
             has_neighbours: self.addresses.len() > 1,
-            after: self.discovery.membership.asks_after().map(|seq| (seq, call.wait)),
+            after: self.discovery.membership.watch_from().map(|seq| (seq, call.wait)),
             limits,
-            look: self.discovery.terms.get().look(),
+            look: self.discovery.terms.get().partial_read_interval(),
             wording: self.wording(),
             events: self.discovery.events.clone(),
         }
     }
 
-    fn pace(&self) -> Pace {
+    fn pace(&self) -> PollPacing {
         let capacity = self.discovery.replicas.borrow().capacity;
         let held = u32::try_from(self.discovery.membership.ready_count()).unwrap_or(u32::MAX);
         let list_lines = Some(held).filter(|lines| *lines > 0);
-        Pace::of(self.discovery.terms.get(), self.client.replicas().serving(), capacity, list_lines)
+        PollPacing::new(self.discovery.terms.get(), self.client.replicas().available(), capacity, list_lines)
     }
 
-    fn asks_for_changes(&self) -> bool {
-        self.discovery.membership.asks_after().is_some()
+    fn kind(&self) -> PollKind {
+        self.discovery.membership.next_poll_kind()
     }
 
     /// Of the replica that is asked.
--- a/crates/cache-balancer/src/handover/state/tests.rs
+++ b/crates/cache-balancer/src/handover/state/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use balancer_core::replicas::Capacity;
+use balancer_core::discovery::ReplicaCapacity;
 use serde_json::{json, Value};
 
 fn address(port: u16) -> SocketAddr {
@@ -84,7 +84,7 @@
 
 #[test]
 fn capacity_does_not_tell_one_discovery_from_another() {
-    let capacity = Some(Capacity { lines_per_second: 200.0, call_lines: 10.0 });
+    let capacity = Some(ReplicaCapacity { lines_per_second: 200.0, call_lines: 10.0 });
     let stated = Source::Discovery(DiscoveryReplicas::new(vec![address(1)], capacity));
     assert!(pool(&stated).shares_versions_with(&replicas(&[1])));
     assert!(pool(&replicas(&[1])).shares_versions_with(&stated));
--- a/crates/cache-balancer/src/hollow/mod.rs
+++ b/crates/cache-balancer/src/hollow/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::config::DiscoveryReplicas;
 use crate::listing::{Host, Listing};
-use balancer_core::replicas::Capacity;
+use balancer_core::discovery;
 use node::{Common, HollowNode};
 use record::Record;
 use std::collections::BTreeMap;
@@ -144,7 +144,7 @@
     if replicas.is_empty() {
         return Err(ProcessError::NoReplica);
     }
-    let capacity = capacity.map(|capacity| Capacity {
+    let capacity = capacity.map(|capacity| discovery::ReplicaCapacity {
         lines_per_second: capacity.lines_per_second,
         call_lines: capacity.call_lines,
     });
--- a/crates/cache-balancer/src/hollow/node.rs
+++ b/crates/cache-balancer/src/hollow/node.rs
@@ -8,8 +8,7 @@
 use crate::listing::Listing;
 use crate::tally::Tally;
 use crate::upstream::{Places, Upstream};
-use balancer_core::asking::Terms;
-use balancer_core::membership::Membership;
+use balancer_core::discovery::{ListValidator, PollSettings};
 use balancer_core::{Balancer, Idempotency, RequestClass, Settings};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -93,8 +92,8 @@
         let discovery = Discovery {
             node: name.clone(),
             replicas: common.replicas.clone(),
-            membership: Membership::new((!known.hosts.is_empty()).then_some(known.seq), known.ready()),
-            terms: Rc::new(Cell::new(Terms::of(&settings))),
+            membership: ListValidator::new((!known.hosts.is_empty()).then_some(known.seq), known.ready()),
+            terms: Rc::new(Cell::new(PollSettings::from(&settings))),
             random: random.fork(),
             events: events.clone(),
         };
--- a/crates/cache-balancer/src/listing.rs
+++ b/crates/cache-balancer/src/listing.rs
@@ -2,7 +2,7 @@
 
 mod salvage;
 
-use balancer_core::membership::Listed;
+use balancer_core::discovery::ListEntry;
 use balancer_core::{Endpoint, EndpointState, Timestamp};
 use serde::de::DeserializeSeed;
 use serde::{Deserialize, Serialize};
@@ -100,7 +100,7 @@
     }
 
     /// Its entries, as far as it matters to whether it is taken.
-    pub fn listed(&self) -> Vec<Listed<'_>> {
+    pub fn listed(&self) -> Vec<ListEntry<'_>> {
         self.hosts.iter().map(Host::listed).collect()
     }
 
@@ -135,8 +135,8 @@
         ready.then(|| Self { health: "draining".into(), ..self.clone() })
     }
 
-    fn listed(&self) -> Listed<'_> {
-        Listed { name: &self.host, state: self.told(), has_address: self.dial.is_some() }
+    fn listed(&self) -> ListEntry<'_> {
+        ListEntry { id: &self.host, state: self.told(), has_address: self.dial.is_some() }
     }
 
     /// The entry as the module knows it.
--- a/crates/cache-balancer/tests/lists.rs
+++ b/crates/cache-balancer/tests/lists.rs
@@ -41,8 +41,8 @@
 
 #[test]
 fn a_list_without_hosts_and_one_with_a_server_twice_are_not_taken() {
-    told(&whole(2, &[]), "list not taken: hosts: nobody, where 1 ready servers are known", 7);
-    told(r#"{"seq":2,"whole":true}"#, "list not taken: hosts: nobody", 7);
+    told(&whole(2, &[]), "list not taken: hosts: empty, where 1 ready servers are known", 7);
+    told(r#"{"seq":2,"whole":true}"#, "list not taken: hosts: empty", 7);
     told(r#"{"seq":2,"whole":true,"hosts":[OLD,OLD]}"#, "hosts[1]: s-1 again, which stands at hosts[0]", 7);
 }
 
@@ -69,7 +69,7 @@
     let node = Node::ready(&config(discovery.address));
     discovery.wait_until_told(1);
     discovery.tell_text(whole(0, &[new.entry("s-2", "ready")]));
-    wait_for("it to be believed", || node.said("taken, since it was told 3 times in a row") == 1);
+    wait_for("it to be believed", || node.said("accepted, since it came 3 times in a row") == 1);
     assert_eq!(node.said("list not taken: seq: 0, older than 1"), 2);
     wait_for("its server to be used", || node.read("read", 1).body == b"new");
 }
--- a/crates/cache-balancer/tests/replicas.rs
+++ b/crates/cache-balancer/tests/replicas.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use balancer_core::replicas::Replicas;
+use balancer_core::discovery::ReplicaSelection;
 use common::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
@@ -67,7 +67,7 @@
     fn start(count: usize, node: &str, does: &Does) -> Self {
         let listeners: Vec<_> = (0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
         let addresses: Vec<_> = listeners.iter().map(|listener| listener.local_addr().unwrap()).collect();
-        let order = Replicas::new(node, addresses.iter().map(ToString::to_string).collect());
+        let order = ReplicaSelection::new(node, addresses.iter().map(ToString::to_string).collect());
         let place = |index: usize| order.order().iter().position(|&place| place == index).unwrap();
         let calls = Calls::default();
         let mut replicas: Vec<_> = (listeners.into_iter().enumerate())
@@ -267,7 +267,7 @@
             assert!(servers.sent_to_leaver(&node, 2_000) > 0, "two are not enough");
         }
     }
-    wait_for("the third to be believed", || node.said("3 replicas told it") == 1);
+    wait_for("the third to be believed", || node.said("3 replicas sent it") == 1);
     service.wait_for_watch(2, 6);
     let mut places: Vec<_> = service.calls().into_iter().map(|(place, _)| place).collect();
     places.dedup();
@@ -289,7 +289,7 @@
         assert!(servers.sent_to_leaver(&node, 1_000 * (place as u64 + 1)) > 0, "{place}");
     }
     service.replicas[2].lists(1, &anew);
-    wait_for("the last to be believed", || node.said("3 replicas told it") == 1);
+    wait_for("the last to be believed", || node.said("3 replicas sent it") == 1);
     service.wait_for_watch(2, 1);
     assert_eq!(servers.sent_to_leaver(&node, 5_000), 0);
     // From here on it is followed as ever.
--- a/crates/testbed/src/scale/virtual_time/client.rs
+++ b/crates/testbed/src/scale/virtual_time/client.rs
@@ -1,10 +1,10 @@
 //! What decides for a node which replica it asks, for what, for how long, and how soon again.
 
 use super::scene::Scene;
-use balancer_core::asking::{Call, End, Pace, Terms};
-use balancer_core::discovery_client::{CallEnd as EndOfCall, DiscoveryClient, Jitter};
-use balancer_core::membership::{Listed, Membership, Teller};
-use balancer_core::replicas::{Capacity, Replicas};
+use balancer_core::discovery::{
+    DiscoveryClient, Jitter, ListEntry, ListSource, ListValidator, Poll, PollOutcome, PollPacing,
+    PollSettings, ReceivedList, ReplicaCapacity, ReplicaSelection,
+};
 use balancer_core::{EndpointState, Timestamp};
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
     /// It is the whole list.
     pub whole: bool,
     /// Its entries.
-    pub entries: Vec<Listed<'a>>,
+    pub entries: Vec<ListEntry<'a>>,
 }
 
 /// What came of a call.
@@ -87,12 +87,12 @@
 
 /// The real decisions: of a client that knows one address, or several replicas and what each can do.
 pub struct ReplicasClient {
-    terms: Terms,
-    capacity: Option<Capacity>,
+    terms: PollSettings,
+    capacity: Option<ReplicaCapacity>,
     names: Vec<String>,
     client: DiscoveryClient,
-    membership: Membership,
-    call: Call,
+    membership: ListValidator,
+    call: Poll,
 }
 
 impl ReplicasClient {
@@ -100,7 +100,7 @@
     pub fn new(start: &ClientStart) -> Self {
         let script = &start.scene.script;
         let names: Vec<_> = (0..script.known_replicas()).map(replica_name).collect();
-        let stated = Capacity {
+        let stated = ReplicaCapacity {
             lines_per_second: script.capacity.lines_per_second,
             call_lines: script.capacity.call_lines,
         };
@@ -109,53 +109,50 @@
         Self {
             terms: start.terms(),
             capacity: script.mechanism.then_some(stated),
-            client: DiscoveryClient::new(Replicas::new(&start.name(), names.clone())),
+            client: DiscoveryClient::new(ReplicaSelection::new(&start.name(), names.clone())),
             names,
-            membership: Membership::new(version, ready),
-            call: Call { wait: Duration::ZERO, limit: Duration::ZERO },
+            membership: ListValidator::new(version, ready),
+            call: Poll { wait: Duration::ZERO, timeout: Duration::ZERO },
         }
     }
 
-    fn asks_for_changes(&self) -> bool {
-        self.membership.asks_after().is_some()
-    }
-
-    fn pace(&self) -> Pace {
+    fn pace(&self) -> PollPacing {
         let held = u32::try_from(self.membership.ready_count()).unwrap_or(u32::MAX);
         let list_lines = Some(held).filter(|lines| *lines > 0);
-        Pace::of(self.terms, self.client.replicas().serving(), self.capacity, list_lines)
+        PollPacing::new(self.terms, self.client.replicas().available(), self.capacity, list_lines)
     }
 
     /// Whether a list is taken.
     fn takes(&mut self, listing: &Listing) -> bool {
         let place = self.client.replicas().current();
         let replica = self.names.get(place).map_or("", String::as_str);
-        let teller = Teller { replica, replicas: self.names.len() };
-        self.membership.judge_from(teller, listing.version, listing.whole, &listing.entries).is_ok()
+        let source = ListSource { replica, replicas: self.names.len() };
+        let received =
+            ReceivedList { version: listing.version, is_snapshot: listing.whole, entries: &listing.entries };
+        self.membership.validate(source, &received).is_ok()
     }
 
-    fn end(&mut self, end: CallEnd) -> (EndOfCall, Option<u64>) {
-        let other = EndOfCall::Other;
+    fn end(&mut self, end: CallEnd) -> (PollOutcome, Option<u64>) {
         match end {
             CallEnd::Answered { took, listing } if self.takes(&listing) => {
-                let news = !listing.entries.is_empty();
-                (other(End::Answered { took, news }), Some(listing.version))
+                let has_changes = !listing.entries.is_empty();
+                (PollOutcome::Answered { took, has_changes }, Some(listing.version))
             }
-            CallEnd::Answered { .. } | CallEnd::Failed => (other(End::Failed), None),
-            CallEnd::Refused { took } => (EndOfCall::Refused { took }, None),
-            CallEnd::Overdue => (other(End::Overdue), None),
-            CallEnd::Unreached { took } => (other(End::Unreached { took }), None),
+            CallEnd::Answered { .. } | CallEnd::Failed => (PollOutcome::Failed, None),
+            CallEnd::Refused { took } => (PollOutcome::Overloaded { took }, None),
+            CallEnd::Overdue => (PollOutcome::TimedOut, None),
+            CallEnd::Unreached { took } => (PollOutcome::Unreachable { took }, None),
         }
     }
 }
 
 impl ClientDecisions for ReplicasClient {
     fn next_call(&mut self, _now: Duration, draw: &mut dyn FnMut() -> f64) -> NextCall {
-        self.call = self.client.call(self.pace(), self.asks_for_changes(), draw());
-        let Call { wait, limit } = self.call;
+        self.call = self.client.next_poll(self.pace(), self.membership.next_poll_kind(), draw());
+        let Poll { wait, timeout: limit } = self.call;
         NextCall {
             replica: self.client.replicas().current() as u32,
-            after: self.membership.asks_after(),
+            after: self.membership.watch_from(),
             wait,
             limit,
             connect: if self.names.len() > 1 { CONNECT_TO_REPLICA } else { CONNECT },
@@ -166,8 +163,8 @@
         let (end, applied) = self.end(end);
         let now = Timestamp::from_micros(now.as_micros() as u64);
         let jitter = Jitter { hold_down: draw(), pause: draw() };
-        let (pace, for_changes) = (self.pace(), self.asks_for_changes());
-        let next = self.client.ended(now, pace, self.call, end, for_changes, jitter);
+        let (pace, kind) = (self.pace(), self.membership.next_poll_kind());
+        let next = self.client.poll_ended(now, pace, self.call, end, kind, jitter);
         Next { pause: next.pause, applied }
     }
 }
@@ -178,8 +175,8 @@
 }
 
 /// An entry as the client reads it: every server of a scene has an address.
-pub fn listed(name: &str, state: EndpointState) -> Listed<'_> {
-    Listed { name, state, has_address: true }
+pub fn listed(name: &str, state: EndpointState) -> ListEntry<'_> {
+    ListEntry { id: name, state, has_address: true }
 }
 
 /// A node whose decisions are to be made.
@@ -200,9 +197,9 @@
     }
 
     /// What it knows of asking.
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> PollSettings {
         let nodes = self.scene.script.nodes;
-        Terms { nodes, within: ASK_WITHIN, grace: DRAIN_GRACE, asked: true }
+        PollSettings { nodes, max_poll_interval: ASK_WITHIN, drain_grace: DRAIN_GRACE, is_polled: true }
     }
 
     /// The real decisions.
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -3,7 +3,8 @@
 use super::agenda::What;
 use super::{Listed, Node, Play, CALL_ENDS};
 use crate::ledger::Fact;
-use balancer_core::{asking, EndpointState, EndpointUpdate, Event, Timestamp};
+use balancer_core::discovery::{backoff, PollKind};
+use balancer_core::{EndpointState, EndpointUpdate, Event, Timestamp};
 use std::time::Duration;
 
 impl Play<'_> {
@@ -43,7 +44,8 @@
             return self.call(node);
         }
         let draw = self.draw.on(0x6261).on(node as u64).on(u64::from(life)).on(u64::from(failures));
-        let wait = asking::wait(self.script.nodes, failures, seq.is_some(), draw.unit());
+        let next = if seq.is_some() { PollKind::Watch } else { PollKind::Snapshot };
+        let wait = backoff(self.script.nodes, failures, next, draw.unit());
         self.agenda.put(self.now + wait, What::Call { node, life });
     }
 
