--- a/crates/cache-balancer/src/config/mod.rs
+++ b/crates/cache-balancer/src/config/mod.rs
@@ -3,7 +3,7 @@
 pub mod operator;
 pub mod platform;
 
-use crate::listing::Listing;
+use crate::endpoint_list::EndpointList;
 use balancer_core::discovery::ReplicaCapacity;
 use balancer_core::Settings;
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
     pub name: String,
     pub source: Source,
     /// The cache servers as this node last knew them.
-    pub known: Listing,
+    pub known: EndpointList,
     /// Its classes among them: a request's class tells its pool.
     pub settings: Settings,
 }
--- a/crates/cache-balancer/src/config/operator.rs
+++ b/crates/cache-balancer/src/config/operator.rs
@@ -5,7 +5,7 @@
 mod discovery;
 
 use super::{Config, HandOver, Listener, Pool, Source, LEAST_DESCRIPTORS};
-use crate::listing::{Host, Listing};
+use crate::endpoint_list::{EndpointList, EndpointRecord};
 use balancer_core::{DeduplicationScope, Idempotency, RequestClass, Settings};
 use checked_toml::{time_text, Document, Fault, Table};
 use rustix::process::{getrlimit, Resource};
@@ -72,10 +72,10 @@
 }
 
 /// Reads a list of cache servers, as version `seq`. `path` is what faults call it.
-pub fn read_list(path: &Path, text: &str, seq: u64) -> Result<Listing, FileError> {
+pub fn read_list(path: &Path, text: &str, seq: u64) -> Result<EndpointList, FileError> {
     let read = |top: &Table| {
         version(top);
-        Listing { seq, whole: true, hosts: servers(top) }
+        EndpointList { version: seq, is_snapshot: true, endpoints: servers(top) }
     };
     Document::read(&path.display().to_string(), text, read).map_err(FileError::Faults)
 }
@@ -229,20 +229,24 @@
     let discovered = matches!(source, Source::Discovery(_));
     let settings =
         Settings { discovery_is_polled: discovered, start_times_reported: discovered, ..base.clone() };
-    Pool { name, source, known: Listing { seq: 0, whole: true, hosts }, settings }
+    Pool { name, source, known: EndpointList { version: 0, is_snapshot: true, endpoints: hosts }, settings }
 }
 
-fn servers(t: &Table) -> Vec<Host> {
+fn servers(t: &Table) -> Vec<EndpointRecord> {
     let mut taken = BTreeSet::new();
-    t.tables("server", |t| Host {
-        host: name(t, &mut taken),
-        dial: address(t),
-        site: t.text("zone", NAME, named),
-        class: t.text("kind", NAME, named),
-        block: t.count("cell", 0..=u64::MAX),
-        health: t.word("health", &["ready", "draining"]).map_or("ready", |i| ["ready", "draining"][i]).into(),
-        share: t.number("weight", 0.0..=1e6),
-        born_ms: None,
+    t.tables("server", |t| EndpointRecord {
+        id: name(t, &mut taken),
+        address: address(t),
+        zone: t.text("zone", NAME, named),
+        kind: t.text("kind", NAME, named),
+        cell: t.count("cell", 0..=u64::MAX),
+        state: t
+            .word("health", &["ready", "draining"])
+            .map_or("ready", |i| ["ready", "draining"][i])
+            .to_owned()
+            .into(),
+        weight: t.number("weight", 0.0..=1e6),
+        started_at_ms: None,
     })
 }
 
@@ -329,20 +333,20 @@
             Source::File(path) => writeln!(text, "file = {:?}", path.display().to_string())?,
             Source::Fixed => {}
         }
-        for host in &pool.known.hosts {
-            writeln!(text, "[[pool.server]]\nname = \"{}\"", host.host)?;
-            if let Some(dial) = host.dial {
+        for host in &pool.known.endpoints {
+            writeln!(text, "[[pool.server]]\nname = \"{}\"", host.id)?;
+            if let Some(dial) = host.address {
                 writeln!(text, "address = \"{dial}\"")?;
             }
-            for (key, value) in [("zone", &host.site), ("kind", &host.class)] {
+            for (key, value) in [("zone", &host.zone), ("kind", &host.kind)] {
                 if let Some(value) = value {
                     writeln!(text, "{key} = \"{value}\"")?;
                 }
             }
-            if let Some(cell) = host.block {
+            if let Some(cell) = host.cell {
                 writeln!(text, "cell = {cell}")?;
             }
-            writeln!(text, "health = \"{}\"\nweight = {:?}", host.health, host.share.unwrap_or(1.0))?;
+            writeln!(text, "health = \"{}\"\nweight = {:?}", host.state, host.weight.unwrap_or(1.0))?;
         }
     }
     for pool in &config.pools {
--- a/crates/cache-balancer/src/config/platform.rs
+++ b/crates/cache-balancer/src/config/platform.rs
@@ -1,7 +1,7 @@
 //! `LB_CONFIG` and the environment: what the platform tells its node.
 
 use super::{Config, DiscoveryReplicas, Listener, Pool, Source, LEAST_DESCRIPTORS};
-use crate::listing::Listing;
+use crate::endpoint_list::EndpointList;
 use balancer_core::platform::{read_settings, PlatformError};
 use serde::Deserialize;
 use serde_json::Value;
@@ -37,7 +37,7 @@
     seed: String,
     limits: Limits,
     #[serde(default)]
-    known: Listing,
+    known: EndpointList,
     settings: Value,
 }
 
--- a/crates/cache-balancer/src/daemon/change.rs
+++ b/crates/cache-balancer/src/daemon/change.rs
@@ -104,7 +104,7 @@
 fn list_changes(before: &Pool, after: &Pool) -> Vec<String> {
     match (&before.source, &after.source) {
         (Source::Discovery(before), Source::Discovery(after)) => discovery_changes(before, after),
-        (Source::Fixed, Source::Fixed) if before.known.hosts != after.known.hosts => {
+        (Source::Fixed, Source::Fixed) if before.known.endpoints != after.known.endpoints => {
             vec!["other servers".into()]
         }
         (before, after) if before != after => vec![format!("list from {}", source(after))],
--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -2,13 +2,13 @@
 
 use super::change::Change;
 use crate::config::{Config, DiscoveryReplicas, Pool, Source};
-use crate::discovery::Discovery;
+use crate::discovery::DiscoveryPoller;
 use crate::driver::Driver;
+use crate::endpoint_list::EndpointList;
 use crate::fronts::http1::{Class, Routes};
 use crate::handover::PoolState;
 use crate::input::Input;
 use crate::list_file;
-use crate::listing::Listing;
 use crate::readiness;
 use crate::tally::Tally;
 use crate::upstream::{Places, Upstream};
@@ -39,7 +39,7 @@
     ready: watch::Receiver<bool>,
     list: List,
     /// How its discovery is asked.
-    terms: Rc<Cell<PollSettings>>,
+    poll_settings: Rc<Cell<PollSettings>>,
 }
 
 /// Who brings the list.
@@ -156,19 +156,21 @@
         let upstream = Rc::new(Upstream::new(self.places.clone(), connecting, idle));
         spawn_local(Upstream::sweep(Rc::downgrade(&upstream)));
         // A watch goes on from the version that the other process had, if it was the same discovery's.
-        let membership = match &recalled {
+        let validator = match &recalled {
             Some(other) if other.shares_versions_with(&pool.source) => {
-                ListValidator::new(Some(other.listing.seq), other.listing.ready())
+                ListValidator::new(Some(other.listing.version), other.listing.ready_ids())
+            }
+            _ => {
+                ListValidator::new((!known.endpoints.is_empty()).then_some(known.version), known.ready_ids())
             }
-            _ => ListValidator::new((!known.hosts.is_empty()).then_some(known.seq), known.ready()),
         };
-        let terms = Rc::new(Cell::new(PollSettings::from(settings)));
-        let list = List::begin(&self.node, &pool.source, membership, seed, &terms, &events);
+        let poll_settings = Rc::new(Cell::new(PollSettings::from(settings)));
+        let list = List::begin(&self.node, &pool.source, validator, seed, &poll_settings, &events);
         let balancer = Balancer::new(settings.clone(), seed);
         let tally = Tally::new(&self.node, &pool.name, self.tally.clone());
         let driver = Driver::new(balancer, upstream, has_servers, events.clone(), tally);
         spawn_local(driver.run(known.clone(), inputs));
-        let running = Running { pool, events, ready, list, terms };
+        let running = Running { pool, events, ready, list, poll_settings };
         recalled.into_iter().for_each(|recalled| running.recall(recalled));
         running
     }
@@ -177,7 +179,7 @@
     fn go_on(&self, mut running: Running, pool: Pool) -> Running {
         let before = std::mem::replace(&mut running.pool, pool);
         let Pool { source, known, settings, .. } = &running.pool;
-        running.terms.set(PollSettings::from(settings));
+        running.poll_settings.set(PollSettings::from(settings));
         if *settings != before.settings {
             // The driver only goes once it is retired.
             let _ = running.events.send(Input::Reconfigured(Box::new(settings.clone())));
@@ -190,26 +192,28 @@
             _ if *source == before.source => {}
             _ => {
                 let seed = self.seed.wrapping_add(self.begun);
-                let membership = ListValidator::default();
+                let validator = ListValidator::default();
                 running.list =
-                    List::begin(&self.node, source, membership, seed, &running.terms, &running.events);
+                    List::begin(&self.node, source, validator, seed, &running.poll_settings, &running.events);
             }
         }
-        if *source == Source::Fixed && (before.source != Source::Fixed || known.hosts != before.known.hosts) {
-            let _ = running.events.send(Input::Listing(Listing { whole: true, ..known.clone() }));
+        if *source == Source::Fixed
+            && (before.source != Source::Fixed || known.endpoints != before.known.endpoints)
+        {
+            let _ = running.events.send(Input::Listing(EndpointList { is_snapshot: true, ..known.clone() }));
         }
         running
     }
 }
 
 impl List {
-    /// `membership` knows what the driver holds of a discovery's list, and `node` is the name of the node that asks.
+    /// `validator` knows what the driver holds of a discovery's list, and `node` is the name of the node that asks.
     fn begin(
         node: &str,
         source: &Source,
-        membership: ListValidator,
+        validator: ListValidator,
         seed: u64,
-        terms: &Rc<Cell<PollSettings>>,
+        poll_settings: &Rc<Cell<PollSettings>>,
         events: &UnboundedSender<Input>,
     ) -> Self {
         match source {
@@ -217,9 +221,14 @@
                 // Pools that lost one discovery together do not come back together either.
                 let random = fastrand::Rng::with_seed(seed);
                 let (sender, replicas) = watch::channel(replicas.clone());
-                let (terms, events) = (terms.clone(), events.clone());
-                let watching =
-                    Discovery { node: node.to_owned(), replicas, membership, terms, random, events };
+                let watching = DiscoveryPoller {
+                    node: node.to_owned(),
+                    replicas,
+                    validator,
+                    poll_settings: poll_settings.clone(),
+                    random,
+                    events: events.clone(),
+                };
                 Self::Discovery(sender, spawn_local(watching.run()).abort_handle())
             }
             Source::File(path) => {
--- a/crates/cache-balancer/src/daemon/pools/tests.rs
+++ b/crates/cache-balancer/src/daemon/pools/tests.rs
@@ -100,7 +100,7 @@
         events,
         ready: watch::channel(false).1,
         list: List::Discovery(sender, client.clone()),
-        terms: Rc::new(Cell::new(PollSettings::from(&pool.settings))),
+        poll_settings: Rc::new(Cell::new(PollSettings::from(&pool.settings))),
     };
     (running, Ends { replicas, inputs, client })
 }
--- a/crates/cache-balancer/src/driver.rs
+++ b/crates/cache-balancer/src/driver.rs
@@ -1,8 +1,8 @@
 //! Drives the module: the only owner of the `Balancer` and of what is open. Events come in by channel and the
 //! module's actions are carried out in order; nothing is picked, repeated or refused here.
 
+use crate::endpoint_list::{EndpointList, EndpointRecord};
 use crate::input::{Answer, Input, Taken};
-use crate::listing::{Host, Listing};
 use crate::log::log;
 use crate::tally::Tally;
 use crate::upstream::{Ended, Leave, Message, Upstream};
@@ -99,7 +99,7 @@
     timers: BTreeSet<(Instant, Timer)>,
     due: VecDeque<Event>,
     /// The list as it is by now.
-    listing: Listing,
+    listing: EndpointList,
     retired: bool,
     tally: Tally,
     observer: Option<Observer>,
@@ -123,7 +123,7 @@
             open: HashMap::new(),
             timers: BTreeSet::new(),
             due: VecDeque::new(),
-            listing: Listing::default(),
+            listing: EndpointList::default(),
             retired: false,
             tally,
             observer: None,
@@ -136,8 +136,8 @@
     }
 
     /// Runs for as long as the node does, or until it is retired and all that was taken is finished.
-    pub async fn run(mut self, known: Listing, mut inputs: UnboundedReceiver<Input>) {
-        let entries = self.learn(&Listing { whole: true, ..known });
+    pub async fn run(mut self, known: EndpointList, mut inputs: UnboundedReceiver<Input>) {
+        let entries = self.learn(&EndpointList { is_snapshot: true, ..known });
         self.due.push_back(Event::EndpointsRestored(entries));
         self.handle_due();
         while !(self.retired && self.open.is_empty()) {
@@ -188,7 +188,7 @@
             Input::Listing(listing) => {
                 self.tally.at(self.clock.now()).lists += 1;
                 let entries = self.learn(&listing);
-                let list = if listing.whole {
+                let list = if listing.is_snapshot {
                     EndpointUpdate::Snapshot(entries)
                 } else {
                     EndpointUpdate::Delta(entries)
@@ -201,7 +201,7 @@
             }
             Input::Recalled(recalled) => {
                 let (listing, knowledge) = *recalled;
-                let entries = self.learn(&Listing { whole: true, ..listing });
+                let entries = self.learn(&EndpointList { is_snapshot: true, ..listing });
                 self.due.push_back(Event::EndpointsRestored(entries));
                 self.due.push_back(Event::StateRestored(Arc::new(knowledge)));
             }
@@ -214,9 +214,13 @@
             // Whoever asked may have given up.
             Input::Alive(answer) => drop(answer.send(())),
             Input::Leaving(names) => {
-                let held = self.listing.hosts.iter().filter(|host| names.contains(&host.host));
-                let hosts = held.filter_map(Host::leaving).collect();
-                let entries = self.learn(&Listing { seq: self.listing.seq, whole: false, hosts });
+                let held = self.listing.endpoints.iter().filter(|endpoint| names.contains(&endpoint.id));
+                let endpoints = held.filter_map(EndpointRecord::drained).collect();
+                let entries = self.learn(&EndpointList {
+                    version: self.listing.version,
+                    is_snapshot: false,
+                    endpoints,
+                });
                 self.due.push_back(Event::EndpointsUpdated(EndpointUpdate::Delta(entries)));
             }
             // The list held goes on, and the client of discovery knows when to ask again.
@@ -226,17 +230,17 @@
 
     /// Hands a list to the connections and gives its entries back as the module's. It goes to both in one
     /// step, so that no attempt of the module's can overtake it.
-    fn learn(&mut self, listing: &Listing) -> Arc<[Endpoint]> {
+    fn learn(&mut self, listing: &EndpointList) -> Arc<[Endpoint]> {
         self.note_news(listing);
-        self.listing.merge(listing);
-        let entries: Arc<[Endpoint]> = listing.hosts.iter().map(|host| host.entry()).collect();
-        if listing.whole {
+        self.listing.apply(listing);
+        let entries: Arc<[Endpoint]> = listing.endpoints.iter().map(|host| host.endpoint()).collect();
+        if listing.is_snapshot {
             self.upstream.retain(|id| entries.iter().any(|entry| entry.id == *id));
         }
-        for (host, entry) in listing.hosts.iter().zip(entries.iter()) {
+        for (host, entry) in listing.endpoints.iter().zip(entries.iter()) {
             match entry.state {
                 EndpointState::Removed => self.upstream.forget(&entry.id),
-                state => self.upstream.learn(&entry.id, host.dial, state == EndpointState::Ready),
+                state => self.upstream.learn(&entry.id, host.address, state == EndpointState::Ready),
             }
         }
         if entries.iter().any(|entry| entry.state == EndpointState::Ready) {
@@ -246,20 +250,20 @@
     }
 
     /// Tallies what a list says that was not known. The one that a node starts with is no news.
-    fn note_news(&mut self, listing: &Listing) {
-        if self.listing.hosts.is_empty() {
+    fn note_news(&mut self, listing: &EndpointList) {
+        if self.listing.endpoints.is_empty() {
             return;
         }
         let state = |entry: &Endpoint| (entry.state, entry.started_at);
-        let known = self.listing.hosts.iter().map(|host| host.entry());
+        let known = self.listing.endpoints.iter().map(|host| host.endpoint());
         let mut known: BTreeMap<_, _> = known.map(|entry| (entry.id.clone(), state(&entry))).collect();
         let line = self.tally.at(self.clock.now());
-        for entry in listing.hosts.iter().map(|host| host.entry()) {
+        for entry in listing.endpoints.iter().map(|host| host.endpoint()) {
             if known.remove(&entry.id) != Some(state(&entry)) {
                 line.told(&entry.id, entry.state, entry.started_at);
             }
         }
-        if listing.whole {
+        if listing.is_snapshot {
             known.keys().for_each(|id| line.told(id, EndpointState::Removed, None));
         }
     }
@@ -422,9 +426,11 @@
 /// What an input says of a call to discovery, if it comes of one.
 fn heard(input: &Input) -> Option<Heard> {
     match input {
-        Input::Listing(listing) => {
-            Some(Heard::List { version: listing.seq, whole: listing.whole, entries: listing.hosts.len() })
-        }
+        Input::Listing(listing) => Some(Heard::List {
+            version: listing.version,
+            whole: listing.is_snapshot,
+            entries: listing.endpoints.len(),
+        }),
         Input::ListingFailed => Some(Heard::CallFailed),
         _ => None,
     }
--- a/crates/cache-balancer/src/handover/state.rs
+++ b/crates/cache-balancer/src/handover/state.rs
@@ -1,7 +1,7 @@
 //! What one process knows, in the words in which it tells another.
 
 use crate::config::{DiscoveryReplicas, Source};
-use crate::listing::Listing;
+use crate::endpoint_list::EndpointList;
 use balancer_core::LearnedState;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -26,13 +26,13 @@
     /// The replicas of that discovery, where there are several.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     replicas: Vec<SocketAddr>,
-    pub listing: Listing,
+    pub listing: EndpointList,
     pub knowledge: LearnedState,
 }
 
 impl PoolState {
     /// What is known of the pool of this name, whose list comes from `source`.
-    pub fn new(name: &str, source: &Source, listing: Listing, knowledge: LearnedState) -> Self {
+    pub fn new(name: &str, source: &Source, listing: EndpointList, knowledge: LearnedState) -> Self {
         let (discovery, replicas) = match source {
             Source::Discovery(DiscoveryReplicas { addresses, .. }) => match addresses[..] {
                 [only] => (Some(only), Vec::new()),
--- a/crates/cache-balancer/src/handover/state/tests.rs
+++ b/crates/cache-balancer/src/handover/state/tests.rs
@@ -12,7 +12,7 @@
 }
 
 fn pool(source: &Source) -> PoolState {
-    PoolState::new("p", source, Listing::default(), LearnedState::default())
+    PoolState::new("p", source, EndpointList::default(), LearnedState::default())
 }
 
 /// What is known of a pool, as it goes over the link.
@@ -38,7 +38,7 @@
 #[test]
 fn a_state_of_the_version_before_is_read_and_its_one_address_is_compared() {
     let of_one = read(json!({"discovery": "127.0.0.1:1"}));
-    assert_eq!(of_one.listing.seq, 7);
+    assert_eq!(of_one.listing.version, 7);
     assert!(of_one.shares_versions_with(&replicas(&[1])));
     assert!(of_one.shares_versions_with(&replicas(&[1, 2])));
     assert!(!of_one.shares_versions_with(&replicas(&[2])));
--- a/crates/cache-balancer/src/hollow/mod.rs
+++ b/crates/cache-balancer/src/hollow/mod.rs
@@ -1,14 +1,16 @@
-//! `cache-balancer scale-hollow`: hollow nodes, hundreds in one process on one thread. Each is the real client of discovery with a
-//! connection of its own, the real decisions and the real driver, and has no clients.
+//! `cache-balancer scale-hollow`: hollow nodes, hundreds in one process on one thread.
+//!
+//! The term is Kubemark's: each is the real client of discovery with a connection of its own, the real decisions and the real
+//! driver, without a data path.
 
 mod node;
 mod record;
 
 use crate::config::DiscoveryReplicas;
-use crate::listing::{Host, Listing};
+use crate::endpoint_list::{EndpointList, EndpointRecord};
 use balancer_core::discovery;
-use node::{Common, HollowNode};
-use record::Record;
+use node::{HollowNode, SharedSetup};
+use record::ActivityRecord;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,15 +23,19 @@
 
 type Commands = Receiver<Result<HollowCommand, ProcessError>>;
 
-/// Reads [`HollowCommand`]s from standard input and writes [`HollowEvent`]s to standard output. It ends with the command to
-/// stop, or with its input.
+/// Reads [`HollowCommand`]s from standard input and writes [`HollowEvent`]s to standard output, until the stop command or the
+/// end of the input.
+///
+/// # Errors
+///
+/// Returns [`ProcessError`] for a command that cannot be read or carried out, and for system errors.
 pub fn run() -> Result<(), ProcessError> {
     raise_descriptors()?;
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(ProcessError::system("the runtime"))?;
     let events = Events::start();
-    let served = LocalSet::new().block_on(&runtime, serve(commands(), &events));
-    events.finish().and(served)
+    let result = LocalSet::new().block_on(&runtime, serve(commands(), &events));
+    events.finish().and(result)
 }
 
 async fn serve(mut commands: Commands, events: &Events<HollowEvent>) -> Result<(), ProcessError> {
@@ -45,12 +51,12 @@
             seed,
             zones,
         }) => {
-            let (replicas, asked) = watch::channel(service(replicas, capacity)?);
-            let common = Common { fleet, seed, zones, replicas: asked, record: Rc::default() };
+            let (replicas, watched_replicas) = watch::channel(discovery_replicas(replicas, capacity)?);
+            let setup = SharedSetup { fleet, seed, zones, replicas: watched_replicas, record: Rc::default() };
             let mut nodes =
-                HollowNodes { first, count, common, replicas, running: BTreeMap::new(), launches: 0 };
-            let known = version.map(|version| listing(version, servers)).unwrap_or_default();
-            nodes.launch((0..count).map(|place| first.saturating_add(place)), &known).await?;
+                HollowNodes { first, count, setup, replicas, running: BTreeMap::new(), launches: 0 };
+            let known = version.map(|version| endpoint_list(version, servers)).unwrap_or_default();
+            nodes.launch((0..count).map(|index| first.saturating_add(index)), &known).await?;
             nodes
         }
         Some(HollowCommand::Stop) | None => return Ok(()),
@@ -62,10 +68,10 @@
             HollowCommand::Start { .. } => return Err(ProcessError::StartedTwice),
             HollowCommand::Kill { nodes: killed } => nodes.kill(&killed)?,
             HollowCommand::Launch { nodes: launched } => {
-                nodes.launch(launched.into_iter(), &Listing::default()).await?;
+                nodes.launch(launched.into_iter(), &EndpointList::default()).await?;
             }
-            HollowCommand::Replicas { replicas } => nodes.ask(replicas)?,
-            HollowCommand::Report => events.send(HollowEvent::Report(nodes.common.record.take())),
+            HollowCommand::Replicas { replicas } => nodes.replace_replicas(replicas)?,
+            HollowCommand::Report => events.send(HollowEvent::Report(nodes.setup.record.take())),
             HollowCommand::Stop => return Ok(()),
         }
     }
@@ -76,46 +82,46 @@
 struct HollowNodes {
     first: u32,
     count: u32,
-    common: Common,
+    setup: SharedSetup,
     replicas: watch::Sender<DiscoveryReplicas>,
-    /// Those that are up, by number.
+    /// Running nodes by number.
     running: BTreeMap<u32, HollowNode>,
-    /// How many were launched, so that each draws numbers of its own.
+    /// The number of launches so far, which seeds the random numbers of the next.
     launches: u64,
 }
 
 impl HollowNodes {
-    /// Starts these with that list, in place of those that are up, and waits until they have begun.
+    /// Starts these nodes with this list, in place of running ones, and waits until they have applied it.
     async fn launch(
         &mut self,
         numbers: impl Iterator<Item = u32>,
-        known: &Listing,
+        known: &EndpointList,
     ) -> Result<(), ProcessError> {
         let mut launched = Vec::new();
         for number in numbers {
-            self.own(number)?;
+            self.check_number(number)?;
             self.launches += 1;
-            let node = HollowNode::launch(number, &self.common, self.launches, known.clone());
-            launched.push(node.begun());
+            let node = HollowNode::launch(number, &self.setup, self.launches, known.clone());
+            launched.push(node.started());
             self.running.insert(number, node);
         }
-        for begun in launched {
-            // One that is up again already has begun too.
-            let _ = begun.await;
+        for started in launched {
+            // It fails for a node that has been replaced by a later launch.
+            let _ = started.await;
         }
         Ok(())
     }
 
     fn kill(&mut self, numbers: &[u32]) -> Result<(), ProcessError> {
         for number in numbers {
-            self.own(*number)?;
+            self.check_number(*number)?;
             self.running.remove(number);
         }
         Ok(())
     }
 
-    /// Has all nodes ask these from here on, of whom each can do as much as those before.
-    fn ask(&self, replicas: Vec<SocketAddr>) -> Result<(), ProcessError> {
+    /// Makes all nodes poll these replicas from now on, each of the same capacity as before.
+    fn replace_replicas(&self, replicas: Vec<SocketAddr>) -> Result<(), ProcessError> {
         if replicas.is_empty() {
             return Err(ProcessError::NoReplica);
         }
@@ -126,18 +132,18 @@
         Ok(())
     }
 
-    /// Whether this is a number of this process's.
-    fn own(&self, node: u32) -> Result<(), ProcessError> {
+    /// Returns an error unless this process runs the node of this number.
+    fn check_number(&self, node: u32) -> Result<(), ProcessError> {
         let (first, count) = (self.first, self.count);
-        if node.checked_sub(first).is_some_and(|place| place < count) {
+        if node.checked_sub(first).is_some_and(|index| index < count) {
             return Ok(());
         }
         Err(ProcessError::ForeignNode { node, first, last: first.saturating_add(count).saturating_sub(1) })
     }
 }
 
-/// The service that these replicas are, each of that capacity.
-fn service(
+/// The discovery service of these replicas, each of this capacity.
+fn discovery_replicas(
     replicas: Vec<SocketAddr>,
     capacity: Option<ReplicaCapacity>,
 ) -> Result<DiscoveryReplicas, ProcessError> {
@@ -151,19 +157,20 @@
     Ok(DiscoveryReplicas::new(replicas, capacity))
 }
 
-fn listing(version: u64, servers: Vec<ListedServer>) -> Listing {
-    Listing { seq: version, whole: true, hosts: servers.into_iter().map(host).collect() }
+fn endpoint_list(version: u64, servers: Vec<ListedServer>) -> EndpointList {
+    let endpoints = servers.into_iter().map(endpoint_record).collect();
+    EndpointList { version, is_snapshot: true, endpoints }
 }
 
-fn host(server: ListedServer) -> Host {
-    Host {
-        host: server.host,
-        dial: Some(server.dial),
-        site: Some(server.site),
-        class: Some(server.class),
-        block: Some(server.block),
-        health: server.health,
-        share: Some(server.share),
-        born_ms: Some(server.born_ms),
+fn endpoint_record(server: ListedServer) -> EndpointRecord {
+    EndpointRecord {
+        id: server.host,
+        address: Some(server.dial),
+        zone: Some(server.site),
+        kind: Some(server.class),
+        cell: Some(server.block),
+        state: server.health.into(),
+        weight: Some(server.share),
+        started_at_ms: Some(server.born_ms),
     }
 }
--- a/crates/cache-balancer/src/hollow/node.rs
+++ b/crates/cache-balancer/src/hollow/node.rs
@@ -1,11 +1,11 @@
-//! One hollow node: what a node runs for one pool, with nobody to serve.
+//! One hollow node: what a node runs for one pool, without clients.
 
-use super::Record;
+use super::ActivityRecord;
 use crate::config::DiscoveryReplicas;
-use crate::discovery::Discovery;
+use crate::discovery::DiscoveryPoller;
 use crate::driver::Driver;
+use crate::endpoint_list::EndpointList;
 use crate::input::Input;
-use crate::listing::Listing;
 use crate::tally::Tally;
 use crate::upstream::{Places, Upstream};
 use balancer_core::discovery::{ListValidator, PollSettings};
@@ -17,30 +17,30 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::{spawn_local, AbortHandle};
 
-/// Nothing new may go to a server later than this after it was told to be leaving.
+/// [`Settings::drain_grace`], as on the platform.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// A node that has not asked for this long counts as told.
-const ASK_WITHIN: Duration = Duration::from_secs(10);
-/// Connections to cache servers that it may hold. It has no clients, and makes none.
-const PLACES: usize = 4;
-/// Consecutive numbers times this are far apart: 2^64 over the golden ratio (D. Knuth, TAOCP vol. 3, 6.4).
-const APART: u64 = 0x9e37_79b9_7f4a_7c15;
+/// [`Settings::max_poll_interval`], as on the platform.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
+/// The bound of connections to cache servers. Without clients none is opened.
+const MAX_CONNECTIONS: usize = 4;
+/// Spreads consecutive numbers over 64 bits: 2^64 divided by the golden ratio (D. Knuth, TAOCP vol. 3, 6.4).
+const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What all hollow nodes of a process have in common.
-pub struct Common {
-    /// Nodes of the whole fleet.
+/// What all hollow nodes of a process share.
+pub struct SharedSetup {
+    /// The number of nodes of the whole fleet.
     pub fleet: u32,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// Zones of the nodes, dealt in turn by their numbers.
+    /// The zones of the nodes, assigned in turn by their numbers.
     pub zones: Vec<String>,
-    /// Whom they ask.
+    /// The replicas of discovery that they poll.
     pub replicas: watch::Receiver<DiscoveryReplicas>,
-    /// Where they write down what they did.
-    pub record: Rc<Record>,
+    /// Where they record what they did.
+    pub record: Rc<ActivityRecord>,
 }
 
-impl Common {
+impl SharedSetup {
     fn settings(&self, number: u32) -> Settings {
         let zone = match self.zones.len() {
             0 => None,
@@ -56,20 +56,20 @@
             }],
             discovery_is_polled: true,
             drain_grace: DRAIN_GRACE,
-            max_poll_interval: ASK_WITHIN,
+            max_poll_interval: MAX_POLL_INTERVAL,
             ..Settings::default()
         }
     }
 
     /// The random numbers of one launch of a node.
     fn random(&self, number: u32, launch: u64) -> fastrand::Rng {
-        let place = u64::from(number) << 32 | launch & u64::from(u32::MAX);
-        let mut random = fastrand::Rng::with_seed(self.seed.wrapping_add(place.wrapping_mul(APART)));
+        let stream = u64::from(number) << 32 | launch & u64::from(u32::MAX);
+        let mut random = fastrand::Rng::with_seed(self.seed.wrapping_add(stream.wrapping_mul(GOLDEN_RATIO)));
         random.fork()
     }
 }
 
-/// A node that is up. It is killed when this is dropped: its connections close, and all that it knows is lost.
+/// A running node. Dropping it kills the node: its connections close and its state is lost.
 pub struct HollowNode {
     events: UnboundedSender<Input>,
     driver: AbortHandle,
@@ -77,44 +77,47 @@
 }
 
 impl HollowNode {
-    /// Starts one that knows this list, which may be empty. `launch` differs from that of all others in this process.
-    pub fn launch(number: u32, common: &Common, launch: u64, known: Listing) -> Self {
-        let mut random = common.random(number, launch);
-        let settings = common.settings(number);
+    /// Starts a node with this list, which may be empty. `launch` is different for each launch in this process.
+    pub fn launch(number: u32, setup: &SharedSetup, launch: u64, known: EndpointList) -> Self {
+        let mut random = setup.random(number, launch);
+        let settings = setup.settings(number);
         let name = format!("h{number}");
         let (events, inputs) = mpsc::unbounded_channel();
         let upstream = Rc::new(Upstream::new(
-            Rc::new(Places::new(PLACES)),
+            Rc::new(Places::new(MAX_CONNECTIONS)),
             settings.connect_timeout,
             settings.server_idle_timeout,
         ));
         spawn_local(Upstream::sweep(Rc::downgrade(&upstream)));
-        let discovery = Discovery {
+        let discovery = DiscoveryPoller {
             node: name.clone(),
-            replicas: common.replicas.clone(),
-            membership: ListValidator::new((!known.hosts.is_empty()).then_some(known.seq), known.ready()),
-            terms: Rc::new(Cell::new(PollSettings::from(&settings))),
+            replicas: setup.replicas.clone(),
+            validator: ListValidator::new(
+                (!known.endpoints.is_empty()).then_some(known.version),
+                known.ready_ids(),
+            ),
+            poll_settings: Rc::new(Cell::new(PollSettings::from(&settings))),
             random: random.fork(),
             events: events.clone(),
         };
         let balancer = Balancer::new(settings, random.u64(..));
-        // Its readiness interests nobody.
+        // The readiness of a hollow node is not observed.
         let ready = watch::Sender::new(false);
         let tally = Tally::new(&name, "pool", Rc::new(Cell::new(false)));
-        let record = common.record.clone();
+        let record = setup.record.clone();
         let driver = Driver::new(balancer, upstream, ready, events.clone(), tally)
-            .observed(Box::new(move |heard| record.note(number, heard)));
+            .observed(Box::new(move |heard| record.add(number, heard)));
         let driver = spawn_local(driver.run(known, inputs)).abort_handle();
         let discovery = spawn_local(discovery.run()).abort_handle();
         Self { events, driver, discovery }
     }
 
-    /// Ends when its decisions have had the list that it started with, or it was killed.
-    pub fn begun(&self) -> oneshot::Receiver<()> {
-        let (answer, begun) = oneshot::channel();
-        // One that was killed answers nothing.
+    /// Completes when the node has applied the list that it started with; fails if the node was killed before.
+    pub fn started(&self) -> oneshot::Receiver<()> {
+        let (answer, started) = oneshot::channel();
+        // The node may have been killed.
         let _ = self.events.send(Input::Alive(answer));
-        begun
+        started
     }
 }
 
--- a/crates/cache-balancer/src/hollow/record.rs
+++ b/crates/cache-balancer/src/hollow/record.rs
@@ -1,17 +1,17 @@
-//! What the hollow nodes of this process did since the last report.
+//! What the hollow nodes of this process have done since the last report.
 
 use crate::driver::Heard;
 use std::cell::RefCell;
 use std::time::{SystemTime, UNIX_EPOCH};
 use testbed::scale::messages::{Applied, HollowReport};
 
-/// Kept by all of them together.
+/// The shared record of all nodes of this process.
 #[derive(Debug, Default)]
-pub struct Record(RefCell<HollowReport>);
+pub struct ActivityRecord(RefCell<HollowReport>);
 
-impl Record {
-    /// Notes what a node's decisions just had. An answer that told nothing new is no list.
-    pub fn note(&self, node: u32, heard: Heard) {
+impl ActivityRecord {
+    /// Records what a node's decisions just processed. An answer without changes is not recorded.
+    pub fn add(&self, node: u32, heard: Heard) {
         let mut report = self.0.borrow_mut();
         match heard {
             Heard::List { version, whole, entries } if whole || entries > 0 => {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// What was noted, which is not given again.
+    /// Returns the record and clears it.
     pub fn take(&self) -> HollowReport {
         self.0.take()
     }
@@ -30,6 +30,6 @@
 
 /// Microseconds of Unix time.
 fn now_us() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/cache-balancer/src/input.rs
+++ b/crates/cache-balancer/src/input.rs
@@ -1,6 +1,6 @@
 //! What the node's parts tell the driver, and how it answers them.
 
-use crate::listing::Listing;
+use crate::endpoint_list::EndpointList;
 use crate::upstream::{Ended, Message};
 use balancer_core::{ClassId, LearnedState, RequestId, Settings, TenantId};
 use bytes::Bytes;
@@ -49,16 +49,16 @@
         attempt: u32,
         ended: Ended,
     },
-    Listing(Listing),
+    Listing(EndpointList),
     ListingFailed,
     /// Servers that an answer says are leaving, of which no list has been taken, or not yet.
     Leaving(BTreeSet<String>),
     /// Other settings hold for what is taken from here on.
     Reconfigured(Box<Settings>),
     /// What the process knew whose place this one takes. It comes before the first request.
-    Recalled(Box<(Listing, LearnedState)>),
+    Recalled(Box<(EndpointList, LearnedState)>),
     /// What is known by now is wanted.
-    Report(oneshot::Sender<(Listing, LearnedState)>),
+    Report(oneshot::Sender<(EndpointList, LearnedState)>),
     /// Nothing more is taken: the driver ends once all that it has is finished.
     Retired,
     /// Whether the driver still does its work: it answers.
--- a/crates/cache-balancer/src/list_file.rs
+++ b/crates/cache-balancer/src/list_file.rs
@@ -1,4 +1,4 @@
-//! A pool's list in a file: read at the start, and again whenever it has changed.
+//! A pool's endpoint list in a file: read at start-up, and again whenever the file has changed.
 
 use crate::config::operator::{list_text, read_list};
 use crate::input::Input;
@@ -9,38 +9,41 @@
 use tokio::task::spawn_blocking;
 use tokio::time::sleep;
 
-/// The file is looked at so often. A watch by the kernel would be sooner, and would have to follow a file that is
-/// replaced, a folder that is moved and a link that leads elsewhere: reading a few kilobytes does it all.
-const LOOK: Duration = Duration::from_secs(1);
+/// How often the file is read. Notifications by the kernel would be sooner, and would have to follow replaced files, moved
+/// directories and links that change: reading a few kilobytes covers all of them.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Hands the driver each list that the file has held, for as long as the driver lives. A file that is of no use is one
-/// log line for each fault, and the list that was there goes on.
+/// Sends the driver each list that the file holds, for as long as the driver lives. A file that cannot be used is logged, a
+/// line for each error, and the list before it stays in use.
 pub async fn watch(path: PathBuf, events: UnboundedSender<Input>) {
-    let (mut seq, mut seen) = (0, None);
+    let (mut version, mut last_read) = (0, None);
     loop {
         let file = path.clone();
-        // Not on the one thread of all requests: a share that is away, or a pipe, may let the reader wait.
+        // Off the thread that serves requests: a network share that is away, or a pipe, may block the reader.
         let read = spawn_blocking(move || list_text(&file)).await;
         let Ok(text) = read.map(|read| read.map_err(|error| error.to_string())) else { return };
-        // What was read is what is compared and what is taken: the file may change at any moment.
-        if seen.as_ref() != Some(&text) {
-            let list = text.as_ref().map_err(Clone::clone);
-            match list.and_then(|text| read_list(&path, text, seq + 1).map_err(|error| error.to_string())) {
-                Ok(listing) => {
-                    seq += 1;
-                    if events.send(Input::Listing(listing)).is_err() {
+        // The text that is compared is the one that is parsed: the file may change at any moment.
+        if last_read.as_ref() != Some(&text) {
+            let list = text
+                .as_ref()
+                .map_err(Clone::clone)
+                .and_then(|text| read_list(&path, text, version + 1).map_err(|error| error.to_string()));
+            match list {
+                Ok(list) => {
+                    version += 1;
+                    if events.send(Input::Listing(list)).is_err() {
                         return;
                     }
                 }
-                Err(error) => log(&error, seq),
+                Err(error) => log_rejected(&error, version),
             }
-            seen = Some(text);
+            last_read = Some(text);
         }
-        sleep(LOOK).await;
+        sleep(READ_INTERVAL).await;
     }
 }
 
-fn log(error: &str, seq: u64) {
+fn log_rejected(error: &str, version: u64) {
     log!("{error}");
-    log!("list not taken; {}", if seq == 0 { "there is none yet" } else { "the one before holds" });
+    log!("list rejected; {}", if version == 0 { "there is none yet" } else { "the one before stays in use" });
 }
--- a/crates/cache-balancer/tests/lists.rs
+++ b/crates/cache-balancer/tests/lists.rs
@@ -1,5 +1,5 @@
-//! Lists that cannot be right, on sockets: the node goes on with the one it holds, says what was wrong and where, and takes
-//! the next good one.
+//! Lists that cannot be right, on sockets: the node keeps the one it holds, logs what was wrong and where, and accepts the next
+//! good one.
 
 mod common;
 
@@ -8,15 +8,15 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// A node that serves from a list of one server, is told `text`, and says `words` of it; then a good list of another server
-/// comes, with `seq`.
-fn told(text: &str, words: &str, seq: u64) {
+/// A node that serves from a list of one server receives `text` and logs `message`. It accepts the good list of another server
+/// that follows, of version `seq`.
+fn rejects(text: &str, message: &str, seq: u64) {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     discovery.wait_until_told(1);
     discovery.tell_text(text.replace("OLD", &old.entry("s-1", "ready").to_string()));
-    wait_for(&format!("{words}, of {text}"), || node.said(words) >= 1);
+    wait_for(&format!("{message}, of {text}"), || node.said(message) >= 1);
     for key in 0..5 {
         assert_eq!(node.read("read", key).body, b"old", "{text}");
     }
@@ -28,56 +28,61 @@
     }
 }
 
-fn whole(seq: u64, hosts: &[Value]) -> String {
+fn snapshot(seq: u64, hosts: &[Value]) -> String {
     json!({"seq": seq, "whole": true, "hosts": hosts}).to_string()
 }
 
 #[test]
-fn a_list_that_cannot_be_read_is_named_with_its_place_and_the_old_one_stays() {
-    told("", "not a list: EOF while parsing", 7);
-    told(r#"{"seq":2,"whole":true,"hosts":[OLD"#, "not a list: ", 7);
-    told(r#"{"seq":2,"whole":true,"hosts":[{"dial":null}]}"#, "hosts[0]: missing field `host`", 7);
+fn the_error_in_a_malformed_list_is_logged_and_the_held_list_stays() {
+    rejects("", "not a list: EOF while parsing", 7);
+    rejects(r#"{"seq":2,"whole":true,"hosts":[OLD"#, "not a list: ", 7);
+    rejects(r#"{"seq":2,"whole":true,"hosts":[{"dial":null}]}"#, "hosts[0]: missing field `host`", 7);
 }
 
 #[test]
-fn a_list_without_hosts_and_one_with_a_server_twice_are_not_taken() {
-    told(&whole(2, &[]), "list not taken: hosts: empty, where 1 ready servers are known", 7);
-    told(r#"{"seq":2,"whole":true}"#, "list not taken: hosts: empty", 7);
-    told(r#"{"seq":2,"whole":true,"hosts":[OLD,OLD]}"#, "hosts[1]: s-1 again, which stands at hosts[0]", 7);
+fn an_empty_list_and_one_with_a_duplicate_server_are_rejected() {
+    rejects(&snapshot(2, &[]), "list rejected: hosts: empty, where 1 ready servers are known", 7);
+    rejects(r#"{"seq":2,"whole":true}"#, "list rejected: hosts: empty", 7);
+    rejects(
+        r#"{"seq":2,"whole":true,"hosts":[OLD,OLD]}"#,
+        "hosts[1]: s-1 again, which stands at hosts[0]",
+        7,
+    );
 }
 
 #[test]
-fn a_version_that_goes_back_is_not_taken_and_the_next_call_asks_for_the_whole_list() {
+fn an_older_version_is_rejected_and_a_snapshot_requested() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     discovery.wait_until_told(1);
     discovery.tell_text(r#"{"seq":0,"whole":false,"hosts":[]}"#.into());
-    wait_for("the doubt", || node.said("seq: 0, older than 1, which is held") >= 1);
+    wait_for("the rejection", || node.said("seq: 0, older than 1, which is held") >= 1);
     let before = discovery.asked.lock().unwrap().iter().filter(|path| !path.contains("after")).count();
-    wait_for("a call for the whole list", || {
+    wait_for("a request for a snapshot", || {
         discovery.asked.lock().unwrap().iter().filter(|path| !path.contains("after")).count() > before
     });
     assert_eq!(node.read("read", 1).body, b"value");
 }
 
-// Guards against a discovery that lost its versions, and would never be heard again.
+/// A discovery that lost its store counts versions from the start. A node that rejected older versions for good would never
+/// follow it again, and its list would go stale.
 #[test]
-fn a_discovery_that_counts_anew_is_heard_at_the_third_time() {
+fn a_discovery_that_lost_its_versions_is_accepted_the_third_time() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     discovery.wait_until_told(1);
-    discovery.tell_text(whole(0, &[new.entry("s-2", "ready")]));
-    wait_for("it to be believed", || node.said("accepted, since it came 3 times in a row") == 1);
-    assert_eq!(node.said("list not taken: seq: 0, older than 1"), 2);
+    discovery.tell_text(snapshot(0, &[new.entry("s-2", "ready")]));
+    wait_for("its list to be accepted", || node.said("accepted, since it came 3 times in a row") == 1);
+    assert_eq!(node.said("list rejected: seq: 0, older than 1"), 2);
     wait_for("its server to be used", || node.read("read", 1).body == b"new");
 }
 
-/// A discovery that answers the first call with a whole list in which two servers are ready, and the calls after it as `then`
-/// says, the first of them being number 1.
+/// A discovery that answers the first request with a snapshot in which two servers are ready, and later ones as `then`
+/// returns, which is given their number from 1.
 fn scripted(hosts: [Value; 2], then: impl Fn(usize) -> Does + Send + Sync + 'static) -> CacheServer {
-    let first = answer("200 OK", "", &whole(1, &hosts));
+    let first = answer("200 OK", "", &snapshot(1, &hosts));
     let calls = AtomicUsize::new(0);
     CacheServer::start(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
         0 => Does::Answer(first.clone()),
@@ -85,21 +90,21 @@
     })
 }
 
-/// A node that is told in `text`, which is no list that it takes, that one of its two servers is leaving; after that its
-/// discovery says nothing more. `end` is how the answer goes on behind the text.
-fn heeded(text: &str, end: fn(String) -> Does, words: &str) -> Node {
+/// A node receives `text`, which is no list that it accepts and reports one of its two servers as leaving. Its discovery sends
+/// nothing after that. The node logs `message` and avoids the server. `end` makes the answer of the text.
+fn avoids_leaving(text: &str, end: fn(String) -> Does, message: &str) -> Node {
     let (leaving, staying) = (CacheServer::serving("leaving"), CacheServer::serving("staying"));
     let text = text.replace("LEAVING", &leaving.entry("s-1", "draining").to_string());
     let shown = text.clone();
     let hosts = [leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")];
-    let told = std::sync::Arc::new(AtomicUsize::new(0));
-    let served = told.clone();
+    let both_used = std::sync::Arc::new(AtomicUsize::new(0));
+    let may_answer = both_used.clone();
     let discovery = scripted(hosts, move |call| {
         if call > 1 {
             return Does::Nothing;
         }
         // Both servers have had work before.
-        while served.load(Ordering::SeqCst) == 0 {
+        while may_answer.load(Ordering::SeqCst) == 0 {
             std::thread::sleep(Duration::from_millis(5));
         }
         end(text.clone())
@@ -109,8 +114,8 @@
         (0..50).for_each(|key| drop(node.read("read", key)));
         leaving.count() > 0 && staying.count() > 0
     });
-    told.store(1, Ordering::SeqCst);
-    wait_for(&format!("{words}, of {shown}"), || node.said(words) >= 1);
+    both_used.store(1, Ordering::SeqCst);
+    wait_for(&format!("{message}, of {shown}"), || node.said(message) >= 1);
     let before = leaving.count();
     for key in 0..50 {
         assert_eq!(node.read("read", key).body, b"staying", "{shown}");
@@ -119,40 +124,43 @@
     node
 }
 
-const HEEDED: &str = "1 servers told to be leaving in an answer that is no list, heeded";
+const AVOIDED: &str = "1 servers reported as leaving in an incomplete or rejected answer, avoided";
 
-/// The whole answer.
+/// The complete answer.
 fn complete(text: String) -> Does {
     Does::Answer(answer("200 OK", "", &text))
 }
 
-/// Says that more comes, and closes.
+/// Announces more than it sends, and closes.
 fn broken_off(text: String) -> Does {
     Does::Close(format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{text}"))
 }
 
-/// Says that more comes, which never does, on a connection that stays open.
+/// Announces more than it sends, and leaves the connection open.
 fn without_end(text: String) -> Does {
     Does::Answer(format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{text}"))
 }
 
+/// What discovery has written counts as notified. If the node waited for the rest of an answer that breaks off or stalls, it
+/// would send requests to a server that shuts down. Entries are read as they arrive.
 #[test]
-fn a_drain_is_heeded_although_the_answer_that_tells_it_breaks_off_or_never_ends() {
-    heeded(r#"{"seq":2,"whole":false,"hosts":[LEAVING,{"host":"s-"#, broken_off, HEEDED);
+fn a_drain_in_an_answer_that_breaks_off_or_never_ends_is_applied() {
+    avoids_leaving(r#"{"seq":2,"whole":false,"hosts":[LEAVING,{"host":"s-"#, broken_off, AVOIDED);
     let cut = r#"{"seq":2,"whole":false,"hosts":[LEAVING"#;
     let indented = "{\n  \"seq\": 2,\n  \"whole\": false,\n  \"hosts\": [\n    LEAVING,\n";
     for text in [cut, indented] {
-        let node = heeded(text, without_end, HEEDED);
-        // While it is still coming, not when it is given up.
+        let node = avoids_leaving(text, without_end, AVOIDED);
+        // While the answer is incomplete, not when it times out.
         let log = node.log.lock().unwrap();
-        let at = |words: &str| log.iter().position(|line| line.contains(words));
-        assert!(at(HEEDED).unwrap() < at("no answer in time").unwrap_or(usize::MAX), "{log:?}");
+        let at = |message: &str| log.iter().position(|line| line.contains(message));
+        assert!(at(AVOIDED).unwrap() < at("no answer in time").unwrap_or(usize::MAX), "{log:?}");
     }
 }
 
-// Guards against an answer that has begun and never ends, waited for as long as a watch with nothing to tell.
+/// An answer that has begun shows that there are changes. If the node waited for its end as long as for a watch without
+/// events, it would hear of them late.
 #[test]
-fn an_answer_that_stalls_is_given_up_before_the_wait_of_its_watch_is_over() {
+fn a_stalled_answer_times_out_before_the_wait_of_its_watch() {
     let (one, two) = (CacheServer::serving("one"), CacheServer::serving("two"));
     let hosts = [one.entry("s-1", "ready"), two.entry("s-2", "ready")];
     let discovery = scripted(hosts, |call| match call {
@@ -162,45 +170,47 @@
     let _node = Node::ready(&config(discovery.address));
     wait_for("the watch", || discovery.count() >= 2);
     let began = Instant::now();
-    wait_for("the next call", || discovery.count() >= 3);
+    wait_for("the next poll", || discovery.count() >= 3);
     let asked = discovery.asked.lock().unwrap()[1].start.clone();
     let wait = asked.split_once("wait_ms=").unwrap().1.split(' ').next().unwrap().parse().unwrap();
     assert!(began.elapsed() < Duration::from_millis(wait), "{asked}");
 }
 
+/// One malformed entry makes an answer no list. The drain of another server in it counts as notified all the same.
 #[test]
-fn a_drain_is_heeded_although_another_entry_or_the_list_as_a_whole_is_not_taken() {
+fn a_drain_in_a_malformed_or_rejected_list_is_applied() {
     let bad = r#"{"seq":2,"whole":false,"hosts":[LEAVING,{"host":"s-3","dial":"nowhere","health":"ready"}]}"#;
-    heeded(bad, complete, "hosts[1].dial: invalid socket address syntax");
-    heeded(bad, complete, HEEDED);
-    heeded(r#"{"seq":2,"whole":true,"hosts":[LEAVING,LEAVING]}"#, complete, HEEDED);
-    heeded(r#"{"seq":0,"whole":false,"hosts":[LEAVING]}"#, complete, HEEDED);
+    avoids_leaving(bad, complete, "hosts[1].dial: invalid socket address syntax");
+    avoids_leaving(bad, complete, AVOIDED);
+    avoids_leaving(r#"{"seq":2,"whole":true,"hosts":[LEAVING,LEAVING]}"#, complete, AVOIDED);
+    avoids_leaving(r#"{"seq":0,"whole":false,"hosts":[LEAVING]}"#, complete, AVOIDED);
 }
 
 #[test]
-fn what_was_heeded_holds_until_the_whole_list_says_otherwise() {
+fn a_drain_from_a_damaged_answer_lasts_until_a_snapshot_differs() {
     let (one, two) = (CacheServer::serving("one"), CacheServer::serving("two"));
     let hosts = [one.entry("s-1", "ready"), two.entry("s-2", "ready")];
-    let spoilt = format!(r#"{{"seq":2,"whole":false,"hosts":[{},"#, one.entry("s-1", "draining"));
-    let again = whole(2, &hosts);
+    let damaged = format!(r#"{{"seq":2,"whole":false,"hosts":[{},"#, one.entry("s-1", "draining"));
+    let again = snapshot(2, &hosts);
     let discovery = scripted(hosts.clone(), move |call| match call {
-        1 => broken_off(spoilt.clone()),
+        1 => broken_off(damaged.clone()),
         2 => Does::Answer(answer("200 OK", "", &again)),
         _ => Does::Nothing,
     });
     let node = Node::ready(&config(discovery.address));
-    wait_for("the drain to be heeded", || node.said(HEEDED) == 1);
-    wait_for("the whole list to be asked for and the watch after it", || discovery.count() >= 4);
-    assert!(!discovery.asked.lock().unwrap()[2].start.contains("after="), "the whole list");
+    wait_for("the drain to be applied", || node.said(AVOIDED) == 1);
+    wait_for("the request for a snapshot and the watch after it", || discovery.count() >= 4);
+    assert!(!discovery.asked.lock().unwrap()[2].start.contains("after="), "a snapshot");
     wait_for("the server to be used again", || {
         (0..50).for_each(|key| drop(node.read("read", key)));
         one.count() > 0
     });
 }
 
-// Guards against a node that waits to be told to ask: an agent tells nothing to one that does not call.
+/// An agent that lists are pushed to sends nothing to a node that does not poll it. A node that polled once, or stopped after
+/// the agent was silent, would keep its first list for good.
 #[test]
-fn pushed_lists_are_asked_of_the_agent_again_and_again_also_after_it_was_silent() {
+fn an_agent_is_polled_again_and_again_also_after_it_was_silent() {
     let (leaving, staying) = (CacheServer::serving("leaving"), CacheServer::serving("staying"));
     let hosts = [leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")];
     let drained = json!({"seq": 2, "whole": false, "hosts": [leaving.entry("s-1", "draining")]}).to_string();
@@ -213,15 +223,15 @@
     let mut config = config(agent.address);
     config["settings"]["membership_mode"] = json!("automatic");
     let node = Node::ready(&config);
-    wait_for("the drain to be told", || agent.count() >= 8);
+    wait_for("the drain to be sent", || agent.count() >= 8);
     for key in 0..50 {
         assert_eq!(node.read("read", key).body, b"staying");
     }
 }
 
-// Guards against a loop without a pause where a discovery does not wait as it is asked to.
+/// A discovery that does not wait as requested, and answers each watch at once, would be polled in a loop without a pause.
 #[test]
-fn a_discovery_that_answers_every_watch_at_once_is_not_asked_without_end() {
+fn a_discovery_that_never_waits_is_not_polled_without_a_pause() {
     let server = CacheServer::serving("value");
     let hosts = [server.entry("s-1", "ready"), server.entry("s-2", "ready")];
     let nothing = json!({"seq": 1, "whole": false, "hosts": []}).to_string();
@@ -232,7 +242,7 @@
     for key in 0..1_000 {
         assert_eq!(client.ask(&read("read", key, 20_000)).body, b"value");
     }
-    // One that asks without a pause asks as often as it answers.
+    // Without a pause there would be as many as it can answer.
     let calls = discovery.count() - before;
-    assert!(calls < 200, "{calls} calls beside a thousand reads");
+    assert!(calls < 200, "{calls} polls beside a thousand reads");
 }
--- a/crates/cache-balancer/tests/operator.rs
+++ b/crates/cache-balancer/tests/operator.rs
@@ -270,7 +270,7 @@
     let logged = |words: &str| node.log.lock().unwrap().iter().any(|line| line.contains(words));
     folder.write("boxes.toml", "version = 1\n[[server]]\nname = \"oth");
     wait_for("a word of the half file", || logged("boxes.toml:3: TOML: "));
-    assert!(logged("list not taken; the one before holds"));
+    assert!(logged("list rejected; the one before stays in use"));
     assert_eq!(node.read("read", 2).body, b"one");
     std::fs::remove_file(folder.0.join("boxes.toml")).unwrap();
     wait_for("a word of the file that is gone", || logged("boxes.toml: No such file"));
