--- a/crates/cache-balancer/tests/handover_replicas.rs
+++ b/crates/cache-balancer/tests/handover_replicas.rs
@@ -1,22 +1,22 @@
-//! A process takes another's place whose file names other replicas of discovery.
+//! A hand-over to a process whose configuration names other replicas of discovery.
 
 mod common;
 
 use common::{command, own_address, wait_for, CacheServer, Discovery, Folder, Node};
 use std::net::SocketAddr;
 
-/// Where the nodes of a test hand over, and what they are asked for.
-struct Place {
+/// The folder and the listener that the processes of a test share.
+struct Site {
     folder: Folder,
     clients: SocketAddr,
 }
 
-impl Place {
+impl Site {
     fn new() -> Self {
         Self { folder: Folder::new(), clients: own_address() }
     }
 
-    /// A process that listens, or takes over from the one that does, with these replicas in its file.
+    /// Starts a process with these replicas in its file, which takes over from the one that listens, if any.
     fn start(&self, replicas: &[&Discovery]) -> Node {
         let addresses: Vec<_> = replicas.iter().map(|replica| format!("\"{}\"", replica.address)).collect();
         let text = format!(
@@ -26,7 +26,7 @@
             self.clients,
             addresses.join(", "),
         );
-        // An earlier node took its file along.
+        // The file of an earlier process is gone with it.
         let path = self.folder.write("cache-balancer.toml", &text);
         let mut command = command();
         command.arg("run").arg("--config").arg(&path);
@@ -41,19 +41,19 @@
     }
 }
 
-fn asked_for(replicas: &[&Discovery], path: impl Fn(&str) -> bool) -> usize {
-    let asked = |replica: &&Discovery| {
+fn count_polls(replicas: &[&Discovery], path: impl Fn(&str) -> bool) -> usize {
+    let polls = |replica: &&Discovery| {
         replica.asked.lock().unwrap().iter().filter(|asked| path(asked.as_str())).count()
     };
-    replicas.iter().map(asked).sum()
+    replicas.iter().map(polls).sum()
 }
 
-fn whole_lists(replicas: &[&Discovery]) -> usize {
-    asked_for(replicas, |path| path == "/v1/servers")
+fn snapshots(replicas: &[&Discovery]) -> usize {
+    count_polls(replicas, |path| path == "/v1/servers")
 }
 
 fn watches(replicas: &[&Discovery]) -> usize {
-    asked_for(replicas, |path| path.starts_with("/v1/servers?after=1&"))
+    count_polls(replicas, |path| path.starts_with("/v1/servers?after=1&"))
 }
 
 /// Two replicas of one service.
@@ -61,32 +61,33 @@
     [(); 2].map(|()| Discovery::start(&[server.entry("a", "ready")]))
 }
 
-// Guards against a whole list for every node of a fleet that is upgraded while replicas are added.
+/// A fleet is upgraded while replicas are added. If each new process requested a snapshot, discovery would be overloaded for
+/// as long as the upgrade takes.
 #[test]
-fn the_watch_goes_on_from_the_version_known_where_one_replica_is_common() {
+fn the_watch_continues_from_the_held_version_if_one_replica_remains() {
     let server = CacheServer::serving("a");
     let [one, other] = service(&server);
-    let place = Place::new();
-    let old = place.ready(&[&one]);
+    let site = Site::new();
+    let old = site.ready(&[&one]);
     one.wait_until_told(1);
-    let new = place.start(&[&one, &other]);
+    let new = site.start(&[&one, &other]);
     wait_for("the hand-over", || old.said("stands by: its successor serves, on probation") == 1);
     wait_for("the new process's watch", || watches(&[&one, &other]) == 2);
-    assert_eq!(whole_lists(&[&one, &other]), 1);
+    assert_eq!(snapshots(&[&one, &other]), 1);
     assert_eq!(new.read("read", 1).body, b"a");
 }
 
 #[test]
-fn a_list_of_replicas_none_of_which_stays_is_asked_for_as_a_whole() {
+fn a_snapshot_is_requested_if_no_replica_remains() {
     let server = CacheServer::serving("a");
     let ([one, other], [elsewhere, beside]) = (service(&server), service(&server));
-    let place = Place::new();
-    let old = place.ready(&[&one, &other]);
+    let site = Site::new();
+    let old = site.ready(&[&one, &other]);
     wait_for("the old process's watch", || watches(&[&one, &other]) == 1);
-    let new = place.start(&[&elsewhere, &beside]);
+    let new = site.start(&[&elsewhere, &beside]);
     wait_for("the hand-over", || old.said("stands by: its successor serves, on probation") == 1);
     wait_for("the new process's watch", || watches(&[&elsewhere, &beside]) == 1);
-    assert_eq!(whole_lists(&[&elsewhere, &beside]), 1);
-    assert_eq!(whole_lists(&[&one, &other]), 1);
+    assert_eq!(snapshots(&[&elsewhere, &beside]), 1);
+    assert_eq!(snapshots(&[&one, &other]), 1);
     assert_eq!(new.read("read", 1).body, b"a");
 }
--- a/crates/cache-balancer/tests/hollow.rs
+++ b/crates/cache-balancer/tests/hollow.rs
@@ -1,4 +1,4 @@
-//! A process of hollow nodes against replicas of the stand-in discovery, as a scale run starts and commands them.
+//! A process of hollow nodes with replicas of the simulated discovery, as a scale run starts and commands them.
 
 mod common;
 
@@ -18,7 +18,7 @@
     ReplicaCommand, ReplicaEvent, ReplicaReport,
 };
 
-/// The version that lists begin with.
+/// The version of the first list.
 const FIRST: u64 = 100;
 const FIRST_NODE: u32 = 40;
 const NODES: u32 = 8;
@@ -29,14 +29,14 @@
     queue_limit_ms: 3_000,
 };
 
-/// A process that is told commands and tells events, a line each.
+/// A process that reads commands and writes events, a line each.
 struct Process<C, E> {
     child: Child,
     commands: Option<ChildStdin>,
     events: Receiver<E>,
-    /// What it said on standard error.
+    /// Its standard error.
     errors: Option<thread::JoinHandle<String>>,
-    told: PhantomData<C>,
+    command: PhantomData<C>,
 }
 
 impl<C: Serialize, E: DeserializeOwned + Send + 'static> Process<C, E> {
@@ -48,19 +48,19 @@
         let (sender, events) = channel();
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                // A test that has ended hears nothing any more.
+                // The test may have ended.
                 let _ = sender.send(serde_json::from_str(&line).unwrap());
             }
         });
         let mut errors = child.stderr.take().unwrap();
         let errors = thread::spawn(move || std::io::read_to_string(&mut errors).unwrap());
         let commands = child.stdin.take();
-        let mut process = Self { child, commands, events, errors: Some(errors), told: PhantomData };
-        process.tell(first);
+        let mut process = Self { child, commands, events, errors: Some(errors), command: PhantomData };
+        process.send(first);
         process
     }
 
-    fn tell(&mut self, command: &C) {
+    fn send(&mut self, command: &C) {
         let mut line = serde_json::to_vec(command).unwrap();
         line.push(b'\n');
         self.commands.as_mut().unwrap().write_all(&line).unwrap();
@@ -70,8 +70,8 @@
         self.events.recv_timeout(PATIENCE).expect("an event")
     }
 
-    /// Waits for its end, after its input has ended: whether it went well, and what it said.
-    fn ended(mut self) -> (bool, String) {
+    /// Ends its input and waits for its end. Returns whether it succeeded, and its standard error.
+    fn finish(mut self) -> (bool, String) {
         self.commands = None;
         let mut status = None;
         wait_for("a process's end", || {
@@ -85,7 +85,7 @@
 
 impl<C, E> Drop for Process<C, E> {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -111,16 +111,16 @@
         Self { process: RefCell::new(process), address }
     }
 
-    fn tell(&self, command: &ReplicaCommand) {
-        self.process.borrow_mut().tell(command);
+    fn send(&self, command: &ReplicaCommand) {
+        self.process.borrow_mut().send(command);
     }
 
     fn change(&self, version: u64, number: u32, health: &str) {
-        self.tell(&ReplicaCommand::Change { version, server: server(number, health) });
+        self.send(&ReplicaCommand::Change { version, server: server(number, health) });
     }
 
     fn report(&self) -> ReplicaReport {
-        self.tell(&ReplicaCommand::Report);
+        self.send(&ReplicaCommand::Report);
         match self.process.borrow().event() {
             ReplicaEvent::Report(report) => report,
             other => panic!("{other:?}"),
@@ -132,27 +132,27 @@
     }
 }
 
-/// A process of hollow nodes, with all that it has reported so far.
+/// A process of hollow nodes, and everything it has reported so far.
 struct Hollow {
     process: RefCell<Process<HollowCommand, HollowEvent>>,
     report: RefCell<HollowReport>,
 }
 
 impl Hollow {
-    /// Nodes that know this list, or none.
+    /// Starts nodes with this list, or without one.
     fn start(replicas: Vec<SocketAddr>, version: Option<u64>, servers: u32) -> Self {
         let process = Process::start("scale-hollow", &start(replicas, version, servers));
         assert_eq!(process.event(), HollowEvent::Started);
         Self { process: RefCell::new(process), report: RefCell::default() }
     }
 
-    fn tell(&self, command: &HollowCommand) {
-        self.process.borrow_mut().tell(command);
+    fn send(&self, command: &HollowCommand) {
+        self.process.borrow_mut().send(command);
     }
 
-    /// All that was reported so far. A process that has answered has carried out all commands before.
+    /// Returns everything reported so far. The process carries out commands in order, so all earlier ones are done.
     fn report(&self) -> HollowReport {
-        self.tell(&HollowCommand::Report);
+        self.send(&HollowCommand::Report);
         let HollowEvent::Report(new) = self.process.borrow().event() else { panic!("expected a report") };
         let mut report = self.report.borrow_mut();
         report.applied.extend(new.applied);
@@ -160,7 +160,7 @@
         report.clone()
     }
 
-    /// Waits until nodes have acted on this many lists in all.
+    /// Waits until the nodes have applied this many lists in total.
     fn wait_for_lists(&self, count: usize) -> Vec<Applied> {
         wait_for("lists", || self.report().applied.len() >= count);
         let applied = self.report.borrow().applied.clone();
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn nodes_that_know_a_list_act_on_each_change_in_its_order() {
+fn nodes_with_a_list_apply_each_change_in_order() {
     let replica = Replica::start(FIRST, 10);
     let hollow = Hollow::start(vec![replica.address], Some(FIRST), 10);
     replica.wait_for_calls(NODES.into());
@@ -227,7 +227,7 @@
         replica.change(version, server, health);
         hollow.wait_for_lists(NODES as usize * (number + 1));
         times.push(now_us());
-        // They watch again.
+        // Each node opens its next watch.
         replica.wait_for_calls(u64::from(NODES) * (number as u64 + 2));
     }
     let applied = hollow.report().applied;
@@ -245,15 +245,15 @@
 }
 
 #[test]
-fn nodes_without_a_list_ask_for_the_whole_one() {
+fn nodes_without_a_list_request_a_snapshot() {
     let replica = Replica::start(FIRST, 30);
     let hollow = Hollow::start(vec![replica.address], None, 0);
     let applied = hollow.wait_for_lists(NODES as usize);
     assert!(applied.iter().all(|list| list.whole && list.version == FIRST), "{applied:?}");
-    let mut told: Vec<_> = applied.iter().map(|list| list.node).collect();
-    told.sort_unstable();
-    assert_eq!(told, Vec::from_iter(nodes()));
-    // Each on a connection of its own, which its watch goes on with.
+    let mut nodes_with_list: Vec<_> = applied.iter().map(|list| list.node).collect();
+    nodes_with_list.sort_unstable();
+    assert_eq!(nodes_with_list, Vec::from_iter(nodes()));
+    // Each node has a connection of its own, which its watch uses as well.
     replica.wait_for_calls(u64::from(NODES) * 2);
     let report = replica.report();
     assert_eq!((report.calls, report.whole_lists), (u64::from(NODES) * 2, NODES.into()));
@@ -261,24 +261,24 @@
 }
 
 #[test]
-fn killed_nodes_are_told_nothing_and_start_anew_without_a_list() {
+fn killed_nodes_are_not_notified_and_restart_without_a_list() {
     let replica = Replica::start(FIRST, 10);
     let hollow = Hollow::start(vec![replica.address], Some(FIRST), 10);
     replica.wait_for_calls(NODES.into());
     let killed = vec![FIRST_NODE, FIRST_NODE + 5];
-    hollow.tell(&HollowCommand::Kill { nodes: killed.clone() });
+    hollow.send(&HollowCommand::Kill { nodes: killed.clone() });
     hollow.report();
     replica.change(FIRST + 1, 3, "draining");
     let up = NODES as usize - killed.len();
     let applied = hollow.wait_for_lists(up);
     assert!(applied.iter().all(|list| !killed.contains(&list.node) && !list.whole), "{applied:?}");
-    hollow.tell(&HollowCommand::Launch { nodes: killed.clone() });
+    hollow.send(&HollowCommand::Launch { nodes: killed.clone() });
     let applied = hollow.wait_for_lists(up + killed.len());
     let new: Vec<_> = applied[up..].iter().map(|list| (list.version, list.whole)).collect();
     assert_eq!(new, [(FIRST + 1, true); 2]);
     assert!(applied[up..].iter().all(|list| killed.contains(&list.node)), "{applied:?}");
-    // One that is up starts anew too, and all of them go on.
-    hollow.tell(&HollowCommand::Launch { nodes: vec![FIRST_NODE + 1] });
+    // A running node restarts as well, and all others go on.
+    hollow.send(&HollowCommand::Launch { nodes: vec![FIRST_NODE + 1] });
     let applied = hollow.wait_for_lists(up + killed.len() + 1);
     assert_eq!(applied.last().map(|list| (list.node, list.whole)), Some((FIRST_NODE + 1, true)));
     replica.change(FIRST + 2, 3, "gone");
@@ -287,25 +287,25 @@
 }
 
 #[test]
-fn calls_that_fail_are_counted_and_what_came_meanwhile_is_heard() {
+fn failed_polls_are_counted_and_missed_changes_are_applied_later() {
     let replica = Replica::start(FIRST, 10);
     let hollow = Hollow::start(vec![replica.address], Some(FIRST), 10);
     replica.wait_for_calls(NODES.into());
-    replica.tell(&ReplicaCommand::Answer { answering: Answering::Away });
-    // Every watch was broken off.
-    wait_for("calls that fail", || hollow.report().failed_calls >= NODES.into());
+    replica.send(&ReplicaCommand::Answer { answering: Answering::Away });
+    // Every watch breaks off.
+    wait_for("failed polls", || hollow.report().failed_calls >= NODES.into());
     replica.change(FIRST + 1, 3, "draining");
-    replica.tell(&ReplicaCommand::Answer { answering: Answering::Up });
+    replica.send(&ReplicaCommand::Answer { answering: Answering::Up });
     hollow.wait_for_version(nodes(), FIRST + 1);
     assert!(hollow.report().applied.iter().all(|list| !list.whole));
 }
 
 #[test]
-fn other_replicas_are_asked_from_then_on() {
+fn a_replaced_set_of_replicas_is_polled_from_then_on() {
     let (before, after) = (Replica::start(FIRST, 10), Replica::start(FIRST + 50, 12));
     let hollow = Hollow::start(vec![before.address], Some(FIRST), 10);
     before.wait_for_calls(NODES.into());
-    hollow.tell(&HollowCommand::Replicas { replicas: vec![after.address] });
+    hollow.send(&HollowCommand::Replicas { replicas: vec![after.address] });
     hollow.wait_for_version(nodes(), FIRST + 50);
     after.change(FIRST + 51, 0, "draining");
     hollow.wait_for_version(nodes(), FIRST + 51);
@@ -313,26 +313,26 @@
 }
 
 #[test]
-fn nodes_go_over_to_the_replica_that_answers() {
+fn nodes_fail_over_to_the_replica_that_answers() {
     let replicas = [Replica::start(FIRST, 10), Replica::start(FIRST, 10)];
     let addresses = replicas.iter().map(|replica| replica.address).collect();
     let hollow = Hollow::start(addresses, Some(FIRST), 10);
     let calls = || replicas.iter().map(|replica| replica.report().calls).sum::<u64>();
     wait_for("calls", || calls() >= u64::from(NODES));
-    // Whichever of the two a node asks first: both are away once.
+    // Each replica is away once, whichever of them a node prefers.
     for (version, away, up) in [(FIRST + 1, 0, 1), (FIRST + 21, 1, 0)] {
         for replica in &replicas {
             replica.change(version, 3, "draining");
         }
         hollow.wait_for_version(nodes(), version);
-        replicas[away].tell(&ReplicaCommand::Answer { answering: Answering::Away });
-        replicas[up].tell(&ReplicaCommand::Answer { answering: Answering::Up });
+        replicas[away].send(&ReplicaCommand::Answer { answering: Answering::Away });
+        replicas[up].send(&ReplicaCommand::Answer { answering: Answering::Up });
         replicas[away].report();
         let later = version + 10;
         replicas[up].change(later, 3, "ready");
         hollow.wait_for_version(nodes(), later);
         replicas[away].change(later, 3, "ready");
-        replicas[away].tell(&ReplicaCommand::Answer { answering: Answering::Up });
+        replicas[away].send(&ReplicaCommand::Answer { answering: Answering::Up });
     }
     let applied = hollow.report().applied;
     for node in nodes() {
@@ -343,36 +343,36 @@
 }
 
 #[test]
-fn both_processes_end_when_they_are_told_to_or_their_input_ends() {
+fn processes_end_on_the_stop_command_or_at_the_end_of_input() {
     let replica = Replica::start(FIRST, 3);
     let hollow = Hollow::start(vec![replica.address], Some(FIRST), 3);
     replica.wait_for_calls(NODES.into());
-    hollow.tell(&HollowCommand::Stop);
-    assert_eq!(hollow.process.into_inner().ended(), (true, String::new()));
+    hollow.send(&HollowCommand::Stop);
+    assert_eq!(hollow.process.into_inner().finish(), (true, String::new()));
     let hollow = Hollow::start(vec![replica.address], Some(FIRST), 3);
-    assert!(hollow.process.into_inner().ended().0);
-    replica.tell(&ReplicaCommand::Stop);
-    assert_eq!(replica.process.into_inner().ended(), (true, String::new()));
+    assert!(hollow.process.into_inner().finish().0);
+    replica.send(&ReplicaCommand::Stop);
+    assert_eq!(replica.process.into_inner().finish(), (true, String::new()));
     let replica = Replica::start(FIRST, 3);
-    assert!(replica.process.into_inner().ended().0);
+    assert!(replica.process.into_inner().finish().0);
 }
 
 #[test]
-fn a_command_that_cannot_be_carried_out_ends_the_process_and_is_named() {
+fn a_command_that_cannot_be_carried_out_ends_the_process_with_an_error() {
     let replica = Replica::start(FIRST, 3);
     let hollow = Hollow::start(vec![replica.address], Some(FIRST), 3);
-    hollow.tell(&HollowCommand::Kill { nodes: vec![FIRST_NODE + NODES] });
-    let (went_well, said) = hollow.process.into_inner().ended();
-    assert!(!went_well);
-    assert!(said.contains("node 48: expected one from 40 to 47"), "{said}");
+    hollow.send(&HollowCommand::Kill { nodes: vec![FIRST_NODE + NODES] });
+    let (succeeded, errors) = hollow.process.into_inner().finish();
+    assert!(!succeeded);
+    assert!(errors.contains("node 48: expected one from 40 to 47"), "{errors}");
     let cases = [
         (HollowCommand::Report, "line 1 of the commands: expected the command start"),
         (start(Vec::new(), None, 0), "replicas: expected one address or more, found none"),
     ];
-    for (first, words) in cases {
-        let (went_well, said) = Process::<_, HollowEvent>::start("scale-hollow", &first).ended();
-        assert!(!went_well && said.contains(words), "{said}; expected {words}");
+    for (first, message) in cases {
+        let (succeeded, errors) = Process::<_, HollowEvent>::start("scale-hollow", &first).finish();
+        assert!(!succeeded && errors.contains(message), "{errors}; expected {message}");
     }
-    let (went_well, said) = Process::<_, ReplicaEvent>::start("scale-replica", &"rest").ended();
-    assert!(!went_well && said.contains("line 1 of the commands: "), "{said}");
+    let (succeeded, errors) = Process::<_, ReplicaEvent>::start("scale-replica", &"rest").finish();
+    assert!(!succeeded && errors.contains("line 1 of the commands: "), "{errors}");
 }
--- a/crates/cache-balancer/tests/operator_replicas.rs
+++ b/crates/cache-balancer/tests/operator_replicas.rs
@@ -1,4 +1,4 @@
-//! The replicas of a pool's discovery in an operator's file: what is a fault, and what holds.
+//! The replicas of a pool's discovery in an operator's file: which faults are found, and which settings take effect.
 
 mod common;
 
@@ -8,10 +8,10 @@
 
 const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
 const CAPACITY: &str = "discovery_lines_per_second = 200\ndiscovery_call_lines = 10\n";
-/// As many replicas as a pool may name.
-const MOST: u16 = 64;
+/// The most replicas that a pool may name.
+const MAX_REPLICAS: u16 = 64;
 
-/// A file whose one pool, from line 5 on, has these lines.
+/// A file whose only pool has these lines, from line 5 on.
 fn file(lines: &str) -> String {
     format!("version = 1\nname = \"n0\"\n[[pool]]\nname = \"p\"\n{lines}{CLASS}")
 }
@@ -26,7 +26,7 @@
     ports.into_iter().map(|port| ([127, 0, 0, 1], port).into()).collect()
 }
 
-/// What `check` says of a file with these lines in its pool: what holds, or the faults.
+/// The output of `check` for a file with these lines in its pool: the effective file, or the faults.
 fn check(lines: &str) -> Result<String, Vec<String>> {
     check_text(&file(lines))
 }
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn what_holds_is_a_file_that_says_the_same() {
-    let many = loopback(1..=MOST);
+fn the_effective_file_has_itself_as_its_effective_file() {
+    let many = loopback(1..=MAX_REPLICAS);
     for lines in [
         "discovery = \"127.0.0.1:1\"\n".to_owned(),
         format!("discovery = \"127.0.0.1:1\"\n{CAPACITY}"),
@@ -60,16 +60,16 @@
 }
 
 #[test]
-fn what_holds_names_every_replica_and_the_capacity() {
+fn the_effective_file_names_every_replica_and_the_capacity() {
     let effective = check(&format!("{}{CAPACITY}", list(&["127.0.0.1:2", "127.0.0.1:1"]))).unwrap();
     let expected = "discovery = [\n    \"127.0.0.1:1\",\n    \"127.0.0.1:2\",\n]\n\
                     discovery_lines_per_second = 200.0\ndiscovery_call_lines = 10.0\n";
     assert!(effective.contains(expected), "{effective}");
 }
 
-// Guards against an example that cannot be used once its comment signs are taken away.
+/// Operators uncomment the lines of the example. If they had a fault, the node would not start.
 #[test]
-fn the_replicas_that_the_example_shows_in_comments_are_without_fault() {
+fn the_commented_replicas_of_the_example_have_no_fault() {
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/cache-balancer.toml");
     let example = std::fs::read_to_string(example).unwrap();
     let replicas: Vec<_> = example.lines().filter_map(|line| line.strip_prefix("# discovery")).collect();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_list_of_one_says_what_one_address_says() {
+fn a_list_of_one_means_the_same_as_one_address() {
     let one = check("discovery = \"127.0.0.1:1\"\n").unwrap();
     assert!(one.contains("\ndiscovery = \"127.0.0.1:1\"\n"), "{one}");
     assert!(!one.contains("discovery_"), "{one}");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn each_fault_has_its_line_its_field_and_what_was_expected() {
+fn each_fault_names_its_line_its_field_and_what_was_expected() {
     let one = "discovery = \"127.0.0.1:1\"\n";
     let or_list = "expected an address and port, such as \"127.0.0.1:7100\", or a list of 1 to 64, found";
     let entry = "expected an address and port, such as \"127.0.0.1:7100\", found";
@@ -103,7 +103,7 @@
         |value: &str| format!("{one}discovery_lines_per_second = 200\ndiscovery_call_lines = {value}\n");
     let mut cases = vec![
         ("discovery = []\n".to_owned(), format!("5: pool[0].discovery: {or_list} a list of 0")),
-        (list(&loopback(1..=MOST + 1)), format!("5: pool[0].discovery: {or_list} a list of 65")),
+        (list(&loopback(1..=MAX_REPLICAS + 1)), format!("5: pool[0].discovery: {or_list} a list of 65")),
         ("discovery = 7100\n".to_owned(), format!("5: pool[0].discovery: {or_list} 7100")),
         ("discovery = \"localhost\"\n".to_owned(), format!("5: pool[0].discovery: {or_list} \"localhost\"")),
         (list(&["127.0.0.1:1", "127.0.0.1"]), format!("7: pool[0].discovery[1]: {entry} \"127.0.0.1\"")),
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn the_ends_of_each_range_are_in_it() {
+fn the_ends_of_each_range_are_allowed() {
     for (lines, call) in [("1", "0.01"), ("100000000", "1000000")] {
         let capacity = format!("discovery_lines_per_second = {lines}\ndiscovery_call_lines = {call}\n");
         assert!(check(&format!("discovery = \"127.0.0.1:1\"\n{capacity}")).is_ok(), "{capacity}");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn all_faults_of_replicas_come_in_one_reading_with_those_of_the_rest() {
+fn all_faults_of_a_file_are_found_at_once() {
     let lines =
         "discovery = [\n\"x\",\n\"127.0.0.1:1\",\n\"127.0.0.1:1\",\n7]\ndiscovery_call_lines = 0\nodd = 1\n";
     let found = check(lines).expect_err("faults");
@@ -165,9 +165,9 @@
     assert_eq!(fields, expected, "{found:#?}");
 }
 
-// Guards against a fleet whose nodes all ask one replica: they spread by their names.
+/// Nodes spread over replicas by their names. If they all had the default name, all of them would poll one replica.
 #[test]
-fn a_node_needs_a_name_of_its_own_where_there_are_replicas_to_choose_from() {
+fn a_node_needs_a_name_where_there_are_several_replicas() {
     let without = |lines: &str| check_text(&file(lines).replace("name = \"n0\"\n", ""));
     let fault = "bad.toml:1: name: is missing: nodes spread over replicas of discovery by their names";
     assert_eq!(without(&list(&loopback([1, 2]))), Err(vec![fault.to_owned()]));
--- a/crates/cache-balancer/tests/outage.rs
+++ b/crates/cache-balancer/tests/outage.rs
@@ -1,5 +1,5 @@
-//! Discovery that is away and comes back, on sockets, with several processes of a large fleet: what it has counts as told six
-//! seconds after it can be reached, whatever became of the calls until then.
+//! Discovery that is away and comes back, on sockets, with several processes of a large fleet: a change counts as notified six
+//! seconds after discovery can be reached, whatever the outcome of earlier polls.
 
 mod common;
 
@@ -12,63 +12,68 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const TOLD: Duration = Duration::from_secs(6);
+const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 const NODES: usize = 20;
-/// Enough for steps that grow with the number of nodes to have reached their longest.
+/// Enough failures for a backoff that grows with the number of nodes to reach its longest step.
 const FAILURES: usize = 6;
 
-/// A discovery that closes on every call until it is back. It tells of a server that drains then, and nothing after that.
-struct Away {
+/// A discovery that closes every connection until it is back. Then it reports a server that drains, and nothing after that.
+struct InterruptedDiscovery {
     address: SocketAddr,
     failures: Arc<AtomicUsize>,
-    /// When the node was told, and whether it has taken that in: it asks for what comes after.
-    told: Arc<Mutex<Option<Instant>>>,
-    taken: Arc<AtomicBool>,
+    /// When the change was sent.
+    notified: Arc<Mutex<Option<Instant>>>,
+    /// The node has applied it: it requests later changes.
+    applied: Arc<AtomicBool>,
 }
 
-impl Away {
-    fn start(news: String, back: Arc<AtomicBool>) -> Self {
+impl InterruptedDiscovery {
+    fn start(changes: String, back: Arc<AtomicBool>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let away = Self { address, failures: Arc::default(), told: Arc::default(), taken: Arc::default() };
-        let (failures, told, taken) = (away.failures.clone(), away.told.clone(), away.taken.clone());
+        let discovery =
+            Self { address, failures: Arc::default(), notified: Arc::default(), applied: Arc::default() };
+        let (failures, notified, applied) =
+            (discovery.failures.clone(), discovery.notified.clone(), discovery.applied.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
                 if !back.load(Ordering::SeqCst) {
                     failures.fetch_add(1, Ordering::SeqCst);
                     continue;
                 }
-                let (told, taken, news) = (told.clone(), taken.clone(), news.clone());
+                let (notified, applied, changes) = (notified.clone(), applied.clone(), changes.clone());
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
-                    while let Ok(Some(asked)) = Message::read(&mut reader) {
-                        if asked.start.contains("after=2&") {
-                            // A watch, with nothing more to tell.
-                            taken.store(true, Ordering::SeqCst);
+                    while let Ok(Some(request)) = Message::read(&mut reader) {
+                        if request.start.contains("after=2&") {
+                            // A watch without further events.
+                            applied.store(true, Ordering::SeqCst);
                             continue;
                         }
-                        stream.write_all(answer("200 OK", "", &news).as_bytes()).unwrap();
-                        told.lock().unwrap().get_or_insert_with(Instant::now);
+                        stream.write_all(answer("200 OK", "", &changes).as_bytes()).unwrap();
+                        notified.lock().unwrap().get_or_insert_with(Instant::now);
                     }
                 });
             }
         });
-        away
+        discovery
     }
 }
 
-// Guards against back-offs that grow with the number of nodes past the time in which news count as told.
+/// A backoff that grows with the number of nodes is at half a minute when discovery is back: the nodes hear of a drain long
+/// after the deadline and send to the draining server until then.
 #[test]
-fn every_process_is_told_in_time_once_discovery_can_be_reached_again() {
+fn every_process_is_notified_in_time_once_discovery_is_back() {
     let (stays, leaves) = (CacheServer::serving("value"), CacheServer::serving("value"));
     let list = [stays.entry("s-1", "ready"), leaves.entry("s-2", "ready")];
-    let news = json!({"seq": 2, "whole": false, "hosts": [leaves.entry("s-2", "draining")]}).to_string();
+    let changes = json!({"seq": 2, "whole": false, "hosts": [leaves.entry("s-2", "draining")]}).to_string();
     let back: Arc<AtomicBool> = Arc::default();
-    let all: Vec<_> = (0..NODES).map(|_| Away::start(news.clone(), back.clone())).collect();
+    let all: Vec<_> =
+        (0..NODES).map(|_| InterruptedDiscovery::start(changes.clone(), back.clone())).collect();
     let nodes: Vec<_> = (0_u64..)
         .zip(&all)
-        .map(|(number, away)| {
-            let mut config = config(away.address);
+        .map(|(number, discovery)| {
+            let mut config = config(discovery.address);
             config["seed"] = json!(format!("{number:016x}"));
             config["known"] = json!({"seq": 1, "whole": true, "hosts": list});
             // As one of three hundred.
@@ -76,15 +81,21 @@
             Node::ready(&config)
         })
         .collect();
-    wait_for("calls that fail", || all.iter().all(|away| away.failures.load(Ordering::SeqCst) >= FAILURES));
+    wait_for("failed polls", || {
+        all.iter().all(|discovery| discovery.failures.load(Ordering::SeqCst) >= FAILURES)
+    });
     let came_back = Instant::now();
     back.store(true, Ordering::SeqCst);
-    wait_for("the news", || all.iter().all(|away| away.told.lock().unwrap().is_some()));
-    let took: Vec<_> =
-        all.iter().map(|away| away.told.lock().unwrap().unwrap().duration_since(came_back)).collect();
-    assert!(took.iter().all(|took| *took <= TOLD), "{took:?}");
-    wait_for("the news to be taken in", || all.iter().all(|away| away.taken.load(Ordering::SeqCst)));
-    // Told is heeded: nothing goes to the server that drains.
+    wait_for("the change", || all.iter().all(|discovery| discovery.notified.lock().unwrap().is_some()));
+    let took: Vec<_> = all
+        .iter()
+        .map(|discovery| discovery.notified.lock().unwrap().unwrap().duration_since(came_back))
+        .collect();
+    assert!(took.iter().all(|took| *took <= NOTIFICATION_DEADLINE), "{took:?}");
+    wait_for("the change to be applied", || {
+        all.iter().all(|discovery| discovery.applied.load(Ordering::SeqCst))
+    });
+    // No request goes to the draining server.
     let before = leaves.count();
     for (key, node) in (1..).zip(&nodes) {
         for more in 0..8 {
--- a/crates/cache-balancer/tests/reload_replicas.rs
+++ b/crates/cache-balancer/tests/reload_replicas.rs
@@ -1,4 +1,4 @@
-//! SIGHUP at a node whose file names other replicas of discovery: what its watch goes on with, and what begins anew.
+//! A reload of a node whose file names other replicas of discovery: which watches go on, and where a new one starts.
 
 mod common;
 
@@ -9,7 +9,7 @@
 const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
 const CAPACITY: &str = "discovery_lines_per_second = 200\ndiscovery_call_lines = 10\n";
 
-/// A file whose one pool, from line 5 on, has these lines.
+/// A file whose only pool has these lines, from line 5 on.
 fn file(lines: &str) -> String {
     format!("version = 1\nname = \"n0\"\n[[pool]]\nname = \"p\"\n{lines}{CLASS}{CLIENTS}")
 }
@@ -20,7 +20,7 @@
     format!("discovery = [\n{}]\n", addresses.join(",\n"))
 }
 
-/// Calls for changes after this version, at all of these replicas.
+/// The polls for changes after this version, at all of these replicas.
 fn watches(replicas: &[Discovery], version: u64) -> usize {
     replicas.iter().map(|replica| watches_at(replica, version)).sum()
 }
@@ -30,7 +30,7 @@
     replica.asked.lock().unwrap().iter().filter(|path| path.starts_with(&prefix)).count()
 }
 
-fn whole_lists(replicas: &[Discovery]) -> usize {
+fn snapshots(replicas: &[Discovery]) -> usize {
     let lists = |replica: &Discovery| {
         replica.asked.lock().unwrap().iter().filter(|path| *path == "/v1/servers").count()
     };
@@ -41,12 +41,12 @@
     replicas.iter().map(Discovery::calls).sum()
 }
 
-/// Replicas of one service, which tells of this server.
+/// Replicas of one service whose list has this server.
 fn service<const COUNT: usize>(server: &CacheServer) -> [Discovery; COUNT] {
     [(); COUNT].map(|()| Discovery::start(&[server.entry("box", "ready")]))
 }
 
-/// A node that watches one of these replicas, and the place of that one. Whole list and watch are all that it has asked.
+/// A node that watches one of these replicas, and the index of that one. A snapshot and the watch are its only polls.
 fn watching(folder: &Folder, replicas: &[Discovery]) -> (Node, usize) {
     let node = run(folder, &file(&list(&addresses(replicas))));
     wait_for("the watch at one of them", || watches(replicas, 1) == 1);
@@ -59,9 +59,9 @@
     replicas.iter().map(|replica| replica.address).collect()
 }
 
-// Guards against half of a file that cannot be used being taken.
+/// If the good half of a faulty file took effect, the node would run with a configuration that nobody wrote.
 #[test]
-fn a_faulty_reload_leaves_the_node_with_its_replicas_and_the_log_names_the_fault() {
+fn a_faulty_reload_is_logged_and_changes_nothing() {
     let (server, other) = (CacheServer::serving("a"), CacheServer::serving("b"));
     let discovery = Discovery::start(&[server.entry("a", "ready")]);
     let elsewhere = Discovery::start(&[other.entry("b", "ready")]);
@@ -87,7 +87,7 @@
         assert_eq!(node.said(why), 1, "{why}: {:?}", node.log.lock().unwrap());
     }
     assert_eq!((discovery.calls(), elsewhere.calls()), (calls, 0));
-    // The watch that was out is heard still.
+    // The watch that was open still reports.
     discovery.tell(true, &[other.entry("b", "ready")]);
     discovery.wait_until_told(2);
     assert_eq!(node.read("read", 1).body, b"b");
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_same_replicas_in_another_order_change_nothing() {
+fn replicas_in_another_order_change_nothing() {
     let (server, folder) = (CacheServer::serving("a"), Folder::new());
     let replicas: [_; 2] = service(&server);
     let (node, current) = watching(&folder, &replicas);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn replicas_beside_the_one_that_is_watched_come_and_go_and_its_watch_goes_on() {
+fn a_watch_goes_on_while_other_replicas_are_added_and_removed() {
     let (server, folder) = (CacheServer::serving("a"), Folder::new());
     let replicas: [_; 2] = service(&server);
     let (node, current) = watching(&folder, &replicas);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_capacity_that_is_stated_or_taken_away_leaves_the_watch_as_it_is() {
+fn a_watch_goes_on_when_the_capacity_is_added_or_removed() {
     let (server, folder) = (CacheServer::serving("a"), Folder::new());
     let replicas: [_; 2] = service(&server);
     let (node, current) = watching(&folder, &replicas);
@@ -135,7 +135,7 @@
     still_watches(&node, &replicas, current);
 }
 
-/// The one watch of a node that asked for nothing but list and watch is the one that is heard next.
+/// Checks that the watch which the node opened first is still open and reports the next change.
 fn still_watches(node: &Node, replicas: &[Discovery], current: usize) {
     assert_eq!((calls(replicas), watches_at(&replicas[current], 1)), (2, 1));
     let other = CacheServer::serving("other");
@@ -145,9 +145,9 @@
     assert_eq!(calls(replicas), 3);
 }
 
-// Guards against a whole list for every node whenever a replica is taken out.
+/// If each node of a removed replica requested a snapshot elsewhere, the other replicas would be overloaded.
 #[test]
-fn a_node_whose_replica_is_taken_out_watches_another_one_from_the_version_that_it_holds() {
+fn a_node_of_a_removed_replica_watches_another_from_the_held_version() {
     let (server, folder) = (CacheServer::serving("a"), Folder::new());
     let replicas: [_; 3] = service(&server);
     let (node, current) = watching(&folder, &replicas);
@@ -155,19 +155,19 @@
         addresses(&replicas).into_iter().filter(|address| *address != replicas[current].address).collect();
     node.reconfigure(&file(&list(&rest)));
     wait_for("the watch at another one", || watches(&replicas, 1) == 2);
-    // The one that was taken out is asked no more, and no list is asked for again.
-    assert_eq!((replicas[current].calls(), whole_lists(&replicas)), (2, 1));
+    // The removed replica is not polled any more, and no second snapshot is requested.
+    assert_eq!((replicas[current].calls(), snapshots(&replicas)), (2, 1));
     assert_eq!(node.read("read", 1).body, b"a");
 }
 
 #[test]
-fn where_no_replica_stays_the_whole_list_is_asked_for() {
+fn a_snapshot_is_requested_if_no_replica_remains() {
     let ((server, other), folder) = ((CacheServer::serving("a"), CacheServer::serving("b")), Folder::new());
     let replicas: [_; 2] = service(&server);
     let (node, _) = watching(&folder, &replicas);
     let elsewhere: [_; 2] = service(&other);
     node.reconfigure(&file(&list(&addresses(&elsewhere))));
     wait_for("the watch elsewhere", || watches(&elsewhere, 1) == 1);
-    assert_eq!((calls(&replicas), whole_lists(&elsewhere)), (2, 1));
+    assert_eq!((calls(&replicas), snapshots(&elsewhere)), (2, 1));
     assert_eq!(node.read("read", 1).body, b"b");
 }
--- a/crates/cache-balancer/tests/silence.rs
+++ b/crates/cache-balancer/tests/silence.rs
@@ -1,6 +1,6 @@
-//! Watches that the network swallows, on sockets: several processes whose watches fall silent together right before a server
-//! drains. By the protocol's clock the drain counts as told two seconds after the wait that a watch asked for is over, and
-//! nothing new may go to that server from half a second later on.
+//! Watches that the network drops, on sockets: several processes whose watches are lost together right before a server drains.
+//! By the protocol the drain counts as notified two seconds after the wait of the watch, and no new request may go to that
+//! server from half a second later on.
 
 mod common;
 
@@ -14,36 +14,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// So long after the wait of a silent watch is over what it would have told counts as told, and new work must stop so long
-/// after that.
-const COUNTED: Duration = Duration::from_secs(2);
-const GRACE: Duration = Duration::from_millis(500);
-/// What the judge allows the network.
-const SLACK: Duration = Duration::from_millis(50);
+/// What a lost watch missed counts as notified this long after the end of its wait.
+const MISSED_EVENT_DEADLINE: Duration = Duration::from_secs(2);
+/// New requests must stop this long after that.
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+/// What the operators' check allows for the network.
+const NETWORK_SLACK: Duration = Duration::from_millis(50);
 
-/// A discovery that never answers the first watch of any node, with one server that drains once every node has such a watch.
-struct Silent {
+/// A discovery that never answers the first watch of any node. One server drains once every node has such a watch.
+struct LossyDiscovery {
     address: SocketAddr,
-    /// For each node, when its silent watch was read, and how long a wait it asked for.
+    /// For each node, when its lost watch was read, and the wait that it requested.
     watches: Arc<Mutex<BTreeMap<usize, (Instant, Duration)>>>,
-    /// The nodes that have been told since.
-    told: Arc<Mutex<Vec<usize>>>,
+    /// The nodes that have been notified since.
+    notified: Arc<Mutex<Vec<usize>>>,
 }
 
-impl Silent {
-    /// Each node comes by a port of its own, by which it is known.
+impl LossyDiscovery {
+    /// Each node has a port of its own, which identifies it.
     fn start(ready: String, draining: String, nodes: usize) -> Vec<Self> {
         let watches: Arc<Mutex<BTreeMap<_, _>>> = Arc::default();
-        let told: Arc<Mutex<Vec<_>>> = Arc::default();
+        let notified: Arc<Mutex<Vec<_>>> = Arc::default();
         let begin = |node| {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
             let address = listener.local_addr().unwrap();
-            let (watches, told) = (watches.clone(), told.clone());
-            let silent = Self { address, watches: watches.clone(), told: told.clone() };
+            let (watches, notified) = (watches.clone(), notified.clone());
+            let discovery = Self { address, watches: watches.clone(), notified: notified.clone() };
             let (ready, draining) = (ready.clone(), draining.clone());
             thread::spawn(move || {
                 for stream in listener.incoming().map_while(Result::ok) {
-                    let (watches, told) = (watches.clone(), told.clone());
+                    let (watches, notified) = (watches.clone(), notified.clone());
                     let (ready, draining) = (ready.clone(), draining.clone());
                     thread::spawn(move || {
                         let mut reader = BufReader::new(stream.try_clone().unwrap());
@@ -58,52 +58,51 @@
                             let first = !watches.lock().unwrap().contains_key(&node);
                             if first {
                                 watches.lock().unwrap().insert(node, (Instant::now(), wait));
-                                // Swallowed: the connection stays open and says nothing more.
+                                // Lost: the connection stays open and nothing more is sent on it.
                                 thread::sleep(2 * PATIENCE);
                                 return;
                             }
                             assert_eq!(
                                 watches.lock().unwrap().len(),
                                 nodes,
-                                "all fall silent before any drain"
+                                "all watches are lost before any drain"
                             );
-                            if told.lock().unwrap().contains(&node) {
+                            if notified.lock().unwrap().contains(&node) {
                                 thread::sleep(wait);
                             }
                             let _ = stream.write_all(answer("200 OK", "", &draining).as_bytes());
-                            told.lock().unwrap().push(node);
+                            notified.lock().unwrap().push(node);
                         }
                     });
                 }
             });
-            silent
+            discovery
         };
         (0..nodes).map(begin).collect()
     }
 }
 
-/// What a draining server was sent, by the node that sent it: ids begin with the node's number.
-fn sent(server: &Arc<Mutex<Vec<(usize, Instant)>>>) -> Vec<(usize, Instant)> {
-    server.lock().unwrap().clone()
-}
-
+/// A firewall that forgets its connections drops the watches of a whole fleet at once, and an open connection without events
+/// looks like one that is lost. Nodes whose watches time out too late, or that all poll again at the same moment, go on
+/// sending to the draining server past the deadline.
 #[test]
-fn several_processes_whose_watches_fall_silent_together_leave_a_draining_server_in_time() {
+fn nodes_whose_watches_are_lost_together_leave_a_draining_server_in_time() {
     const NODES: usize = 20;
-    let times: Arc<Mutex<Vec<(usize, Instant)>>> = Arc::default();
-    let noted = times.clone();
+    // The requests to the draining server, with the node that sent each: ids begin with the number of the node.
+    let requests: Arc<Mutex<Vec<(usize, Instant)>>> = Arc::default();
+    let recorded = requests.clone();
     let leaving = CacheServer::start(move |message| {
         let node = usize::from_str_radix(&message.header("req-id").unwrap()[..2], 16).unwrap();
-        noted.lock().unwrap().push((node, Instant::now()));
+        recorded.lock().unwrap().push((node, Instant::now()));
         Does::Answer(answer("200 OK", "", "leaving"))
     });
     let staying = CacheServer::serving("staying");
-    let list = |seq: u64, whole: bool, hosts: &[serde_json::Value]| {
-        json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string()
+    let list = |version: u64, is_snapshot: bool, endpoints: &[serde_json::Value]| {
+        json!({"seq": version, "whole": is_snapshot, "hosts": endpoints}).to_string()
     };
     let ready = list(1, true, &[leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")]);
     let draining = list(2, false, &[leaving.entry("s-1", "draining")]);
-    let discoveries = Silent::start(ready, draining, NODES);
+    let discoveries = LossyDiscovery::start(ready, draining, NODES);
     let nodes: Vec<_> = discoveries
         .iter()
         .enumerate()
@@ -117,48 +116,44 @@
     let watches = discoveries[0].watches.clone();
     wait_for("a watch of every node", || watches.lock().unwrap().len() == NODES);
 
-    // Clients go on asking, each of its node, for as long as the servers are looked at.
-    let over = Arc::new(AtomicBool::new(false));
+    // A client of each node sends requests until the end of the test.
+    let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = nodes
         .iter()
         .enumerate()
         .map(|(i, node)| {
-            let (mut client, over) = (node.client(), over.clone());
+            let (mut client, stop) = (node.client(), stop.clone());
             thread::spawn(move || {
-                let mut asked = 0;
-                while !over.load(Ordering::SeqCst) {
+                let mut sent = 0;
+                while !stop.load(Ordering::SeqCst) {
                     // The first two digits are the node's.
-                    let key = ((i as u64) << 32) + (1 << 31) + asked;
+                    let key = ((i as u64) << 32) + (1 << 31) + sent;
                     let text = read("read", key, 20_000)
-                        .replace(&format!("Req-Id: {key:x}"), &format!("Req-Id: {i:02x}{asked:08x}"));
+                        .replace(&format!("Req-Id: {key:x}"), &format!("Req-Id: {i:02x}{sent:08x}"));
                     assert_eq!(client.ask(&text).status(), 200);
-                    asked += 1;
+                    sent += 1;
                     thread::sleep(Duration::from_millis(50));
                 }
-                asked
+                sent
             })
         })
         .collect();
-    let told = discoveries[0].told.clone();
-    wait_for("every node to ask anew", || (0..NODES).all(|node| told.lock().unwrap().contains(&node)));
+    let notified = discoveries[0].notified.clone();
+    wait_for("every node to poll again", || (0..NODES).all(|node| notified.lock().unwrap().contains(&node)));
     let deadline = |node: usize| {
         let (at, wait) = watches.lock().unwrap()[&node];
-        at + wait + COUNTED + GRACE + SLACK
+        at + wait + MISSED_EVENT_DEADLINE + DRAIN_GRACE + NETWORK_SLACK
     };
-    let last = (0..NODES).map(deadline).max().unwrap();
-    wait_for("the last moment that counts", || Instant::now() > last + Duration::from_millis(200));
-    over.store(true, Ordering::SeqCst);
-    let asked: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    let sent = sent(&times);
+    let last_deadline = (0..NODES).map(deadline).max().unwrap();
+    wait_for("the last deadline", || Instant::now() > last_deadline + Duration::from_millis(200));
+    stop.store(true, Ordering::SeqCst);
+    let sent: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
+    let requests = requests.lock().unwrap().clone();
     for node in 0..NODES {
-        let mine = sent.iter().filter(|(from, _)| *from == node);
-        let (in_time, late): (Vec<_>, Vec<_>) = mine.partition(|(_, at)| *at <= deadline(node));
-        assert!(!in_time.is_empty(), "node {node} had work for the server before it drained, of {asked}");
+        let from_node = requests.iter().filter(|(from, _)| *from == node);
+        let (in_time, late): (Vec<_>, Vec<_>) = from_node.partition(|(_, at)| *at <= deadline(node));
+        assert!(!in_time.is_empty(), "node {node} used the server before it drained, of {sent} requests");
         let first = late.first().map(|(_, at)| *at - deadline(node));
-        assert_eq!(
-            late.len(),
-            0,
-            "node {node} sent to a draining server, {first:?} past the last moment first"
-        );
+        assert_eq!(late.len(), 0, "node {node} sent to a draining server, {first:?} past the deadline first");
     }
 }
--- a/crates/cache-balancer/tests/unreachable/mod.rs
+++ b/crates/cache-balancer/tests/unreachable/mod.rs
@@ -1,4 +1,4 @@
-//! A cache server whose connections come up when a test says so.
+//! A cache server to which connections come up only when a test allows it.
 #![allow(dead_code)]
 
 use crate::common::*;
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// A cache server to which connections do not come up until it is told: its queue of connections is full, so that the system
-/// drops what asks for a further one, which asks again after a second.
+/// A cache server to which no connection comes up for now: its accept queue is full, so the system drops further SYN packets,
+/// which clients send again after a second.
 pub struct Unreachable {
     listener: TcpListener,
     pub address: SocketAddr,
@@ -34,20 +34,20 @@
         }
     }
 
-    /// How many connections ask for it and have not come up, as the system tells.
+    /// The number of connections that are being opened to it, as the system reports.
     pub fn connecting(&self) -> usize {
         let SocketAddr::V4(address) = self.address else { unreachable!() };
         let remote = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-        // The third column is the other end, the fourth the state: 02 is that of a connection being made.
-        let asks = |line: &&str| {
+        // The third column is the remote address, the fourth the state; 02 is SYN_SENT.
+        let is_connecting = |line: &&str| {
             let columns: Vec<_> = line.split_whitespace().collect();
             columns.get(2) == Some(&remote.as_str()) && columns.get(3) == Some(&"02")
         };
-        table.lines().filter(asks).count()
+        table.lines().filter(is_connecting).count()
     }
 
-    /// Lets all connections come up, and gives the first that is not a test's own. Nothing is taken any more after that.
+    /// Lets all connections come up and returns the first that is not one of its own. None is accepted after that.
     pub fn admit(self) -> TcpStream {
         let own = self.own();
         loop {
@@ -80,7 +80,7 @@
         });
     }
 
-    /// Its own connections, by their ends.
+    /// The local addresses of the connections that fill its queue.
     fn own(&self) -> Vec<SocketAddr> {
         self.fillers.iter().map(|filler| filler.local_addr().unwrap().as_socket().unwrap()).collect()
     }
