--- a/crates/balancer-core/tests/list_validator.rs
+++ b/crates/balancer-core/tests/list_validator.rs
@@ -1,13 +1,13 @@
 //! Which lists of a single discovery service are accepted, list by list.
 
-use balancer_core::discovery::{ListEntry, ListError, ListSource, ListValidator, ListWarning, ReceivedList};
+#[path = "support/lists.rs"]
+mod lists;
+
+use balancer_core::discovery::{ListEntry, ListError, ListSource, ListValidator, ListWarning};
 use balancer_core::EndpointState::{self, Draining, Ready, Removed};
+use lists::{entry, holding, validate_from};
 use proptest::prelude::*;
 
-fn entry(id: &str, state: EndpointState) -> ListEntry<'_> {
-    ListEntry { id, state, has_address: true }
-}
-
 /// Validates a list of a service without replicas.
 fn validate(
     validator: &mut ListValidator,
@@ -15,11 +15,7 @@
     is_snapshot: bool,
     entries: &[ListEntry],
 ) -> Result<Vec<ListWarning>, ListError> {
-    validator.validate(ListSource::SINGLE, &ReceivedList { version, is_snapshot, entries })
-}
-
-fn holding() -> ListValidator {
-    ListValidator::new(Some(41), ["a".to_owned(), "b".to_owned()])
+    validate_from(validator, ListSource::SINGLE, version, is_snapshot, entries)
 }
 
 #[test]
--- a/crates/balancer-core/tests/list_validator_replicas.rs
+++ b/crates/balancer-core/tests/list_validator_replicas.rs
@@ -1,31 +1,17 @@
 //! Which lists of replicas of one service are accepted, list by list: versions do not go back, and a server that one replica
 //! reported as leaving does not become ready again by the list of another that lags.
 
-use balancer_core::discovery::{ListEntry, ListError, ListSource, ListValidator, ListWarning, ReceivedList};
+#[path = "support/lists.rs"]
+mod lists;
+
+use balancer_core::discovery::{ListError, ListSource, ListValidator, ListWarning};
 use balancer_core::EndpointState::{self, Draining, Ready, Removed};
+use lists::{entry, holding, validate_from};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
 const NAMES: [&str; 5] = ["r0", "r1", "r2", "r3", "r4"];
 
-fn entry(id: &str, state: EndpointState) -> ListEntry<'_> {
-    ListEntry { id, state, has_address: true }
-}
-
-fn validate_from(
-    validator: &mut ListValidator,
-    source: ListSource,
-    version: u64,
-    is_snapshot: bool,
-    entries: &[ListEntry],
-) -> Result<Vec<ListWarning>, ListError> {
-    validator.validate(source, &ReceivedList { version, is_snapshot, entries })
-}
-
-fn holding() -> ListValidator {
-    ListValidator::new(Some(41), ["a".to_owned(), "b".to_owned()])
-}
-
 fn source(place: usize, replicas: usize) -> ListSource<'static> {
     ListSource { replica: NAMES[place], replicas }
 }
--- a/crates/balancer-core/tests/poll_schedule.rs
+++ b/crates/balancer-core/tests/poll_schedule.rs
@@ -1,9 +1,13 @@
 //! The waits, timeouts and pauses of polls, outcome by outcome.
 
+#[path = "support/poll_settings.rs"]
+mod poll_settings;
+
 use balancer_core::discovery::{
     backoff, Poll, PollKind, PollOutcome, PollSchedule, PollSettings, MISSED_EVENT_DEADLINE,
     NOTIFICATION_DEADLINE,
 };
+use poll_settings::settings;
 use proptest::prelude::*;
 use std::time::Duration;
 use PollKind::{Snapshot, Watch};
@@ -11,15 +15,6 @@
 /// Discovery gives up polls that it has queued for this long.
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(3);
 
-fn settings(nodes: u32) -> PollSettings {
-    PollSettings {
-        nodes,
-        max_poll_interval: Duration::from_secs(10),
-        drain_grace: Duration::from_millis(500),
-        is_polled: true,
-    }
-}
-
 #[test]
 fn the_backoff_is_drawn_from_zero_up_to_a_step_that_doubles() {
     assert_eq!(backoff(450, 0, Snapshot, 1.0), Duration::ZERO);
--- a/crates/balancer-core/tests/poll_schedule_fleet.rs
+++ b/crates/balancer-core/tests/poll_schedule_fleet.rs
@@ -1,10 +1,13 @@
 //! Fleets that poll one discovery service at once, in virtual time. The service works through polls one after the other, and
 //! a poll that would be queued for longer than [`QUEUE_TIMEOUT`] fails.
 
+#[path = "support/poll_settings.rs"]
+mod poll_settings;
+
 use balancer_core::discovery::{
-    backoff, Poll, PollKind, PollOutcome, PollSchedule, PollSettings, MISSED_EVENT_DEADLINE,
-    NOTIFICATION_DEADLINE,
+    backoff, Poll, PollKind, PollOutcome, PollSchedule, MISSED_EVENT_DEADLINE, NOTIFICATION_DEADLINE,
 };
+use poll_settings::settings;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
@@ -21,15 +24,6 @@
 /// The polls to come: at which microsecond, and of which node.
 type Agenda = BinaryHeap<Reverse<(u64, u32)>>;
 
-fn settings(nodes: u32) -> PollSettings {
-    PollSettings {
-        nodes,
-        max_poll_interval: Duration::from_secs(10),
-        drain_grace: Duration::from_millis(500),
-        is_polled: true,
-    }
-}
-
 /// The time for one answer, in seconds, if `round` answers all nodes. A few nodes are answered no slower than 0.25 s each.
 fn answer_time(nodes: u32, round: f64) -> f64 {
     (round / f64::from(nodes)).min(0.25)
--- a/crates/balancer-core/tests/replica_capacity.rs
+++ b/crates/balancer-core/tests/replica_capacity.rs
@@ -1,11 +1,15 @@
 //! Fleets that poll the replicas of one discovery service, in virtual time. Each replica sends [`CAPACITY`] lines a second,
 //! answers polls one after the other, and rejects with 503 those whose answer would begin too late.
 
+#[path = "support/poll_settings.rs"]
+mod poll_settings;
+
 use balancer_core::discovery::{
-    DiscoveryClient, Jitter, PollKind, PollOutcome, PollPacing, PollSchedule, PollSettings, ReplicaCapacity,
+    DiscoveryClient, Jitter, PollKind, PollOutcome, PollPacing, PollSchedule, ReplicaCapacity,
     ReplicaSelection,
 };
 use balancer_core::Timestamp;
+use poll_settings::settings;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
@@ -18,15 +22,6 @@
 /// The end of a simulation, in seconds; none takes that long.
 const MAX_SECONDS: f64 = 50_000.0;
 
-fn settings(nodes: u32) -> PollSettings {
-    PollSettings {
-        nodes,
-        max_poll_interval: Duration::from_secs(10),
-        drain_grace: Duration::from_millis(500),
-        is_polled: true,
-    }
-}
-
 /// What the schedules of the nodes depend on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mode {
--- a/crates/cache-balancer/tests/silence.rs
+++ b/crates/cache-balancer/tests/silence.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
-use std::net::{SocketAddr, TcpListener};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -22,8 +22,16 @@
 const NETWORK_SLACK: Duration = Duration::from_millis(50);
 
 /// A discovery that never answers the first watch of any node. One server drains once every node has such a watch.
+#[derive(Clone)]
 struct LossyDiscovery {
+    /// Each node has a port of its own, which identifies it.
     address: SocketAddr,
+    node: usize,
+    /// The number of all nodes.
+    nodes: usize,
+    /// The list at first, and the change that follows.
+    ready: String,
+    draining: String,
     /// For each node, when its lost watch was read, and the wait that it requested.
     watches: Arc<Mutex<BTreeMap<usize, (Instant, Duration)>>>,
     /// The nodes that have been notified since.
@@ -31,54 +39,54 @@
 }
 
 impl LossyDiscovery {
-    /// Each node has a port of its own, which identifies it.
-    fn start(ready: String, draining: String, nodes: usize) -> Vec<Self> {
-        let watches: Arc<Mutex<BTreeMap<_, _>>> = Arc::default();
-        let notified: Arc<Mutex<Vec<_>>> = Arc::default();
-        let begin = |node| {
+    /// Starts one for each node.
+    fn start_all(ready: &str, draining: &str, nodes: usize) -> Vec<Self> {
+        let (watches, notified) = (Arc::default(), Arc::default());
+        let start = |node| {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-            let address = listener.local_addr().unwrap();
-            let (watches, notified) = (watches.clone(), notified.clone());
-            let discovery = Self { address, watches: watches.clone(), notified: notified.clone() };
-            let (ready, draining) = (ready.clone(), draining.clone());
+            let discovery = Self {
+                address: listener.local_addr().unwrap(),
+                node,
+                nodes,
+                ready: ready.to_owned(),
+                draining: draining.to_owned(),
+                watches: Arc::clone(&watches),
+                notified: Arc::clone(&notified),
+            };
+            let listening = discovery.clone();
             thread::spawn(move || {
                 for stream in listener.incoming().map_while(Result::ok) {
-                    let (watches, notified) = (watches.clone(), notified.clone());
-                    let (ready, draining) = (ready.clone(), draining.clone());
-                    thread::spawn(move || {
-                        let mut reader = BufReader::new(stream.try_clone().unwrap());
-                        let mut stream = stream;
-                        while let Ok(Some(message)) = Message::read(&mut reader) {
-                            let Some((_, wait)) = message.start.split_once("wait_ms=") else {
-                                let _ = stream.write_all(answer("200 OK", "", &ready).as_bytes());
-                                continue;
-                            };
-                            let wait = wait.split(' ').next().unwrap().parse().unwrap();
-                            let wait = Duration::from_millis(wait);
-                            let first = !watches.lock().unwrap().contains_key(&node);
-                            if first {
-                                watches.lock().unwrap().insert(node, (Instant::now(), wait));
-                                // Lost: the connection stays open and nothing more is sent on it.
-                                thread::sleep(2 * PATIENCE);
-                                return;
-                            }
-                            assert_eq!(
-                                watches.lock().unwrap().len(),
-                                nodes,
-                                "all watches are lost before any drain"
-                            );
-                            if notified.lock().unwrap().contains(&node) {
-                                thread::sleep(wait);
-                            }
-                            let _ = stream.write_all(answer("200 OK", "", &draining).as_bytes());
-                            notified.lock().unwrap().push(node);
-                        }
-                    });
+                    let serving = listening.clone();
+                    thread::spawn(move || serving.serve(stream));
                 }
             });
             discovery
         };
-        (0..nodes).map(begin).collect()
+        (0..nodes).map(start).collect()
+    }
+
+    fn serve(&self, mut stream: TcpStream) {
+        let mut reader = BufReader::new(stream.try_clone().unwrap());
+        while let Ok(Some(message)) = Message::read(&mut reader) {
+            let Some((_, wait)) = message.start.split_once("wait_ms=") else {
+                let _ = stream.write_all(answer("200 OK", "", &self.ready).as_bytes());
+                continue;
+            };
+            let wait = Duration::from_millis(wait.split(' ').next().unwrap().parse().unwrap());
+            if !self.watches.lock().unwrap().contains_key(&self.node) {
+                self.watches.lock().unwrap().insert(self.node, (Instant::now(), wait));
+                // Lost: the connection stays open and nothing more is sent on it.
+                thread::sleep(2 * PATIENCE);
+                return;
+            }
+            let lost = self.watches.lock().unwrap().len();
+            assert_eq!(lost, self.nodes, "all watches are lost before any drain");
+            if self.notified.lock().unwrap().contains(&self.node) {
+                thread::sleep(wait);
+            }
+            let _ = stream.write_all(answer("200 OK", "", &self.draining).as_bytes());
+            self.notified.lock().unwrap().push(self.node);
+        }
     }
 }
 
@@ -102,7 +110,7 @@
     };
     let ready = list(1, true, &[leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")]);
     let draining = list(2, false, &[leaving.entry("s-1", "draining")]);
-    let discoveries = LossyDiscovery::start(ready, draining, NODES);
+    let discoveries = LossyDiscovery::start_all(&ready, &draining, NODES);
     let nodes: Vec<_> = discoveries
         .iter()
         .enumerate()
