--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -30,32 +30,26 @@
 //! - [`balance`]: which server a request goes to, when it is retried, and when it is rejected; [`admission`]: how much of
 //!   the demand is admitted; [`hot_keys`]: how many replicas a key has; [`learned_state`]: what a successor takes on;
 //! - [`graceful_restart`]: which process accepts clients while one takes the place of another;
-//! - [`asking`]: when discovery is polled, and when a watch is dead; [`replicas`]: which replica of discovery;
-//!   [`share`]: what one replica can do for its share of the nodes; [`discovery_client`]: these three put together;
-//! - [`membership`]: which endpoint lists are accepted;
+//! - [`discovery`]: when and where discovery is polled, and which endpoint lists are accepted;
 //! - [`supervisor`]: when the instances of a fleet are started, and restarted.
 //!
 //! [`platform`] maps the platform's own names of settings and load reports to these types.
 
 pub mod admission;
 pub mod api;
-pub mod asking;
 pub mod balance;
 mod decay;
-pub mod discovery_client;
+pub mod discovery;
 pub mod endpoints;
 pub mod events;
 pub mod graceful_restart;
 mod hashing;
 pub mod hot_keys;
 pub mod learned_state;
-pub mod membership;
 pub mod names;
 pub mod platform;
-pub mod replicas;
 pub mod requests;
 pub mod settings;
-pub mod share;
 pub mod supervisor;
 pub mod time;
 
--- a/crates/cache-balancer/src/config/mod.rs
+++ b/crates/cache-balancer/src/config/mod.rs
@@ -3,8 +3,8 @@
 pub mod operator;
 pub mod platform;
 
-use crate::listing::Listing;
-use balancer_core::replicas::Capacity;
+use crate::endpoint_list::EndpointList;
+use balancer_core::discovery::ReplicaCapacity;
 use balancer_core::Settings;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -81,7 +81,7 @@
     pub name: String,
     pub source: Source,
     /// The cache servers that the configuration lists.
-    pub known: Listing,
+    pub known: EndpointList,
     /// With its request classes: the class of a request selects the pool.
     pub settings: Settings,
 }
@@ -110,7 +110,7 @@
     /// 1 to [`DiscoveryReplicas::MOST`] distinct addresses, in ascending order, so that equal sets are equal.
     pub addresses: Vec<SocketAddr>,
     /// The capacity of each replica; `None` if it is not stated.
-    pub capacity: Option<Capacity>,
+    pub capacity: Option<ReplicaCapacity>,
 }
 
 impl DiscoveryReplicas {
@@ -118,7 +118,7 @@
     pub const MOST: usize = 64;
 
     /// A service at these addresses, in any order.
-    pub fn new(mut addresses: Vec<SocketAddr>, capacity: Option<Capacity>) -> Self {
+    pub fn new(mut addresses: Vec<SocketAddr>, capacity: Option<ReplicaCapacity>) -> Self {
         addresses.sort_unstable();
         Self { addresses, capacity }
     }
--- a/crates/cache-balancer/src/config/operator.rs
+++ b/crates/cache-balancer/src/config/operator.rs
@@ -8,7 +8,7 @@
 pub use effective::effective;
 
 use super::{Config, HandoverConfig, Listener, Pool, Source, MIN_DESCRIPTORS};
-use crate::listing::{Host, Listing};
+use crate::endpoint_list::{EndpointList, EndpointRecord};
 use balancer_core::{DeduplicationScope, Idempotency, RequestClass, Settings};
 use checked_toml::{Document, Fault, Table};
 use rustix::process::{getrlimit, Resource};
@@ -76,10 +76,10 @@
 }
 
 /// Parses a list of cache servers, as version `seq`. `path` is the file's name in faults.
-pub fn read_list(path: &Path, text: &str, seq: u64) -> Result<Listing, FileError> {
+pub fn read_list(path: &Path, text: &str, seq: u64) -> Result<EndpointList, FileError> {
     let read = |top: &Table| {
         version(top);
-        Listing { seq, whole: true, hosts: servers(top) }
+        EndpointList { version: seq, is_snapshot: true, endpoints: servers(top) }
     };
     Document::read(&path.display().to_string(), text, read).map_err(FileError::Faults)
 }
@@ -259,20 +259,24 @@
     let discovered = matches!(source, Source::Discovery(_));
     let settings =
         Settings { discovery_is_polled: discovered, start_times_reported: discovered, ..base.clone() };
-    Pool { name, source, known: Listing { seq: 0, whole: true, hosts }, settings }
+    Pool { name, source, known: EndpointList { version: 0, is_snapshot: true, endpoints: hosts }, settings }
 }
 
-fn servers(t: &Table) -> Vec<Host> {
+fn servers(t: &Table) -> Vec<EndpointRecord> {
     let mut taken = BTreeSet::new();
-    t.tables("server", |t| Host {
-        host: name(t, &mut taken),
-        dial: address(t),
-        site: t.text("zone", NAME, is_name),
-        class: t.text("kind", NAME, is_name),
-        block: t.count("cell", 0..=u64::MAX),
-        health: t.word("health", &["ready", "draining"]).map_or("ready", |i| ["ready", "draining"][i]).into(),
-        share: t.number("weight", 0.0..=1e6),
-        born_ms: None,
+    t.tables("server", |t| EndpointRecord {
+        id: name(t, &mut taken),
+        address: address(t),
+        zone: t.text("zone", NAME, is_name),
+        kind: t.text("kind", NAME, is_name),
+        cell: t.count("cell", 0..=u64::MAX),
+        state: t
+            .word("health", &["ready", "draining"])
+            .map_or("ready", |i| ["ready", "draining"][i])
+            .to_owned()
+            .into(),
+        weight: t.number("weight", 0.0..=1e6),
+        started_at_ms: None,
     })
 }
 
--- a/crates/cache-balancer/src/config/operator/effective.rs
+++ b/crates/cache-balancer/src/config/operator/effective.rs
@@ -2,7 +2,7 @@
 
 use super::{discovery, VERSION};
 use crate::config::{Config, HandoverConfig, Listener, Pool, Source};
-use crate::listing::Host;
+use crate::endpoint_list::EndpointRecord;
 use balancer_core::{DeduplicationScope, Idempotency, RequestClass, Settings};
 use checked_toml::time_text;
 use std::fmt::{Result, Write};
@@ -75,26 +75,26 @@
         Source::File(path) => writeln!(text, "file = {:?}", path.display().to_string())?,
         Source::Fixed => {}
     }
-    for host in &pool.known.hosts {
+    for host in &pool.known.endpoints {
         write_server(text, host)?;
     }
     Ok(())
 }
 
-fn write_server(text: &mut String, host: &Host) -> Result {
-    writeln!(text, "[[pool.server]]\nname = \"{}\"", host.host)?;
-    if let Some(address) = host.dial {
+fn write_server(text: &mut String, host: &EndpointRecord) -> Result {
+    writeln!(text, "[[pool.server]]\nname = \"{}\"", host.id)?;
+    if let Some(address) = host.address {
         writeln!(text, "address = \"{address}\"")?;
     }
-    for (key, value) in [("zone", &host.site), ("kind", &host.class)] {
+    for (key, value) in [("zone", &host.zone), ("kind", &host.kind)] {
         if let Some(value) = value {
             writeln!(text, "{key} = \"{value}\"")?;
         }
     }
-    if let Some(cell) = host.block {
+    if let Some(cell) = host.cell {
         writeln!(text, "cell = {cell}")?;
     }
-    writeln!(text, "health = \"{}\"\nweight = {:?}", host.health, host.share.unwrap_or(1.0))
+    writeln!(text, "health = \"{}\"\nweight = {:?}", host.state, host.weight.unwrap_or(1.0))
 }
 
 fn write_class(text: &mut String, pool: &str, class: &RequestClass) -> Result {
--- a/crates/cache-balancer/src/config/platform.rs
+++ b/crates/cache-balancer/src/config/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's configuration: the file that `LB_CONFIG` names, and further variables of the environment.
 
 use super::{Config, DiscoveryReplicas, Listener, Pool, Source, MIN_DESCRIPTORS};
-use crate::listing::Listing;
+use crate::endpoint_list::EndpointList;
 use balancer_core::platform::{read_settings, PlatformError};
 use serde::Deserialize;
 use serde_json::Value;
@@ -37,7 +37,7 @@
     seed: String,
     limits: Limits,
     #[serde(default)]
-    known: Listing,
+    known: EndpointList,
     settings: Value,
 }
 
--- a/crates/cache-balancer/src/daemon/change.rs
+++ b/crates/cache-balancer/src/daemon/change.rs
@@ -1,7 +1,7 @@
 //! What a new configuration changes: which listeners and pools go on, and the differences for the log. Without I/O.
 
 use crate::config::{Config, DiscoveryReplicas, Listener, Pool, Source};
-use balancer_core::replicas::Capacity;
+use balancer_core::discovery::ReplicaCapacity;
 use balancer_core::{RequestClass, Settings};
 use std::fmt;
 use std::net::SocketAddr;
@@ -168,7 +168,7 @@
 fn list_changes(before: &Pool, after: &Pool) -> Vec<String> {
     match (&before.source, &after.source) {
         (Source::Discovery(before), Source::Discovery(after)) => discovery_changes(before, after),
-        (Source::Fixed, Source::Fixed) if before.known.hosts != after.known.hosts => {
+        (Source::Fixed, Source::Fixed) if before.known.endpoints != after.known.endpoints => {
             vec!["other servers".into()]
         }
         (before, after) if before != after => vec![format!("list from {}", describe_source(after))],
@@ -183,7 +183,7 @@
     }
     if before.capacity != after.capacity {
         changes.push(match after.capacity {
-            Some(Capacity { lines_per_second, call_lines }) => {
+            Some(ReplicaCapacity { lines_per_second, call_lines }) => {
                 format!("discovery of {lines_per_second} lines a second and {call_lines} a call")
             }
             None => "discovery of unknown capacity".into(),
--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -2,18 +2,18 @@
 
 use super::change::Change;
 use crate::config::{Config, DiscoveryReplicas, Pool, Source};
-use crate::discovery::Discovery;
+use crate::discovery::DiscoveryPoller;
 use crate::driver::Driver;
+use crate::endpoint_list::EndpointList;
 use crate::fronts::http1::{Class, Routes};
 use crate::handover::PoolState;
 use crate::input::DriverInput;
 use crate::list_file;
-use crate::listing::Listing;
 use crate::readiness;
 use crate::tally::Tally;
 use crate::upstream::{ConnectionLimit, Upstream};
-use balancer_core::asking::Terms;
-use balancer_core::membership::Membership;
+use balancer_core::discovery::ListValidator;
+use balancer_core::discovery::PollSettings;
 use balancer_core::Balancer;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -40,8 +40,8 @@
     events: UnboundedSender<DriverInput>,
     ready: watch::Receiver<bool>,
     list: ListWatch,
-    /// The terms on which discovery is polled.
-    terms: Rc<Cell<Terms>>,
+    /// The poll_settings on which discovery is polled.
+    poll_settings: Rc<Cell<PollSettings>>,
 }
 
 /// The task that follows the source of an endpoint list.
@@ -62,13 +62,13 @@
 
 impl Running {
     /// Restores the state of the predecessor's pool. A list in the configuration itself goes before the predecessor's.
-    fn restore(&self, PoolState { listing, learned_state, .. }: PoolState) {
-        let listing = match self.pool.source {
+    fn restore(&self, PoolState { endpoint_list, learned_state, .. }: PoolState) {
+        let endpoint_list = match self.pool.source {
             Source::Fixed => self.pool.known.clone(),
-            Source::Discovery(_) | Source::File(_) => listing,
+            Source::Discovery(_) | Source::File(_) => endpoint_list,
         };
         // The driver ends only once it is retired.
-        let _ = self.events.send(DriverInput::StateRestored(Box::new((listing, learned_state))));
+        let _ = self.events.send(DriverInput::StateRestored(Box::new((endpoint_list, learned_state))));
     }
 }
 
@@ -101,8 +101,8 @@
             let (answer, state) = oneshot::channel();
             // The driver ends only once it is retired.
             let _ = events.send(DriverInput::StateRequested(answer));
-            let Ok((listing, learned_state)) = state.await else { continue };
-            states.push(PoolState::new(&pool.name, &pool.source, listing, learned_state));
+            let Ok((endpoint_list, learned_state)) = state.await else { continue };
+            states.push(PoolState::new(&pool.name, &pool.source, endpoint_list, learned_state));
         }
         states
     }
@@ -157,14 +157,14 @@
         let (connecting, idle) = (settings.connect_timeout, settings.server_idle_timeout);
         let upstream = Rc::new(Upstream::new(self.places.clone(), connecting, idle));
         spawn_local(Upstream::close_idle_on_time(Rc::downgrade(&upstream)));
-        let membership = initial_membership(&pool, learned.as_ref());
-        let terms = Rc::new(Cell::new(Terms::of(settings)));
-        let list = ListWatch::start(&self.node, &pool.source, membership, seed, &terms, &events);
+        let validator = initial_validator(&pool, learned.as_ref());
+        let poll_settings = Rc::new(Cell::new(PollSettings::from(settings)));
+        let list = ListWatch::start(&self.node, &pool.source, validator, seed, &poll_settings, &events);
         let balancer = Balancer::new(settings.clone(), seed);
         let tally = Tally::new(&self.node, &pool.name, self.tally.clone());
         let driver = Driver::new(balancer, upstream, has_servers, events.clone(), tally);
         spawn_local(driver.run(known.clone(), inputs));
-        let running = Running { pool, events, ready, list, terms };
+        let running = Running { pool, events, ready, list, poll_settings };
         if let Some(learned) = learned {
             running.restore(learned);
         }
@@ -175,7 +175,7 @@
     fn reconfigure_pool(&self, mut running: Running, pool: Pool) -> Running {
         let before = std::mem::replace(&mut running.pool, pool);
         let Pool { source, known, settings, .. } = &running.pool;
-        running.terms.set(Terms::of(settings));
+        running.poll_settings.set(PollSettings::from(settings));
         if *settings != before.settings {
             // The driver ends only once it is retired.
             let _ = running.events.send(DriverInput::Reconfigured(Box::new(settings.clone())));
@@ -188,26 +188,36 @@
             _ if *source == before.source => {}
             _ => {
                 let seed = self.seed.wrapping_add(self.started);
-                let membership = Membership::default();
-                running.list =
-                    ListWatch::start(&self.node, source, membership, seed, &running.terms, &running.events);
+                let validator = ListValidator::default();
+                running.list = ListWatch::start(
+                    &self.node,
+                    source,
+                    validator,
+                    seed,
+                    &running.poll_settings,
+                    &running.events,
+                );
             }
         }
-        if *source == Source::Fixed && (before.source != Source::Fixed || known.hosts != before.known.hosts) {
-            let _ = running.events.send(DriverInput::EndpointList(Listing { whole: true, ..known.clone() }));
+        if *source == Source::Fixed
+            && (before.source != Source::Fixed || known.endpoints != before.known.endpoints)
+        {
+            let _ = running
+                .events
+                .send(DriverInput::EndpointList(EndpointList { is_snapshot: true, ..known.clone() }));
         }
         running
     }
 }
 
 impl ListWatch {
-    /// Starts to follow `source`. `membership` is what the driver holds of the list, and `node` the name of the node.
+    /// Starts to follow `source`. `validator` is what the driver holds of the list, and `node` the name of the node.
     fn start(
         node: &str,
         source: &Source,
-        membership: Membership,
+        validator: ListValidator,
         seed: u64,
-        terms: &Rc<Cell<Terms>>,
+        poll_settings: &Rc<Cell<PollSettings>>,
         events: &UnboundedSender<DriverInput>,
     ) -> Self {
         match source {
@@ -215,9 +225,15 @@
                 // With a random sequence for each, pools that lost discovery together do not return together.
                 let random = fastrand::Rng::with_seed(seed);
                 let (sender, replicas) = watch::channel(replicas.clone());
-                let (terms, events) = (terms.clone(), events.clone());
-                let watching =
-                    Discovery { node: node.to_owned(), replicas, membership, terms, random, events };
+                let (poll_settings, events) = (poll_settings.clone(), events.clone());
+                let watching = DiscoveryPoller {
+                    node: node.to_owned(),
+                    replicas,
+                    validator,
+                    poll_settings,
+                    random,
+                    events,
+                };
                 Self::Discovery(sender, spawn_local(watching.run()).abort_handle())
             }
             Source::File(path) => {
@@ -230,14 +246,14 @@
 
 /// The list that a pool starts with. A watch goes on from the version of the predecessor, if that is of the same discovery
 /// service.
-fn initial_membership(pool: &Pool, learned: Option<&PoolState>) -> Membership {
+fn initial_validator(pool: &Pool, learned: Option<&PoolState>) -> ListValidator {
     match learned {
         Some(learned) if learned.shares_versions_with(&pool.source) => {
-            Membership::new(Some(learned.listing.seq), learned.listing.ready())
+            ListValidator::new(Some(learned.endpoint_list.version), learned.endpoint_list.ready_ids())
         }
         _ => {
             let known = &pool.known;
-            Membership::new((!known.hosts.is_empty()).then_some(known.seq), known.ready())
+            ListValidator::new((!known.endpoints.is_empty()).then_some(known.version), known.ready_ids())
         }
     }
 }
--- a/crates/cache-balancer/src/driver/mod.rs
+++ b/crates/cache-balancer/src/driver/mod.rs
@@ -7,8 +7,8 @@
 mod in_flight;
 mod timers;
 
+use crate::endpoint_list::EndpointList;
 use crate::input::{AcceptedRequest, DriverInput, FinalResponse, RequestNumber};
-use crate::listing::Listing;
 use crate::tally::{Tally, TallyLine};
 use crate::upstream::{AttemptResult, Upstream};
 use balancer_core::{AttemptOutcome, Balancer, EndpointUpdate, Event, Request, RequestId, Settings};
@@ -44,7 +44,7 @@
     fn of(input: &DriverInput) -> Option<Self> {
         match input {
             DriverInput::EndpointList(list) => {
-                let (version, snapshot, entries) = (list.seq, list.whole, list.hosts.len());
+                let (version, snapshot, entries) = (list.version, list.is_snapshot, list.endpoints.len());
                 Some(Self::ListApplied { version, snapshot, entries })
             }
             DriverInput::EndpointListFailed => Some(Self::CallFailed),
@@ -105,7 +105,7 @@
 
     /// Runs until the senders of the queue are gone, or until the pool is removed and its last request complete.
     /// It begins with the endpoint list `known`, which may be empty.
-    pub async fn run(mut self, known: Listing, mut queue: UnboundedReceiver<DriverInput>) {
+    pub async fn run(mut self, known: EndpointList, mut queue: UnboundedReceiver<DriverInput>) {
         self.restore_endpoints(known);
         self.handle_events();
         while !(self.pool_removed && self.requests.is_empty()) {
@@ -233,16 +233,16 @@
         }
     }
 
-    fn restore_endpoints(&mut self, list: Listing) {
-        let snapshot = Listing { whole: true, ..list };
+    fn restore_endpoints(&mut self, list: EndpointList) {
+        let snapshot = EndpointList { is_snapshot: true, ..list };
         let entries = self.endpoints.apply(&snapshot, self.tally.line_at(self.clock.now()));
         self.events.push_back(Event::EndpointsRestored(entries));
     }
 
-    fn apply_endpoint_list(&mut self, list: &Listing) {
+    fn apply_endpoint_list(&mut self, list: &EndpointList) {
         let entries = self.endpoints.apply(list, self.tally.line_at(self.clock.now()));
         let update =
-            if list.whole { EndpointUpdate::Snapshot(entries) } else { EndpointUpdate::Delta(entries) };
+            if list.is_snapshot { EndpointUpdate::Snapshot(entries) } else { EndpointUpdate::Delta(entries) };
         self.events.push_back(Event::EndpointsUpdated(update));
     }
 
--- a/crates/cache-balancer/src/handover/state.rs
+++ b/crates/cache-balancer/src/handover/state.rs
@@ -1,7 +1,7 @@
 //! The learned state of a node, as one process sends it to another.
 
 use crate::config::{DiscoveryReplicas, Source};
-use crate::listing::Listing;
+use crate::endpoint_list::EndpointList;
 use balancer_core::LearnedState;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -26,14 +26,20 @@
     /// The replicas of that discovery service, if there are several.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     replicas: Vec<SocketAddr>,
-    pub listing: Listing,
+    #[serde(rename = "listing")]
+    pub endpoint_list: EndpointList,
     #[serde(rename = "knowledge")]
     pub learned_state: LearnedState,
 }
 
 impl PoolState {
     /// The state of the pool of this name, whose endpoint list is from `source`.
-    pub fn new(name: &str, source: &Source, listing: Listing, learned_state: LearnedState) -> Self {
+    pub fn new(
+        name: &str,
+        source: &Source,
+        endpoint_list: EndpointList,
+        learned_state: LearnedState,
+    ) -> Self {
         let (discovery, replicas) = match source {
             Source::Discovery(DiscoveryReplicas { addresses, .. }) => match addresses[..] {
                 [only] => (Some(only), Vec::new()),
@@ -41,7 +47,7 @@
             },
             Source::File(_) | Source::Fixed => (None, Vec::new()),
         };
-        Self { name: name.to_owned(), discovery, replicas, listing, learned_state }
+        Self { name: name.to_owned(), discovery, replicas, endpoint_list, learned_state }
     }
 
     /// Whether its endpoint list is from the discovery service of `source`: its version has no meaning at another one.
--- a/crates/cache-balancer/src/handover/state/tests.rs
+++ b/crates/cache-balancer/src/handover/state/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use balancer_core::replicas::Capacity;
+use balancer_core::discovery::ReplicaCapacity;
 use serde_json::{json, Value};
 
 fn address(port: u16) -> SocketAddr {
@@ -12,7 +12,7 @@
 }
 
 fn pool(source: &Source) -> PoolState {
-    PoolState::new("p", source, Listing::default(), LearnedState::default())
+    PoolState::new("p", source, EndpointList::default(), LearnedState::default())
 }
 
 /// The state of a pool, as it goes over the link.
@@ -38,7 +38,7 @@
 #[test]
 fn a_state_of_the_version_before_is_read_and_its_address_compared() {
     let of_one = read(json!({"discovery": "127.0.0.1:1"}));
-    assert_eq!(of_one.listing.seq, 7);
+    assert_eq!(of_one.endpoint_list.version, 7);
     assert!(of_one.shares_versions_with(&replicas(&[1])));
     assert!(of_one.shares_versions_with(&replicas(&[1, 2])));
     assert!(!of_one.shares_versions_with(&replicas(&[2])));
@@ -84,7 +84,7 @@
 
 #[test]
 fn capacity_does_not_distinguish_discovery_services() {
-    let capacity = Some(Capacity { lines_per_second: 200.0, call_lines: 10.0 });
+    let capacity = Some(ReplicaCapacity { lines_per_second: 200.0, call_lines: 10.0 });
     let stated = Source::Discovery(DiscoveryReplicas::new(vec![address(1)], capacity));
     assert!(pool(&stated).shares_versions_with(&replicas(&[1])));
     assert!(pool(&replicas(&[1])).shares_versions_with(&stated));
--- a/crates/cache-balancer/src/input.rs
+++ b/crates/cache-balancer/src/input.rs
@@ -1,6 +1,6 @@
 //! What the parts of a node send to the driver, and the responses that they get.
 
-use crate::listing::Listing;
+use crate::endpoint_list::EndpointList;
 use crate::upstream::{AttemptResult, ForwardedRequest};
 use balancer_core::{ClassId, LearnedState, RequestId, Settings, TenantId};
 use bytes::Bytes;
@@ -77,7 +77,7 @@
         result: AttemptResult,
     },
     /// An endpoint list: a snapshot or a delta.
-    EndpointList(Listing),
+    EndpointList(EndpointList),
     /// A call to discovery failed.
     EndpointListFailed,
     /// Servers that a response of discovery names as draining, while its list is not applied, or not yet.
@@ -85,9 +85,9 @@
     /// These settings hold for requests that are accepted from here on.
     Reconfigured(Box<Settings>),
     /// The learned state of the predecessor process. It comes before the first request.
-    StateRestored(Box<(Listing, LearnedState)>),
+    StateRestored(Box<(EndpointList, LearnedState)>),
     /// Asks for the current endpoint list and learned state.
-    StateRequested(oneshot::Sender<(Listing, LearnedState)>),
+    StateRequested(oneshot::Sender<(EndpointList, LearnedState)>),
     /// The pool is removed: no request follows, and the driver ends once all in flight are complete.
     PoolRemoved,
     /// A liveness check: the driver answers it from its loop.
