--- a/crates/balancer-core/tests/hot_keys.rs
+++ b/crates/balancer-core/tests/hot_keys.rs
@@ -1,4 +1,4 @@
-//! A hot key is shared out over servers, and repeats after attempts that reached nobody are free.
+//! Replicas of hot keys.
 
 mod common;
 use balancer_core::*;
@@ -27,7 +27,7 @@
         }
         node.advance(ms(10));
     }
-    // A fifth of 20 servers' work is four shares, of three servers each; it began at one.
+    // A fifth of the load of 20 servers is four shares, of three servers each. It begins with one server.
     assert!((11..=13).contains(&hot.len()), "{hot:?}");
     let most = hot.values().max().copied().unwrap_or_default();
     assert!(most <= 50, "one server had {most} of 190: {hot:?}");
--- a/crates/balancer-core/tests/policy_files.rs
+++ b/crates/balancer-core/tests/policy_files.rs
@@ -1,16 +1,18 @@
-//! The files of the policy, as deploy/balancer.toml names them, stay small enough to be read at one sitting.
+//! The policy's files, which deploy/balancer.toml names, stay small enough to be read at one sitting.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-const LINES_OF_A_FILE: usize = 599;
-const COLUMNS: usize = 110;
+/// Most lines of a file that are not blank.
+const MAX_LINES: usize = 599;
+/// Most characters of a line.
+const MAX_COLUMNS: usize = 110;
 
 fn repository() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The value of `policy`: paths from the repository's root.
+/// The value of the setting `policy`: paths from the repository's root.
 fn policy_files() -> Vec<String> {
     let text = fs::read_to_string(repository().join("deploy/balancer.toml")).expect("deploy/balancer.toml");
     let (_, after) = text.split_once("\npolicy = [").expect("a list of policy files");
@@ -24,9 +26,9 @@
     for path in policy_files() {
         let text = fs::read_to_string(repository().join(&path)).unwrap_or_else(|e| panic!("{path}: {e}"));
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= LINES_OF_A_FILE, "{path}: {lines} lines that are not blank");
+        assert!(lines <= MAX_LINES, "{path}: {lines} lines that are not blank");
         for (i, line) in text.lines().enumerate() {
-            assert!(line.chars().count() <= COLUMNS, "{path}:{}: more than {COLUMNS} columns", i + 1);
+            assert!(line.chars().count() <= MAX_COLUMNS, "{path}:{}: more than {MAX_COLUMNS} columns", i + 1);
         }
     }
 }
--- a/crates/balancer-core/tests/reconfigure.rs
+++ b/crates/balancer-core/tests/reconfigure.rs
@@ -1,23 +1,23 @@
-//! Settings that change under way: requests are judged by those that they were taken under, and what is known lives on.
+//! Reloads: requests keep the settings under which they arrived, and what is known of servers stays.
 
 mod common;
 
 use balancer_core::*;
 use common::{ms, settings, Node};
 
-/// Settings with these of the usual classes (read, keyed, unsafe), in this order.
+/// Settings with these of the classes read, keyed and unsafe, in this order.
 fn with_classes(order: &[usize]) -> Settings {
-    let usual = settings();
-    Settings { classes: order.iter().map(|&i| usual.classes[i].clone()).collect(), ..usual }
+    let all = settings();
+    Settings { classes: order.iter().map(|&i| all.classes[i].clone()).collect(), ..all }
 }
 
-fn with_effect(class: usize, effect: Idempotency) -> Settings {
+fn with_idempotency(class: usize, idempotency: Idempotency) -> Settings {
     let mut changed = settings();
-    changed.classes[class].idempotency = effect;
+    changed.classes[class].idempotency = idempotency;
     changed
 }
 
-fn sends(actions: &[Action]) -> usize {
+fn attempts_started(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::StartAttempt { .. })).count()
 }
 
@@ -25,9 +25,9 @@
 fn a_request_is_still_retried_when_its_class_becomes_not_idempotent() {
     let mut node = Node::with_servers(settings(), 4);
     let before = node.request(0, 7, ms(400));
-    node.reconfigure(with_effect(0, Idempotency::NotIdempotent));
+    node.reconfigure(with_idempotency(0, Idempotency::NotIdempotent));
     let after = node.request(0, 8, ms(400));
-    assert_eq!(sends(&node.answer(&before, AttemptStatus::Reset)), 1);
+    assert_eq!(attempts_started(&node.answer(&before, AttemptStatus::Reset)), 1);
     let actions = node.answer(&after, AttemptStatus::Reset);
     assert!(matches!(&actions[..], [Action::Fail { id }] if *id == after), "{actions:?}");
 }
@@ -36,11 +36,11 @@
 fn a_request_is_not_retried_when_its_class_becomes_idempotent() {
     let mut node = Node::with_servers(settings(), 4);
     let before = node.request(2, 7, ms(400));
-    node.reconfigure(with_effect(2, Idempotency::Idempotent));
+    node.reconfigure(with_idempotency(2, Idempotency::Idempotent));
     let actions = node.answer(&before, AttemptStatus::TimedOut);
     assert!(matches!(&actions[..], [Action::Fail { .. }]), "{actions:?}");
     let after = node.request(2, 8, ms(400));
-    assert_eq!(sends(&node.answer(&after, AttemptStatus::Reset)), 1);
+    assert_eq!(attempts_started(&node.answer(&after, AttemptStatus::Reset)), 1);
 }
 
 /// Requests refer to classes by their place in the settings. When the order changes or a class is gone, the
@@ -48,11 +48,11 @@
 #[test]
 fn a_request_keeps_its_class_when_that_is_removed_or_moved() {
     let mut node = Node::with_servers(settings(), 4);
-    let (read, only_once) = (node.request(0, 7, ms(400)), node.request(2, 8, ms(400)));
-    // The first class is gone now, and its number means the unsafe one.
+    let (read, not_idempotent) = (node.request(0, 7, ms(400)), node.request(2, 8, ms(400)));
+    // The first class is removed, and its index is that of the unsafe one now.
     node.reconfigure(with_classes(&[2, 1]));
-    assert_eq!(sends(&node.answer(&read, AttemptStatus::Reset)), 1);
-    let actions = node.answer(&only_once, AttemptStatus::Reset);
+    assert_eq!(attempts_started(&node.answer(&read, AttemptStatus::Reset)), 1);
+    let actions = node.answer(&not_idempotent, AttemptStatus::Reset);
     assert!(matches!(&actions[..], [Action::Fail { .. }]), "{actions:?}");
     node.answer(&read, AttemptStatus::Ok);
     let later = node.request(0, 9, ms(400));
@@ -66,17 +66,17 @@
     let before = node.request(0, 7, ms(400));
     node.reconfigure(Settings { max_attempts: 1, max_retry_after: ms(0), ..settings() });
     let after = node.request(0, 8, ms(400));
-    assert_eq!(sends(&node.answer(&before, AttemptStatus::ConnectError)), 1);
-    let advice = |actions: &[Action]| match actions {
+    assert_eq!(attempts_started(&node.answer(&before, AttemptStatus::ConnectError)), 1);
+    let retry_after = |actions: &[Action]| match actions {
         [Action::Reject { retry_after, .. }] => *retry_after,
         other => panic!("{other:?}"),
     };
-    assert!(advice(&node.answer(&before, AttemptStatus::ConnectError)) > ms(0));
-    assert_eq!(advice(&node.answer(&after, AttemptStatus::ConnectError)), ms(0));
+    assert!(retry_after(&node.answer(&before, AttemptStatus::ConnectError)) > ms(0));
+    assert_eq!(retry_after(&node.answer(&after, AttemptStatus::ConnectError)), ms(0));
 }
 
-/// Trips the breaker of the server that keys go to, and gives it back.
-fn trip(node: &mut Node, key: u64) -> ServerId {
+/// Opens the breaker of the server that this key goes to. Returns the server.
+fn eject(node: &mut Node, key: u64) -> ServerId {
     let first = node.call(key, AttemptStatus::Reset).expect("sent");
     for _ in 0..2 {
         node.call(key, AttemptStatus::Reset);
@@ -88,7 +88,7 @@
 #[test]
 fn an_open_breaker_stays_open_for_its_cooldown_and_no_longer() {
     let mut node = Node::with_servers(settings(), 4);
-    let server = trip(&mut node, 7);
+    let server = eject(&mut node, 7);
     for order in [&[1, 0, 2][..], &[0, 1, 2], &[0]] {
         node.reconfigure(with_classes(order));
     }
@@ -103,11 +103,12 @@
 fn rejections_of_a_class_count_for_the_class_of_that_name() {
     let mut node = Node::with_servers(settings(), 2);
     node.load = LoadReport { queue_length: Some(0.0), ..LoadReport::default() };
-    let home = node.call(7, AttemptStatus::Ok).expect("sent");
-    let declined = |node: &mut Node, class: usize| {
+    let own = node.call(7, AttemptStatus::Ok).expect("sent");
+    // A request of this class, rejected by the key's own server. Returns the server that it went to first.
+    let call = |node: &mut Node, class: usize| {
         let id = node.request(class, 7, ms(400));
         let (_, server) = node.in_flight(&id).expect("sent");
-        let status = if server == home { AttemptStatus::QueueFull } else { AttemptStatus::Ok };
+        let status = if server == own { AttemptStatus::QueueFull } else { AttemptStatus::Ok };
         node.answer(&id, status);
         if node.in_flight(&id).is_some() {
             node.answer(&id, AttemptStatus::Ok);
@@ -115,19 +116,19 @@
         server
     };
     for _ in 0..4 {
-        declined(&mut node, 1);
+        call(&mut node, 1);
     }
-    assert_ne!(declined(&mut node, 1), home, "the breaker of the class is open");
+    assert_ne!(call(&mut node, 1), own, "the breaker of the class is open");
     node.reconfigure(with_classes(&[1, 0]));
-    assert_ne!(declined(&mut node, 0), home, "keyed is the first one now");
+    assert_ne!(call(&mut node, 0), own, "the keyed class is the first one now");
     let read = node.request(1, 7, ms(400));
-    assert_eq!(node.in_flight(&read).expect("sent").1, home);
+    assert_eq!(node.in_flight(&read).expect("sent").1, own);
     node.answer(&read, AttemptStatus::Ok);
-    // Gone and come again, it is a class that nothing is known of.
+    // Removed and added again, it is a class of which nothing is known.
     node.reconfigure(with_classes(&[0]));
     node.reconfigure(with_classes(&[1]));
     let id = node.request(0, 7, ms(400));
-    assert_eq!(node.in_flight(&id).expect("sent").1, home);
+    assert_eq!(node.in_flight(&id).expect("sent").1, own);
     node.answer(&id, AttemptStatus::Ok);
 }
 
@@ -137,11 +138,11 @@
 fn results_of_a_removed_class_count_for_no_other_class() {
     let mut node = Node::with_servers(settings(), 2);
     node.load = LoadReport { queue_length: Some(0.0), ..LoadReport::default() };
-    let home = node.call(7, AttemptStatus::Ok).expect("sent");
-    let out: Vec<_> = (0..6).map(|_| node.request(1, 7, ms(400))).collect();
+    let own = node.call(7, AttemptStatus::Ok).expect("sent");
+    let ids: Vec<_> = (0..6).map(|_| node.request(1, 7, ms(400))).collect();
     node.reconfigure(with_classes(&[0]));
-    // The other server takes requests of no class: where none did, none would be better.
-    let elsewhere = (0..).find(|&key| node.call(key, AttemptStatus::Ok).is_some_and(|server| server != home));
+    // The other server serves requests of no class: if it did not, this one would be no outlier.
+    let elsewhere = (0..).find(|&key| node.call(key, AttemptStatus::Ok).is_some_and(|server| server != own));
     let unnamed = |node: &mut Node, id: &str, key| {
         let request = Request { key, ..Request::new(id, node.now + ms(400)) };
         node.submit(request)
@@ -150,34 +151,34 @@
         let id = unnamed(&mut node, &format!("other {number}"), elsewhere);
         node.answer(&id, AttemptStatus::Ok);
     }
-    for id in &out {
-        if node.in_flight(id).is_some_and(|(_, server)| server == home) {
+    for id in &ids {
+        if node.in_flight(id).is_some_and(|(_, server)| server == own) {
             node.answer(id, AttemptStatus::QueueFull);
         }
     }
     let id = unnamed(&mut node, "unnamed", Some(7));
-    assert_eq!(node.in_flight(&id).expect("sent").1, home, "the breaker for requests of no class is closed");
+    assert_eq!(node.in_flight(&id).expect("sent").1, own, "the breaker for requests of no class is closed");
 }
 
 #[test]
 fn a_list_that_has_to_be_subscribed_to_is_subscribed_to_once() {
     let mut node = Node::with_servers(settings(), 2);
-    let asks = |actions: Vec<Action>| {
+    let subscriptions = |actions: Vec<Action>| {
         actions.iter().filter(|action| **action == Action::SubscribeToEndpoints).count()
     };
-    let following = Settings { discovery_is_polled: true, ..settings() };
-    assert_eq!(asks(node.handle(Event::Reconfigured(Box::new(following.clone())))), 1);
-    assert_eq!(asks(node.handle(Event::Reconfigured(Box::new(following.clone())))), 0);
-    // From another source in between, it has to be asked for again.
-    assert_eq!(asks(node.handle(Event::Reconfigured(Box::new(settings())))), 0);
-    assert_eq!(asks(node.handle(Event::Reconfigured(Box::new(following)))), 1);
+    let polled = Settings { discovery_is_polled: true, ..settings() };
+    assert_eq!(subscriptions(node.handle(Event::Reconfigured(Box::new(polled.clone())))), 1);
+    assert_eq!(subscriptions(node.handle(Event::Reconfigured(Box::new(polled.clone())))), 0);
+    // After another source in between, it has to be subscribed to again.
+    assert_eq!(subscriptions(node.handle(Event::Reconfigured(Box::new(settings())))), 0);
+    assert_eq!(subscriptions(node.handle(Event::Reconfigured(Box::new(polled)))), 1);
 }
 
 /// Equal events must give equal actions, with reloads among them. A reload that resets anything would show as
 /// a difference.
 #[test]
 fn a_reload_of_the_same_settings_changes_no_action() {
-    let play = |reconfigured: bool| {
+    let run = |reconfigured: bool| {
         let mut node = Node::with_servers(settings(), 5);
         for step in 0..400_u64 {
             let id = node.request((step % 3) as usize, step % 17, ms(400));
@@ -197,7 +198,7 @@
         }
         node.actions
     };
-    let plain = play(false);
-    assert_eq!(plain, play(false));
-    assert_eq!(plain, play(true));
+    let plain = run(false);
+    assert_eq!(plain, run(false));
+    assert_eq!(plain, run(true));
 }
--- a/crates/balancer-core/tests/retry_budget.rs
+++ b/crates/balancer-core/tests/retry_budget.rs
@@ -28,8 +28,8 @@
     for key in 0..100 {
         let id = node.request(0, key, ms(400));
         for attempts_left in (0..3).rev() {
-            let (attempt, server) = node.in_flight(&id).expect("sent, and sent again");
-            // Half of the list is out of date.
+            let (attempt, server) = node.in_flight(&id).expect("sent, and retried");
+            // Half of the servers on the list are gone.
             if server.as_str() < "n" && attempts_left > 0 {
                 node.end_attempt(&id, attempt, AttemptStatus::ConnectError);
             } else {
@@ -45,24 +45,24 @@
 #[test]
 fn connect_errors_pay_nothing_into_the_retry_budget() {
     let mut node = Node::with_servers(settings(), 26);
-    let mut repeats = |unmet: usize| {
-        let mut repeated = 0;
+    let mut retries = |connect_errors: usize| {
+        let mut retried = 0;
         for key in 0..100 {
             let id = node.request(0, key, ms(400));
-            for _ in 0..unmet {
+            for _ in 0..connect_errors {
                 node.answer(&id, AttemptStatus::ConnectError);
             }
             node.answer(&id, AttemptStatus::Reset);
-            repeated += u32::from(node.in_flight(&id).is_some());
+            retried += u32::from(node.in_flight(&id).is_some());
             if node.in_flight(&id).is_some() {
                 node.answer(&id, AttemptStatus::Ok);
             }
         }
-        repeated
+        retried
     };
-    // What was saved up is spent first: a fifth of the requests pay for one repeat each.
-    repeats(0);
-    let (without, with) = (repeats(0), repeats(2));
+    // The saved balance is spent first. After that, every fifth request can be retried.
+    retries(0);
+    let (without, with) = (retries(0), retries(2));
     assert!((18..=22).contains(&without), "{without}");
     assert!(with <= 22, "{with}");
 }
--- a/crates/balancer-core/tests/rules.rs
+++ b/crates/balancer-core/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules, each on its own and under arbitrary legal sequences of events (fixed seeds).
+//! The four rules, each on its own and under arbitrary legal sequences of events with fixed seeds.
 
 mod common;
 use balancer_core::*;
@@ -10,10 +10,10 @@
     let mut node = Node::with_servers(settings(), 3);
     let id = node.request(2, 7, ms(400));
     node.answer(&id, AttemptStatus::QueueFull);
-    let (attempt, _) = node.in_flight(&id).expect("never ran: sent on");
+    let (attempt, _) = node.in_flight(&id).expect("it never ran, and is retried");
     assert_eq!(attempt, 1);
     let actions = node.answer(&id, AttemptStatus::TimedOut);
-    assert_eq!(actions, [Action::Fail { id }], "it may have run: neither sent on nor refused");
+    assert_eq!(actions, [Action::Fail { id }], "it may have run: neither retried nor rejected");
 }
 
 #[test]
@@ -22,10 +22,10 @@
     let id = node.request(1, 7, ms(5_000));
     node.advance(ms(500));
     node.answer(&id, AttemptStatus::Failed);
-    assert!(node.in_flight(&id).is_some(), "within the window, sent on");
+    assert!(node.in_flight(&id).is_some(), "within the window it is retried");
     node.advance(ms(600));
     node.answer(&id, AttemptStatus::Failed);
-    assert!(node.in_flight(&id).is_none(), "the first send is 1.1 s old");
+    assert!(node.in_flight(&id).is_none(), "the first attempt is 1.1 s old");
     assert!(node.requests[&id].finished);
 }
 
@@ -38,30 +38,30 @@
     node.apply_snapshot(
         (0..6u64).map(|i| Endpoint { cell: i % 3, ..Endpoint::new(&format!("s{i}")) }).collect(),
     );
-    let mut sent_on = 0;
+    let mut retried = 0;
     for key in 0..30 {
         let id = node.request(1, key, ms(400));
         node.answer(&id, AttemptStatus::Failed);
-        // `Node` asserts the cell; here only that the rule is not kept by giving up.
-        sent_on += usize::from(node.in_flight(&id).is_some());
+        // `Node` checks the cell. Here only that the rule is not kept by giving up.
+        retried += usize::from(node.in_flight(&id).is_some());
         if node.in_flight(&id).is_some() {
             node.answer(&id, AttemptStatus::Ok);
         }
         node.advance(ms(100));
     }
-    assert!(sent_on > 5, "{sent_on} of 30 were sent on");
+    assert!(retried > 5, "{retried} of 30 were retried");
 }
 
 #[test]
 fn a_draining_or_removed_server_is_sent_nothing_new() {
     let mut node = Node::with_servers(settings(), 2);
     let own = node.call(7, AttemptStatus::Ok).expect("served");
-    let entry = |availability| Endpoint { state: availability, ..Endpoint::new(own.as_str()) };
-    node.apply_delta(vec![entry(EndpointState::Draining)]);
+    let own_in = |state| Endpoint { state, ..Endpoint::new(own.as_str()) };
+    node.apply_delta(vec![own_in(EndpointState::Draining)]);
     assert_ne!(node.call(7, AttemptStatus::Ok), Some(own.clone()));
-    node.apply_delta(vec![entry(EndpointState::Removed)]);
+    node.apply_delta(vec![own_in(EndpointState::Removed)]);
     assert_ne!(node.call(7, AttemptStatus::Ok), Some(own.clone()));
-    node.apply_delta(vec![entry(EndpointState::Ready)]);
+    node.apply_delta(vec![own_in(EndpointState::Ready)]);
     assert_eq!(node.call(7, AttemptStatus::Ok), Some(own), "an id that returns is used again");
 }
 
@@ -98,10 +98,10 @@
     node.requests.get_mut(&id).expect("known").finished = true;
     assert_eq!(node.handle(Event::RequestCancelled(id.clone())), []);
     assert_eq!(node.handle(Event::RequestCancelled(id.clone())), []);
-    // The late outcome must not bring the request back to life.
+    // A result that comes late must not revive the request.
     assert_eq!(node.answer(&id, AttemptStatus::Failed), []);
     assert_eq!(node.handle(Event::TimerExpired), []);
-    assert_eq!(node.handle(Event::ResponseStarted { id: "unheard-of".into() }), []);
+    assert_eq!(node.handle(Event::ResponseStarted { id: "unknown".into() }), []);
 }
 
 #[test]
@@ -115,8 +115,20 @@
     assert_eq!(node.actions.iter().filter(|action| **action == Action::SubscribeToEndpoints).count(), 2);
 }
 
+/// Arbitrary events of a fleet whose servers and requests are drawn by seed; returns the actions.
 fn arbitrary(seed: u64) -> Vec<Action> {
     let mut rng = fastrand::Rng::with_seed(seed);
+    let (settings, origin) = arbitrary_settings(&mut rng);
+    let mut node = Node::new(settings, seed);
+    for _ in 0..600 {
+        arbitrary_event(&mut rng, &mut node, &origin);
+    }
+    node.advance(ms(1_000));
+    node.actions
+}
+
+/// Settings, and the origin that is on each list.
+fn arbitrary_settings(rng: &mut fastrand::Rng) -> (Settings, Endpoint) {
     let scopes = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell];
     let (mut settings, origin) = if rng.bool() { aside() } else { (settings(), Endpoint::new("zz")) };
     settings.classes[1].idempotency =
@@ -126,65 +138,72 @@
     settings.health_checks_allowed = rng.bool();
     settings.discovery_is_polled = rng.bool();
     settings.max_attempts = rng.u32(1..7);
-    let mut node = Node::new(settings, seed);
-    let entry = |rng: &mut fastrand::Rng, i: u64, now: Timestamp| Endpoint {
+    (settings, origin)
+}
+
+fn arbitrary_event(rng: &mut fastrand::Rng, node: &mut Node, origin: &Endpoint) {
+    match rng.u32(0..20) {
+        0 => {
+            let mut endpoints = vec![origin.clone()];
+            for server in 0..rng.u64(0..9) {
+                let endpoint = arbitrary_endpoint(rng, server, node.now);
+                endpoints.extend((endpoint.state != EndpointState::Removed).then_some(endpoint));
+            }
+            node.apply_snapshot(endpoints);
+        }
+        1 => {
+            let server = rng.u64(0..9);
+            let changed = arbitrary_endpoint(rng, server, node.now);
+            node.apply_delta(vec![changed]);
+        }
+        2..=8 => {
+            let request = arbitrary_request(rng, node);
+            node.submit(request);
+        }
+        9..=14 => {
+            let in_flight = node.ids_in_flight();
+            if !in_flight.is_empty() {
+                use AttemptStatus::*;
+                let all = [Ok, Miss, Failed, QueueFull, TimedOut, ConnectError, Reset, Canceled, NotSent];
+                node.answer(&in_flight[rng.usize(0..in_flight.len())], all[rng.usize(0..9)]);
+            }
+        }
+        15 => {
+            let unfinished = node.requests.iter_mut().find(|(_, request)| !request.finished);
+            if let Some((id, request)) = unfinished {
+                request.finished = true;
+                let id = id.clone();
+                node.handle(Event::RequestCancelled(id));
+            }
+        }
+        16 => {
+            node.handle(Event::EndpointsUpdated(EndpointUpdate::Unavailable));
+        }
+        _ => node.advance(ms(rng.u64(0..120))),
+    }
+}
+
+fn arbitrary_endpoint(rng: &mut fastrand::Rng, server: u64, now: Timestamp) -> Endpoint {
+    Endpoint {
         zone: Some(Name::from(["x", "y"][rng.usize(0..2)])),
         cell: rng.u64(0..3),
         weight: [0.0, 0.5, 1.0, 4.0, f64::NAN][rng.usize(0..5)],
         state: [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed]
             [rng.usize(0..9).max(6) - 6],
         started_at: rng.bool().then_some(Timestamp::from_micros(now.as_micros() - rng.u64(0..9_000_000))),
-        ..Endpoint::new(&format!("s{i}"))
-    };
-    for _ in 0..600 {
-        match rng.u32(0..20) {
-            0 => {
-                let mut list = vec![origin.clone()];
-                for i in 0..rng.u64(0..9) {
-                    let entry = entry(&mut rng, i, node.now);
-                    list.extend((entry.state != EndpointState::Removed).then_some(entry));
-                }
-                node.apply_snapshot(list);
-            }
-            1 => {
-                let i = rng.u64(0..9);
-                let changed = entry(&mut rng, i, node.now);
-                node.apply_delta(vec![changed]);
-            }
-            2..=8 => {
-                let mut request = Request::new("", node.now);
-                request.id = format!("q{}", node.requests.len()).as_str().into();
-                request.class = rng.usize(0..4).checked_sub(1).map(ClassId);
-                request.key = rng.bool().then(|| rng.u64(0..6));
-                request.deadline = node.now + ms(rng.u64(0..600));
-                request.write = rng.u8(0..5) == 0;
-                request.client_retry = rng.bool();
-                request.expected_work = rng.bool().then(|| ms(rng.u64(0..100)));
-                node.submit(request);
-            }
-            9..=14 => {
-                let out = node.ids_in_flight();
-                if !out.is_empty() {
-                    use AttemptStatus::*;
-                    let all = [Ok, Miss, Failed, QueueFull, TimedOut, ConnectError, Reset, Canceled, NotSent];
-                    node.answer(&out[rng.usize(0..out.len())], all[rng.usize(0..9)]);
-                }
-            }
-            15 => {
-                let open = node.requests.iter().filter(|(_, open)| !open.finished).map(|(id, _)| id.clone());
-                if let Some(id) = open.collect::<Vec<_>>().first() {
-                    node.requests.get_mut(id).expect("known").finished = true;
-                    node.handle(Event::RequestCancelled(id.clone()));
-                }
-            }
-            16 => {
-                node.handle(Event::EndpointsUpdated(EndpointUpdate::Unavailable));
-            }
-            _ => node.advance(ms(rng.u64(0..120))),
-        }
+        ..Endpoint::new(&format!("s{server}"))
     }
-    node.advance(ms(1_000));
-    node.actions
+}
+
+fn arbitrary_request(rng: &mut fastrand::Rng, node: &Node) -> Request {
+    let mut request = Request::new(&format!("q{}", node.requests.len()), node.now);
+    request.class = rng.usize(0..4).checked_sub(1).map(ClassId);
+    request.key = rng.bool().then(|| rng.u64(0..6));
+    request.deadline = node.now + ms(rng.u64(0..600));
+    request.write = rng.u8(0..5) == 0;
+    request.client_retry = rng.bool();
+    request.expected_work = rng.bool().then(|| ms(rng.u64(0..100)));
+    request
 }
 
 #[test]
@@ -206,17 +225,15 @@
     let mut node = Node::with_servers(settings(), 2);
     let id = node.request(0, 7, ms(400));
     let (_, server) = node.in_flight(&id).expect("sent");
-    let (note, load) = (None, LoadReport::default());
-    let (status, took, finished) = (AttemptStatus::Failed, ms(1), false);
     let stray = AttemptOutcome {
         id: id.clone(),
         attempt: 9,
         server,
-        status,
-        cache_result: note,
-        elapsed: took,
-        request_finished: finished,
-        load,
+        status: AttemptStatus::Failed,
+        cache_result: None,
+        elapsed: ms(1),
+        request_finished: false,
+        load: LoadReport::default(),
     };
     assert_eq!(node.handle(Event::AttemptEnded(stray)), []);
     node.advance(ms(500));
