--- a/crates/balancer-core/src/balance/learned_state.rs
+++ b/crates/balancer-core/src/balance/learned_state.rs
@@ -12,7 +12,7 @@
 
 impl Balancer {
     /// What it has learned by now, for a successor. Equal states give equal results, to the byte.
-    pub fn knowledge(&self, now: Timestamp) -> LearnedState {
+    pub fn learned_state(&self, now: Timestamp) -> LearnedState {
         let class_names = self.class_names();
         let (servers, kinds) = self.servers.learned(&class_names, &self.settings, now);
         LearnedState {
--- a/crates/balancer-core/tests/balancer_admission.rs
+++ b/crates/balancer-core/tests/balancer_admission.rs
@@ -100,7 +100,7 @@
 #[test]
 fn a_successor_goes_on_rejecting_and_a_new_node_does_not() {
     let mut before = half_admitting(two_classes(), 1);
-    let known = before.balancer.knowledge(before.now);
+    let known = before.balancer.learned_state(before.now);
     let expected = rejected(&mut before)[1].len();
     let mut new_node = node(two_classes(), 2);
     let by_new_node = rejected(&mut new_node)[1].len();
--- a/crates/balancer-core/tests/learned_state.rs
+++ b/crates/balancer-core/tests/learned_state.rs
@@ -13,7 +13,7 @@
     node.now = Timestamp::from_micros(77_000_000_000);
     node.apply_snapshot(before.endpoints.values().cloned().collect());
     if restores {
-        let learned = before.balancer.knowledge(before.now);
+        let learned = before.balancer.learned_state(before.now);
         // It is handed over as JSON.
         let text = serde_json::to_string(&learned).unwrap();
         assert_eq!(serde_json::from_str::<LearnedState>(&text).unwrap(), learned);
@@ -64,7 +64,7 @@
 fn a_restarted_server_is_not_held_to_what_was_learned_before() {
     let mut before = Node::with_servers(settings(), 4);
     let own = eject(&mut before, 7);
-    let learned = before.balancer.knowledge(before.now);
+    let learned = before.balancer.learned_state(before.now);
     let mut node = Node::new(before.settings.clone(), 2);
     let long_ago = Timestamp::from_micros(1_000_000);
     let started =
@@ -93,7 +93,7 @@
             .count()
     };
     let before_handover = sent_to_warming(&mut before, 1_000..1_400);
-    let learned = Arc::new(before.balancer.knowledge(before.now));
+    let learned = Arc::new(before.balancer.learned_state(before.now));
     let mut successor = Node::new(before.settings.clone(), 1);
     successor.now = before.now;
     successor.apply_snapshot(before.endpoints.values().cloned().collect());
@@ -118,12 +118,12 @@
         servers
     };
     run(&mut before, 0);
-    let learned = Arc::new(before.balancer.knowledge(before.now));
+    let learned = Arc::new(before.balancer.learned_state(before.now));
     let mut successor = Node::new(before.settings.clone(), 1);
     successor.now = before.now;
     successor.apply_snapshot(before.endpoints.values().cloned().collect());
     successor.handle(Event::StateRestored(learned.clone()));
-    assert_eq!(*learned, successor.balancer.knowledge(successor.now));
+    assert_eq!(*learned, successor.balancer.learned_state(successor.now));
     assert_eq!(run(&mut before, 200), run(&mut successor, 200));
 }
 
@@ -132,7 +132,7 @@
 #[test]
 fn every_request_is_answered_after_numbers_out_of_range() {
     let before = Node::with_servers(settings(), 3);
-    let text = serde_json::to_value(before.balancer.knowledge(before.now)).unwrap();
+    let text = serde_json::to_value(before.balancer.learned_state(before.now)).unwrap();
     let mut damaged = text.clone();
     damage(&mut damaged);
     assert_ne!(damaged, text);
@@ -157,3 +157,25 @@
         _ => {}
     }
 }
+
+/// Processes of other versions read and write the learned state. If a name changed with the code, a predecessor and a
+/// successor of two versions could not hand over, and the successor would have to learn everything anew.
+#[test]
+fn serialized_names_are_those_that_other_versions_read() {
+    let mut node = Node::with_servers(settings(), 1);
+    node.call(7, AttemptStatus::Ok);
+    let learned = serde_json::to_value(node.balancer.learned_state(node.now)).unwrap();
+    let names = |value: &serde_json::Value| {
+        let mut names: Vec<_> = value.as_object().expect("an object").keys().cloned().collect();
+        names.sort();
+        names.join(" ")
+    };
+    assert_eq!(
+        names(&learned),
+        "door ends fetch_limit good kept kinds origin retry_budget servers usual usual_work warm warm_age"
+    );
+    let server = &learned["servers"][0];
+    assert_eq!(names(server), "breaker by_class id limit started unqueued_age used");
+    assert_eq!(names(&server["breaker"]), "calls failures open_left usual window_left");
+    assert_eq!(names(&learned["kinds"][0]), "answers name pace");
+}
--- a/crates/cache-balancer/src/driver.rs
+++ b/crates/cache-balancer/src/driver.rs
@@ -206,7 +206,7 @@
                 self.due.push_back(Event::StateRestored(Arc::new(knowledge)));
             }
             Input::Report(answer) => {
-                let knowledge = self.balancer.knowledge(self.clock.at(Instant::now()));
+                let knowledge = self.balancer.learned_state(self.clock.at(Instant::now()));
                 // Whoever asked may have given up.
                 let _ = answer.send((self.listing.clone(), knowledge));
             }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -62,7 +62,7 @@
     }
 
     fn knowledge(&self, now: Timestamp) -> Option<LearnedState> {
-        Some(Balancer::knowledge(self, now))
+        Some(Balancer::learned_state(self, now))
     }
 }
 
