--- a/crates/cache-balancer/src/driver/mod.rs
+++ b/crates/cache-balancer/src/driver/mod.rs
@@ -162,7 +162,7 @@
                 self.events.push_back(Event::StateRestored(Arc::new(learned_state)));
             }
             DriverInput::StateRequested(reply) => {
-                let learned_state = self.balancer.knowledge(self.clock.now());
+                let learned_state = self.balancer.learned_state(self.clock.now());
                 // The receiver is gone if whoever asked has given up.
                 let _ = reply.send((self.endpoints.list().clone(), learned_state));
             }
