--- a/crates/cache-balancer/tests/fleet.rs
+++ b/crates/cache-balancer/tests/fleet.rs
@@ -15,7 +15,7 @@
 /// A running fleet; it is killed with the test.
 struct Fleet {
     child: Child,
-    said: ChildStdin,
+    commands: ChildStdin,
     shown: Arc<Mutex<Vec<String>>>,
     log: Arc<Mutex<Vec<String>>>,
     first: SocketAddr,
@@ -46,16 +46,16 @@
         command.arg("fleet").arg("--instances").arg(instances.to_string()).arg("--config").arg(config);
         command.arg("--folder").arg(own).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
         let mut child = command.spawn().unwrap();
-        let said = child.stdin.take().unwrap();
+        let commands = child.stdin.take().unwrap();
         let shown = lines(child.stdout.take().unwrap());
         let log = lines(child.stderr.take().unwrap());
-        let fleet = Self { child, said, shown, log, first, folder, text };
+        let fleet = Self { child, commands, shown, log, first, folder, text };
         wait_for("all instances", || fleet.logged(" serves") == usize::from(instances));
         fleet
     }
 
-    fn say(&mut self, command: &str) {
-        writeln!(self.said, "{command}").unwrap();
+    fn command(&mut self, command: &str) {
+        writeln!(self.commands, "{command}").unwrap();
     }
 
     fn logged(&self, words: &str) -> usize {
@@ -70,10 +70,10 @@
         Client::to(self.address(instance)).ask(&read(class, 1, 20_000)).status()
     }
 
-    /// Each instance's row: state, process, ends by itself, upgrades.
+    /// The row of each instance: state, process, failures, upgrades.
     fn state(&mut self) -> Vec<[String; 4]> {
         let before = self.shown.lock().unwrap().len();
-        self.say("state");
+        self.command("state");
         let rows = |shown: &[String]| {
             shown[before..]
                 .iter()
@@ -112,7 +112,7 @@
         if std::thread::panicking() {
             eprintln!("{}", self.log.lock().unwrap().join("\n"));
         }
-        // Its instances end with it.
+        // The instances end with the fleet.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -135,7 +135,7 @@
     assert_eq!((after[1][2].as_str(), after[1][0].as_str()), ("1", "serving"));
     assert_eq!((&after[0], &after[2]), (&before[0], &before[2]));
     assert_eq!(fleet.read(1, "read"), 200);
-    fleet.say("stop");
+    fleet.command("stop");
     assert!(fleet.exit().success());
     assert!((0..3).all(|instance| TcpStream::connect(fleet.address(instance)).is_err()));
 }
@@ -155,7 +155,7 @@
                         Client::to(address).ask(&read("read", (u64::from(instance) << 32) + answers, 20_000));
                     assert_eq!(answer.status(), 200);
                     answers += 1;
-                    // Each connection holds a port of the machine's for a while after its end.
+                    // Each connection holds a port for a while after its end.
                     std::thread::sleep(std::time::Duration::from_millis(2));
                 }
                 answers
@@ -163,8 +163,8 @@
         })
         .collect();
     for rolls in 1..=2 {
-        fleet.say("roll");
-        wait_for("the roll", || fleet.logged("has taken over") == 3 * rolls);
+        fleet.command("roll");
+        wait_for("the upgrade", || fleet.logged("has taken over") == 3 * rolls);
     }
     over.store(true, Ordering::SeqCst);
     let answers: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
@@ -178,24 +178,24 @@
 fn one_instance_is_drained_and_restarted_and_a_reload_reaches_all() {
     let server = CacheServer::serving("a");
     let mut fleet = Fleet::start(&server, 3);
-    fleet.say("drain 1");
-    wait_for("its end", || TcpStream::connect(fleet.address(1)).is_err());
+    fleet.command("drain 1");
+    wait_for("the end of the instance", || TcpStream::connect(fleet.address(1)).is_err());
     wait_for("its state", || fleet.states() == ["serving", "stopped", "serving"]);
     assert_eq!((fleet.read(0, "read"), fleet.read(2, "read")), (200, 200));
-    fleet.say("start 1");
+    fleet.command("start 1");
     wait_for("its start", || fleet.logged("instance 1: process 3 serves") == 1);
     assert_eq!(fleet.read(1, "read"), 200);
     fleet.folder.write("cache-balancer.toml", &fleet.text.replace("safe", "odd"));
-    fleet.say("reload");
-    wait_for("a word of the fault", || fleet.logged("configuration not taken: ") == 1);
+    fleet.command("reload");
+    wait_for("the fault in the log", || fleet.logged("configuration not taken: ") == 1);
     assert_eq!(fleet.read(0, "read"), 200);
     let more = format!("{}[[class]]\nname = \"new\"\neffect = \"safe\"\n", fleet.text);
     fleet.folder.write("cache-balancer.toml", &more);
-    fleet.say("reload");
+    fleet.command("reload");
     wait_for("all to read it", || fleet.logged("configuration read again: class new added") == 3);
     assert_eq!([0, 1, 2].map(|instance| fleet.read(instance, "new")), [200; 3]);
-    fleet.say("sing");
-    wait_for("a word of it", || fleet.logged("expected one of state, roll, reload") == 1);
+    fleet.command("sing");
+    wait_for("the unknown command in the log", || fleet.logged("expected one of state, roll, reload") == 1);
 }
 
 #[test]
--- a/crates/cache-balancer/tests/handover_replicas.rs
+++ b/crates/cache-balancer/tests/handover_replicas.rs
@@ -1,44 +1,35 @@
 //! A hand-over to a process whose file names other replicas of discovery.
 
 mod common;
+mod handover_support;
 
-use common::{command, own_address, wait_for, CacheServer, Discovery, Folder, Node};
-use std::net::SocketAddr;
+use common::{wait_for, CacheServer, Discovery, Node};
+use handover_support::Fixture;
 
-/// Where the nodes of a test hand over, and what they are asked for.
-struct Place {
-    folder: Folder,
-    clients: SocketAddr,
+/// The source of a pool's list in the file: these replicas.
+fn list_from(replicas: &[&Discovery]) -> String {
+    let addresses: Vec<_> = replicas.iter().map(|replica| format!("\"{}\"", replica.address)).collect();
+    format!("discovery = [{}]\n", addresses.join(", "))
 }
 
-impl Place {
-    fn new() -> Self {
-        Self { folder: Folder::new(), clients: own_address() }
-    }
-
-    /// A process that listens, or takes over from the one that does, with these replicas in its file.
-    fn start(&self, replicas: &[&Discovery]) -> Node {
-        let addresses: Vec<_> = replicas.iter().map(|replica| format!("\"{}\"", replica.address)).collect();
-        let text = format!(
-            "version = 1\nname = \"n0\"\n[hand_over]\nsocket = \"n.sock\"\nprobation = \"100ms\"\n[[listener]]\n\
-             name = \"clients\"\naddress = \"{}\"\n[[pool]]\nname = \"p\"\ndiscovery = [{}]\n\
-             [[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n",
-            self.clients,
-            addresses.join(", "),
-        );
-        // An earlier node took its file along.
-        let path = self.folder.write("cache-balancer.toml", &text);
-        let mut command = command();
-        command.arg("run").arg("--config").arg(&path);
-        Node::spawn(command, path)
-    }
+/// Nodes whose file names these replicas. Nodes need a name of their own if there are several.
+fn fixture(replicas: &[&Discovery]) -> Fixture {
+    let mut fixture = Fixture::new(&list_from(replicas), "30s");
+    fixture.text = fixture.text.replacen("version = 1\n", "version = 1\nname = \"n0\"\n", 1);
+    fixture
+}
 
-    fn ready(&self, replicas: &[&Discovery]) -> Node {
-        let node = self.start(replicas);
-        wait_for("the node's readiness", || node.get("/healthz").status() == 200);
-        wait_for("the socket", || self.folder.0.join("n.sock").exists());
-        node
-    }
+/// Starts a successor whose file names `after` in place of `before`. Returns once the predecessor stands by.
+fn take_over(
+    mut fixture: Fixture,
+    old: &Node,
+    before: &[&Discovery],
+    after: &[&Discovery],
+) -> (Fixture, Node) {
+    fixture.text = fixture.text.replace(&list_from(before), &list_from(after));
+    let new = fixture.start();
+    wait_for("the hand-over", || old.said("stands by: its successor serves, on probation") == 1);
+    (fixture, new)
 }
 
 fn asked_for(replicas: &[&Discovery], path: impl Fn(&str) -> bool) -> usize {
@@ -66,11 +57,10 @@
 fn the_watch_goes_on_from_the_known_version_if_one_replica_is_common() {
     let server = CacheServer::serving("a");
     let [one, other] = service(&server);
-    let place = Place::new();
-    let old = place.ready(&[&one]);
+    let fixture = fixture(&[&one]);
+    let old = fixture.ready();
     one.wait_until_told(1);
-    let new = place.start(&[&one, &other]);
-    wait_for("the hand-over", || old.said("stands by: its successor serves, on probation") == 1);
+    let (_fixture, new) = take_over(fixture, &old, &[&one], &[&one, &other]);
     wait_for("the new process's watch", || watches(&[&one, &other]) == 2);
     assert_eq!(whole_lists(&[&one, &other]), 1);
     assert_eq!(new.read("read", 1).body, b"a");
@@ -80,11 +70,10 @@
 fn a_snapshot_is_requested_if_no_replica_stays() {
     let server = CacheServer::serving("a");
     let ([one, other], [elsewhere, beside]) = (service(&server), service(&server));
-    let place = Place::new();
-    let old = place.ready(&[&one, &other]);
+    let fixture = fixture(&[&one, &other]);
+    let old = fixture.ready();
     wait_for("the old process's watch", || watches(&[&one, &other]) == 1);
-    let new = place.start(&[&elsewhere, &beside]);
-    wait_for("the hand-over", || old.said("stands by: its successor serves, on probation") == 1);
+    let (_fixture, new) = take_over(fixture, &old, &[&one, &other], &[&elsewhere, &beside]);
     wait_for("the new process's watch", || watches(&[&elsewhere, &beside]) == 1);
     assert_eq!(whole_lists(&[&elsewhere, &beside]), 1);
     assert_eq!(whole_lists(&[&one, &other]), 1);
--- a/crates/cache-balancer/tests/lifecycle.rs
+++ b/crates/cache-balancer/tests/lifecycle.rs
@@ -26,11 +26,11 @@
     let served = idle.ask(&read("read", 2, 20_000));
     assert_eq!((served.status(), served.header("connection")), (200, None));
     node.terminate();
-    // An idle connection ends when the node has stopped accepting; what it took before is still out.
+    // An idle connection ends when the node has stopped accepting; the accepted request is still in flight.
     assert_eq!(idle.answer(), None);
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
-    let served = waiting.answer().expect("the answer to what was taken");
+    let served = waiting.answer().expect("the answer to an accepted request");
     assert_eq!((served.status(), &served.body[..]), (200, &b"value"[..]));
     assert_eq!(served.header("connection"), Some("close"));
     assert!(node.exit().success());
@@ -105,7 +105,7 @@
     for (path, value, words) in cases {
         let mut broken = good.clone();
         *broken["settings"].pointer_mut(&format!("/{path}")).unwrap_or(&mut json!(null)) = value.clone();
-        // Some stand in no configuration of these tests.
+        // Some are in no configuration of these tests.
         if broken["settings"].pointer(&format!("/{path}")).is_none() {
             let (parent, name) = path.rsplit_once('/').unwrap();
             broken["settings"].pointer_mut(&format!("/{parent}")).unwrap()[name] = value;
@@ -117,7 +117,7 @@
         assert!(!ended.status.success(), "{path}");
         assert_eq!(error, format!("cache-balancer: {words}\n"));
     }
-    // At SIGHUP it is named as well, and changes nothing.
+    // A reload names the fault as well, and changes nothing.
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let good = config(discovery.address);
@@ -136,7 +136,6 @@
     let lists = servers.each_ref().map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
     let node = Node::ready(&config(lists[0].address));
     lists[0].wait_until_told(1);
-    // Under way, it stays on its server and is finished.
     let mut client = node.client();
     for (i, list) in lists.iter().enumerate().skip(1) {
         assert_eq!(client.ask(&read("read", 1, 20_000)).body, (i - 1).to_string().as_bytes());
@@ -145,7 +144,7 @@
         assert_eq!(list.asked.lock().unwrap()[0], "/v1/servers");
         assert_eq!(client.ask(&read("read", 1, 20_000)).body, i.to_string().as_bytes());
     }
-    // What the old ones say means nothing any more.
+    // The old discovery services have no effect any more.
     lists[0].tell(true, &[servers[0].entry("s-1", "ready")]);
     lists[2].tell(false, &[]);
     lists[2].wait_until_told(2);
@@ -179,7 +178,7 @@
     node.reload(&config(silent.local_addr().unwrap()).to_string());
     let _call = silent.accept().unwrap();
     assert_eq!(node.read("read", 1).status(), 200);
-    // From one that never answers the way back is open.
+    // A discovery service that never answers can be left again.
     let calls = discovery.calls();
     node.reload(&good.to_string());
     wait_for("a call", || discovery.calls() > calls);
@@ -201,7 +200,7 @@
     let mut small = config(discovery.address);
     small["limits"]["sockets"] = json!(40);
     let node = Node::ready(&small);
-    // Eight places; the module may hold some back at first, but all are taken.
+    // Capacity for eight requests, all of which is used.
     let mut clients: Vec<_> = (0..8).map(|_| node.client()).collect();
     for (key, client) in clients.iter_mut().enumerate() {
         client.send(&read("read", key as u64, 60_000));
@@ -217,7 +216,7 @@
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
     for client in clients.iter_mut().chain(&mut waiting) {
-        let served = client.answer().expect("the answer to what was taken");
+        let served = client.answer().expect("the answer to an accepted request");
         assert_eq!((served.status(), served.header("connection")), (200, Some("close")));
         assert_eq!(client.answer(), None);
     }
--- a/crates/cache-balancer/tests/manager.rs
+++ b/crates/cache-balancer/tests/manager.rs
@@ -25,14 +25,14 @@
     }
 
     /// The next notification of the node.
-    fn word(&self) -> String {
+    fn notification(&self) -> String {
         common::word(&self.socket)
     }
 
     /// Waits for this notification, and returns those before it.
     fn until(&self, wanted: &str) -> Vec<String> {
-        let words = std::iter::repeat_with(|| self.word());
-        words.take_while(|word| word != wanted).collect()
+        let notifications = std::iter::repeat_with(|| self.notification());
+        notifications.take_while(|notification| notification != wanted).collect()
     }
 
     /// The command of a node that serves from a file of this text.
@@ -47,7 +47,7 @@
 const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
 const LISTENER: &str = "[[listener]]\nname = \"clients\"\naddress = \"127.0.0.1:0\"\n";
 
-fn following(discovery: &Discovery) -> String {
+fn discovered(discovery: &Discovery) -> String {
     format!(
         "version = 1\n{LISTENER}[[pool]]\nname = \"records\"\ndiscovery = \"{}\"\n{CLASS}",
         discovery.address
@@ -62,17 +62,17 @@
 #[test]
 fn readiness_and_a_stop_are_notified_when_they_happen() {
     let (manager, server, discovery) = (Manager::start(), CacheServer::serving("a"), Discovery::start(&[]));
-    let (command, path) = manager.command(&following(&discovery));
+    let (command, path) = manager.command(&discovered(&discovery));
     let node = Node::spawn(command, path);
     // The list has arrived and is empty: the node listens, and cannot serve.
     discovery.wait_until_told(1);
-    assert_eq!(manager.word(), "STATUS=waiting for cache servers of pool records");
+    assert_eq!(manager.notification(), "STATUS=waiting for cache servers of pool records");
     assert_eq!(node.get("/healthz").status(), 503);
     discovery.tell(true, &[server.entry("box", "ready")]);
     assert_eq!(manager.until("READY=1"), ["STATUS=serving"]);
     assert_eq!(node.read("read", 1).body, b"a");
     node.terminate();
-    assert_eq!(manager.word(), "STOPPING=1");
+    assert_eq!(manager.notification(), "STOPPING=1");
     assert!(node.exit().success());
 }
 
@@ -100,9 +100,9 @@
     command.env("NOTIFY_SOCKET", away.folder.0.join("nobody"));
     let node = Node::spawn(command, path);
     let told = || node.log.lock().unwrap().iter().filter(|line| line.contains("is not notified")).count();
-    wait_for("a word of it in the log", || told() > 0);
+    wait_for("the failure in the log", || told() > 0);
     assert_eq!(node.read("read", 1).body, b"a");
-    assert_eq!(told(), 1, "one line, however many words are lost");
+    assert_eq!(told(), 1, "one line, however many notifications are lost");
     // Its queue is full: a write to it blocks.
     let full = Manager::start();
     let filler = UnixDatagram::unbound().unwrap();
@@ -124,7 +124,7 @@
     let filler = UnixDatagram::unbound().unwrap();
     filler.set_nonblocking(true).unwrap();
     while filler.send_to(b"X=1", manager.folder.0.join("notify")).is_ok() {}
-    let (mut command, path) = manager.command(&following(&discovery));
+    let (mut command, path) = manager.command(&discovered(&discovery));
     // So often that notifications of the watchdog would fill any queue.
     command.env("WATCHDOG_USEC", "200");
     let node = Node::spawn(command, path);
@@ -135,7 +135,7 @@
     let before = manager.until("READY=1");
     assert!(
         before.iter().filter(|word| *word == "WATCHDOG=1").count() <= 2,
-        "one waits and one is being told"
+        "one is queued and one is being sent"
     );
 }
 
--- a/crates/cache-balancer/tests/operator.rs
+++ b/crates/cache-balancer/tests/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's node: its file checked, and served from.
+//! An operator's file: checked, and served from.
 
 mod common;
 
@@ -42,7 +42,7 @@
     ] {
         assert!(effective.lines().any(|other| other == line), "{line}\n{effective}");
     }
-    // What it says is a file that says the same.
+    // The effective configuration is a file that reads as the same.
     let folder = Folder::new();
     let again = check(&folder.write("effective.toml", effective));
     assert_eq!(text(&again.stdout), effective, "{}", text(&again.stderr));
@@ -112,14 +112,14 @@
             let words = call.split_once('=').unwrap().1.split(' ').skip(1);
             let words =
                 words.map(|word| if word.starts_with('/') { example.to_str().unwrap() } else { word });
-            // Behind arguments that it does not know it would not come to its help.
+            // With an unknown argument before it, `--help` would fail.
             let called = command().args(words).arg("--help").output().unwrap();
             assert!(called.status.success(), "{call}: {}", text(&called.stderr));
         }
     }
 }
 
-/// The faults of a file with these lines behind its first.
+/// The faults of a file with these lines after its first.
 fn faults(lines: &str) -> Vec<String> {
     let folder = Folder::new();
     let path = folder.write("bad.toml", &format!("version = 1\n{lines}"));
@@ -263,20 +263,20 @@
     };
     let folder = Folder::new();
     folder.write("boxes.toml", &list(&[("one", &one, "ready")]));
-    // A server that comes to the list is as good as any: fresh ones are not held back here.
+    // No slow start for a server that is added to the list.
     let pool = "[servers]\ncold_share = 1.0\n[[pool]]\nname = \"p\"\nfile = \"boxes.toml\"\n";
     let node = run(&folder, &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
     assert_eq!(node.read("read", 1).body, b"one");
     let logged = |words: &str| node.log.lock().unwrap().iter().any(|line| line.contains(words));
     folder.write("boxes.toml", "version = 1\n[[server]]\nname = \"oth");
-    wait_for("a word of the half file", || logged("boxes.toml:3: TOML: "));
+    wait_for("the fault in the log", || logged("boxes.toml:3: TOML: "));
     assert!(logged("list not taken; the one before holds"));
     assert_eq!(node.read("read", 2).body, b"one");
     std::fs::remove_file(folder.0.join("boxes.toml")).unwrap();
-    wait_for("a word of the file that is gone", || logged("boxes.toml: No such file"));
+    wait_for("the missing file in the log", || logged("boxes.toml: No such file"));
     assert_eq!(node.read("read", 3).body, b"one");
     folder.write("boxes.toml", &"#".repeat((8 << 20) + 1));
-    wait_for("a word of the file that is too long", || {
+    wait_for("the file that is too long in the log", || {
         logged("expected a list of 8388608 bytes at the most")
     });
     assert_eq!(node.read("read", 7).body, b"one");
@@ -284,7 +284,7 @@
     folder.write("boxes.toml", &list(&[("one", &one, "draining"), ("other", &other, "ready")]));
     wait_for("the new list", || node.read("read", 4).body == b"other");
     assert_eq!(node.read("read", 5).body, b"other");
-    // While the new list was on its way the old one held.
+    // The old list was in use until the new one was read.
     let meanwhile = one.count() - before;
     folder.write("boxes.toml", &list(&[("other", &other, "ready")]));
     assert_eq!(node.read("read", 6).body, b"other");
@@ -306,14 +306,14 @@
     let second = || node.log.lock().unwrap().iter().find_map(|line| line.rsplit(' ').next()?.parse().ok());
     wait_for("the second listener", || second().is_some());
     let mut client = Client::to(second().unwrap());
-    let asking = std::thread::spawn(move || client.ask(&read("read", 1, 20_000)));
+    let request = std::thread::spawn(move || client.ask(&read("read", 1, 20_000)));
     wait_for("the request", || slow.count() == 1);
     node.terminate();
     let closing =
         || node.log.lock().unwrap().iter().filter(|line| line.contains("no further clients")).count();
     wait_for("both listeners to close", || closing() == 2);
     sender.send(()).unwrap();
-    let answered = asking.join().unwrap();
+    let answered = request.join().unwrap();
     assert_eq!((answered.status(), answered.body.as_slice()), (200, &b"late"[..]));
     assert!(node.exit().success());
 }
--- a/crates/cache-balancer/tests/reload.rs
+++ b/crates/cache-balancer/tests/reload.rs
@@ -1,5 +1,4 @@
-//! SIGHUP at an operator's node: what the file says holds from there on, and what was taken before is finished as it was
-//! taken.
+//! Reloads of an operator's node: later requests go by the new file, and those in flight are finished by the old one.
 
 mod common;
 
@@ -39,7 +38,7 @@
 }
 
 /// Sends a request on a connection of its own. The thread returns the answer.
-fn asking(node: &Node, class: &str, key: u64) -> std::thread::JoinHandle<(u16, Vec<u8>)> {
+fn spawn_request(node: &Node, class: &str, key: u64) -> std::thread::JoinHandle<(u16, Vec<u8>)> {
     let (mut client, text) = (node.client(), read(class, key, 20_000));
     std::thread::spawn(move || {
         let answer = client.ask(&text);
@@ -53,15 +52,15 @@
     let folder = Folder::new();
     let pool = pool("p", &[&server]);
     let node = run(&folder, &file(&[&pool, &safe("read"), &safe("gone")]));
-    let out = [asking(&node, "read", 1), asking(&node, "gone", 2)];
+    let in_flight = [spawn_request(&node, "read", 1), spawn_request(&node, "gone", 2)];
     wait_for("both requests", || server.count() == 2);
-    // The place of the class that is gone is another's now.
+    // Another class has the index of the removed one now.
     node.reconfigure(&file(&[&pool, &class("read", ""), &safe("new")]));
     assert_eq!(node.said("class read changed, class new added, class gone removed"), 1);
     assert_eq!(node.read("gone", 3).status(), 400);
     gate.open();
-    for asked in out {
-        assert_eq!(asked.join().unwrap(), (200, b"a".to_vec()));
+    for request in in_flight {
+        assert_eq!(request.join().unwrap(), (200, b"a".to_vec()));
     }
     assert_eq!(node.read("new", 4).status(), 200);
 }
@@ -74,16 +73,16 @@
     let pools = format!("{}{}", pool("p", &[&one]), pool("q", &[&other]));
     let to = |pool: &str| class("write", &format!("effect = \"safe\"\npool = \"{pool}\"\n"));
     let node = run(&folder, &file(&[&pools, &to("p")]));
-    let head = "PUT /api/1 HTTP/1.1\r\nHost: s\r\nReq-Id: 1\r\nReq-Kind: write\r\nReq-Deadline-Ms: 20000\r\nContent-Length: 4\r\n\r\n";
+    let header = "PUT /api/1 HTTP/1.1\r\nHost: s\r\nReq-Id: 1\r\nReq-Kind: write\r\nReq-Deadline-Ms: 20000\r\nContent-Length: 4\r\n\r\n";
     let (mut moved, mut removed) = (node.client(), node.client());
-    moved.send(&format!("{head}bo"));
-    // Its head has been read once the one behind it on another connection is answered.
+    moved.send(&format!("{header}bo"));
+    // Its header has been read once a later request on another connection is answered.
     assert_eq!(node.read("write", 9).body, b"one");
     node.reconfigure(&file(&[&pools, &to("q")]));
     moved.send("dy");
     assert_eq!(moved.answer().unwrap().body, b"other");
     assert_eq!((one.count(), other.count()), (1, 1));
-    removed.send(&format!("{head}bo"));
+    removed.send(&format!("{header}bo"));
     assert_eq!(node.read("write", 8).body, b"other");
     node.reconfigure(&file(&[&pools, &class("else", "pool = \"p\"\n")]));
     removed.send("dy");
@@ -95,16 +94,16 @@
 fn a_removed_pool_finishes_its_requests_and_an_added_one_serves() {
     let ((old, gate), new) = (CacheServer::gated("old"), CacheServer::serving("new"));
     let folder = Folder::new();
-    // No connection is closed for having stood idle.
+    // No connection is closed for being idle.
     let idle = "[servers]\nidle = \"60min\"\n";
     let node = run(&folder, &file(&[idle, &pool("p", &[&old]), &safe("read")]));
-    let out = [1, 2].map(|key| asking(&node, "read", key));
+    let in_flight = [1, 2].map(|key| spawn_request(&node, "read", key));
     wait_for("both requests", || old.count() == 2);
     node.reconfigure(&file(&[idle, &pool("q", &[&new]), &safe("read")]));
     assert_eq!(node.read("read", 3).body, b"new");
     gate.open();
-    for asked in out {
-        assert_eq!(asked.join().unwrap(), (200, b"old".to_vec()));
+    for request in in_flight {
+        assert_eq!(request.join().unwrap(), (200, b"old".to_vec()));
     }
     wait_for("the old pool's connections to close", || old.closed.load(Ordering::SeqCst) == 2);
     assert_eq!((old.count(), node.get("/healthz").status()), (2, 200));
@@ -124,9 +123,9 @@
     let folder = Folder::new();
     let from = |source: &str| file(&[&format!("[[pool]]\nname = \"p\"\n{source}"), &safe("read")]);
     let node = run(&folder, &file(&[&pool("p", &[&slow]), &safe("read")]));
-    let out = asking(&node, "read", 1);
+    let in_flight = spawn_request(&node, "read", 1);
     wait_for("the request", || slow.count() == 1);
-    // The list before holds until the file is there.
+    // The old list stays in use until the file exists.
     node.reconfigure(&from("file = \"boxes.toml\"\n"));
     let list = format!("version = 1\n[[server]]\nname = \"box\"\naddress = \"{}\"\n", other.address);
     folder.write("boxes.toml", &list);
@@ -135,13 +134,13 @@
     node.reconfigure(&from(&format!("discovery = \"{}\"\n", discovery.address)));
     discovery.wait_until_told(1);
     assert_eq!(node.read("read", 3).body, b"other");
-    // The file means nothing any more, and neither does discovery once the file itself has the list.
+    // Changes of the file have no effect any more, nor those of discovery once the configuration itself has the list.
     folder.write("boxes.toml", &list.replace("box", "tub"));
     node.reconfigure(&file(&[&pool("p", &[&other]), &safe("read")]));
     discovery.tell(true, &[]);
     assert_eq!(node.read("read", 4).body, b"other");
     gate.open();
-    assert_eq!(out.join().unwrap(), (200, b"slow".to_vec()));
+    assert_eq!(in_flight.join().unwrap(), (200, b"slow".to_vec()));
 }
 
 /// A reload that lost the learned state would close breakers, and send requests to a broken server.
@@ -178,19 +177,19 @@
     let (without, with) = (file(&[&rest]), file(&[&listener, &rest]));
     let node = run(&folder, &without);
     node.reconfigure(&with);
-    let mut out = Client::to(second);
+    let mut in_flight = Client::to(second);
     let mut idle = Client::to(second);
     assert_eq!(idle.ask("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
-    out.send(&read("read", 1, 20_000));
+    in_flight.send(&read("read", 1, 20_000));
     wait_for("the request", || server.count() == 1);
     node.reconfigure(&without);
     wait_for("the listener's end", || std::net::TcpStream::connect(second).is_err());
     wait_for("the idle connection's end", || !idle.is_open());
     assert_eq!(node.get("/healthz").status(), 200);
     gate.open();
-    let answered = out.answer().unwrap();
+    let answered = in_flight.answer().unwrap();
     assert_eq!((answered.status(), answered.header("connection")), (200, Some("close")));
-    // Back, and away and back again before its end is through.
+    // Added again, and removed and added before it has closed.
     node.reconfigure(&with);
     node.reconfigure(&without);
     node.reconfigure(&with);
@@ -230,7 +229,7 @@
     }
     std::fs::remove_file(folder.0.join("cache-balancer.toml")).unwrap();
     node.signal("-HUP");
-    wait_for("a word of the file that is gone", || node.said("cache-balancer.toml: No such file") == 1);
+    wait_for("the missing file in the log", || node.said("cache-balancer.toml: No such file") == 1);
     assert_eq!(node.read("read", 1).status(), 200);
     assert_eq!(node.said("configuration read again"), 0);
 }
@@ -241,17 +240,17 @@
     let folder = Folder::new();
     let rest = format!("{CLIENTS}{}{}", pool("p", &[&server]), safe("read"));
     let with = |descriptors: u32| format!("version = 1\n[limits]\ndescriptors = {descriptors}\n{rest}");
-    // Room for four requests.
+    // Capacity for four requests.
     let node = run(&folder, &with(32));
-    let out: Vec<_> = (0..6).map(|key| asking(&node, "read", key)).collect();
-    wait_for("as many as there is room for", || server.count() == 4);
+    let in_flight: Vec<_> = (0..6).map(|key| spawn_request(&node, "read", key)).collect();
+    wait_for("as many requests as there is capacity for", || server.count() == 4);
     node.reconfigure(&with(200));
     wait_for("the others", || server.count() == 6);
     node.reconfigure(&with(32));
     assert_eq!(server.count(), 6);
     gate.open();
-    for asked in out {
-        assert_eq!(asked.join().unwrap().0, 200);
+    for request in in_flight {
+        assert_eq!(request.join().unwrap().0, 200);
     }
     assert_eq!(node.read("read", 9).status(), 200);
 }
@@ -281,20 +280,20 @@
         .collect();
     for turn in 0..100 {
         let text = rest(turn + 2);
-        // Every third is cut off somewhere.
+        // Every third file is truncated.
         let cut = if turn % 3 == 0 { text.len() * (turn as usize + 1) / 101 } else { text.len() };
         node.reload(&text[..cut]);
     }
-    // The last word holds, however many were one.
+    // The last file is applied, however many signals were merged.
     let last = format!("{}{}", rest(7), safe("last"));
     node.reload(&last);
     wait_for("the last file", || node.read("last", u64::MAX).status() == 200);
     over.store(true, Ordering::SeqCst);
-    let asked: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    // Each was sent on once, and the last class's once.
+    let answers: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
+    // Each request was forwarded once, and that of the last class once.
     let keys: std::collections::BTreeSet<_> =
         server.asked.lock().unwrap().iter().map(|asked| asked.header("req-id").unwrap().to_owned()).collect();
-    assert_eq!((server.count() as u64, keys.len() as u64), (asked + 1, asked + 1));
+    assert_eq!((server.count() as u64, keys.len() as u64), (answers + 1, answers + 1));
     assert!(node.said("configuration read again: ") > 0);
 }
 
@@ -306,19 +305,19 @@
     let node = run(&folder, &file(&[&pool("p", &[&server]), &safe("read")]));
     let path = folder.0.join("cache-balancer.toml");
     std::fs::remove_file(&path).unwrap();
-    // Whoever opens it waits for a writer.
+    // An open of it blocks until there is a writer.
     assert!(std::process::Command::new("mkfifo").arg(&path).status().unwrap().success());
     node.signal("-HUP");
-    // It reads on threads of its own, each of which ends with what it reads.
-    wait_for("the reader", || waits_for_a_writer(node.child.id()));
+    // Files are read on threads of their own.
+    wait_for("the reader", || blocks_on_open(node.child.id()));
     assert_eq!(node.read("read", 1).status(), 200);
     node.terminate();
     assert!(node.exit().success());
 }
 
-/// Whether a thread of this process waits in the call that opens a file.
-fn waits_for_a_writer(process: u32) -> bool {
-    /// Of Linux, the number of openat(2) on this machine's kind.
+/// Whether a thread of this process blocks in the call that opens a file.
+fn blocks_on_open(process: u32) -> bool {
+    /// The number of openat(2) on Linux.
     const OPENAT: &str = if cfg!(target_arch = "x86_64") { "257 " } else { "56 " };
     let tasks = std::fs::read_dir(format!("/proc/{process}/task")).unwrap();
     tasks.flatten().any(|task| {
@@ -331,13 +330,13 @@
     let (server, folder) = (CacheServer::serving("a"), Folder::new());
     let socket = UnixDatagram::bind(folder.0.join("notify")).unwrap();
     socket.set_read_timeout(Some(PATIENCE)).unwrap();
-    let word = || common::word(&socket);
+    let notification = || common::word(&socket);
     let good = file(&[&pool("p", &[&server]), &safe("read")]);
     let path = folder.write("cache-balancer.toml", &good);
     let mut command = command();
     command.arg("run").arg("--config").arg(&path).env("NOTIFY_SOCKET", folder.0.join("notify"));
     let node = Node::spawn(command, path);
-    assert_eq!([word(), word()], ["STATUS=serving", "READY=1"]);
+    assert_eq!([notification(), notification()], ["STATUS=serving", "READY=1"]);
     let now = || rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     let mut since = now();
     for (text, status) in [
@@ -345,18 +344,18 @@
         (good.replace("safe", "odd"), "STATUS=serving as before: ".to_owned()),
     ] {
         node.reload(&text);
-        assert_eq!(word(), "STATUS=reloading");
-        let reloading = word();
-        let told =
+        assert_eq!(notification(), "STATUS=reloading");
+        let reloading = notification();
+        let reported =
             reloading.strip_prefix("RELOADING=1\nMONOTONIC_USEC=").unwrap_or_else(|| panic!("{reloading}"));
-        let (told, until) = (told.parse::<i64>().unwrap(), now());
+        let (reported, until) = (reported.parse::<i64>().unwrap(), now());
         let micros = |time: rustix::time::Timespec| time.tv_sec * 1_000_000 + time.tv_nsec / 1_000;
-        assert!((micros(since)..=micros(until)).contains(&told), "{told}");
+        assert!((micros(since)..=micros(until)).contains(&reported), "{reported}");
         since = until;
-        let said = word();
-        assert!(said.starts_with(&status), "{said}");
-        assert_eq!(word(), "READY=1");
+        let found = notification();
+        assert!(found.starts_with(&status), "{found}");
+        assert_eq!(notification(), "READY=1");
     }
     node.terminate();
-    assert_eq!(word(), "STOPPING=1");
+    assert_eq!(notification(), "STOPPING=1");
 }
--- a/crates/cache-balancer/tests/shutdown.rs
+++ b/crates/cache-balancer/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! The node's end, with requests and signals that come between its steps. Every request that was taken gets its one answer, and
-//! nothing is sent on that comes after.
+//! The shutdown of a node, with requests and signals between its steps. Every accepted request gets its one answer, and no
+//! later one is forwarded.
 
 mod common;
 mod unreachable;
@@ -11,7 +11,7 @@
 
 const CLOSING: &str = "no further clients are accepted";
 
-/// A request in two parts, cut so many bytes before its end.
+/// A request in two parts, the second of this many bytes.
 fn halves(key: u64, before_the_end: usize) -> (String, String) {
     let whole = read("read", key, 60_000);
     let (first, second) = whole.split_at(whole.len() - before_the_end);
@@ -34,7 +34,7 @@
     used.send(&parts[0].1);
     fresh.send(&parts[1].1);
     for client in [&mut used, &mut fresh] {
-        let answer = client.answer().expect("the answer to what was taken");
+        let answer = client.answer().expect("the answer to an accepted request");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
         assert_eq!(client.answer(), None);
     }
@@ -61,16 +61,16 @@
     let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
-    // Keeps the node alive meanwhile.
+    // Keeps the node running meanwhile.
     let mut waiting = node.client();
     waiting.send(&read("read", 1, 60_000));
     wait_for("the attempt", || server.count() == 1);
-    let mut resting = node.client();
-    assert_eq!(resting.ask("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+    let mut idle = node.client();
+    assert_eq!(idle.ask("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
     node.terminate();
-    assert_eq!(resting.answer(), None);
-    // It may be reset by now.
-    let _ = resting.0.get_mut().write_all(read("read", 2, 60_000).as_bytes());
+    assert_eq!(idle.answer(), None);
+    // The connection may be reset by now.
+    let _ = idle.0.get_mut().write_all(read("read", 2, 60_000).as_bytes());
     gate.open();
     assert_eq!(waiting.answer().expect("its answer").status(), 200);
     assert!(node.exit().success());
@@ -93,7 +93,7 @@
     wait_for("the end of accepting", || node.said(CLOSING) == 1);
     node.signal("-TERM");
     gate.open();
-    let answer = waiting.answer().expect("the answer to what was taken");
+    let answer = waiting.answer().expect("the answer to an accepted request");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(node.exit().success());
     assert_eq!(server.count(), 1);
@@ -118,7 +118,7 @@
     let server = CacheServer::start(move |_| Does::Answer(text.clone()));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
-    // As little of it as can be on its way.
+    // A small buffer, so that little of it is on its way.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(1).unwrap();
     socket.connect(&node.address.into()).unwrap();
@@ -127,7 +127,7 @@
     wait_for("the attempt", || server.count() == 1);
     node.terminate();
     wait_for("the end of accepting", || node.said(CLOSING) == 1);
-    let answer = client.answer().expect("the answer to what was taken");
+    let answer = client.answer().expect("the answer to an accepted request");
     assert_eq!((answer.status(), answer.body.len()), (200, body.len()));
     assert!(node.exit().success());
 }
@@ -153,7 +153,7 @@
     discovery.tell(false, &[host("s-1", late.address, "draining"), other.entry("s-2", "ready")]);
     discovery.wait_until_told(2);
     late.serve("never asked");
-    let answer = drained.answer().expect("the answer to what was taken");
+    let answer = drained.answer().expect("the answer to an accepted request");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"value"[..]));
     assert!(node.exit().success());
     assert_eq!(other.count(), 1);
