--- a/crates/cache-balancer/benches/aggregate.rs
+++ b/crates/cache-balancer/benches/aggregate.rs
@@ -1,6 +1,6 @@
 //! What `cache-balancer aggregate` costs, and how long the lines are that it reads, by the size of the fleet.
 //!
-//! `cargo bench -p cache-balancer --bench count`. Nodes, cache servers and requests grow in the same proportion; each log holds
+//! `cargo bench -p cache-balancer --bench aggregate`. Nodes, cache servers and requests grow in the same proportion; each log holds
 //! a few seconds of one node. The largest size is meant for prediction: fit the others, then compare.
 
 use std::collections::BTreeMap;
--- a/crates/cache-balancer/src/aggregate/logs.rs
+++ b/crates/cache-balancer/src/aggregate/logs.rs
@@ -71,8 +71,8 @@
     }
 }
 
-/// The tally of a line, or `None` for a line of another kind. Whoever collected the log may have put text of its own before
-/// the node's.
+/// The tally of a line, or `None` for a line of another kind. Whoever collected the log may have put text of
+/// its own before the node's.
 fn parse(line: &[u8]) -> Result<Option<TallyLine>, LineError> {
     let prefix = LINE_PREFIX.as_bytes();
     let Some(start) = line.windows(prefix.len()).position(|window| window == prefix) else { return Ok(None) };
--- a/crates/cache-balancer/src/aggregate/rows.rs
+++ b/crates/cache-balancer/src/aggregate/rows.rs
@@ -109,8 +109,9 @@
 
 /// What any node had been notified of a server.
 ///
-/// Notifications reach nodes at different times. Late ones of an incarnation bring no server back, and a later start is
-/// another incarnation. A drain that is taken back within one incarnation cannot be told from a late notification.
+/// Notifications reach nodes at different times. Late ones of an incarnation bring no server back, and a
+/// later start is another incarnation. A drain that is taken back within one incarnation cannot be told from
+/// a late notification.
 #[derive(Clone, Copy, Debug, Default)]
 struct KnownServer {
     /// When its incarnation started, in seconds of Unix time; 0 if that is unknown.
@@ -131,8 +132,8 @@
     }
 }
 
-/// What all nodes did, by spans of `span_s` seconds. A server counts as warming up for `warm_within_s` seconds after its
-/// start.
+/// What all nodes did, by spans of `span_s` seconds. A server counts as warming up for `warm_within_s`
+/// seconds after its start.
 pub(super) fn rows(logs: &TallyLogs, span_s: u64, warm_within_s: u64) -> BTreeMap<u64, Row> {
     let mut rows: BTreeMap<u64, Row> = BTreeMap::new();
     let mut nodes: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
--- a/crates/cache-balancer/src/aggregate/tests.rs
+++ b/crates/cache-balancer/src/aggregate/tests.rs
@@ -11,7 +11,8 @@
     lines
 }
 
-/// A count that goes by what the sending node had been notified of misses these attempts: that node was notified late.
+/// A count that goes by what the sending node had been notified of misses these attempts: that node was
+/// notified late.
 #[test]
 fn an_attempt_at_a_server_that_another_node_knew_to_be_removed_counts_as_such() {
     let one = r#"tally {"second":10,"node":"a","pool":"p","served":2,"told":{"s":"gone"},"servers":{"t":{"ok":2}}}"#;
@@ -29,7 +30,8 @@
     assert_eq!(by_span.keys().copied().collect::<Vec<_>>(), [0, 10]);
 }
 
-/// Nodes are notified at different times: a late one still says ready of a server that others know to be draining.
+/// Nodes are notified at different times: a late one still says ready of a server that others know to be
+/// draining.
 #[test]
 fn late_notifications_bring_no_server_back_and_a_start_makes_it_warm_up() {
     let log = r#"
--- a/crates/cache-balancer/src/driver/actions.rs
+++ b/crates/cache-balancer/src/driver/actions.rs
@@ -56,8 +56,8 @@
         request.add_attempt(server, now, task.abort_handle());
     }
 
-    /// Cancels an attempt that is in flight. Its connection closes with its task: kept open, the server's late
-    /// response would be read as that of the next request.
+    /// Cancels an attempt that is in flight. Its connection closes with its task: kept open, the server's
+    /// late response would be read as that of the next request.
     fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
         let task = self.requests.get(&id).and_then(|request| request.attempt_task(attempt));
         if let Some(task) = task {
@@ -82,8 +82,8 @@
     }
 }
 
-/// Whether a log line of the decisions reports that a circuit breaker tripped. The decisions have no action for
-/// it, and the tally counts trips, so it is recognised by the text of `Action::Log`.
+/// Whether a log line of the decisions reports that a circuit breaker tripped. The decisions have no action
+/// for it, and the tally counts trips, so it is recognised by the text of `Action::Log`.
 pub(super) fn is_breaker_trip(text: &str) -> bool {
     text.starts_with("breaker of ") && text.contains(" tripped")
 }
--- a/crates/cache-balancer/src/driver/in_flight.rs
+++ b/crates/cache-balancer/src/driver/in_flight.rs
@@ -78,7 +78,8 @@
         self.response.is_some()
     }
 
-    /// Gives the final response; a request that has had one, or whose client has disconnected, gets no second.
+    /// Gives the final response; a request that has had one, or whose client has disconnected, gets no
+    /// second.
     pub fn respond(&mut self, response: FinalResponse) {
         self.message.pending.clear();
         if let Some(sender) = self.response.take() {
--- a/crates/cache-balancer/src/driver/mod.rs
+++ b/crates/cache-balancer/src/driver/mod.rs
@@ -1,5 +1,5 @@
-//! The driver of a pool: the only owner of its decisions ([`Balancer`]) and of the requests in flight. It turns
-//! inputs into events and carries out the actions that come back, in order; it decides nothing itself.
+//! The driver of a pool: the only owner of its decisions ([`Balancer`]) and of the requests in flight. It
+//! turns inputs into events and carries out the actions that come back, in order; it decides nothing itself.
 
 mod actions;
 mod clock;
@@ -103,8 +103,8 @@
         Self { observer: Some(observer), ..self }
     }
 
-    /// Runs until the senders of the queue are gone, or until the pool is removed and its last request complete.
-    /// It begins with the endpoint list `known`, which may be empty.
+    /// Runs until the senders of the queue are gone, or until the pool is removed and its last request
+    /// complete. It begins with the endpoint list `known`, which may be empty.
     pub async fn run(mut self, known: Listing, mut queue: UnboundedReceiver<DriverInput>) {
         self.restore_endpoints(known);
         self.handle_events();
@@ -263,10 +263,10 @@
 
     /// Fails a request whose time is over.
     ///
-    /// The failure guarded against: the decisions leave a request open (a fault of theirs, or a server that never
-    /// responds), and its client would wait for a response that never comes. Each request has a timer from the
-    /// moment at which it is accepted, and the timer does not depend on the decisions. The decisions learn that
-    /// no response is due any more; the results of its attempts are still reported to them.
+    /// The failure guarded against: the decisions leave a request open (a fault of theirs, or a server that
+    /// never responds), and its client would wait for a response that never comes. Each request has a timer
+    /// from the moment at which it is accepted, and the timer does not depend on the decisions. The decisions
+    /// learn that no response is due any more; the results of its attempts are still reported to them.
     fn expire_request(&mut self, id: RequestId) {
         let waiting = self.requests.get_mut(&id).filter(|request| request.awaits_response());
         let Some(request) = waiting else { return };
--- a/crates/cache-balancer/src/driver/tests.rs
+++ b/crates/cache-balancer/src/driver/tests.rs
@@ -11,8 +11,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The tally counts trips by these lines, since the decisions report them in no other way. A trip that is not recognised is
-/// missing from `aggregate`, without a complaint.
+/// The tally counts trips by these lines, since the decisions report them in no other way. A trip that is not
+/// recognised is missing from `aggregate`, without a complaint.
 #[test]
 fn a_breaker_trip_is_recognised_by_its_log_line() {
     for line in [
@@ -65,7 +65,8 @@
     (InFlightRequest::new(message, response, deadline), receiver, pending)
 }
 
-/// The result of a cancelled attempt can still be in the driver's queue: counted twice, it would reach the decisions twice.
+/// The result of a cancelled attempt can still be in the driver's queue: counted twice, it would reach the
+/// decisions twice.
 #[tokio::test]
 async fn an_attempt_ends_once_and_a_request_completes_with_its_last_attempt() {
     let (mut request, mut receiver, pending) = request();
--- a/crates/cache-balancer/src/fronts/connections/framing.rs
+++ b/crates/cache-balancer/src/fronts/connections/framing.rs
@@ -16,9 +16,9 @@
 
 /// Splits the bytes of a connection into the current request's and the next one's.
 ///
-/// Guarded against: hyper buffers all that it is given, and a next request in its buffer would be lost, unseen, with
-/// a connection that closes after the current response. It would show as a client whose pipelined request is
-/// never answered. hyper is given no byte beyond the current request.
+/// Guarded against: hyper buffers all that it is given, and a next request in its buffer would be lost,
+/// unseen, with a connection that closes after the current response. It would show as a client whose
+/// pipelined request is never answered. hyper is given no byte beyond the current request.
 #[derive(Debug, Default)]
 pub(super) struct RequestFraming {
     /// Bytes of the body that have not come yet; `None` while the head is read.
--- a/crates/cache-balancer/src/fronts/connections/state.rs
+++ b/crates/cache-balancer/src/fronts/connections/state.rs
@@ -11,8 +11,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A request must have come whole within this time: the first one from the connection's start, others from their
-/// first byte. A client must get an error or a close within 3 s, whatever it sends or leaves out.
+/// A request must have come whole within this time: the first one from the connection's start, others from
+/// their first byte. A client must get an error or a close within 3 s, whatever it sends or leaves out.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// A client that does not read its response holds its connection no longer than this.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
@@ -51,7 +51,8 @@
     }
 }
 
-/// Counts over all connections. They are read at every response, where a walk over the table would cost too much.
+/// Counts over all connections. They are read at every response, where a walk over the table would cost too
+/// much.
 #[derive(Debug, Default)]
 pub(super) struct Usage {
     /// The number of connections with a request under way.
@@ -148,10 +149,10 @@
 
     /// Whether bytes stand in the socket that nobody has read.
     ///
-    /// Guarded against: a request arrives in the very moment in which its connection would be closed, and the runtime
-    /// has not polled for it yet. The system has acknowledged it, so its client would see a reset instead of a response. The
-    /// socket itself is asked, so nothing that the system has taken is missed. The end of the stream, or a reset, is
-    /// nothing to be read.
+    /// Guarded against: a request arrives in the very moment in which its connection would be closed, and the
+    /// runtime has not polled for it yet. The system has acknowledged it, so its client would see a reset
+    /// instead of a response. The socket itself is asked, so nothing that the system has taken is missed. The
+    /// end of the stream, or a reset, is nothing to be read.
     pub(super) fn has_unread(&self) -> bool {
         SockRef::from(&*self.socket).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|bytes| bytes > 0)
     }
--- a/crates/cache-balancer/src/fronts/connections/stream.rs
+++ b/crates/cache-balancer/src/fronts/connections/stream.rs
@@ -13,12 +13,12 @@
 
 /// The number of bytes that are read from a socket at once.
 const READ_CHUNK_BYTES: usize = 8 << 10;
-/// The number of pipelined bytes that are kept while a request is under way: the longest head. What a client sends beyond
-/// that is read and discarded, and its connection closes with the response: unless its bytes are read, the end of
-/// its stream does not reach this machine, and its disconnection stays unseen.
+/// The number of pipelined bytes that are kept while a request is under way: the longest head. What a client
+/// sends beyond that is read and discarded, and its connection closes with the response: unless its bytes are
+/// read, the end of its stream does not reach this machine, and its disconnection stays unseen.
 const MAX_PIPELINED_BYTES: usize = 16 << 10;
-/// The number of bytes that are discarded for that. A client that sends more while it waits for a response takes from the
-/// node what others could have, for as long as it likes: it counts as disconnected.
+/// The number of bytes that are discarded for that. A client that sends more while it waits for a response
+/// takes from the node what others could have, for as long as it likes: it counts as disconnected.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
 /// The number of bytes that are discarded after the last response.
 const MAX_LINGER_BYTES: usize = 256 << 10;
@@ -63,15 +63,17 @@
         }
     }
 
-    /// Reads on while a request is under way. Ready only at the end of the stream, or where it is taken for one.
+    /// Reads on while a request is under way. Ready only at the end of the stream, or where it is taken for
+    /// one.
     ///
-    /// Guarded against: a client that disconnects before its response is not seen, and attempts for it go on. hyper,
-    /// given pipelined bytes, would not look further; so they are kept here and the socket is read to its end.
+    /// Guarded against: a client that disconnects before its response is not seen, and attempts for it go on.
+    /// hyper, given pipelined bytes, would not look further; so they are kept here and the socket is read to
+    /// its end.
     fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.state.pipelined.set(self.state.pipelined.get() || !self.pipelined.is_empty());
         loop {
-            // While the response is written it is decided whether the connection stays open: what can't be kept stays in
-            // the socket.
+            // While the response is written it is decided whether the connection stays open: what can't be
+            // kept stays in the socket.
             let writing = self.state.phase() == Phase::WritingResponse;
             let free = MAX_PIPELINED_BYTES.saturating_sub(self.pipelined.len());
             let chunk = if writing { free.min(READ_CHUNK_BYTES) } else { READ_CHUNK_BYTES };
@@ -157,8 +159,9 @@
 
     /// Closes the node's side, then discards what comes until the client closes its own.
     ///
-    /// Guarded against: closed with bytes unread, TCP resets a connection, and the reset can overtake the response
-    /// (RFC 9112, section 9.6), which the client then never sees. Read to the end, there is nothing to reset for.
+    /// Guarded against: closed with bytes unread, TCP resets a connection, and the reset can overtake the
+    /// response (RFC 9112, section 9.6), which the client then never sees. Read to the end, there is nothing
+    /// to reset for.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.state.phase() != Phase::Lingering {
             SockRef::from(&*self.socket).shutdown(Shutdown::Write)?;
--- a/crates/cache-balancer/src/fronts/connections/table.rs
+++ b/crates/cache-balancer/src/fronts/connections/table.rs
@@ -1,5 +1,5 @@
-//! The table of connections, and which of them are closed: by their timeouts, by the limit on idle ones, and in
-//! favour of clients that wait to be accepted.
+//! The table of connections, and which of them are closed: by their timeouts, by the limit on idle ones, and
+//! in favour of clients that wait to be accepted.
 
 use super::state::{ConnectionState, Phase, Usage};
 use std::cell::{Cell, RefCell};
@@ -9,7 +9,8 @@
 use tokio::sync::Notify;
 use tokio::time::interval;
 
-/// A connection on which nothing has come is evicted after this time; a usual client sends its request at once.
+/// A connection on which nothing has come is evicted after this time; a usual client sends its request at
+/// once.
 const EVICT_NEW_AFTER: Duration = Duration::from_millis(30);
 /// A connection that has been idle for this long is evicted before others: its client hardly misses it.
 const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
@@ -73,24 +74,26 @@
         }
     }
 
-    /// The number of idle connections that are kept while `in_use` carry a request: half of the free capacity.
+    /// The number of idle connections that are kept while `in_use` carry a request: half of the free
+    /// capacity.
     ///
-    /// Guarded against: clients may hold only so many connections, and many of them send one request and never close.
-    /// Without this limit such connections fill all that clients may hold, and further clients are shut out while
-    /// the node is idle, long before its own table is full. The other half of the capacity stays free for clients
-    /// without a connection. The limit holds in the same way against a client that opens a burst of connections
-    /// and never returns to them.
+    /// Guarded against: clients may hold only so many connections, and many of them send one request and
+    /// never close. Without this limit such connections fill all that clients may hold, and further clients
+    /// are shut out while the node is idle, long before its own table is full. The other half of the capacity
+    /// stays free for clients without a connection. The limit holds in the same way against a client that
+    /// opens a burst of connections and never returns to them.
     ///
-    /// The cost: a client whose connection was closed opens another, which takes a round trip and a little work at
-    /// both ends. That happens only while more connections are idle than half of the free capacity, which a usual
-    /// client's pool (as many connections as it ever has requests in flight) does not reach until half of the
-    /// capacity is in use.
+    /// The cost: a client whose connection was closed opens another, which takes a round trip and a little
+    /// work at both ends. That happens only while more connections are idle than half of the free capacity,
+    /// which a usual client's pool (as many connections as it ever has requests in flight) does not reach
+    /// until half of the capacity is in use.
     pub(super) fn max_idle(&self, in_use: usize) -> usize {
         self.capacity.get().saturating_sub(in_use) / 2
     }
 
-    /// Whether one more idle connection may be kept. A connection that has long been idle is closed in its favour,
-    /// rather than the one that was used just now; but no other, since a request is likely to cross its close.
+    /// Whether one more idle connection may be kept. A connection that has long been idle is closed in its
+    /// favour, rather than the one that was used just now; but no other, since a request is likely to cross
+    /// its close.
     pub(super) fn keeps_one_more(&self) -> bool {
         let (idle, in_use) = (self.usage.idle.borrow().len(), self.usage.in_use.get());
         // The connection that asks still counts as in use.
@@ -112,12 +115,13 @@
         found.inspect(|connection| connection.ask_to_close()).is_some()
     }
 
-    /// Asks a connection to close in favour of a client that waits to be accepted. Returns `false` if none can.
+    /// Asks a connection to close in favour of a client that waits to be accepted. Returns `false` if none
+    /// can.
     ///
-    /// Guarded against: a flood of connections that send nothing, or half a request, shuts out usual clients. Such
-    /// connections are evicted first, the oldest first, so a flood displaces itself. But it must not wait for
-    /// itself either, with usual clients behind it: connections that have long been idle come next, and any idle
-    /// one if no new connection is left.
+    /// Guarded against: a flood of connections that send nothing, or half a request, shuts out usual clients.
+    /// Such connections are evicted first, the oldest first, so a flood displaces itself. But it must not
+    /// wait for itself either, with usual clients behind it: connections that have long been idle come next,
+    /// and any idle one if no new connection is left.
     pub fn make_room(&self) -> bool {
         let connections = self.connections.borrow();
         let oldest = |phase, min_age| oldest_in_phase(&connections, phase, min_age);
@@ -154,8 +158,8 @@
     max_connections.min(descriptors / DESCRIPTORS_PER_CLIENT_CONNECTION)
 }
 
-/// The connection that has been in this phase for longest, and at least for `min_age`. One between two requests only
-/// if none has arrived on it.
+/// The connection that has been in this phase for longest, and at least for `min_age`. One between two
+/// requests only if none has arrived on it.
 fn oldest_in_phase(
     connections: &BTreeMap<u64, Rc<ConnectionState>>,
     phase: Phase,
--- a/crates/cache-balancer/src/fronts/connections/tests.rs
+++ b/crates/cache-balancer/src/fronts/connections/tests.rs
@@ -13,8 +13,8 @@
     ConnectionTable::new(descriptors, (descriptors - 24) / 2).max_idle(in_use)
 }
 
-/// A limit that suits one size of node would close the connections of a larger one, or fill a smaller one: it follows the
-/// descriptors and what is in use.
+/// A limit that suits one size of node would close the connections of a larger one, or fill a smaller one: it
+/// follows the descriptors and what is in use.
 #[test]
 fn half_of_the_free_capacity_may_be_idle() {
     assert_eq!([0, 21, 85, 1000].map(|n| max_idle(256, n)), [42, 32, 0, 0]);
@@ -37,7 +37,8 @@
     Rc::new(ConnectionTable::new(256, 116))
 }
 
-/// A next request that is handed to hyper too early hides in its buffer, and is lost when the connection closes.
+/// A next request that is handed to hyper too early hides in its buffer, and is lost when the connection
+/// closes.
 #[test]
 fn a_request_ends_where_its_head_and_body_do_however_the_bytes_come() {
     let heads =
@@ -139,8 +140,9 @@
     }
 }
 
-/// A request was lost when it arrived in the very moment in which its idle connection was closed: it stood in the socket, and
-/// the runtime had not polled for it yet. The client saw a reset. A close that does not ask the socket brings it back.
+/// A request was lost when it arrived in the very moment in which its idle connection was closed: it stood in
+/// the socket, and the runtime had not polled for it yet. The client saw a reset. A close that does not ask
+/// the socket brings it back.
 #[tokio::test]
 async fn a_request_that_crosses_the_close_of_an_idle_connection_is_served() {
     let all = async {
@@ -172,8 +174,8 @@
     tokio::task::LocalSet::new().run_until(all).await;
 }
 
-/// The first request of a connection that the node has just accepted is on its way, however little there is of it yet: closed
-/// at once as the node shut down, its client would see a reset.
+/// The first request of a connection that the node has just accepted is on its way, however little there is
+/// of it yet: closed at once as the node shut down, its client would see a reset.
 #[tokio::test]
 async fn a_connection_accepted_at_shutdown_gets_time_for_its_first_request() {
     let all = async {
--- a/crates/cache-balancer/src/fronts/connections/tracked.rs
+++ b/crates/cache-balancer/src/fronts/connections/tracked.rs
@@ -12,8 +12,8 @@
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 
-/// When the node closes, a connection that has sent nothing yet is given this time from its start: its first request is
-/// on its way.
+/// When the node closes, a connection that has sent nothing yet is given this time from its start: its first
+/// request is on its way.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(100);
 
 /// A connection in the table, for as long as it is served.
@@ -50,8 +50,8 @@
         self.state.enter(Phase::WritingResponse);
     }
 
-    /// Whether the connection may stay open after the current response. One on which the next request has begun must:
-    /// that request has been accepted. One on which more has come than is kept cannot.
+    /// Whether the connection may stay open after the current response. One on which the next request has
+    /// begun must: that request has been accepted. One on which more has come than is kept cannot.
     pub fn may_stay_open(&self) -> bool {
         !self.state.pipeline_overflowed.get() && (self.state.pipelined.get() || self.table.keeps_one_more())
     }
@@ -61,9 +61,9 @@
         ClientStream::new(self.state.clone())
     }
 
-    /// Drives a connection to its end. When the node closes, accepted requests are completed. A connection that is asked
-    /// to close is dropped in the middle of a message, and otherwise closed by `close`, unless a request has arrived
-    /// on it.
+    /// Drives a connection to its end. When the node closes, accepted requests are completed. A connection
+    /// that is asked to close is dropped in the middle of a message, and otherwise closed by `close`, unless
+    /// a request has arrived on it.
     pub async fn drive<C>(&self, serving: C, close: impl Fn(Pin<&mut C>), mut stage: watch::Receiver<Stage>)
     where
         C: Future,
@@ -75,7 +75,8 @@
         loop {
             tokio::select! {
                 biased;
-                // An error here is a client that disconnected or spoke no HTTP: hyper has sent what response it can.
+                // An error here is a client that disconnected or spoke no HTTP: hyper has sent what response
+                // it can.
                 _ = &mut serving => return,
                 _ = &mut node_closing, if !node_closed => {
                     node_closed = true;
@@ -97,8 +98,9 @@
         }
     }
 
-    /// Closes it as the node shuts down. A request that has begun to come is waited for as at any time, and its response
-    /// closes the connection: hyper would drop what it has read of it, and what stands in the socket.
+    /// Closes it as the node shuts down. A request that has begun to come is waited for as at any time, and
+    /// its response closes the connection: hyper would drop what it has read of it, and what stands in the
+    /// socket.
     fn close_for_shutdown<C>(&self, serving: Pin<&mut C>, close: &impl Fn(Pin<&mut C>)) {
         match self.state.phase() {
             Phase::ReadingRequest => {}
--- a/crates/cache-balancer/src/fronts/http1/connection.rs
+++ b/crates/cache-balancer/src/fronts/http1/connection.rs
@@ -17,8 +17,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The longest request head, in bytes; a longer one gets status 431. With a body each it is the most that connections can
-/// make the node hold.
+/// The longest request head, in bytes; a longer one gets status 431. With a body each it is the most that
+/// connections can make the node hold.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 const HEALTH_PATH: &str = "/healthz";
 
@@ -54,8 +54,8 @@
         Ok(response) => (response, true),
         Err(error) => (error.response(), false),
     };
-    // A client whose request is invalid sends the next one at once: not on this connection, where its requests would take
-    // the node's time without a pause.
+    // A client whose request is invalid sends the next one at once: not on this connection, where its
+    // requests would take the node's time without a pause.
     if !valid || *stage.borrow() >= Stage::StandingBy || !connection.may_stay_open() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/crates/cache-balancer/src/fronts/http1/forward.rs
+++ b/crates/cache-balancer/src/fronts/http1/forward.rs
@@ -9,7 +9,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Reports a client that disconnects before its response: hyper drops the response's future with the connection.
+/// Reports a client that disconnects before its response: hyper drops the response's future with the
+/// connection.
 struct DisconnectGuard {
     number: RequestNumber,
     pending: ResponsePending,
--- a/crates/cache-balancer/src/fronts/http1/listener.rs
+++ b/crates/cache-balancer/src/fronts/http1/listener.rs
@@ -59,8 +59,8 @@
 
 /// Serves the connections that wait in the system's queue as the node closes, as permits become free.
 ///
-/// Guarded against: the system has completed their handshake, so their clients may have sent a request, and would see a
-/// reset when the listener closes. The number of accepts is bounded by the length of the queue.
+/// Guarded against: the system has completed their handshake, so their clients may have sent a request, and
+/// would see a reset when the listener closes. The number of accepts is bounded by the length of the queue.
 async fn serve_backlog(listener: &TcpListener, stage: &watch::Receiver<Stage>, front: &Rc<Front>) {
     for _ in 0..LISTEN_BACKLOG {
         let Ok(permit) = front.connection_permits.clone().acquire_owned().await else { break };
@@ -96,9 +96,9 @@
 
 /// Waits for a permit, then for a connection.
 ///
-/// The permit comes first, and idle connections are evicted for it before a client is seen to wait: the system completes
-/// handshakes and takes requests on connections that the node has not accepted, so a client in the queue of a full
-/// table would wait in vain while others keep connections that they do not use.
+/// The permit comes first, and idle connections are evicted for it before a client is seen to wait: the
+/// system completes handshakes and takes requests on connections that the node has not accepted, so a client
+/// in the queue of a full table would wait in vain while others keep connections that they do not use.
 async fn accept(
     listener: &TcpListener,
     permits: &Arc<Semaphore>,
@@ -108,7 +108,8 @@
         while permits.available_permits() == 0 && !table.make_room() {
             sleep(FULL_TABLE_RETRY_DELAY).await;
         }
-        // The connection that was asked to close stays open if a request arrives on it just then: another has to.
+        // The connection that was asked to close stays open if a request arrives on it just then: another has
+        // to.
         if let Ok(permit) = timeout(EVICTION_TIMEOUT, permits.clone().acquire_owned()).await {
             break permit.map_err(io::Error::other)?;
         }
--- a/crates/cache-balancer/src/fronts/http1/mod.rs
+++ b/crates/cache-balancer/src/fronts/http1/mod.rs
@@ -1,5 +1,5 @@
-//! The HTTP/1.1 front: accepts connections, reads requests, passes them to the driver of their pool, writes the responses
-//! and reports clients that disconnect.
+//! The HTTP/1.1 front: accepts connections, reads requests, passes them to the driver of their pool, writes
+//! the responses and reports clients that disconnect.
 
 mod connection;
 mod forward;
@@ -35,8 +35,8 @@
 }
 
 impl Front {
-    /// A front without connections, for a process that may hold `descriptors` file descriptors and accepts up to
-    /// `max_connections` connections of clients.
+    /// A front without connections, for a process that may hold `descriptors` file descriptors and accepts up
+    /// to `max_connections` connections of clients.
     pub fn new(routes: Routes, ready: Rc<Readiness>, descriptors: usize, max_connections: usize) -> Self {
         Self {
             routes: RefCell::new(Rc::new(routes)),
@@ -61,7 +61,8 @@
         self.connection_permits.add_permits(max_connections.saturating_sub(before));
         let (surplus, permits) = (before.saturating_sub(max_connections), self.connection_permits.clone());
         tokio::task::spawn_local(async move {
-            // One by one, in turn with clients that wait to be accepted: all at once, these would wait for the last.
+            // One by one, in turn with clients that wait to be accepted: all at once, these would wait for
+            // the last.
             for _ in 0..surplus {
                 // The semaphore is never closed.
                 permits.acquire().await.into_iter().for_each(SemaphorePermit::forget);
--- a/crates/cache-balancer/src/fronts/http1/request.rs
+++ b/crates/cache-balancer/src/fronts/http1/request.rs
@@ -136,7 +136,8 @@
             id: id.clone(),
             idempotency_key: single(headers, &IDEMPOTENCY_KEY)?.cloned(),
             terms: RequestTerms {
-                // No client waits longer than its class does, and the node holds what it has of a request as long.
+                // No client waits longer than its class does, and the node holds what it has of a request as
+                // long.
                 client_timeout: Duration::from_millis(deadline_ms.into()).min(class.deadline),
                 class: class.id,
                 driver: class.driver.clone(),
@@ -180,8 +181,8 @@
 
 /// Checks a request's method, and that its body has a length.
 ///
-/// hyper drops a `Content-Length` beside a `Transfer-Encoding`; where the two disagree, the body may hide a second request
-/// from one of two parsers.
+/// hyper drops a `Content-Length` beside a `Transfer-Encoding`; where the two disagree, the body may hide a
+/// second request from one of two parsers.
 pub(super) fn check_transfer(head: &Parts) -> Result<(), RequestError> {
     if head.method != Method::GET && head.method != Method::PUT {
         return Err(RequestError::MethodNotAllowed { allowed: "GET, PUT" });
@@ -205,8 +206,8 @@
     }
 }
 
-/// The key that a path names, or `None` if it names none. Keys are 64-bit numbers in hexadecimal; any other name counts
-/// as its hash, which is the same at every node.
+/// The key that a path names, or `None` if it names none. Keys are 64-bit numbers in hexadecimal; any other
+/// name counts as its hash, which is the same at every node.
 pub(super) fn key_of(path: &str) -> Option<u64> {
     let name = path.strip_prefix(API_PREFIX)?.rsplit('/').next().filter(|name| !name.is_empty())?;
     Some(u64::from_str_radix(name, 16).unwrap_or_else(|_| {
@@ -215,3 +216,6 @@
         hasher.finish()
     }))
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/cache-balancer/src/fronts/http1/tests.rs
+++ b/crates/cache-balancer/src/fronts/http1/tests.rs
@@ -10,8 +10,8 @@
     Rc::new(Front::new(routes, Rc::new(Readiness::new(Vec::new())), 256, 116))
 }
 
-/// A connection that the system had accepted for the node was reset with its listener as the node closed: it had come since the
-/// runtime last polled. Accepting by the runtime alone brings it back.
+/// A connection that the system had accepted for the node was reset with its listener as the node closed: it
+/// had come since the runtime last polled. Accepting by the runtime alone brings it back.
 #[tokio::test]
 async fn connections_in_the_systems_queue_are_served_as_the_node_closes() {
     let all = async {
--- a/crates/cache-balancer/src/tally/mod.rs
+++ b/crates/cache-balancer/src/tally/mod.rs
@@ -1,6 +1,6 @@
-//! What the driver of a pool did in each second, as one line of the log: a word, and JSON behind it. One line a second of
-//! bounded length costs a busy node nothing that can be measured, and the lines of all nodes together show what none of
-//! them sees (`cache-balancer aggregate`).
+//! What the driver of a pool did in each second, as one line of the log: a word, and JSON behind it. One line
+//! a second of bounded length costs a busy node nothing that can be measured, and the lines of all nodes
+//! together show what none of them sees (`cache-balancer aggregate`).
 
 use crate::log::log;
 use balancer_core::{AttemptStatus, EndpointState, ServerId, Timestamp};
@@ -11,8 +11,8 @@
 
 /// The first word of such a line.
 pub const LINE_PREFIX: &str = "tally ";
-/// The number of servers that a line names; the attempts at others are added up. No fleet that a node was built for has
-/// more, and a line of this number is a small part of what `aggregate` reads as one.
+/// The number of servers that a line names; the attempts at others are added up. No fleet that a node was
+/// built for has more, and a line of this number is a small part of what `aggregate` reads as one.
 const MAX_SERVERS: usize = 1024;
 /// The name under which the others are added up: no server has it, since discovery's names are not empty.
 pub const OTHER_SERVERS: &str = "";
@@ -172,8 +172,8 @@
     }
 }
 
-/// Adds a second up, and writes its line once something is counted in a later one. The last line is written when the
-/// driver ends.
+/// Adds a second up, and writes its line once something is counted in a later one. The last line is written
+/// when the driver ends.
 pub struct Tally {
     enabled: Rc<Cell<bool>>,
     line: TallyLine,
--- a/crates/cache-balancer/src/upstream/attempt.rs
+++ b/crates/cache-balancer/src/upstream/attempt.rs
@@ -80,7 +80,8 @@
 }
 
 impl Upstream {
-    /// Makes one attempt at a server. Ends when its response is whole, its connection breaks or `deadline` comes.
+    /// Makes one attempt at a server. Ends when its response is whole, its connection breaks or `deadline`
+    /// comes.
     pub async fn attempt(
         &self,
         server: &ServerId,
@@ -108,8 +109,8 @@
         condition: &StartCondition,
         deadline: Instant,
     ) -> Result<AttemptResult, AttemptError> {
-        // Either may also change while the connection is being made: the connection checks both once more before
-        // the first byte.
+        // Either may also change while the connection is being made: the connection checks both once more
+        // before the first byte.
         if !condition.is_met() {
             return Err(AttemptError::MayNotStart);
         }
@@ -144,8 +145,8 @@
     }
 }
 
-/// Why an exchange has no response, by how far its request was written. `broken` is the error of its connection, or
-/// `None` if the deadline came.
+/// Why an exchange has no response, by how far its request was written. `broken` is the error of its
+/// connection, or `None` if the deadline came.
 fn exchange_error(
     progress: &WriteProgress,
     condition: &StartCondition,
--- a/crates/cache-balancer/src/upstream/connection.rs
+++ b/crates/cache-balancer/src/upstream/connection.rs
@@ -21,7 +21,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, Instant};
 
-/// The longest response head, in bytes. One without end costs no more than this, and fails like one that breaks off.
+/// The longest response head, in bytes. One without end costs no more than this, and fails like one that
+/// breaks off.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// Why there is no connection to a server.
@@ -42,7 +43,8 @@
 }
 
 impl ConnectError {
-    /// Whether this process lacked a descriptor or an address to connect from, which says nothing of the server.
+    /// Whether this process lacked a descriptor or an address to connect from, which says nothing of the
+    /// server.
     pub fn is_local(&self) -> bool {
         /// Linux: ENFILE, EMFILE and EADDRNOTAVAIL.
         const LOCAL_OS_ERRORS: [i32; 3] = [23, 24, 99];
@@ -84,26 +86,28 @@
 }
 
 /// A socket that checks before a request's first byte whether it may be sent, and notes when its last byte is
-/// written. hyper puts a head and a body that is at hand into one buffer and flushes the socket only when that is
-/// empty: a flush after a write is the end of the request.
+/// written. hyper puts a head and a body that is at hand into one buffer and flushes the socket only when
+/// that is empty: a flush after a write is the end of the request.
 struct GuardedStream {
     stream: TokioIo<TcpStream>,
     progress: Rc<WriteProgress>,
-    /// Whether its server takes requests. Held apart from the server, which holds its idle connections: neither
-    /// must keep the other alive.
+    /// Whether its server takes requests. Held apart from the server, which holds its idle connections:
+    /// neither must keep the other alive.
     server_ready: Rc<Cell<bool>>,
 }
 
 impl GuardedStream {
     /// Fails before the first byte of a request that must not be sent.
     ///
-    /// Guarded against: between the attempt's own check and the moment at which hyper writes, a watch event may
-    /// tell that the server drains, the client may disconnect, or a deduplication window may end. The request would
-    /// then run where or when it must not. Nothing lies between this check and the write, so it decides.
+    /// Guarded against: between the attempt's own check and the moment at which hyper writes, a watch event
+    /// may tell that the server drains, the client may disconnect, or a deduplication window may end. The
+    /// request would then run where or when it must not. Nothing lies between this check and the write, so it
+    /// decides.
     ///
-    /// Also guarded against: bytes that stand unread in a reused connection (a second copy of the last response,
-    /// noise). hyper looks for them too, but only as far as the runtime has polled, and would take them for the
-    /// response to this request: a client would get another's data. Asking the socket itself leaves no gap.
+    /// Also guarded against: bytes that stand unread in a reused connection (a second copy of the last
+    /// response, noise). hyper looks for them too, but only as far as the runtime has polled, and would take
+    /// them for the response to this request: a client would get another's data. Asking the socket itself
+    /// leaves no gap.
     fn check_start(&self) -> io::Result<()> {
         if self.progress.started.get() {
             return Ok(());
@@ -173,8 +177,8 @@
     }
 }
 
-/// A connection. Dropping it closes the socket at once, also with a response under way: that is how an attempt is
-/// cancelled.
+/// A connection. Dropping it closes the socket at once, also with a response under way: that is how an
+/// attempt is cancelled.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
     pub(super) progress: Rc<WriteProgress>,
--- a/crates/cache-balancer/src/upstream/connection/tests.rs
+++ b/crates/cache-balancer/src/upstream/connection/tests.rs
@@ -5,9 +5,10 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
-/// Between an attempt's own check and the moment at which hyper writes, the server may begin to drain, the client may
-/// disconnect, or the deduplication window may end. The request would then be carried out for nobody, at a server that
-/// drains, or twice. Without the check in the stream itself each of these writes three bytes here.
+/// Between an attempt's own check and the moment at which hyper writes, the server may begin to drain, the
+/// client may disconnect, or the deduplication window may end. The request would then be carried out for
+/// nobody, at a server that drains, or twice. Without the check in the stream itself each of these writes
+/// three bytes here.
 #[tokio::test]
 async fn the_first_byte_is_written_only_while_the_start_condition_holds() {
     let (past, ahead) = (Some(Instant::now()), Some(Instant::now() + Duration::from_secs(3_600)));
@@ -53,8 +54,8 @@
     }
 }
 
-/// Bytes in the socket of a reused connection may not have reached hyper yet, since the runtime polls for them between two
-/// turns. Written there, a request would have them taken for its response.
+/// Bytes in the socket of a reused connection may not have reached hyper yet, since the runtime polls for
+/// them between two turns. Written there, a request would have them taken for its response.
 #[tokio::test]
 async fn a_reused_connection_with_unread_bytes_carries_no_request() {
     for (reused, unread, writes) in [(true, true, false), (true, false, true), (false, true, true)] {
@@ -76,7 +77,8 @@
     }
 }
 
-/// Want of descriptors or addresses is this process's own: counted against the server, it would eject a healthy one.
+/// Want of descriptors or addresses is this process's own: counted against the server, it would eject a
+/// healthy one.
 #[test]
 fn only_want_of_descriptors_or_addresses_counts_as_local() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
--- a/crates/cache-balancer/src/upstream/message.rs
+++ b/crates/cache-balancer/src/upstream/message.rs
@@ -56,8 +56,9 @@
     }
 }
 
-/// Whether a client still waits for the final response to its request. The front clears it where a client is seen
-/// to disconnect, and a connection reads it right before the first byte of an attempt: no queue lies between.
+/// Whether a client still waits for the final response to its request. The front clears it where a client is
+/// seen to disconnect, and a connection reads it right before the first byte of an attempt: no queue lies
+/// between.
 #[derive(Clone, Debug)]
 pub struct ResponsePending(Rc<Cell<bool>>);
 
@@ -108,8 +109,8 @@
 pub struct StartCondition {
     /// The client must wait for the response.
     pub pending: ResponsePending,
-    /// The attempt must start before this instant: a retry past the server's deduplication window would be carried
-    /// out a second time. `None` for an attempt without such a window.
+    /// The attempt must start before this instant: a retry past the server's deduplication window would be
+    /// carried out a second time. `None` for an attempt without such a window.
     pub start_by: Option<Instant>,
 }
 
--- a/crates/cache-balancer/src/upstream/mod.rs
+++ b/crates/cache-balancer/src/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! Connections to cache servers, and the attempts that are made on them.
 //!
-//! [`Upstream`] holds the connections of a pool; [`Upstream::attempt`] forwards a [`ForwardedRequest`] to one server
-//! and returns an [`AttemptResult`]. HTTP/1.1, one request at a time on each connection.
+//! [`Upstream`] holds the connections of a pool; [`Upstream::attempt`] forwards a [`ForwardedRequest`] to one
+//! server and returns an [`AttemptResult`]. HTTP/1.1, one request at a time on each connection.
 
 mod attempt;
 mod connection;
--- a/crates/cache-balancer/src/upstream/pool.rs
+++ b/crates/cache-balancer/src/upstream/pool.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// An idle connection is closed after the servers' idle timeout divided by this: one that its server is about to
-/// close would take a request only to reset it.
+/// An idle connection is closed after the servers' idle timeout divided by this: one that its server is about
+/// to close would take a request only to reset it.
 const IDLE_TIMEOUT_DIVISOR: u32 = 2;
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -67,8 +67,8 @@
 }
 
 impl Upstream {
-    /// Without servers. It opens no more connections than `limit` allows, together with all that share it. The
-    /// cache servers close a connection that has been idle for `server_idle_timeout`.
+    /// Without servers. It opens no more connections than `limit` allows, together with all that share it.
+    /// The cache servers close a connection that has been idle for `server_idle_timeout`.
     pub fn new(limit: Rc<ConnectionLimit>, connect_timeout: Duration, server_idle_timeout: Duration) -> Self {
         Self {
             servers: RefCell::default(),
@@ -84,8 +84,8 @@
         self.idle_timeout.set(server_idle_timeout / IDLE_TIMEOUT_DIVISOR);
     }
 
-    /// Adds a server, or changes it. Without an address a known one keeps its own, and an unknown one is not added.
-    /// One that has moved, or that takes no more requests, loses its idle connections.
+    /// Adds a server, or changes it. Without an address a known one keeps its own, and an unknown one is not
+    /// added. One that has moved, or that takes no more requests, loses its idle connections.
     pub fn update_server(&self, id: &ServerId, address: Option<SocketAddr>, ready: bool) {
         let mut servers = self.servers.borrow_mut();
         if let Some(server) = servers.get(id) {
@@ -159,9 +159,9 @@
         !connection.sender.is_closed() && connection.idle_since.elapsed() < self.idle_timeout.get()
     }
 
-    /// A permit for a new connection. Where the limit is reached, the connection that has been idle for longest is
-    /// closed: a node that has met every server once must not be kept from the one that it needs by connections
-    /// that nobody uses.
+    /// A permit for a new connection. Where the limit is reached, the connection that has been idle for
+    /// longest is closed: a node that has met every server once must not be kept from the one that it needs
+    /// by connections that nobody uses.
     fn permit(&self) -> Result<ConnectionPermit, ConnectError> {
         if self.limit.is_reached() {
             let servers = self.servers.borrow();
--- a/crates/cache-balancer/tests/answers.rs
+++ b/crates/cache-balancer/tests/answers.rs
@@ -10,8 +10,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// A server that passes each request's number, from 1, and its connection to `does`, which returns whether the connection stays
-/// open. Returns its address, the ids of the requests, and a gate that opens once it has ended a connection.
+/// A server that passes each request's number, from 1, and its connection to `does`, which returns whether
+/// the connection stays open. Returns its address, the ids of the requests, and a gate that opens once it has
+/// ended a connection.
 fn scripted(
     does: impl Fn(usize, &mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<Mutex<Vec<String>>>, Gate) {
@@ -56,7 +57,8 @@
     false
 }
 
-/// The status, the body and the number of attempts of a request of this class, with two servers that do the same.
+/// The status, the body and the number of attempts of a request of this class, with two servers that do the
+/// same.
 fn outcome(class: &str, does: fn(usize, &mut TcpStream) -> bool) -> (u16, String, usize) {
     let servers = [scripted(does), scripted(does)];
     let [one, two] = servers.each_ref().map(|(address, ..)| *address);
@@ -67,8 +69,8 @@
     (answer.status(), String::from_utf8(answer.body).unwrap(), attempts)
 }
 
-/// A response without a length is whole when its connection closes. A reset is no such close: taken for one, half a response was
-/// passed on as a whole one.
+/// A response without a length is whole when its connection closes. A reset is no such close: taken for one,
+/// half a response was passed on as a whole one.
 #[test]
 fn a_response_without_a_length_ends_with_its_connection_and_not_with_a_reset() {
     let whole = |_: usize, stream: &mut TcpStream| {
@@ -87,8 +89,9 @@
     assert_eq!((status, body.contains("val"), attempts), (502, false, 1));
 }
 
-/// The request has run by the time at which its server begins to respond. An attempt that counts as not sent here is retried,
-/// and an unsafe request runs twice; one that is not seen to end waits until its request's deadline.
+/// The request has run by the time at which its server begins to respond. An attempt that counts as not sent
+/// here is retried, and an unsafe request runs twice; one that is not seen to end waits until its request's
+/// deadline.
 #[test]
 fn a_response_that_breaks_off_in_its_head_is_an_attempt_that_may_have_run() {
     let halves: [fn(usize, &mut TcpStream) -> bool; 3] = [
@@ -102,9 +105,9 @@
     }
 }
 
-/// A server writes to an idle connection: half a line, a second response, noise, then perhaps a close or a reset. The next request
-/// must neither get these bytes as its response nor fail because of them. A request that is written without a look at the
-/// socket brings both back.
+/// A server writes to an idle connection: half a line, a second response, noise, then perhaps a close or a
+/// reset. The next request must neither get these bytes as its response nor fail because of them. A request
+/// that is written without a look at the socket brings both back.
 #[test]
 fn bytes_on_an_idle_connection_end_it_and_cost_no_request() {
     type Then = fn(&mut TcpStream) -> bool;
--- a/crates/cache-balancer/tests/clients.rs
+++ b/crates/cache-balancer/tests/clients.rs
@@ -87,7 +87,8 @@
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-/// A rejection that is held back until the deadline, or that does not say when to retry, has clients retry at a bad time.
+/// A rejection that is held back until the deadline, or that does not say when to retry, has clients retry at
+/// a bad time.
 #[test]
 fn a_rejection_comes_at_once_and_has_a_retry_after() {
     let server = CacheServer::serving("value");
@@ -104,8 +105,8 @@
     assert_eq!(server.count(), 0);
 }
 
-/// A server that never responds must cost its request one failure, in time, and nothing of the next request: neither its
-/// connection nor its response.
+/// A server that never responds must cost its request one failure, in time, and nothing of the next request:
+/// neither its connection nor its response.
 #[test]
 fn a_silent_server_ends_in_one_failure_before_the_client_gives_up() {
     let server = CacheServer::start(|asked| match asked.header("req-id") {
@@ -165,8 +166,8 @@
     read("read", key, 20_000).replace("\r\n\r\n", &format!("\r\n{headers}\r\n{rest}"))
 }
 
-/// A request can hide in the body of another if the node and a parser before it read its length in different ways. A connection
-/// that stays open after such a request would read the hidden one as the next.
+/// A request can hide in the body of another if the node and a parser before it read its length in different
+/// ways. A connection that stays open after such a request would read the hidden one as the next.
 #[test]
 fn a_request_of_doubtful_framing_is_rejected_and_its_connection_closed() {
     let server = CacheServer::serving("value");
@@ -233,8 +234,8 @@
     assert_eq!(server.count(), 0);
 }
 
-/// A flood of connections that send nothing fills the table. Usual clients must keep theirs, and a new one must be accepted and
-/// not be evicted before its first request.
+/// A flood of connections that send nothing fills the table. Usual clients must keep theirs, and a new one
+/// must be accepted and not be evicted before its first request.
 #[test]
 fn a_silent_flood_is_evicted_before_the_usual_clients() {
     let (server, _discovery, node) = small_node(40);
@@ -247,8 +248,8 @@
     assert_eq!(server.count(), 3);
 }
 
-/// The largest number of connections that clients held together which came one after the other, sent one request and kept their
-/// connection until the node closed it. Each must be served.
+/// The largest number of connections that clients held together which came one after the other, sent one
+/// request and kept their connection until the node closed it. Each must be served.
 fn most_held(node: &Node, clients: u64) -> usize {
     let (mut held, mut most) = (Vec::new(), 0);
     for key in 0..clients {
@@ -264,8 +265,8 @@
     most
 }
 
-/// A platform gives its clients a third of a node's descriptors. Clients that send one request and never close held all of these,
-/// and the next one was shut out.
+/// A platform gives its clients a third of a node's descriptors. Clients that send one request and never
+/// close held all of these, and the next one was shut out.
 #[test]
 fn clients_that_never_close_keep_no_further_client_out() {
     let (server, _discovery, node) = small_node(96);
--- a/crates/cache-balancer/tests/common/cache_server.rs
+++ b/crates/cache-balancer/tests/common/cache_server.rs
@@ -99,7 +99,8 @@
         (Self::start(serve), gate)
     }
 
-    /// One that closes the connection of request 1 without a response once the gate is open, and serves all others.
+    /// One that closes the connection of request 1 without a response once the gate is open, and serves all
+    /// others.
     pub fn breaking_the_first(gate: &Gate) -> Self {
         let held = gate.clone();
         Self::start(move |asked| {
--- a/crates/cache-balancer/tests/common/files.rs
+++ b/crates/cache-balancer/tests/common/files.rs
@@ -42,9 +42,9 @@
 
 /// An address on loopback that no other test uses, with a port on which nobody listens.
 ///
-/// A port that a listener has found free and released is not safe to use: a process that another test is just starting may
-/// still hold it (its file descriptors are copied, and closed only when the program begins), and on 127.0.0.1 another test's
-/// connection may take it meanwhile.
+/// A port that a listener has found free and released is not safe to use: a process that another test is just
+/// starting may still hold it (its file descriptors are copied, and closed only when the program begins), and
+/// on 127.0.0.1 another test's connection may take it meanwhile.
 pub fn own_address() -> SocketAddr {
     let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst) % 250;
     let [.., high, low] = std::process::id().to_be_bytes();
--- a/crates/cache-balancer/tests/common/manager.rs
+++ b/crates/cache-balancer/tests/common/manager.rs
@@ -3,8 +3,8 @@
 use std::io::ErrorKind;
 use std::os::unix::net::UnixDatagram;
 
-/// The next notification of a node to its service manager. It reads again after a signal (also one that stops and continues
-/// the whole test), since the system does not resume a read with a time limit.
+/// The next notification of a node to its service manager. It reads again after a signal (also one that stops
+/// and continues the whole test), since the system does not resume a read with a time limit.
 pub fn word(manager: &UnixDatagram) -> String {
     let mut bytes = [0; 4096];
     let length = loop {
--- a/crates/cache-balancer/tests/departures.rs
+++ b/crates/cache-balancer/tests/departures.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect, on sockets: no attempt starts for one that has, however the node learns of it and wherever its
-//! request is just then.
+//! Clients that disconnect, on sockets: no attempt starts for one that has, however the node learns of it and
+//! wherever its request is just then.
 
 mod common;
 mod unreachable;
@@ -28,7 +28,8 @@
     String::from_utf8(read).unwrap()
 }
 
-/// An attempt set out in time and started when its connection came up, long after its client had disconnected.
+/// An attempt set out in time and started when its connection came up, long after its client had
+/// disconnected.
 #[test]
 fn no_attempt_starts_for_a_client_that_left_while_it_was_connecting() {
     let server = Unreachable::start();
@@ -45,7 +46,8 @@
     assert!(first_head(&mut connection).contains("req-id: 2\r\n"));
 }
 
-/// The same with a retry: the first attempt breaks, and its client disconnects while the retry's connection is made.
+/// The same with a retry: the first attempt breaks, and its client disconnects while the retry's connection
+/// is made.
 #[test]
 fn no_retry_starts_for_a_client_that_left_while_it_was_connecting() {
     let unreachable = Unreachable::start();
@@ -53,8 +55,8 @@
     let discovery =
         Discovery::start(&[broken.entry("s-1", "ready"), host("s-2", unreachable.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
-    // Keys whose own server is the unreachable one get there at once: their clients leave too, and so does that of the first key
-    // that comes by way of the broken one.
+    // Keys whose own server is the unreachable one get there at once: their clients leave too, and so does
+    // that of the first key that comes by way of the broken one.
     for key in 1.. {
         let mut client = node.client();
         client.send(&read("read", key, 60_000));
@@ -71,8 +73,8 @@
     assert!(head.is_empty() || head.contains("req-id: ffff\r\n"), "{head}");
 }
 
-/// A client was not seen to disconnect because of what it had pipelined: bytes of a next request, many requests, or more than
-/// the node keeps. The end of its stream stood behind bytes that nobody read.
+/// A client was not seen to disconnect because of what it had pipelined: bytes of a next request, many
+/// requests, or more than the node keeps. The end of its stream stood behind bytes that nobody read.
 #[test]
 fn a_disconnection_is_seen_behind_whatever_was_pipelined() {
     let (server, gate) = CacheServer::gated("value");
@@ -148,7 +150,8 @@
     assert_eq!(one.count() + two.count(), 11);
 }
 
-/// A client connected, sent its request and disconnected before the node accepted it. Its request was forwarded all the same.
+/// A client connected, sent its request and disconnected before the node accepted it. Its request was
+/// forwarded all the same.
 #[test]
 fn a_client_that_left_before_it_was_accepted_has_nothing_forwarded() {
     let (server, gate) = CacheServer::gated("value");
--- a/crates/cache-balancer/tests/descriptors.rs
+++ b/crates/cache-balancer/tests/descriptors.rs
@@ -12,8 +12,8 @@
 /// The connections of clients that such a node holds, and those to cache servers.
 const CONNECTIONS: usize = (DESCRIPTORS - 24) / 2;
 
-/// A node that the system lets hold no more descriptors than its configuration says, with an endpoint list and a discovery that
-/// is not there yet.
+/// A node that the system lets hold no more descriptors than its configuration says, with an endpoint list
+/// and a discovery that is not there yet.
 fn bounded(discovery: SocketAddr, servers: &[CacheServer]) -> Node {
     let entries = servers.iter().enumerate();
     let entries: Vec<_> = entries.map(|(i, server)| server.entry(&format!("s-1{i}"), "ready")).collect();
@@ -35,8 +35,8 @@
     std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count()
 }
 
-/// Waits until the node has the list of `discovery`, moves discovery by a reload to one with a second server, and has the node
-/// serve from that.
+/// Waits until the node has the list of `discovery`, moves discovery by a reload to one with a second server,
+/// and has the node serve from that.
 fn move_discovery(node: &Node, discovery: Discovery, second: &CacheServer, before: usize) {
     discovery.wait_until_told(1);
     assert!(descriptors(node) <= DESCRIPTORS);
@@ -61,7 +61,8 @@
     let (first, second) = (CacheServer::serving("value"), CacheServer::serving("value"));
     let away = own_address();
     let node = bounded(away, &[first]);
-    // More than are accepted: some wait in the system's queue. Some have sent one request, the others nothing.
+    // More than are accepted: some wait in the system's queue. Some have sent one request, the others
+    // nothing.
     let mut rest = Vec::new();
     for key in 1..=CONNECTIONS as u64 {
         let mut client = node.client();
--- a/crates/cache-balancer/tests/repeats.rs
+++ b/crates/cache-balancer/tests/repeats.rs
@@ -9,11 +9,12 @@
 use std::time::{Duration, Instant};
 use unreachable::Unreachable;
 
-/// Shorter than the connection of the retry takes to come up: the system tries again after one second, and after two more.
+/// Shorter than the connection of the retry takes to come up: the system tries again after one second, and
+/// after two more.
 const WINDOW: Duration = Duration::from_secs(2);
 
-/// A retry set out within its deduplication window and started after it, when its connection came up: it would have run a second
-/// time.
+/// A retry set out within its deduplication window and started after it, when its connection came up: it
+/// would have run a second time.
 #[test]
 fn no_retry_starts_after_its_deduplication_window_though_it_set_out_within() {
     let late = Unreachable::start();
--- a/crates/cache-balancer/tests/scale.rs
+++ b/crates/cache-balancer/tests/scale.rs
@@ -15,8 +15,8 @@
 /// Processes of a run have a variable of this name in their environment, with a value of its own.
 const MARK: &str = "PINHEAD_SCALE_TEST";
 
-/// A replica is lost in the middle of changes, and does not come back. It is one of three of small capacity; without the
-/// mechanism it is the one that all nodes know.
+/// A replica is lost in the middle of changes, and does not come back. It is one of three of small capacity;
+/// without the mechanism it is the one that all nodes know.
 const SCRIPT: &str = r#"
 version = 1
 name = "test"
--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -1,4 +1,5 @@
-//! The real nodes of a scale run with the real program: stand-in cache servers and clients around them, judged by the rules.
+//! The real nodes of a scale run with the real program: stand-in cache servers and clients around them,
+//! judged by the rules.
 
 mod common;
 
--- a/crates/cache-balancer/tests/scenario.rs
+++ b/crates/cache-balancer/tests/scenario.rs
@@ -137,16 +137,16 @@
     [[incident]]\nkind = \"half-open\"\nat = \"2s\"\nover = \"1s\"\nshare = 1.0\n\
     [[incident]]\nkind = \"delay\"\nat = \"3s\"\nover = \"1s\"\nshare = 0.5\nextra = \"5ms\"\n";
 
-/// Twenty nodes: a server that returns cold, all nodes reloaded again and again, and replaced by hand-over meanwhile; then all
-/// killed at once.
+/// Twenty nodes: a server that returns cold, all nodes reloaded again and again, and replaced by hand-over
+/// meanwhile; then all killed at once.
 const FLEET: &str = "version = 1\nname = \"fleet\"\nlength = \"8s\"\nnodes = 20\n[load]\nrate = 100\n\
     [[incident]]\nkind = \"crash\"\nat = \"500ms\"\nover = \"1s\"\nshare = 0.05\n\
     [[incident]]\nkind = \"reload\"\nat = \"1s\"\nover = \"4s\"\nshare = 1.0\ntimes = 5\n\
     [[incident]]\nkind = \"upgrade\"\nat = \"1500ms\"\nover = \"4s\"\nshare = 1.0\nbatch = 0.1\n\
     [[incident]]\nkind = \"restart-nodes\"\nat = \"7s\"\nover = \"0s\"\nshare = 1.0\nbatch = 1.0\ndown = \"100ms\"\nkilled = true\n";
 
-/// The daemon itself, with nodes that are killed and shut down, servers that drain, leave and are cut off, and a network that
-/// loses packets, resets connections and forgets them.
+/// The daemon itself, with nodes that are killed and shut down, servers that drain, leave and are cut off,
+/// and a network that loses packets, resets connections and forgets them.
 #[test]
 fn the_daemon_keeps_the_rules_on_sockets_or_the_run_is_reported_void() {
     keeps_the_rules("rough.toml", ROUGH);
--- a/crates/cache-balancer/tests/servers.rs
+++ b/crates/cache-balancer/tests/servers.rs
@@ -62,8 +62,8 @@
     assert_eq!((server.count(), server.connections.load(Ordering::SeqCst)), (10, 1));
 }
 
-/// The status and the number of attempts of a request of this class, where the first attempt meets `does` and all others are
-/// served.
+/// The status and the number of attempts of a request of this class, where the first attempt meets `does` and
+/// all others are served.
 fn after_one(does: fn() -> Does, class: &str) -> (u16, usize) {
     let asked = Arc::new(AtomicU32::new(0));
     let server = || {
@@ -178,8 +178,8 @@
     assert_eq!(after_one(interim, "read"), (200, 1));
 }
 
-/// A server rejects one class (a release that does not know it, say). It lost the keys of all classes, these were missed elsewhere,
-/// and the misses of a whole fleet overload the origin.
+/// A server rejects one class (a release that does not know it, say). It lost the keys of all classes, these
+/// were missed elsewhere, and the misses of a whole fleet overload the origin.
 #[test]
 fn a_class_that_a_server_rejects_leaves_the_keys_of_others_there() {
     let picky = CacheServer::start(|asked| match asked.header("idempotency-key") {
@@ -207,8 +207,8 @@
     }
 }
 
-/// Reads these keys at once. The servers hold the requests that reach them until each has reached one or has its response.
-/// Returns the number that reached one, and all responses.
+/// Reads these keys at once. The servers hold the requests that reach them until each has reached one or has
+/// its response. Returns the number that reached one, and all responses.
 fn at_once(node: &Node, gate: &HoldingGate, keys: std::ops::Range<u64>) -> (usize, Vec<Message>) {
     gate.hold(true);
     let before = gate.reached.load(Ordering::SeqCst);
@@ -252,8 +252,8 @@
     }
 }
 
-/// An overloaded origin failed the misses, clients and node retried them, and the servers never got to cache what they were
-/// asked for: the overload did not end.
+/// An overloaded origin failed the misses, clients and node retried them, and the servers never got to cache
+/// what they were asked for: the overload did not end.
 #[test]
 fn probable_misses_are_limited_while_fetches_fail_and_hits_go_on() {
     let gate = Arc::new(HoldingGate::default());
--- a/crates/cache-balancer/tests/sizes.rs
+++ b/crates/cache-balancer/tests/sizes.rs
@@ -1,5 +1,5 @@
-//! Large fleets on sockets: a node that is one of 1,024 and has an endpoint list of 1,024 cache servers and more. Each of them can
-//! be selected, and gets no request when it drains, however the list arrives.
+//! Large fleets on sockets: a node that is one of 1,024 and has an endpoint list of 1,024 cache servers and
+//! more. Each of them can be selected, and gets no request when it drains, however the list arrives.
 
 mod common;
 
@@ -21,7 +21,8 @@
     (Ipv4Addr::new(127, 1, high, low), port).into()
 }
 
-/// All servers, on one listener. Returns its port, and the set of the servers that got a request, which a test clears.
+/// All servers, on one listener. Returns its port, and the set of the servers that got a request, which a
+/// test clears.
 fn servers() -> (u16, Arc<Mutex<BTreeSet<SocketAddr>>>) {
     let listener = TcpListener::bind("0.0.0.0:0").unwrap();
     let port = listener.local_addr().unwrap().port();
@@ -60,8 +61,8 @@
     }
 }
 
-/// A discovery that sends these lists one after the other, indented and in pieces. Returns its address, and the number of lists
-/// that it may send.
+/// A discovery that sends these lists one after the other, indented and in pieces. Returns its address, and
+/// the number of lists that it may send.
 fn discovery(lists: Vec<Value>) -> (SocketAddr, Arc<Mutex<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -179,7 +180,8 @@
         let memory = own_memory(&node);
         println!("| {servers} | {memory} KiB |");
         if let Some((fewer, less)) = before {
-            // A list as text, as it is held, and as the decisions have it: some KiB for each server, and nothing reserved.
+            // A list as text, as it is held, and as the decisions have it: some KiB for each server, and
+            // nothing reserved.
             let grown = memory.saturating_sub(less);
             assert!(
                 grown <= 8 * (servers - fewer) as u64 + 1_024,
--- a/crates/cache-balancer/tests/stored_data.rs
+++ b/crates/cache-balancer/tests/stored_data.rs
@@ -1,5 +1,6 @@
-//! What version 0.2.0 wrote, and what its operators keep in files, is read as it was: an upgrade must not make logs, results
-//! or scripts unreadable. The samples and what was read from them then stand in `data/version-0.2.0`.
+//! What version 0.2.0 wrote, and what its operators keep in files, is read as it was: an upgrade must not
+//! make logs, results or scripts unreadable. The samples and what was read from them then stand in
+//! `data/version-0.2.0`.
 
 mod common;
 
@@ -32,8 +33,9 @@
     text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
 }
 
-/// The log is a node's that met servers which served, failed, rejected, timed out and were not there, and whose list changed
-/// and broke. A field of a tally line that lost its name would be counted as 0, without a complaint.
+/// The log is a node's that met servers which served, failed, rejected, timed out and were not there, and
+/// whose list changed and broke. A field of a tally line that lost its name would be counted as 0, without a
+/// complaint.
 #[test]
 fn tally_lines_of_version_0_2_0_are_counted_as_they_were() {
     let rows = json_lines(&run(&["aggregate", "--json"], &["tally.log"]));
