--- a/crates/cache-balancer/src/aggregate/tests.rs
+++ b/crates/cache-balancer/src/aggregate/tests.rs
@@ -30,7 +30,7 @@
     assert_eq!(by_span.keys().copied().collect::<Vec<_>>(), [0, 10]);
 }
 
-/// Nodes are notified at different times: a late one still says ready of a server that others know to be
+/// Nodes are notified at different times: a late one still reports as ready a server that others know to be
 /// draining.
 #[test]
 fn late_notifications_bring_no_server_back_and_a_start_makes_it_warm_up() {
--- a/crates/cache-balancer/src/driver/mod.rs
+++ b/crates/cache-balancer/src/driver/mod.rs
@@ -56,7 +56,7 @@
 /// Is called with each [`DiscoveryEvent`].
 pub type DiscoveryObserver = Box<dyn Fn(DiscoveryEvent)>;
 
-/// See the module's page.
+/// The driver of a pool. [`Driver::run`] is its loop.
 pub struct Driver {
     balancer: Balancer,
     clock: Clock,
--- a/crates/cache-balancer/src/fronts/connections/stream.rs
+++ b/crates/cache-balancer/src/fronts/connections/stream.rs
@@ -150,7 +150,7 @@
             let next = if self.state.pipelined.get() { Phase::ReadingRequest } else { Phase::Idle };
             self.state.enter(next);
             if !self.pipelined.is_empty() {
-                // hyper was told that nothing is there to be read.
+                // The last read returned pending: hyper does not read again without a wake-up.
                 cx.waker().wake_by_ref();
             }
         }
--- a/crates/cache-balancer/src/fronts/connections/table.rs
+++ b/crates/cache-balancer/src/fronts/connections/table.rs
@@ -77,7 +77,7 @@
     /// The number of idle connections that are kept while `in_use` carry a request: half of the free
     /// capacity.
     ///
-    /// Guarded against: clients may hold only so many connections, and many of them send one request and
+    /// Guarded against: clients may hold a limited number of connections, and many of them send one request and
     /// never close. Without this limit such connections fill all that clients may hold, and further clients
     /// are shut out while the node is idle, long before its own table is full. The other half of the capacity
     /// stays free for clients without a connection. The limit holds in the same way against a client that
--- a/crates/cache-balancer/src/input.rs
+++ b/crates/cache-balancer/src/input.rs
@@ -53,7 +53,7 @@
     Served(Bytes),
     /// Not carried out, and safe to send again.
     Rejected {
-        /// The client should wait so long before it does.
+        /// The time that the client should wait before it does.
         retry_after: Duration,
     },
     /// Not carried out, or the outcome is unknown.
--- a/crates/cache-balancer/src/scenario/mod.rs
+++ b/crates/cache-balancer/src/scenario/mod.rs
@@ -13,7 +13,7 @@
 use testbed::report::words;
 use testbed::{scenarios, Script};
 
-/// Exit code: a run whose figure would be the machine's.
+/// Exit code: the machine was too busy for the figures of the run to be the program's.
 const VOID: u8 = 3;
 
 #[derive(Debug, Args)]
--- a/crates/cache-balancer/src/scenario/sockets.rs
+++ b/crates/cache-balancer/src/scenario/sockets.rs
@@ -16,7 +16,7 @@
     /// The run could not be carried out.
     #[error("{0}")]
     Run(Box<dyn std::error::Error>),
-    /// Its figures would be the machine's.
+    /// The machine was too busy for its figures to be the program's.
     #[error(transparent)]
     Void(#[from] VoidRun),
 }
--- a/crates/cache-balancer/src/tally/mod.rs
+++ b/crates/cache-balancer/src/tally/mod.rs
@@ -50,7 +50,7 @@
     /// Calls to discovery that failed.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub lists_failed: u32,
-    /// Servers of which a list told a new state.
+    /// Servers of which a list notified a new state.
     #[serde(rename = "told", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub notified: BTreeMap<String, NotifiedState>,
     /// Attempts that ended, by server.
@@ -58,7 +58,7 @@
     pub servers: BTreeMap<String, AttemptCounts>,
 }
 
-/// The state of a server that a list told.
+/// The state of a server of which a list notified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NotifiedState {
@@ -92,7 +92,7 @@
 }
 
 impl AttemptCounts {
-    /// Counts an attempt, unless its status says nothing of the server.
+    /// Counts an attempt, unless its status is not the server's doing.
     fn record(&mut self, status: AttemptStatus) {
         *match status {
             AttemptStatus::Ok | AttemptStatus::Miss => &mut self.ok,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Records that a list told a new state of a server. At most [`MAX_SERVERS`] of a second are kept.
+    /// Records that a list notified a new state of a server. At most [`MAX_SERVERS`] of a second are kept.
     pub fn record_notification(
         &mut self,
         server: &ServerId,
--- a/crates/cache-balancer/src/upstream/attempt.rs
+++ b/crates/cache-balancer/src/upstream/attempt.rs
@@ -14,7 +14,7 @@
 pub struct AttemptResult {
     /// The outcome as the decisions judge it.
     pub status: AttemptStatus,
-    /// Whether the server had the key cached, if it says so.
+    /// Whether the server had the key cached, if its response has it.
     pub cache_result: Option<CacheResult>,
     /// The server's load report.
     pub load: LoadReport,
@@ -120,7 +120,7 @@
         let connecting = timeout_at(condition.limit(deadline), self.connection(server, condition));
         let mut connection = match connecting.await {
             Ok(connected) => connected?,
-            // The end of a deduplication window says nothing of the server.
+            // The end of a deduplication window is no fault of the server.
             Err(_) if !condition.is_met() => return Err(AttemptError::MayNotStart),
             Err(_) => return Err(AttemptError::ConnectDeadline),
         };
--- a/crates/cache-balancer/src/upstream/connection.rs
+++ b/crates/cache-balancer/src/upstream/connection.rs
@@ -43,7 +43,7 @@
 }
 
 impl ConnectError {
-    /// Whether this process lacked a descriptor or an address to connect from, which says nothing of the
+    /// Whether this process lacked a descriptor or an address to connect from, which is no fault of the
     /// server.
     pub fn is_local(&self) -> bool {
         /// Linux: ENFILE, EMFILE and EADDRNOTAVAIL.
--- a/crates/cache-balancer/tests/common/cache_server.rs
+++ b/crates/cache-balancer/tests/common/cache_server.rs
@@ -1,4 +1,4 @@
-//! Cache servers that do as a test says.
+//! Cache servers whose behaviour a test sets.
 
 use super::http::{answer, Message};
 use serde_json::{json, Value};
--- a/crates/cache-balancer/tests/common/discovery.rs
+++ b/crates/cache-balancer/tests/common/discovery.rs
@@ -49,8 +49,8 @@
                             path.split_once("after=").map(|(_, rest)| rest.split('&').next().unwrap());
                         let after = after.map_or(0, |after| after.parse().unwrap());
                         asked.lock().unwrap().push(path);
-                        let (list, news) = &*lists;
-                        let list = news
+                        let (list, changed) = &*lists;
+                        let list = changed
                             .wait_timeout_while(list.lock().unwrap(), PATIENCE, |list| list.seq <= after)
                             .unwrap()
                             .0;
--- a/crates/cache-balancer/tests/common/mod.rs
+++ b/crates/cache-balancer/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! What a node needs around it, on loopback: cache servers and discovery that do as a test says, and clients.
+//! What a node needs around it, on loopback: cache servers and discovery whose behaviour a test sets, and
+//! clients.
 
 // Each test file is a program of its own and uses a part of this.
 #![allow(dead_code, unused_imports)]
--- a/crates/cache-balancer/tests/common/node.rs
+++ b/crates/cache-balancer/tests/common/node.rs
@@ -20,7 +20,7 @@
     pub address: SocketAddr,
     /// Its process.
     pub child: Child,
-    /// Its log up to the line that says where it listens.
+    /// Its log up to the line with its address.
     pub first: String,
     /// The lines of its log after that.
     pub log: Arc<Mutex<Vec<String>>>,
@@ -42,7 +42,7 @@
     pub fn spawn(mut command: Command, config: std::path::PathBuf) -> Self {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        // What it says before it listens.
+        // The lines before it listens.
         let mut first = String::new();
         let address = loop {
             let mut line = String::new();
--- a/crates/cache-balancer/tests/sizes.rs
+++ b/crates/cache-balancer/tests/sizes.rs
@@ -66,26 +66,26 @@
 fn discovery(lists: Vec<Value>) -> (SocketAddr, Arc<Mutex<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (told, let_go) = (Arc::new(Mutex::new(0)), Arc::new(Mutex::new(1)));
-    let most = let_go.clone();
+    let (sent, allowed) = (Arc::new(Mutex::new(0)), Arc::new(Mutex::new(1)));
+    let limit = allowed.clone();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let (lists, told, most) = (lists.clone(), told.clone(), most.clone());
+            let (lists, sent, limit) = (lists.clone(), sent.clone(), limit.clone());
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 let mut stream = stream;
                 while let Ok(Some(_)) = Message::read(&mut reader) {
-                    let next = *told.lock().unwrap();
-                    while next >= *most.lock().unwrap() {
+                    let next = *sent.lock().unwrap();
+                    while next >= *limit.lock().unwrap() {
                         thread::sleep(Duration::from_millis(5));
                     }
-                    *told.lock().unwrap() += 1;
+                    *sent.lock().unwrap() += 1;
                     in_pieces(&mut stream, &serde_json::to_string_pretty(&lists[next]).unwrap());
                 }
             });
         }
     });
-    (address, let_go)
+    (address, allowed)
 }
 
 /// Reads keys until each of these servers has got a request. Returns the other servers that got one.
@@ -122,14 +122,14 @@
         json!({"seq": 1, "whole": true, "hosts": entries(0..SERVERS, port, "ready")}),
         json!({"seq": 2, "whole": false, "hosts": changes}),
     ];
-    let (address, let_go) = discovery(lists);
+    let (address, allowed) = discovery(lists);
     let mut config = config(address);
     // The servers that it knows at its start have left since.
     config["known"] = json!({"seq": 0, "whole": true, "hosts": entries(old.clone(), port, "ready")});
     config["settings"]["balancers"] = json!(NODES);
     config["seed"] = json!("8c1f30d27a5be964");
     let node = Node::ready(&config);
-    *let_go.lock().unwrap() = 1;
+    *allowed.lock().unwrap() = 1;
     // The list that it starts with holds until another has come.
     wait_for("the snapshot", || {
         met.lock().unwrap().clear();
@@ -138,7 +138,7 @@
     });
     let others = meet(&node, &met, &addresses(&mut (0..SERVERS)));
     assert_eq!(others.len(), 0, "{others:?}");
-    *let_go.lock().unwrap() = 2;
+    *allowed.lock().unwrap() = 2;
     wait_for("the delta", || {
         met.lock().unwrap().clear();
         (0..200).for_each(|key| drop(node.read("read", key)));
@@ -153,7 +153,7 @@
     let (port, met) = servers();
     let mut hosts = entries(0..5_000, port, "draining");
     hosts[4_999] = entries(4_999..5_000, port, "ready").remove(0);
-    let (address, _let_go) = discovery(vec![json!({"seq": 1, "whole": true, "hosts": hosts})]);
+    let (address, _allowed) = discovery(vec![json!({"seq": 1, "whole": true, "hosts": hosts})]);
     let node = Node::ready(&config(address));
     assert_eq!(node.read("read", 1).status(), 200);
     assert_eq!(met.lock().unwrap().iter().collect::<Vec<_>>(), [&dial(4_999, port)]);
@@ -174,7 +174,7 @@
     for servers in [20, 350, 1_024, 5_000] {
         let (port, _) = self::servers();
         let list = json!({"seq": 1, "whole": true, "hosts": entries(0..servers, port, "ready")});
-        let (address, _let_go) = discovery(vec![list]);
+        let (address, _allowed) = discovery(vec![list]);
         let node = Node::ready(&config(address));
         assert_eq!(node.read("read", 1).status(), 200);
         let memory = own_memory(&node);
