--- a/crates/cache-balancer/src/upstream/attempt.rs
+++ b/crates/cache-balancer/src/upstream/attempt.rs
@@ -14,7 +14,7 @@
 pub struct AttemptResult {
     /// The outcome as the decisions judge it.
     pub status: AttemptStatus,
-    /// Whether the server had the key cached, if it says so.
+    /// Whether the server had the key cached, if its response has it.
     pub cache_result: Option<CacheResult>,
     /// The server's load report.
     pub load: LoadReport,
@@ -80,7 +80,8 @@
 }
 
 impl Upstream {
-    /// Makes one attempt at a server. Ends when its response is whole, its connection breaks or `deadline` comes.
+    /// Makes one attempt at a server. Ends when its response is whole, its connection breaks or `deadline`
+    /// comes.
     pub async fn attempt(
         &self,
         server: &ServerId,
@@ -108,8 +109,8 @@
         condition: &StartCondition,
         deadline: Instant,
     ) -> Result<AttemptResult, AttemptError> {
-        // Either may also change while the connection is being made: the connection checks both once more before
-        // the first byte.
+        // Either may also change while the connection is being made: the connection checks both once more
+        // before the first byte.
         if !condition.is_met() {
             return Err(AttemptError::MayNotStart);
         }
@@ -119,7 +120,7 @@
         let connecting = timeout_at(condition.limit(deadline), self.connection(server, condition));
         let mut connection = match connecting.await {
             Ok(connected) => connected?,
-            // The end of a deduplication window says nothing of the server.
+            // The end of a deduplication window is no fault of the server.
             Err(_) if !condition.is_met() => return Err(AttemptError::MayNotStart),
             Err(_) => return Err(AttemptError::ConnectDeadline),
         };
@@ -144,8 +145,8 @@
     }
 }
 
-/// Why an exchange has no response, by how far its request was written. `broken` is the error of its connection, or
-/// `None` if the deadline came.
+/// Why an exchange has no response, by how far its request was written. `broken` is the error of its
+/// connection, or `None` if the deadline came.
 fn exchange_error(
     progress: &WriteProgress,
     condition: &StartCondition,
