--- a/crates/balancer-core/tests/common/mod.rs
+++ b/crates/balancer-core/tests/common/mod.rs
@@ -4,8 +4,7 @@
 //! new is sent to a server that is draining or removed. (Rule 4, the budget of warming servers, is checked by the tests
 //! of it.)
 
-// Each test file compiles this module for itself, and uses a part of it.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file compiles this module for itself and uses a part of it")]
 
 use balancer_core::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cache-balancer/src/tally/mod.rs
+++ b/crates/cache-balancer/src/tally/mod.rs
@@ -126,8 +126,7 @@
     }
 }
 
-// serde passes a reference.
-#[allow(clippy::trivially_copy_pass_by_ref)]
+#[allow(clippy::trivially_copy_pass_by_ref, reason = "serde passes a reference")]
 fn is_zero(count: &u32) -> bool {
     *count == 0
 }
--- a/crates/cache-balancer/tests/common/mod.rs
+++ b/crates/cache-balancer/tests/common/mod.rs
@@ -2,7 +2,11 @@
 //! clients.
 
 // Each test file is a program of its own and uses a part of this.
-#![allow(dead_code, unused_imports)]
+#![allow(
+    dead_code,
+    unused_imports,
+    reason = "each test file compiles this module for itself and uses a part of it"
+)]
 
 mod cache_server;
 mod client;
--- a/crates/cache-balancer/tests/handover_support/mod.rs
+++ b/crates/cache-balancer/tests/handover_support/mod.rs
@@ -1,6 +1,6 @@
 //! What the tests of the hand-over share: nodes that can be taken over from, clients under load, and scripted peers.
 // Each test file uses a part of it.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file compiles this module for itself and uses a part of it")]
 
 pub mod recorded;
 pub mod scripted;
--- a/crates/cache-balancer/tests/unreachable/mod.rs
+++ b/crates/cache-balancer/tests/unreachable/mod.rs
@@ -1,5 +1,5 @@
 //! A cache server to which connections come up only when a test allows it.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file compiles this module for itself and uses a part of it")]
 
 use crate::common::*;
 use socket2::{Domain, SockAddr, Socket, Type};
