--- a/crates/balancer-core/src/balance.rs
+++ b/crates/balancer-core/src/balance.rs
@@ -5,7 +5,7 @@
 //! together:
 //!
 //! - where a request goes: `rendezvous` (weighted rendezvous hashing), [`hot_keys`](crate::hot_keys)
-//!   (replicas of hot keys), `servers` and `server_kinds` (capacity), `slow_start`, `selection` (the wiring);
+//!   (replicas of hot keys), `servers` and `server_kinds` (capacity), `slow_start`, `selection`;
 //! - how much a server is sent: `concurrency_limit`, `circuit_breaker` and `outlier_detection` (ejection);
 //! - what the origin is sent: `cached_keys`, `fetch_limit`, `origin_breaker`;
 //! - what is sent at all: [`admission`](crate::admission), `retry_budget`, `queue`, `retry_after`, `dispatch`
--- a/crates/balancer-core/src/balance/attempt_results.rs
+++ b/crates/balancer-core/src/balance/attempt_results.rs
@@ -16,6 +16,8 @@
 const SPARE_CPU_UTILIZATION: f64 = 0.8;
 /// Up to this many nodes, each meets a server often enough for its reports of queues to explain its latency.
 const MAX_NODES_FOR_QUEUE_REPORTS: u32 = 100;
+/// A reported queue shorter than this is empty, in requests.
+const EMPTY_QUEUE_BELOW: f64 = 1.0;
 /// Least expected work of a request, in seconds.
 const EXPECTED_WORK_MIN_SECONDS: f64 = 1e-6;
 
@@ -92,13 +94,15 @@
         outcome: &AttemptOutcome,
         origin_at_fault: bool,
     ) -> Evidence {
+        let queue_was_empty =
+            server.is_some_and(|index| self.selector(now).has_empty_queue(&self.servers[index]));
         let in_time_limit = self.request_costs.in_time_limit(&pending.request, pending.class());
         let load = &outcome.load;
         Evidence {
             in_time: outcome.elapsed <= in_time_limit,
             spare_cpu: load.cpu_utilization.is_some_and(|utilization| utilization < SPARE_CPU_UTILIZATION),
-            queue_was_empty: server.is_some_and(|index| self.has_empty_queue(&self.servers[index], now)),
-            queue_is_empty: load.queue_length.map(|length| length < 1.0),
+            queue_was_empty,
+            queue_is_empty: load.queue_length.map(|length| length < EMPTY_QUEUE_BELOW),
             queue_explains_latency: self.settings.nodes <= MAX_NODES_FOR_QUEUE_REPORTS,
             origin_at_fault,
         }
@@ -127,8 +131,7 @@
             && !ended.fetched
             && !is_warming_up(&server.endpoint, &self.settings, now);
         if shows_speed {
-            let kind = server.kind;
-            self.servers.kinds.record(kind, ended.outcome.elapsed, ended.expected_seconds);
+            self.servers.record_latency(index, ended.outcome.elapsed, ended.expected_seconds);
         }
     }
 
--- a/crates/balancer-core/src/balance/concurrency_limit.rs
+++ b/crates/balancer-core/src/balance/concurrency_limit.rs
@@ -10,9 +10,12 @@
 /// Initial limit of all nodes together, in requests.
 const INITIAL_LIMIT_OF_ALL_NODES: f64 = 16.0;
 /// Least initial limit of one node, in requests.
-const INITIAL_LIMIT_MIN: f64 = 1.0;
+pub const INITIAL_LIMIT_MIN: f64 = 1.0;
 /// Lowest limit, in requests.
 const LIMIT_MIN: f64 = 0.05;
+/// The limit rises only while this part of it or more is in use, as a divisor. A limit that is not used shows
+/// nothing of what a higher one would do.
+const USED_PART_DIVISOR: f64 = 2.0;
 /// Step up for an answer in time, in requests.
 const INCREASE: f64 = 0.1;
 /// Step down for a late answer, a time-out or a full queue, in requests.
@@ -60,8 +63,7 @@
     /// Adapts the limit to the result of a request, which is no longer in flight.
     pub fn on_result(&mut self, assessment: Assessment) {
         match assessment {
-            // A limit that is not used shows nothing of what a higher one would do.
-            Assessment::InTime if f64::from(self.in_flight) * 2.0 >= self.limit => self.limit += INCREASE,
+            Assessment::InTime if self.is_used() => self.limit += INCREASE,
             Assessment::LateWithEmptyQueue => self.decrease(DECREASE_EMPTY_QUEUE),
             Assessment::LateUnderLoad
             | Assessment::QueueFull
@@ -72,6 +74,10 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
+    fn is_used(&self) -> bool {
+        f64::from(self.in_flight) * USED_PART_DIVISOR >= self.limit
+    }
+
     fn decrease(&mut self, step: f64) {
         self.limit = (self.limit - step).max(LIMIT_MIN);
     }
--- a/crates/balancer-core/src/balance/dispatch.rs
+++ b/crates/balancer-core/src/balance/dispatch.rs
@@ -5,7 +5,7 @@
 use super::request::{placement_key, Attempt, PendingRequest};
 use super::retry_after::retry_after;
 use super::retry_budget::AttemptKind;
-use super::selection::FetchPolicy;
+use super::selection::{FetchPolicy, Selector};
 use super::slow_start::is_warming_up;
 use super::Balancer;
 use crate::admission::{shared_random, time_to_next_period};
@@ -38,7 +38,7 @@
             return self.give_up(now, pending, actions);
         }
         let fetches = self.fetch_policy(&pending);
-        match self.select(now, &pending, fetches) {
+        match self.selector(now).select(&pending, fetches) {
             Some(index) => {
                 self.retry_budget.on_send(kind);
                 self.send(now, index, pending, actions);
@@ -53,6 +53,20 @@
         self.pending.insert(pending.request.id.clone(), pending);
     }
 
+    /// What selects servers now.
+    pub(super) fn selector(&self, now: Timestamp) -> Selector<'_> {
+        Selector {
+            now,
+            settings: &self.settings,
+            seed: self.seed,
+            initial_limit: self.initial_limit,
+            servers: &self.servers,
+            slow_start: &self.slow_start,
+            hot_keys: &self.hot_keys,
+            cache_marks: &self.cache_marks,
+        }
+    }
+
     /// Whether this is a read of a key that its server holds, by the last answer.
     fn is_cached(&self, request: &Request) -> bool {
         !request.write && self.cached_keys.contains(placement_key(request))
@@ -112,7 +126,7 @@
 
     fn send(&mut self, now: Timestamp, index: usize, mut pending: PendingRequest, actions: &mut Vec<Action>) {
         let is_cached = self.is_cached(&pending.request);
-        let probable_miss = self.is_probable_miss(&pending.request, &self.servers[index]);
+        let probable_miss = self.selector(now).is_probable_miss(&pending.request, &self.servers[index]);
         self.fetch_limit.on_send(probable_miss);
         let server = &mut self.servers[index];
         let is_warming_up = is_warming_up(&server.endpoint, &self.settings, now);
--- a/crates/balancer-core/src/balance/fetch_limit.rs
+++ b/crates/balancer-core/src/balance/fetch_limit.rs
@@ -20,8 +20,8 @@
 const DECREASE_FACTOR: f64 = 0.7;
 /// Step up for each probable miss that is served, in requests.
 const INCREASE: f64 = 0.1;
-/// The limit rises only while this fraction of it or more is in use.
-const USED_FRACTION_DIVISOR: f64 = 4.0;
+/// The limit rises only while this part of it or more is in use, as a divisor.
+const USED_PART_DIVISOR: f64 = 4.0;
 /// Lowest limit of all nodes together, in requests.
 const LIMIT_MIN_OF_ALL_NODES: f64 = 1.0;
 
@@ -112,7 +112,7 @@
     }
 
     fn increase(&mut self, in_flight: f64) {
-        if let Some(limit) = self.limit.filter(|limit| in_flight * USED_FRACTION_DIVISOR >= *limit) {
+        if let Some(limit) = self.limit.filter(|limit| in_flight * USED_PART_DIVISOR >= *limit) {
             self.limit = Some(limit + INCREASE);
         }
     }
--- a/crates/balancer-core/src/balance/retry_budget.rs
+++ b/crates/balancer-core/src/balance/retry_budget.rs
@@ -8,6 +8,8 @@
 
 /// Paid in by each request, in retries.
 const DEPOSIT_PER_REQUEST: f64 = 0.2;
+/// Paid by each retry.
+const RETRY_COST: f64 = 1.0;
 /// Largest balance, in retries.
 const BALANCE_MAX: f64 = 10.0;
 
@@ -39,7 +41,7 @@
         match self {
             Self::Regular => DEPOSIT_PER_REQUEST,
             Self::AfterConnectError => 0.0,
-            Self::Retry => -1.0,
+            Self::Retry => -RETRY_COST,
         }
     }
 }
@@ -61,7 +63,7 @@
 impl RetryBudget {
     /// Whether an attempt of this kind may be made.
     pub fn allows(&self, kind: AttemptKind) -> bool {
-        kind != AttemptKind::Retry || self.balance >= 1.0
+        kind != AttemptKind::Retry || self.balance >= RETRY_COST
     }
 
     /// Pays for an attempt, or is paid for it.
--- a/crates/balancer-core/src/balance/servers.rs
+++ b/crates/balancer-core/src/balance/servers.rs
@@ -25,7 +25,7 @@
     /// Its entry on the list.
     pub endpoint: Endpoint,
     /// Index of its kind.
-    pub kind: usize,
+    kind: usize,
     /// Hash of its identity.
     pub hash: u64,
     /// Its circuit breakers.
@@ -88,14 +88,13 @@
 pub struct ServerList {
     /// Sorted by id. Draining servers stay until discovery removes them.
     servers: Vec<Server>,
-    /// Kinds of the servers.
-    pub kinds: ServerKinds,
+    kinds: ServerKinds,
     list_received: bool,
 }
 
 impl ServerList {
-    /// Takes on an update of the list. Servers that a complete list lacks are removed. Limits of new servers
-    /// start at `initial_limit`.
+    /// Takes on a complete list: servers that it lacks are removed. Limits of new servers start at
+    /// `initial_limit`.
     pub fn apply_snapshot(
         &mut self,
         endpoints: &[Endpoint],
@@ -175,6 +174,12 @@
         (server.endpoint.weight * speed * warm_up_fraction).max(CAPACITY_MIN)
     }
 
+    /// Counts the latency of an answer of a server, for the speed of its kind. `expected_seconds` is its
+    /// expected work, above 0.
+    pub fn record_latency(&mut self, index: usize, latency: Duration, expected_seconds: f64) {
+        self.kinds.record(self.servers[index].kind, latency, expected_seconds);
+    }
+
     /// Present capacity of all cache servers that take requests.
     pub fn total_capacity(&self, settings: &Settings, now: Timestamp) -> f64 {
         let caches = self.servers.iter().filter(|server| server.is_ready_cache(settings));
