--- a/crates/balancer-core/benches/servers.rs
+++ b/crates/balancer-core/benches/servers.rs
@@ -1,4 +1,4 @@
-//! What one decision, one whole list and one change cost by the number of cache servers.
+//! The cost of one request, one snapshot and one delta by the number of cache servers.
 //!
 //! `cargo bench -p balancer-core --bench servers`. The largest size is meant for prediction: fit the others, then compare.
 
@@ -9,27 +9,27 @@
 use criterion::{BatchSize, BenchmarkId, Criterion};
 use std::time::Duration;
 
-/// Cache servers: about those of today, of each doubling up to the planned size, and one size beyond.
+/// Numbers of cache servers: about that of today, each doubling up to the planned size, and one size beyond.
 const SERVERS: [u32; 6] = [79, 138, 275, 550, 1_100, 2_200];
 const NODES: u32 = 5_900;
 const START: Timestamp = Timestamp::from_micros(3_000_000_000);
 /// One node's part of the planned peak: 3.4 million requests a second over 5,900 nodes.
-const BETWEEN_REQUESTS: Duration = Duration::from_micros(1_736);
+const REQUEST_INTERVAL: Duration = Duration::from_micros(1_736);
 const WARM_UP_REQUESTS: u64 = 2_000;
 const KEYS: u64 = 100_003;
 
-fn entry(number: u32) -> Endpoint {
+fn endpoint(number: u32) -> Endpoint {
     Endpoint {
         zone: Some(["a", "b"][number as usize % 2].into()),
         ..Endpoint::new(&format!("s-{number:05}"))
     }
 }
 
-fn entries(count: u32) -> Vec<Endpoint> {
-    (0..count).map(entry).collect()
+fn endpoints(count: u32) -> Vec<Endpoint> {
+    (0..count).map(endpoint).collect()
 }
 
-/// A node with a list of so many servers, and the clock and count of requests that it has had.
+/// A node with this many servers, its clock and its number of requests so far.
 struct Fixture {
     balancer: Balancer,
     actions: Vec<Action>,
@@ -48,7 +48,7 @@
             Settings { zone: Some("a".into()), nodes: NODES, classes: vec![class], ..Settings::default() };
         let mut fixture =
             Self { balancer: Balancer::new(settings, 1), actions: Vec::new(), now: START, requests: 0 };
-        fixture.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(entries(servers).into())));
+        fixture.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints(servers).into())));
         for _ in 0..WARM_UP_REQUESTS {
             fixture.serve_request();
         }
@@ -63,7 +63,7 @@
     /// One request from its arrival to its answer.
     fn serve_request(&mut self) {
         self.requests += 1;
-        self.now = self.now + BETWEEN_REQUESTS;
+        self.now = self.now + REQUEST_INTERVAL;
         let id = format!("r-{}", self.requests);
         let mut request = Request::new(&id, self.now + Duration::from_millis(500));
         request.class = Some(ClassId(0));
@@ -97,11 +97,11 @@
     }
 }
 
-fn whole_lists(criterion: &mut Criterion) {
+fn snapshots(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one whole list");
     for servers in SERVERS {
         let mut fixture = Fixture::new(servers);
-        let list = entries(servers);
+        let list = endpoints(servers);
         group.bench_function(BenchmarkId::from_parameter(servers), |bencher| {
             bencher.iter_batched(
                 || Event::EndpointsUpdated(EndpointUpdate::Snapshot(list.clone().into())),
@@ -112,7 +112,7 @@
     }
 }
 
-fn changes(criterion: &mut Criterion) {
+fn deltas(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one change");
     for servers in SERVERS {
         let mut fixture = Fixture::new(servers);
@@ -120,8 +120,8 @@
         group.bench_function(BenchmarkId::from_parameter(servers), |bencher| {
             bencher.iter(|| {
                 ready = !ready;
-                let availability = if ready { EndpointState::Ready } else { EndpointState::Draining };
-                let changed = Endpoint { state: availability, ..entry(0) };
+                let state = if ready { EndpointState::Ready } else { EndpointState::Draining };
+                let changed = Endpoint { state, ..endpoint(0) };
                 fixture.handle(Event::EndpointsUpdated(EndpointUpdate::Delta([changed].into())));
             });
         });
@@ -135,7 +135,7 @@
         .measurement_time(Duration::from_secs(2))
         .configure_from_args();
     requests(&mut criterion);
-    whole_lists(&mut criterion);
-    changes(&mut criterion);
+    snapshots(&mut criterion);
+    deltas(&mut criterion);
     criterion.final_summary();
 }
--- a/crates/balancer-core/src/admission.rs
+++ b/crates/balancer-core/src/admission.rs
@@ -42,9 +42,9 @@
 /// For this time a key has the same random number at all nodes: clients that are rejected retry sooner.
 const SHARED_RANDOM_PERIOD: Duration = Duration::from_secs(1);
 
-/// How an attempt ended, as far as it shows the load of the fleet. Connections that failed or broke show nothing of it.
+/// What the result of an attempt shows of the load of the fleet. Connections that failed or broke show nothing of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum LoadSignal {
     /// Answered in time.
     Answered,
     /// Answered late, or nearly so.
@@ -55,7 +55,8 @@
     QueueFull,
 }
 
-impl AttemptEnd {
+impl LoadSignal {
+    /// What it counts against the level, from 0 to 1.
     fn weight(self) -> f64 {
         match self {
             Self::Answered => 0.0,
@@ -113,10 +114,10 @@
         self.demand = former.iter().map(demand).collect();
     }
 
-    /// Counts the end of an attempt.
-    pub fn record(&mut self, now: Timestamp, end: AttemptEnd) {
+    /// Counts the result of an attempt.
+    pub fn record(&mut self, now: Timestamp, signal: LoadSignal) {
         self.decay(now);
-        let weight = end.weight();
+        let weight = signal.weight();
         self.attempts += 1.0;
         self.failures += weight;
         let failure_rate = self.failures / (self.attempts + PRIOR_ANSWERS);
--- a/crates/balancer-core/src/balance/assessment.rs
+++ b/crates/balancer-core/src/balance/assessment.rs
@@ -1,7 +1,7 @@
 //! What the result of an attempt shows: of its server, of its class at that server, and of the fleet's load.
 
 use super::circuit_breaker::CallResult;
-use crate::admission::AttemptEnd;
+use crate::admission::LoadSignal;
 use crate::requests::AttemptStatus;
 
 /// What is known about an attempt that has ended, besides its status.
@@ -137,12 +137,12 @@
     }
 
     /// What admission control is to count, if anything.
-    pub fn admission_evidence(self) -> Option<AttemptEnd> {
+    pub fn load_signal(self) -> Option<LoadSignal> {
         match self {
-            Self::InTime | Self::LateWithSpareCpu | Self::LateWithEmptyQueue => Some(AttemptEnd::Answered),
-            Self::LateUnderLoad => Some(AttemptEnd::Late),
-            Self::QueueFull => Some(AttemptEnd::QueueFull),
-            Self::TimedOut | Self::FetchTimedOut => Some(AttemptEnd::TimedOut),
+            Self::InTime | Self::LateWithSpareCpu | Self::LateWithEmptyQueue => Some(LoadSignal::Answered),
+            Self::LateUnderLoad => Some(LoadSignal::Late),
+            Self::QueueFull => Some(LoadSignal::QueueFull),
+            Self::TimedOut | Self::FetchTimedOut => Some(LoadSignal::TimedOut),
             Self::ClassRejected
             | Self::TimedOutWithEmptyQueue
             | Self::FetchFailed
--- a/crates/balancer-core/src/balance/attempt_results.rs
+++ b/crates/balancer-core/src/balance/attempt_results.rs
@@ -149,8 +149,8 @@
         }
         // A miss that the balancer itself goes on to fetch is no answer yet.
         let is_miss = ended.outcome.status == AttemptStatus::Miss;
-        if let Some(evidence) = assessment.admission_evidence().filter(|_| !is_miss) {
-            self.admission.record(now, evidence);
+        if let Some(signal) = assessment.load_signal().filter(|_| !is_miss) {
+            self.admission.record(now, signal);
         }
         let server = &mut self.servers[index];
         if let Some(is_empty) = queue_is_empty {
--- a/crates/balancer-core/src/hot_keys/tests.rs
+++ b/crates/balancer-core/src/hot_keys/tests.rs
@@ -23,7 +23,7 @@
     // A tenth of the work of 60 servers is six shares, of three servers each.
     let replicas = keys.replication_factor(at(end), 7, 60);
     assert!((17..=19).contains(&replicas), "{replicas}");
-    assert_eq!(keys.replication_factor(at(end), 1_500, 60), 1, "asked for once");
+    assert_eq!(keys.replication_factor(at(end), 1_500, 60), 1, "requested once");
     assert_eq!(keys.replication_factor(at(end), 7, 3), 1, "less than a third of one share of three");
     let end = send(&mut keys, end, 6_000, 6_001);
     assert_eq!(keys.replication_factor(at(end), 7, 60), 1, "a minute later");
@@ -32,9 +32,9 @@
 #[test]
 fn no_key_is_hot_before_there_is_a_sample() {
     let mut keys = HotKeys::default();
-    assert_eq!(keys.replication_factor(at(0), 7, 60), 1, "never met");
+    assert_eq!(keys.replication_factor(at(0), 7, 60), 1, "never requested");
     keys.record(at(0), 7);
-    assert_eq!(keys.replication_factor(at(0), 7, 60), 1, "met once: all there is, and no sample");
+    assert_eq!(keys.replication_factor(at(0), 7, 60), 1, "requested once: the only request, and no sample");
     assert_eq!(keys.replication_factor(at(0), 7, 0), 0);
 }
 
@@ -53,7 +53,7 @@
         .filter(|key| **key != 7)
         .map(|key| keys.replication_factor(at(end), *key, 60))
         .max();
-    assert_eq!(most, Some(1), "what took another's place is not hot by its count");
+    assert_eq!(most, Some(1), "a key that took another's place is not hot by its count");
 }
 
 /// The weight of a request grows exponentially: after a long idle time it is infinite, and no key would ever be hot again.
--- a/crates/balancer-core/tests/admission.rs
+++ b/crates/balancer-core/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Admission control: what is rejected before it is sent, by one node and by hundreds.
 
-use balancer_core::admission::{AdmissionController, AttemptEnd};
+use balancer_core::admission::{AdmissionController, LoadSignal};
 use balancer_core::{RequestClass, Timestamp};
 
 fn at(ms: u64) -> Timestamp {
@@ -8,11 +8,11 @@
 }
 
 /// A full queue, or an answer in time.
-fn full_queue_if(full: bool) -> AttemptEnd {
+fn full_queue_if(full: bool) -> LoadSignal {
     if full {
-        AttemptEnd::QueueFull
+        LoadSignal::QueueFull
     } else {
-        AttemptEnd::Answered
+        LoadSignal::Answered
     }
 }
 
@@ -52,14 +52,14 @@
 #[test]
 fn least_weight_for_its_work_is_rejected_first_and_each_class_keeps_a_part() {
     let mut controller = AdmissionController::default();
-    (0..12).for_each(|_| controller.record(at(0), AttemptEnd::QueueFull));
+    (0..12).for_each(|_| controller.record(at(0), LoadSignal::QueueFull));
     let level = controller.level();
     assert!((0.4..0.6).contains(&level), "{level}");
     let [light, heavy] = admitted(&mut controller, 0);
     // The light class is a fifth of the work, and is admitted whole.
     assert!(light > 0.98, "{light}");
     assert!((heavy - (1.0 - (1.0 - level) * 5.0 / 4.0)).abs() < 0.05, "{heavy} at {level}");
-    (0..100).for_each(|_| controller.record(at(1_000), AttemptEnd::QueueFull));
+    (0..100).for_each(|_| controller.record(at(1_000), LoadSignal::QueueFull));
     let [light, heavy] = admitted(&mut controller, 1_000);
     assert!((0.05..0.95).contains(&light) && (0.05..0.2).contains(&heavy), "{light} and {heavy}");
 }
@@ -68,10 +68,10 @@
 #[test]
 fn admission_is_full_again_a_hundred_answers_after_an_overload() {
     let mut controller = AdmissionController::default();
-    (0..100).for_each(|i| controller.record(at(i * 10), AttemptEnd::QueueFull));
+    (0..100).for_each(|i| controller.record(at(i * 10), LoadSignal::QueueFull));
     assert!(controller.level() < 0.15, "{}", controller.level());
     // 15 answers a second, from 2 s later on.
-    (0..100).for_each(|i| controller.record(at(3_000 + i * 66), AttemptEnd::Answered));
+    (0..100).for_each(|i| controller.record(at(3_000 + i * 66), LoadSignal::Answered));
     assert_eq!(controller.level(), 1.0);
 }
 
@@ -138,12 +138,12 @@
 fn time_outs_at_a_third_of_servers_lower_nothing_and_late_answers_do() {
     let mut zone_lost = AdmissionController::default();
     (0..300).for_each(|i| {
-        zone_lost.record(at(i * 60), if i % 3 == 0 { AttemptEnd::TimedOut } else { AttemptEnd::Answered })
+        zone_lost.record(at(i * 60), if i % 3 == 0 { LoadSignal::TimedOut } else { LoadSignal::Answered })
     });
     assert!(zone_lost.level() > 0.9, "{}", zone_lost.level());
     let mut overloaded = AdmissionController::default();
     (0..300).for_each(|i| {
-        overloaded.record(at(i * 60), if i % 3 == 0 { AttemptEnd::Late } else { AttemptEnd::Answered })
+        overloaded.record(at(i * 60), if i % 3 == 0 { LoadSignal::Late } else { LoadSignal::Answered })
     });
     assert!(overloaded.level() < 0.5, "{}", overloaded.level());
 }
@@ -152,7 +152,7 @@
 #[test]
 fn a_class_that_changes_places_is_rejected_as_before() {
     let mut controller = AdmissionController::default();
-    (0..12).for_each(|_| controller.record(at(0), AttemptEnd::QueueFull));
+    (0..12).for_each(|_| controller.record(at(0), LoadSignal::QueueFull));
     admitted(&mut controller, 0);
     let mut swapped = controller.clone();
     swapped.reassign_classes(&[Some(1), Some(0), None]);
