--- a/crates/cache-balancer/src/scale.rs
+++ b/crates/cache-balancer/src/scale.rs
@@ -149,7 +149,7 @@
 fn check(name: &str) -> ExitCode {
     let Some(script) = script(name) else { return ExitCode::from(UNUSABLE) };
     println!("{}: {} over {}", name, script.name, time_text(script.length));
-    let needs = testbed::scale::needs::Needs::of(&script);
+    let needs = testbed::scale::requirements::Requirements::of(&script);
     let mib = needs.memory_bytes.div_ceil(1 << 20);
     println!(
         "  needs {} processes, {} descriptors in one of them, {mib} MiB",
--- a/crates/cache-balancer/src/scale/virtual_time.rs
+++ b/crates/cache-balancer/src/scale/virtual_time.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use testbed::scale::scenarios;
 use testbed::scale::virtual_time::scenes::{self, Size, VIRTUAL_ONLY};
-use testbed::scale::virtual_time::{play, table, Scene, SceneError};
+use testbed::scale::virtual_time::{table, Scene, SceneError};
 use testbed::scale::ScaleScript;
 
 /// Plays a scene and prints what came of it.
@@ -21,7 +21,7 @@
         Ok(scene) => scene,
         Err(error) => return failed(&error.to_string()),
     };
-    let outcome = play(&scene);
+    let outcome = testbed::scale::virtual_time::run(&scene);
     if !arguments.json {
         println!("{}", table([(scene.script.name.as_str(), &outcome)]));
         return ExitCode::SUCCESS;
--- a/crates/cache-balancer/tests/scale.rs
+++ b/crates/cache-balancer/tests/scale.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
-use testbed::scale::events::{plan, servers_at_start, Step};
 use testbed::scale::messages::Answering;
+use testbed::scale::steps::{plan, servers_at_start, Step};
 use testbed::scale::{ScaleReport, ScaleScript};
 
 const NODES: u64 = 300;
--- a/crates/testbed/examples/control_plane.rs
+++ b/crates/testbed/examples/control_plane.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use testbed::scale::messages::ReplicaCapacity;
 use testbed::scale::virtual_time::scenes::{named, names, Size};
-use testbed::scale::virtual_time::{play, table};
+use testbed::scale::virtual_time::{run as run_scene, table};
 
 const USAGE: &str = "expected: off|on LINES-A-SECOND LINES-OF-A-CONTINUED-CALL [SCENE...]";
 const NODES: u32 = 5_900;
@@ -50,7 +50,7 @@
     for name in wanted {
         let scene = named(&name, &size).map_err(|error| error.to_string())?;
         eprintln!("{name}");
-        let outcome = play(&scene);
+        let outcome = run_scene(&scene);
         rows.push((name, outcome));
     }
     println!("{}", table(rows.iter().map(|(name, outcome)| (name.as_str(), outcome))));
--- a/crates/testbed/src/counts.rs
+++ b/crates/testbed/src/counts.rs
@@ -1,83 +1,87 @@
-//! What all nodes together do to the fleet, second by second. What one node does is seldom worth a look: a hundred that
-//! each meet a dead server once are a hundred lost attempts and time-outs in a second.
+//! Counts of what all nodes together do to the fleet, by second. What one node does is seldom conspicuous: a hundred nodes
+//! that each meet a dead server once make a hundred lost attempts in a second.
 //!
-//! An attempt is counted by the state in which it met its cache server, as a bystander sees that: the node may not have
-//! been told.
+//! An attempt is counted by the state in which it finds its cache server, which the node may not have been notified of.
 
 use serde::Serialize;
 use std::ops::AddAssign;
 
-/// The state in which an attempt met its cache server. Where several hold, the first of them counts.
+/// The state in which an attempt finds its cache server. Where several hold, the first of them counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
-    /// Cut off: nothing passes.
-    Silent,
-    /// No process runs there.
-    Gone,
-    /// It drains.
+pub enum ServerState {
+    /// Cut off from the network.
+    Unreachable,
+    /// No process runs.
+    Removed,
+    /// Draining.
     Draining,
-    /// It fails a part of its requests on purpose of an incident.
-    Bad,
-    /// It has started of late.
-    Cold,
+    /// Under a fault that makes a fraction of its answers fail.
+    Faulty,
+    /// In slow start.
+    WarmingUp,
     /// None of these.
-    Well,
+    Healthy,
 }
 
-/// What happened in a second, or in all of them.
+/// Counts of one second, or of all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Attempts that met a cut-off server.
-    pub silent: u64,
-    /// Attempts that met one that was gone.
-    pub gone: u64,
-    /// Attempts that met one that drained.
+    /// Attempts at an unreachable server.
+    #[serde(rename = "silent")]
+    pub unreachable: u64,
+    /// Attempts at a removed server.
+    #[serde(rename = "gone")]
+    pub removed: u64,
+    /// Attempts at a draining server.
     pub draining: u64,
-    /// Attempts that met a bad one.
-    pub bad: u64,
-    /// Attempts that met a cold one.
-    pub cold: u64,
+    /// Attempts at a faulty server.
+    #[serde(rename = "bad")]
+    pub faulty: u64,
+    /// Attempts at a warming server.
+    #[serde(rename = "cold")]
+    pub warming_up: u64,
     /// All other attempts.
-    pub well: u64,
+    #[serde(rename = "well")]
+    pub healthy: u64,
     /// Connections that nodes tried to open to cache servers.
     pub connects: u64,
-    /// Those that did not come up.
+    /// Connections that were not established.
     pub connects_failed: u64,
     /// Calls to discovery.
     pub list_calls: u64,
-    /// Those that failed.
+    /// Calls that failed.
     pub list_calls_failed: u64,
-    /// Lines that calls cost discovery, whatever came of them; rounded down call by call.
+    /// Lines that calls cost discovery, whether they succeed or not; rounded down for each call.
     pub list_lines: u64,
 }
 
 impl Counts {
-    /// Takes in an attempt.
-    pub fn attempt(&mut self, met: Met) {
-        *match met {
-            Met::Silent => &mut self.silent,
-            Met::Gone => &mut self.gone,
-            Met::Draining => &mut self.draining,
-            Met::Bad => &mut self.bad,
-            Met::Cold => &mut self.cold,
-            Met::Well => &mut self.well,
+    /// Counts an attempt at a server in this state.
+    pub fn add_attempt(&mut self, state: ServerState) {
+        *match state {
+            ServerState::Unreachable => &mut self.unreachable,
+            ServerState::Removed => &mut self.removed,
+            ServerState::Draining => &mut self.draining,
+            ServerState::Faulty => &mut self.faulty,
+            ServerState::WarmingUp => &mut self.warming_up,
+            ServerState::Healthy => &mut self.healthy,
         } += 1;
     }
 
-    /// Attempts that no answer could come of.
-    pub fn lost(&self) -> u64 {
-        self.silent + self.gone
+    /// The number of attempts that could not be answered.
+    pub fn lost_attempts(&self) -> u64 {
+        self.unreachable + self.removed
     }
 }
 
 impl AddAssign for Counts {
     fn add_assign(&mut self, other: Self) {
-        self.silent += other.silent;
-        self.gone += other.gone;
+        self.unreachable += other.unreachable;
+        self.removed += other.removed;
         self.draining += other.draining;
-        self.bad += other.bad;
-        self.cold += other.cold;
-        self.well += other.well;
+        self.faulty += other.faulty;
+        self.warming_up += other.warming_up;
+        self.healthy += other.healthy;
         self.connects += other.connects;
         self.connects_failed += other.connects_failed;
         self.list_calls += other.list_calls;
--- /dev/null
+++ b/crates/testbed/src/fault_schedule/effects.rs
@@ -0,0 +1,245 @@
+//! The effects of each incident, as if it were the only one.
+
+use super::{Change, ServerCondition};
+use crate::fleet;
+use crate::random::RandomSource;
+use crate::script::{Fault, Incident, Script};
+use std::time::Duration;
+
+/// The index of an incident in the script.
+pub(super) type IncidentIndex = usize;
+
+/// An effect and its time.
+#[derive(Clone, Debug)]
+pub(super) struct ScheduledEffect {
+    pub(super) at: Duration,
+    pub(super) incident: IncidentIndex,
+    pub(super) effect: Effect,
+}
+
+/// What an incident does, before others are taken into account.
+#[derive(Clone, Debug)]
+pub(super) enum Effect {
+    /// A cache server is to be taken out of service.
+    BeginRetirement {
+        index: usize,
+        /// No successor comes.
+        permanent: bool,
+    },
+    /// The process that the same incident retired ends.
+    EndRetired {
+        index: usize,
+    },
+    /// The successor of the process that the same incident retired starts.
+    StartSuccessor {
+        index: usize,
+        same_address: bool,
+    },
+    /// A cache server crashes.
+    Crash {
+        index: usize,
+    },
+    /// What the same incident crashed is back.
+    Recover {
+        index: usize,
+    },
+    /// A condition of a cache server begins to hold.
+    BeginCondition {
+        index: usize,
+        condition: ServerCondition,
+    },
+    /// The condition that the same incident brought no longer holds.
+    EndCondition {
+        index: usize,
+    },
+    BeginSlowOrigin {
+        factor: f64,
+    },
+    EndSlowOrigin,
+    BeginDiscoveryOutage,
+    EndDiscoveryOutage,
+    BeginDiscoveryErrors {
+        rate: f64,
+    },
+    EndDiscoveryErrors,
+    /// A change that no other incident can affect.
+    Independent(Change),
+}
+
+/// The effects of all incidents of a script, incident by incident.
+pub(super) fn all(script: &Script) -> Vec<ScheduledEffect> {
+    let mut effects = Vec::new();
+    for (number, incident) in script.incidents.iter().enumerate() {
+        let random = RandomSource::new(script.seed).derive(0x7469_6d65).derive(number as u64);
+        let mut planner = Planner { script, incident, number, random, effects: &mut effects };
+        planner.plan();
+    }
+    effects
+}
+
+/// Plans the effects of one incident.
+struct Planner<'a> {
+    script: &'a Script,
+    incident: &'a Incident,
+    number: IncidentIndex,
+    random: RandomSource,
+    effects: &'a mut Vec<ScheduledEffect>,
+}
+
+impl Planner<'_> {
+    fn plan(&mut self) {
+        let normal = ServerCondition::default();
+        match self.incident.fault {
+            Fault::Unreachable { share } => {
+                self.condition(share, ServerCondition { reachable: false, ..normal });
+            }
+            Fault::Errors { share, rate } => {
+                self.condition(share, ServerCondition { error_rate: rate, ..normal });
+            }
+            Fault::Delay { share, extra } => {
+                self.condition(share, ServerCondition { extra_latency: extra, ..normal });
+            }
+            Fault::Loss { share, rate } => {
+                self.condition(share, ServerCondition { packet_loss_rate: rate, ..normal });
+            }
+            Fault::Resets { share, rate } => {
+                self.condition(share, ServerCondition { reset_rate: rate, ..normal });
+            }
+            Fault::HalfOpen { share } => self.half_open(share),
+            Fault::Shrink { share, drain } => self.shrink(share, drain),
+            Fault::Deploy { share, batch, drain, same_address } => {
+                self.deploy(share, batch, drain, same_address);
+            }
+            Fault::RestartNodes { share, batch, downtime, killed } => {
+                self.nodes_in_batches(share, batch, |node| Change::RestartNode { node, killed, downtime });
+            }
+            Fault::Upgrade { share, batch } => {
+                self.nodes_in_batches(share, batch, |node| Change::UpgradeNode { node });
+            }
+            Fault::Reload { share, times } => self.reload(share, times),
+            Fault::Crash { share } => self.crash(share),
+            Fault::Pause { share } => self.pause(share),
+            Fault::SlowOrigin { factor } => {
+                self.during_incident(Effect::BeginSlowOrigin { factor }, Effect::EndSlowOrigin);
+            }
+            Fault::DiscoveryOutage => {
+                self.during_incident(Effect::BeginDiscoveryOutage, Effect::EndDiscoveryOutage);
+            }
+            Fault::DiscoveryErrors { rate } => {
+                self.during_incident(Effect::BeginDiscoveryErrors { rate }, Effect::EndDiscoveryErrors);
+            }
+            // Part of the workload.
+            Fault::HotKeys { .. } | Fault::Surge { .. } => {}
+        }
+    }
+
+    fn condition(&mut self, share: f64, condition: ServerCondition) {
+        for index in self.servers(share) {
+            self.during_incident(Effect::BeginCondition { index, condition }, Effect::EndCondition { index });
+        }
+    }
+
+    fn half_open(&mut self, share: f64) {
+        let servers = self.servers(share);
+        for (n, &index) in servers.iter().enumerate() {
+            let at = self.at_fraction(n as f64 / servers.len() as f64);
+            self.add(at, Effect::Independent(Change::ForgetConnections { index }));
+        }
+    }
+
+    fn shrink(&mut self, share: f64, drain: Duration) {
+        let servers = self.servers(share);
+        for (n, &index) in servers.iter().enumerate() {
+            let at = self.at_fraction(n as f64 / servers.len() as f64);
+            self.add(at, Effect::BeginRetirement { index, permanent: true });
+            self.add(at + drain, Effect::EndRetired { index });
+        }
+    }
+
+    fn deploy(&mut self, share: f64, batch: f64, drain: Duration, same_address: bool) {
+        let servers = self.servers(share);
+        for (at, batch) in self.batches(&servers, fleet::server_count(self.script), batch) {
+            for index in batch {
+                self.add(at, Effect::BeginRetirement { index, permanent: false });
+                self.add(at + drain, Effect::EndRetired { index });
+                self.add(at + drain, Effect::StartSuccessor { index, same_address });
+            }
+        }
+    }
+
+    fn nodes_in_batches(&mut self, share: f64, batch: f64, change: impl Fn(usize) -> Change) {
+        let nodes = self.nodes(share);
+        for (at, batch) in self.batches(&nodes, self.script.nodes as usize, batch) {
+            for node in batch {
+                self.add(at, Effect::Independent(change(node)));
+            }
+        }
+    }
+
+    fn reload(&mut self, share: f64, times: u32) {
+        for node in self.nodes(share) {
+            for time in 0..times {
+                let at = self.at_fraction(f64::from(time) / f64::from(times));
+                self.add(at, Effect::Independent(Change::ReloadNode { node }));
+            }
+        }
+    }
+
+    fn crash(&mut self, share: f64) {
+        for index in self.servers(share) {
+            self.during_incident(Effect::Crash { index }, Effect::Recover { index });
+        }
+    }
+
+    fn pause(&mut self, share: f64) {
+        let Incident { at, duration, .. } = *self.incident;
+        for index in self.servers(share) {
+            self.add(at, Effect::Independent(Change::Pause { index, duration }));
+        }
+    }
+
+    fn add(&mut self, at: Duration, effect: Effect) {
+        self.effects.push(ScheduledEffect { at, incident: self.number, effect });
+    }
+
+    /// Adds an effect at the beginning of the incident and another one at its end.
+    fn during_incident(&mut self, begin: Effect, end: Effect) {
+        let Incident { at, duration, .. } = *self.incident;
+        self.add(at, begin);
+        self.add(at + duration, end);
+    }
+
+    /// The time at this fraction of the incident's duration.
+    fn at_fraction(&self, fraction: f64) -> Duration {
+        self.incident.at + self.incident.duration.mul_f64(fraction)
+    }
+
+    /// A random share of the cache servers, within the zone of the incident if it has one.
+    fn servers(&self, share: f64) -> Vec<usize> {
+        self.choose(fleet::server_count(self.script), share)
+    }
+
+    /// A random share of the nodes, within the zone of the incident if it has one.
+    fn nodes(&self, share: f64) -> Vec<usize> {
+        self.choose(self.script.nodes as usize, share)
+    }
+
+    /// A random share, rounded up, of those in the incident's zone.
+    fn choose(&self, count: usize, share: f64) -> Vec<usize> {
+        // Nodes and cache servers are dealt out over the zones in the same way.
+        let in_zone = |i: &usize| self.incident.zone.is_none_or(|zone| i % self.script.zones.len() == zone);
+        let mut all: Vec<_> = (0..count).filter(in_zone).collect();
+        let chosen = (all.len() as f64 * share).ceil() as usize;
+        all.sort_by_key(|&i| (self.random.derive(i as u64).bits(), i));
+        all.truncate(chosen);
+        all
+    }
+
+    /// Batches of at most this fraction of `count`, at equal intervals over the duration of the incident.
+    fn batches(&self, chosen: &[usize], count: usize, fraction: f64) -> Vec<(Duration, Vec<usize>)> {
+        let size = ((count as f64 * fraction).floor() as usize).max(1);
+        let batches = chosen.len().div_ceil(size).max(1);
+        let starts = (0..batches).map(|n| self.at_fraction(n as f64 / batches as f64));
+        starts.zip(chosen.chunks(size).map(<[usize]>::to_vec)).collect()
+    }
+}
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,76 +1,88 @@
-//! The fleet of a script: who sits where, and what nodes are told of it.
+//! The fleet of a script: the kind, zone and cell of each cache server, and the settings of each node.
+//!
+//! A cache server has an index, from 0 up to their count. A successor has the index of the server that it replaces.
 
-use crate::script::{Kind, Script};
+use crate::script::{Script, ServerKind};
 use balancer_core::{Endpoint, EndpointState, RequestClass, ServerId, Settings, Timestamp};
 
-/// Cache servers that share their memory of keyed repeats.
-const CELL: usize = 8;
+/// The number of cache servers in a cell, which share their memory of idempotency keys.
+const SERVERS_PER_CELL: usize = 8;
 
-/// How many seats there are, each with one cache server or none.
-pub fn seats(script: &Script) -> usize {
-    script.boxes.iter().map(|kind| kind.count as usize).sum()
+/// The number of cache servers at the start.
+pub fn server_count(script: &Script) -> usize {
+    script.server_kinds.iter().map(|kind| kind.count as usize).sum()
 }
 
-/// The kind of cache server that sits here.
-pub fn kind(script: &Script, seat: usize) -> &Kind {
-    let mut before = 0;
-    let found = script.boxes.iter().find(|kind| {
-        before += kind.count as usize;
-        seat < before
+/// The kind of the cache server with this index.
+pub fn server_kind(script: &Script, index: usize) -> &ServerKind {
+    let mut end = 0;
+    let found = script.server_kinds.iter().find(|kind| {
+        end += kind.count as usize;
+        index < end
     });
-    // A script has at least one kind, and a seat beyond them all is none of its.
-    found.unwrap_or(&script.boxes[0])
+    // A script has at least one kind, and no index is beyond the last one.
+    found.unwrap_or(&script.server_kinds[0])
 }
 
-/// The zone of a seat.
-pub fn zone(script: &Script, seat: usize) -> usize {
-    seat % script.zones.len()
+/// The zone of the cache server with this index.
+pub fn server_zone(script: &Script, index: usize) -> usize {
+    index % script.zones.len()
 }
 
-/// The cell of a seat.
-pub fn cell(seat: usize) -> u64 {
-    (seat / CELL) as u64
+/// The zone of a node.
+pub fn node_zone(script: &Script, node: usize) -> usize {
+    node % script.zones.len()
 }
 
-/// The id of a seat's cache server, after so many others that sat there.
-pub fn name(script: &Script, seat: usize, before: usize) -> String {
-    let kind = kind(script, seat).name.replace(' ', "_");
-    match before {
-        0 => format!("{kind}-{seat}"),
-        _ => format!("{kind}-{seat}.{before}"),
+/// The cell of the cache server with this index.
+pub fn server_cell(index: usize) -> u64 {
+    (index / SERVERS_PER_CELL) as u64
+}
+
+/// The id of a cache server with this index that has had so many predecessors.
+pub fn server_name(script: &Script, index: usize, predecessors: usize) -> String {
+    let kind = server_kind(script, index).name.replace(' ', "_");
+    match predecessors {
+        0 => format!("{kind}-{index}"),
+        _ => format!("{kind}-{index}.{predecessors}"),
     }
 }
 
 /// A cache server as discovery lists it.
-pub fn entry(
+pub fn endpoint(
     script: &Script,
     id: ServerId,
-    seat: usize,
-    availability: EndpointState,
-    started: Option<Timestamp>,
+    index: usize,
+    state: EndpointState,
+    started_at: Option<Timestamp>,
 ) -> Endpoint {
-    let kind = kind(script, seat);
+    let kind = server_kind(script, index);
     Endpoint {
         id,
-        zone: Some(script.zones[zone(script, seat)].as_str().into()),
+        zone: Some(script.zones[server_zone(script, index)].as_str().into()),
         kind: Some(kind.name.as_str().into()),
-        cell: cell(seat),
-        state: availability,
-        weight: f64::from(kind.cores) * kind.speed,
-        started_at: started,
+        cell: server_cell(index),
+        state,
+        weight: server_weight(kind),
+        started_at,
     }
 }
 
-/// What a node in this zone is told at its start.
-pub fn settings(script: &Script, zone: usize) -> Settings {
-    let boxes = &script.boxes;
+/// The weight of a cache server of this kind: its capacity in standard cores.
+pub fn server_weight(kind: &ServerKind) -> f64 {
+    f64::from(kind.cores) * kind.speed
+}
+
+/// The settings of a node in this zone.
+pub fn node_settings(script: &Script, zone: usize) -> Settings {
+    let kinds = &script.server_kinds;
     let classes = script.classes.iter().map(|class| RequestClass {
         name: class.name.as_str().into(),
-        idempotency: class.effect,
-        latency_objective: class.aim,
+        idempotency: class.idempotency,
+        latency_objective: class.latency_objective,
         deadline: class.deadline,
-        priority_weight: class.worth,
-        late_weight_fraction: class.late_worth,
+        priority_weight: class.priority_weight,
+        late_weight_fraction: class.late_weight_fraction,
     });
     Settings {
         zone: Some(script.zones[zone].as_str().into()),
@@ -82,11 +94,11 @@
         cancellation_allowed: true,
         max_retry_after: script.clients.max_retry_after,
         connect_timeout: script.network.connect_timeout,
-        server_idle_timeout: script.network.idle,
-        slow_start_min_fraction: boxes.iter().map(|kind| kind.cold).fold(1.0, f64::min),
-        slow_start_window: boxes.iter().map(|kind| kind.warm_within).max().unwrap_or_default(),
-        slow_start_overload_factor: script.rules.fall_multiple,
-        slow_start_overload_window: script.rules.fall_span,
+        server_idle_timeout: script.network.idle_timeout,
+        slow_start_min_fraction: kinds.iter().map(|kind| kind.slow_start_min_fraction).fold(1.0, f64::min),
+        slow_start_window: kinds.iter().map(|kind| kind.slow_start_window).max().unwrap_or_default(),
+        slow_start_overload_factor: script.rules.slow_start_overload_factor,
+        slow_start_overload_window: script.rules.slow_start_overload_window,
         ..Settings::default()
     }
 }
--- /dev/null
+++ b/crates/testbed/src/judge/mod.rs
@@ -0,0 +1,339 @@
+//! The judge of the four rules and of the service. It takes what an observer outside of the nodes sees, and knows fronts,
+//! nodes and cache servers by number only: what was written to a node's socket and what came back, what reached a cache
+//! server and what was executed there, what discovery notified nodes of. Every runner, in whatever protocol, records the
+//! same [`Observation`]s.
+
+mod observation;
+mod record;
+mod verdict;
+
+pub use observation::{FinalAnswer, Observation, RequestNumber};
+pub use verdict::{ClassService, SecondFigures, Service, Verdict, Violation};
+
+use crate::script::{Class, Script};
+use balancer_core::{DeduplicationScope, Idempotency, Timestamp};
+use record::{is_always_repeatable, OperationRecord, RequestRecord, ServerRecord};
+use std::collections::BTreeMap;
+use std::time::Duration;
+use verdict::ratio;
+
+/// Added to each time limit, since times are measured at the far end of a connection.
+pub const TOLERANCE: Duration = Duration::from_millis(50);
+/// The length of the windows of which the worst is reported.
+pub const WINDOW: Duration = Duration::from_secs(10);
+/// The number of violations that are described; more are only counted.
+const MAX_DESCRIBED_VIOLATIONS: usize = 20;
+
+/// One of the four rules.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Rule {
+    /// 1: each request has one final answer in time.
+    OneAnswerInTime = 1,
+    /// 2: a request is repeated only where that is safe.
+    SafeRepeats = 2,
+    /// 3: no new requests to a cache server that drains or is removed.
+    NothingAfterDrain = 3,
+    /// 4: no warming cache server is overloaded.
+    NoOverloadInSlowStart = 4,
+}
+
+/// Collects observations and decides the rules. See the module's documentation.
+#[derive(Debug)]
+pub struct Judge {
+    classes: Vec<Class>,
+    length: Duration,
+    drain_grace: Duration,
+    servers: Vec<ServerRecord>,
+    operations: Vec<OperationRecord>,
+    requests: BTreeMap<RequestNumber, RequestRecord>,
+    /// By node and cache server: when the node was notified that the server is unavailable.
+    unavailable_since: BTreeMap<(usize, usize), Timestamp>,
+    seconds: Vec<SecondFigures>,
+    violations: Vec<Violation>,
+    violation_counts: [u64; 4],
+}
+
+impl Judge {
+    /// Creates the judge of a run of this script.
+    pub fn new(script: &Script) -> Self {
+        let seconds = script.length.as_secs_f64().ceil() as usize;
+        Self {
+            classes: script.classes.clone(),
+            length: script.length,
+            drain_grace: script.rules.drain_grace,
+            servers: Vec::new(),
+            operations: Vec::new(),
+            requests: BTreeMap::new(),
+            unavailable_since: BTreeMap::new(),
+            seconds: vec![SecondFigures::default(); seconds.max(1)],
+            violations: Vec::new(),
+            violation_counts: [0; 4],
+        }
+    }
+
+    /// Registers a cache server and returns the number by which observations name it. `zone` and `cell` say where repeats of
+    /// requests with an idempotency key are safe.
+    pub fn add_server(&mut self, name: &str, zone: usize, cell: u64) -> usize {
+        self.servers.push(ServerRecord { name: name.to_owned(), zone, cell });
+        self.servers.len() - 1
+    }
+
+    /// Records an observation. Those of one request come in the order of time.
+    pub fn record(&mut self, observation: Observation) {
+        match observation {
+            Observation::OperationStarted { operation, at, class } => {
+                self.operation_started(operation, at, class);
+            }
+            Observation::RequestAccepted { request, operation, node, at, expires_at } => {
+                self.second(at).accepted += 1;
+                self.requests.insert(request, RequestRecord::new(operation, node, expires_at));
+            }
+            Observation::AttemptSent { request, server, at } => self.attempt_sent(request, server, at),
+            Observation::Executed { request, server, at } => self.executed(request, server, at),
+            Observation::Answered { request, at, answer } => self.answered(request, at, answer),
+            Observation::ClientDisconnected { request } => {
+                if let Some(record) = self.requests.get_mut(&request) {
+                    record.excused = true;
+                }
+            }
+            Observation::OperationServed { operation, at } => self.operation_served(operation, at),
+            Observation::NodeKilled { node, at } => self.node_killed(node, at),
+            Observation::NodeStarted { node } => {
+                self.unavailable_since.retain(|(notified, _), _| *notified != node);
+            }
+            Observation::EndpointNotified { node, server, at, unavailable: true } => {
+                self.unavailable_since.entry((node, server)).or_insert(at);
+            }
+            Observation::EndpointNotified { node, server, unavailable: false, .. } => {
+                self.unavailable_since.remove(&(node, server));
+            }
+            Observation::ServerOverloaded { server, at } => {
+                let description = format!("{} was cold and pushed over", self.server_name(server));
+                self.violation(Rule::NoOverloadInSlowStart, at, description);
+            }
+        }
+    }
+
+    fn violation(&mut self, rule: Rule, at: Timestamp, description: String) {
+        let number = rule as u8;
+        self.violation_counts[usize::from(number) - 1] += 1;
+        if self.violations.len() < MAX_DESCRIBED_VIOLATIONS {
+            let at_s = at.as_micros() as f64 / 1e6;
+            self.violations.push(Violation { rule: number, at_s, description });
+        }
+    }
+
+    /// The figures of the second of this time; what comes after the run belongs to its last second.
+    fn second(&mut self, at: Timestamp) -> &mut SecondFigures {
+        let last = self.seconds.len() - 1;
+        &mut self.seconds[((at.as_micros() / 1_000_000) as usize).min(last)]
+    }
+
+    fn server_name(&self, server: usize) -> &str {
+        self.servers.get(server).map_or("an unknown server", |record| record.name.as_str())
+    }
+
+    fn class_of(&self, request: &RequestRecord) -> &Class {
+        &self.classes[self.operations[request.operation as usize].class]
+    }
+
+    fn operation_started(&mut self, operation: u64, at: Timestamp, class: usize) {
+        debug_assert_eq!(operation, self.operations.len() as u64);
+        let weight = self.classes[class].priority_weight;
+        let second = self.second(at);
+        second.operations += 1;
+        second.weight += weight;
+        self.operations.push(OperationRecord { at, class, served_weight: 0.0, served: false });
+    }
+
+    fn node_killed(&mut self, node: usize, at: Timestamp) {
+        let pending = self.requests.values_mut().filter(|record| record.is_pending_at(node));
+        let in_time = pending.filter(|record| at <= record.expires_at + TOLERANCE);
+        in_time.for_each(|record| record.excused = true);
+    }
+
+    fn attempt_sent(&mut self, request: RequestNumber, server: usize, at: Timestamp) {
+        self.second(at).attempts += 1;
+        let Some(record) = self.requests.get_mut(&request) else {
+            let description = format!("request {request:x} was sent on, and no node had taken it");
+            return self.violation(Rule::SafeRepeats, at, description);
+        };
+        record.sent.push((server, at));
+        let (node, answered) = (record.node, record.answered);
+        if answered.is_some_and(|(when, _)| at > when) {
+            let description = format!("request {request:x} was sent on after its final answer");
+            self.violation(Rule::OneAnswerInTime, at, description);
+        }
+        let notified = self.unavailable_since.get(&(node, server)).copied();
+        if let Some(notified) = notified.filter(|since| at > *since + self.drain_grace + TOLERANCE) {
+            let late = at.since(notified).as_millis();
+            let name = self.server_name(server);
+            let description = format!("node {node} sent to {name} {late} ms after it was told to stop");
+            self.violation(Rule::NothingAfterDrain, at, description);
+        }
+    }
+
+    fn executed(&mut self, request: RequestNumber, server: usize, at: Timestamp) {
+        let Some(record) = self.requests.get_mut(&request) else {
+            let description = format!("request {request:x} ran, and no node had taken it");
+            return self.violation(Rule::SafeRepeats, at, description);
+        };
+        record.executions.push((server, at));
+        if let Some(reason) = self.unsafe_repeat(request, server, at) {
+            let description =
+                format!("request {request:x} ran again at {}: {reason}", self.server_name(server));
+            self.violation(Rule::SafeRepeats, at, description);
+        }
+    }
+
+    /// Why the last execution of a request was an unsafe repeat; `None` if it was safe, or the first one.
+    fn unsafe_repeat(&self, request: RequestNumber, server: usize, at: Timestamp) -> Option<&'static str> {
+        let record = self.requests.get(&request)?;
+        let first = *record.executions.first().filter(|_| record.executions.len() > 1)?;
+        // How long a server holds an attempt before it executes it is not the node's doing: what counts is the time of the
+        // send.
+        let sent_at = record.sent.iter().rfind(|(to, _)| *to == server).map_or(at, |(_, sent_at)| *sent_at);
+        match self.class_of(record).idempotency {
+            Idempotency::Idempotent => None,
+            Idempotency::NotIdempotent => Some("it is unsafe to repeat"),
+            Idempotency::WithKey { window, .. } if sent_at.since(first.1) > window + TOLERANCE => {
+                Some("its first run is forgotten")
+            }
+            Idempotency::WithKey { scope, .. } => {
+                let (one, other) = (&self.servers[first.0], &self.servers[server]);
+                let deduplicated = match scope {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => one.zone == other.zone,
+                    DeduplicationScope::Cell => one.cell == other.cell,
+                };
+                (!deduplicated).then_some("that server does not know of the first run")
+            }
+        }
+    }
+
+    fn answered(&mut self, request: RequestNumber, at: Timestamp, answer: FinalAnswer) {
+        let second = self.second(at);
+        second.rejected += u32::from(answer == FinalAnswer::Rejected);
+        second.failed += u32::from(answer == FinalAnswer::Failed);
+        let Some(record) = self.requests.get_mut(&request) else {
+            let description = format!("request {request:x} was answered, and no node had taken it");
+            return self.violation(Rule::OneAnswerInTime, at, description);
+        };
+        let (expires_at, excused) = (record.expires_at, record.excused);
+        let description = if answer == FinalAnswer::Mismatched {
+            format!("request {request:x} was served with what was made for another")
+        } else if record.answered.replace((at, answer)).is_some() {
+            format!("request {request:x} was answered twice")
+        } else if !excused && at > expires_at + TOLERANCE {
+            let late = at.since(expires_at).as_millis();
+            format!("request {request:x} was answered {late} ms after its client gave up")
+        } else {
+            return;
+        };
+        self.violation(Rule::OneAnswerInTime, at, description);
+    }
+
+    fn operation_served(&mut self, operation: u64, at: Timestamp) {
+        let record = &mut self.operations[operation as usize];
+        let class = &self.classes[record.class];
+        let took = at.since(record.at);
+        if record.served || took > class.deadline {
+            return;
+        }
+        record.served = true;
+        record.served_weight = if took <= class.latency_objective {
+            class.priority_weight
+        } else {
+            class.priority_weight * class.late_weight_fraction
+        };
+        let (weight, started_at) = (record.served_weight, record.at);
+        self.second(started_at).served_weight += weight;
+    }
+
+    /// Ends the run: a request that is not answered by now is lost.
+    pub fn verdict(mut self) -> Verdict {
+        self.judge_requests_at_end();
+        let mut answers = [0; 4];
+        let mut repeats = [0; 3];
+        for record in self.requests.values() {
+            if let Some((_, answer)) = record.answered {
+                answers[answer as usize] += 1;
+            }
+            let kind = match self.class_of(record).idempotency {
+                Idempotency::Idempotent => 0,
+                Idempotency::WithKey { .. } => 1,
+                Idempotency::NotIdempotent => 2,
+            };
+            repeats[kind] += record.executions.len().saturating_sub(1) as u64;
+        }
+        Verdict {
+            violation_counts: self.violation_counts,
+            service: self.service(),
+            operations: self.operations.len() as u64,
+            accepted: self.requests.len() as u64,
+            answers,
+            attempts: self.requests.values().map(|record| record.sent.len() as u64).sum(),
+            repeats,
+            seconds: self.seconds,
+            violations: self.violations,
+        }
+    }
+
+    /// Finds the violations that only show once a request is over.
+    fn judge_requests_at_end(&mut self) {
+        let mut violations = Vec::new();
+        for (request, record) in &self.requests {
+            match record.answered {
+                None if !record.excused => {
+                    let description = format!("request {request:x} was never answered");
+                    violations.push((Rule::OneAnswerInTime, record.expires_at, description));
+                }
+                // A rejection says that a retry is harmless, whatever was executed before or after it.
+                Some((at, FinalAnswer::Rejected))
+                    if !record.executions.is_empty()
+                        && !is_always_repeatable(self.class_of(record).idempotency) =>
+                {
+                    let description = format!("request {request:x} was refused, and it ran");
+                    violations.push((Rule::SafeRepeats, at, description));
+                }
+                Some((at, FinalAnswer::Served)) if record.executions.is_empty() => {
+                    let description = format!("request {request:x} was served, and it ran nowhere");
+                    violations.push((Rule::OneAnswerInTime, at, description));
+                }
+                _ => {}
+            }
+        }
+        violations.into_iter().for_each(|(rule, at, description)| self.violation(rule, at, description));
+    }
+
+    fn service(&self) -> Service {
+        let classes: Vec<_> = (0..self.classes.len()).map(|class| self.class_service(class)).collect();
+        let length =
+            (WINDOW.as_secs() as usize).min(self.length.as_secs() as usize).clamp(1, self.seconds.len());
+        let windows = self.seconds.windows(length).enumerate();
+        let windows = windows.map(|(start, seconds)| (service_of(seconds), start as u64));
+        Service {
+            overall: service_of(&self.seconds),
+            worst_window: windows.min_by(|one, other| one.0.total_cmp(&other.0)).unwrap_or((1.0, 0)),
+            worst_class: classes.iter().map(|(_, service)| *service).fold(1.0, f64::min),
+            classes,
+        }
+    }
+
+    fn class_service(&self, class: usize) -> ClassService {
+        let weight = self.classes[class].priority_weight;
+        let of_class = self.operations.iter().filter(|operation| operation.class == class);
+        let (served, offered) = of_class.fold((0.0, 0.0), |(served, offered), operation| {
+            (served + operation.served_weight, offered + weight)
+        });
+        (self.classes[class].name.clone(), ratio(served, offered))
+    }
+}
+
+/// The fraction of the weight of these seconds that was served.
+fn service_of(seconds: &[SecondFigures]) -> f64 {
+    let (served, offered) = seconds.iter().fold((0.0, 0.0), |(served, offered), second| {
+        (served + second.served_weight, offered + second.weight)
+    });
+    ratio(served, offered)
+}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,38 +1,42 @@
-//! Rehearsals of incidents. A [`script`] says what the world is and what goes wrong in it, a player plays it with the
-//! real decisions, and the [`ledger`] judges from outside what every request got.
+//! A testbed for incidents: a [`Script`] describes a fleet and its faults, a runner executes it with the real decisions, and
+//! the [`Judge`] decides from outside what every request got.
 //!
-//! - [`Script`] is read from TOML; [`scenarios`] has those that ship.
-//! - [`timeline`] turns its incidents into single changes, [`demand`] its load into single asks. Both are pure: the
-//!   same script gives the same ones, whoever plays it and however things interleave.
-//! - [`conduct`] says how clients, messages and work behave, for every player.
-//! - [`fleet`] says who sits where, and what nodes are told of it.
-//! - [`placement`] says which cache server holds what at the start.
-//! - [`world`] holds the stand-ins as state machines without I/O or a clock.
-//! - [`simulate`] is the player in virtual time: one thread, no wall clock, the same bytes every time.
-//! - [`live`] is the player on sockets: real processes, real time.
-//! - [`scale`] has the processes of a scale run: hollow nodes against stand-in discovery by replicas.
+//! - [`Script`] is read from TOML; [`scenarios`] are those that ship.
+//! - [`fault_schedule`] turns its faults into single changes, [`workload`] its load into single operations. Both are pure
+//!   functions of the script, for every runner.
+//! - [`network_model`] and [`client_model`] say how messages travel and how clients behave.
+//! - [`fleet`] has the kind, zone and cell of each cache server, and the settings of nodes.
+//! - [`placement`] says which cache server has which entry at the start.
+//! - [`models`] has the cache server and the origin as state machines without I/O or a clock.
+//! - [`virtual_time`] runs a script as a simulation: one thread, no wall clock, the same bytes every time.
+//! - [`sockets`] runs a script with real processes in real time.
+//! - [`Judge`] decides the four rules and the service; it does not know how nodes work.
+//! - [`report`] shows a [`run_result`] as text and JSON, [`html_report`] as a page; [`variance`] compares several runs.
 //! - [`counts`] adds up what all nodes together do to the fleet.
-//! - [`Ledger`] decides the four rules and the figure of service; it knows nothing of how the nodes work.
-//! - [`report`] shows a verdict in the terminal and as JSON, [`page`] as one HTML page, [`spread`] several side by side.
+//! - [`scale`] has scale runs: hollow nodes against replicas of a stand-in discovery.
 
-pub mod conduct;
+mod attempt_id;
+pub mod client_model;
 pub mod counts;
-pub mod demand;
 pub mod discovery_call;
-pub mod draw;
+pub mod fault_schedule;
 pub mod fleet;
-pub mod ledger;
-pub mod live;
-pub mod page;
+pub mod html_report;
+pub mod judge;
+pub mod models;
+pub mod network_model;
+mod node_process;
 pub mod placement;
+pub mod random;
 pub mod report;
+pub mod run_result;
 pub mod scale;
 pub mod scenarios;
 pub mod script;
-pub mod simulate;
-pub mod spread;
-pub mod timeline;
-pub mod world;
+pub mod sockets;
+pub mod variance;
+pub mod virtual_time;
+pub mod workload;
 
-pub use ledger::Ledger;
+pub use judge::Judge;
 pub use script::Script;
--- /dev/null
+++ b/crates/testbed/src/models/cache_server/slow_start_load.rs
@@ -0,0 +1,34 @@
+//! The work that a warming server was sent recently: too much of it crashes the server.
+
+use crate::script::Rules;
+use balancer_core::Timestamp;
+use std::collections::VecDeque;
+use std::time::Duration;
+
+/// The sliding window of the work that was sent to a warming server, whether it was accepted or not.
+#[derive(Debug)]
+pub(super) struct SlowStartLoad {
+    rules: Rules,
+    /// Arrival times, and work in seconds of a standard core.
+    arrivals: VecDeque<(Timestamp, f64)>,
+    sum: f64,
+}
+
+impl SlowStartLoad {
+    pub(super) fn new(rules: Rules) -> Self {
+        Self { rules, arrivals: VecDeque::new(), sum: 0.0 }
+    }
+
+    /// Adds a request. Returns whether the work in the window exceeds what a server of this capacity survives.
+    pub(super) fn add(&mut self, now: Timestamp, work: Duration, capacity: f64) -> bool {
+        let window = self.rules.slow_start_overload_window;
+        self.arrivals.push_back((now, work.as_secs_f64()));
+        self.sum += work.as_secs_f64();
+        while let Some(&(at, work)) = self.arrivals.front().filter(|(at, _)| now.since(*at) > window) {
+            debug_assert!(at <= now);
+            self.sum -= work;
+            self.arrivals.pop_front();
+        }
+        self.sum > self.rules.slow_start_overload_factor * capacity * window.as_secs_f64()
+    }
+}
--- a/crates/testbed/src/placement.rs
+++ b/crates/testbed/src/placement.rs
@@ -1,12 +1,12 @@
-//! Who holds what at the start: each of the entries that are asked for most lies where the decisions look for it.
+//! Which cache server has which entry at the start: the popular entries are cached where the decisions look for them.
 //!
-//! To find an entry's place costs one decision, and that costs a time in proportion to the number of cache servers. So
-//! the player in virtual time looks up only what is asked for, at the first request for it; how many entries a cache
-//! server holds beside those is drawn ([`crate::world::initial`]).
+//! To find the server of a key takes one decision, whose time is proportional to the number of cache servers. So the
+//! simulation in virtual time looks up only the keys that are requested; how many other entries a cache server has is
+//! random ([`crate::models::initial_entries`]).
 
-use crate::demand::key_number;
-use crate::fleet::settings;
+use crate::fleet::node_settings;
 use crate::script::Script;
+use crate::workload::key_of_rank;
 use balancer_core::{
     Action, AttemptOutcome, AttemptStatus, Balancer, Endpoint, Event, LoadReport, Request, RequestId,
     ServerId, Settings, Timestamp,
@@ -14,32 +14,32 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Places of entries, looked up when they are first wanted.
+/// The cache servers of the initial entries, looked up on first use.
 pub struct Placement {
     balancer: Balancer,
     ranks: u32,
     total_weight: f64,
-    /// Places found so far, by rank; never walked.
-    found: HashMap<u32, Option<ServerId>>,
+    /// By rank; never iterated over.
+    servers: HashMap<u32, Option<ServerId>>,
 }
 
 impl Placement {
-    /// Of the cache servers on this list, which are there at the start.
+    /// Creates a placement over the cache servers of this list.
     pub fn new(script: &Script, list: Vec<Endpoint>) -> Self {
-        let total_weight = list.iter().map(|entry| entry.weight).sum();
-        let settings = Settings { discovery_is_polled: false, nodes: 1, ..settings(script, 0) };
+        let total_weight = list.iter().map(|endpoint| endpoint.weight).sum();
+        let settings = Settings { discovery_is_polled: false, nodes: 1, ..node_settings(script, 0) };
         let mut balancer = Balancer::new(settings, 0);
         balancer.handle(Timestamp::default(), Event::EndpointsRestored(list.into()), &mut Vec::new());
-        let ranks = (f64::from(script.load.keys) * script.origin.warm) as u32;
-        Self { balancer, ranks, total_weight, found: HashMap::new() }
+        let ranks = (f64::from(script.load.keys) * script.origin.initially_cached_fraction) as u32;
+        Self { balancer, ranks, total_weight, servers: HashMap::new() }
     }
 
-    /// Entries of ranks below this are held at the start, if there is memory for them.
+    /// Entries of ranks below this are cached at the start, if they fit into the caches.
     pub fn ranks(&self) -> u32 {
         self.ranks
     }
 
-    /// The part of all entries that lies at a cache server of this weight: rendezvous hashing is in proportion to weights.
+    /// The fraction of all entries that belongs to a cache server of this weight, as rendezvous hashing has it.
     pub fn share(&self, weight: f64) -> f64 {
         if self.total_weight > 0.0 {
             weight / self.total_weight
@@ -48,27 +48,27 @@
         }
     }
 
-    /// Where the entry of this rank lies; `None` for those that no cache server holds at the start.
+    /// The cache server of the entry of this rank; `None` if it is not cached at the start.
     pub fn server(&mut self, rank: u32) -> Option<ServerId> {
         if rank >= self.ranks {
             return None;
         }
-        if let Some(server) = self.found.get(&rank) {
+        if let Some(server) = self.servers.get(&rank) {
             return server.clone();
         }
         let server = self.look_up(rank);
-        self.found.insert(rank, server.clone());
+        self.servers.insert(rank, server.clone());
         server
     }
 
-    /// How many decisions have been made to find places: each costs a time in proportion to the number of servers.
+    /// The number of entries that were looked up.
     pub fn lookups(&self) -> usize {
-        self.found.len()
+        self.servers.len()
     }
 
     fn look_up(&mut self, rank: u32) -> Option<ServerId> {
         let now = Timestamp::default();
-        let (id, key) = (RequestId::from("warm-up"), key_number(rank));
+        let (id, key) = (RequestId::from("warm-up"), key_of_rank(rank));
         let request = Request { key: Some(key), ..Request::new(id.as_str(), now + Duration::from_secs(1)) };
         let mut actions = Vec::new();
         self.balancer.handle(now, Event::Request(request), &mut actions);
@@ -88,10 +88,10 @@
     }
 }
 
-/// Who holds what at the start, one by one, the least asked for first, so that what is asked for most is the last to go
-/// from a full memory. This costs keys times servers; the player on sockets does it before the play begins.
-pub fn held_at_start(script: &Script, list: Vec<Endpoint>) -> Vec<(ServerId, u64)> {
+/// All initial entries with their cache servers, the least popular first, so that the most popular are the last to be evicted
+/// from a full cache. Its time is proportional to keys times servers; on sockets it runs before the scenario begins.
+pub fn initial_entries(script: &Script, list: Vec<Endpoint>) -> Vec<(ServerId, u64)> {
     let mut placement = Placement::new(script, list);
     let ranks = (0..placement.ranks()).rev();
-    ranks.filter_map(|rank| Some((placement.server(rank)?, key_number(rank)))).collect()
+    ranks.filter_map(|rank| Some((placement.server(rank)?, key_of_rank(rank)))).collect()
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,228 +1,291 @@
-//! What a play came to, for people and for programs.
+//! The report of a run: as text for people and as JSON for programs.
 
 use crate::counts::Counts;
-use crate::ledger::Second;
-use crate::script::{Script, Trouble};
-use crate::simulate::Played;
+use crate::judge::SecondFigures;
+use crate::run_result::RunResult;
+use crate::script::{Fault, Incident, Script};
 use checked_toml::time_text;
 use comfy_table::presets::UTF8_BORDERS_ONLY;
 use comfy_table::{CellAlignment, Table};
 use serde::Serialize;
 use std::fmt::Write;
 
-/// A play and what was expected of it.
+/// A run with its faults and what was expected of it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// The script's name.
+    /// The name of the script.
     pub name: String,
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// The play was broken off: all figures are of the time until then.
+    /// The run was aborted: all figures are of the time until then.
     pub partial: bool,
-    /// What went wrong, in words.
-    pub incidents: Vec<Mark>,
-    /// What was expected, and whether it came.
+    /// The faults, in words.
+    pub incidents: Vec<IncidentSpan>,
+    /// What was expected, and whether it was met.
     pub checks: Vec<Check>,
-    /// The play.
+    /// The result of the run.
     #[serde(flatten)]
-    pub played: Played,
+    pub result: RunResult,
 }
 
-/// An incident on the line of time, in seconds.
+/// An incident on the time axis, in seconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Mark {
-    /// From here.
+pub struct IncidentSpan {
+    /// Its beginning.
     pub from_s: f64,
-    /// To here.
+    /// Its end.
     pub to_s: f64,
-    /// What.
-    pub what: String,
+    /// The fault and its time, in words.
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
-/// Something that was expected.
+/// An expectation and the figure that it is about.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Check {
-    /// What.
-    pub what: String,
-    /// At least this; for rules exactly, for what is counted at most.
-    pub wanted: f64,
-    /// This came.
-    pub got: f64,
-    /// Whether that is enough.
-    pub held: bool,
+    /// The name of the figure.
+    #[serde(rename = "what")]
+    pub figure: String,
+    /// The bound: a minimum for service, a maximum for counts, and exact for rules.
+    #[serde(rename = "wanted")]
+    pub expected: f64,
+    /// The figure of the run.
+    #[serde(rename = "got")]
+    pub actual: f64,
+    /// Whether the expectation was met.
+    #[serde(rename = "held")]
+    pub met: bool,
 }
 
 impl Report {
-    /// Of a play of this script.
-    pub fn new(script: &Script, played: Played) -> Self {
-        let service = &played.verdict.service;
-        let least = [
-            ("service", script.expect.service, service.whole),
-            ("worst 10 s", script.expect.worst_window, service.worst_window.0),
-            ("worst class", script.expect.worst_class, service.worst_class),
-        ];
-        let least = least.into_iter().filter_map(|(what, wanted, got)| {
-            wanted.map(|wanted| Check { what: what.into(), wanted, got, held: got >= wanted })
-        });
-        let counts: Counts = played.counts.iter().copied().sum();
-        let most = [
-            ("attempts at gone or cut-off servers", script.expect.attempts_lost, counts.lost()),
-            ("attempts at bad servers", script.expect.attempts_bad, counts.bad),
-            ("connections opened", script.expect.connects, counts.connects),
-            ("calls to discovery that failed", script.expect.list_calls_failed, counts.list_calls_failed),
-        ];
-        // On sockets nobody counts them.
-        let counted = !played.counts.is_empty();
-        let most = most.into_iter().filter_map(|(what, wanted, got)| {
-            let wanted = wanted.filter(|_| counted)?;
-            let what = format!("{what}, at most");
-            Some(Check { what, wanted: wanted as f64, got: got as f64, held: got <= wanted })
-        });
-        let broken: u64 = played.verdict.broken.iter().sum();
-        let rules = Check { what: "rules broken".into(), wanted: 0.0, got: broken as f64, held: broken == 0 };
-        let incidents = script.incidents.iter().map(|incident| Mark {
-            from_s: incident.at.as_secs_f64(),
-            to_s: (incident.at + incident.over).as_secs_f64(),
-            what: format!(
-                "{}{} from {} for {}",
-                words(&incident.what),
-                incident.zone.map_or_else(String::new, |zone| format!(" in {}", script.zones[zone])),
-                time_text(incident.at),
-                time_text(incident.over)
-            ),
-        });
+    /// Compares a run with the expectations of its script.
+    pub fn new(script: &Script, result: RunResult) -> Self {
+        let checks = std::iter::once(rules_check(&result))
+            .chain(service_checks(script, &result))
+            .chain(count_checks(script, &result));
         Self {
             name: script.name.clone(),
             seed: script.seed,
             partial: false,
-            incidents: incidents.collect(),
-            checks: std::iter::once(rules).chain(least).chain(most).collect(),
-            played,
+            incidents: script.incidents.iter().map(|incident| incident_span(script, incident)).collect(),
+            checks: checks.collect(),
+            result,
         }
     }
 
-    /// Whether all came that was expected.
-    pub fn held(&self) -> bool {
-        self.checks.iter().all(|check| check.held)
+    /// Whether all expectations were met.
+    pub fn all_met(&self) -> bool {
+        self.checks.iter().all(|check| check.met)
     }
 
-    /// One line of JSON: equal plays give equal bytes.
+    /// One line of JSON. Equal runs give equal bytes.
     pub fn json(&self) -> String {
-        // Only maps with keys that are no text can fail, and there are none.
+        // Serialization fails only for maps whose keys are not strings, and there are none.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// A table and a picture for the terminal.
+    /// A table and a timeline for the terminal.
     pub fn text(&self) -> String {
-        let verdict = &self.played.verdict;
-        let service = &verdict.service;
-        let mut table = Table::new();
-        table.load_preset(UTF8_BORDERS_ONLY);
-        let mut row = |what: &str, value: String| {
-            table.add_row([what.to_owned(), value]);
-        };
-        row("service", format!("{:.4}", service.whole));
-        row("worst 10 s", format!("{:.4} from {} s", service.worst_window.0, service.worst_window.1));
-        service.classes.iter().for_each(|(class, part)| row(&format!("  {class}"), format!("{part:.4}")));
-        let [served, refused, failed, _] = verdict.answers;
-        row("asked, tries taken", format!("{}, {}", verdict.asked, verdict.taken));
-        row("served, refused, failed", format!("{served}, {refused}, {failed}"));
-        row("attempts a try", format!("{:.2}", verdict.attempts as f64 / verdict.taken.max(1) as f64));
-        row("held by its cache server", format!("{:.1}%", self.played.hit_rate * 100.0));
-        let (fetched, turned_away) = self.played.fetches;
-        row("fetches, turned away", format!("{fetched}, {turned_away}"));
-        row("most waiting at the origin", self.played.origin_queue.to_string());
-        if !self.played.counts.is_empty() {
-            let sum: Counts = self.played.counts.iter().copied().sum();
-            let met = [sum.well, sum.cold, sum.bad, sum.draining, sum.gone, sum.silent];
-            row(
-                "met well, cold, bad, draining, gone, cut off",
-                met.map(|count| count.to_string()).join(", "),
-            );
-            row("connections opened, failed", format!("{}, {}", sum.connects, sum.connects_failed));
-            let lists = [sum.list_calls, sum.list_calls_failed, sum.list_lines];
-            row("calls for lists, failed, lines", lists.map(|count| count.to_string()).join(", "));
-        }
-        row("rules broken, 1 to 4", verdict.broken.map(|count| count.to_string()).join(", "));
-        if let Some(column) = table.column_mut(1) {
-            column.set_cell_alignment(CellAlignment::Right);
-        }
         let partial =
             if self.partial { "PARTIAL: broken off; all figures are of the time until then\n" } else { "" };
-        let mut text = format!("{} (seed {})\n{partial}{table}\n{}", self.name, self.seed, self.picture());
-        for breach in &verdict.breaches {
-            let _ = writeln!(text, "rule {} at {:.3} s: {}", breach.rule, breach.at_s, breach.what);
+        let mut text =
+            format!("{} (seed {})\n{partial}{}\n{}", self.name, self.seed, self.table(), self.timeline());
+        for violation in &self.result.verdict.violations {
+            let _ = writeln!(
+                text,
+                "rule {} at {:.3} s: {}",
+                violation.rule, violation.at_s, violation.description
+            );
         }
         for check in &self.checks {
-            let (word, bound) = if check.held { ("held", "") } else { ("MISSED", " instead") };
-            let _ =
-                writeln!(text, "{word}: {} {} expected, {:.4}{bound}", check.what, check.wanted, check.got);
+            let (word, suffix) = if check.met { ("held", "") } else { ("MISSED", " instead") };
+            let Check { figure, expected, actual, .. } = check;
+            let _ = writeln!(text, "{word}: {figure} {expected} expected, {actual:.4}{suffix}");
         }
         text
     }
 
-    /// Service by second, refusals by second, and the incidents under them.
-    fn picture(&self) -> String {
-        let seconds = &self.played.verdict.seconds;
-        let service = |second: &Second| if second.worth > 0.0 { second.got / second.worth } else { 1.0 };
-        let refused = |second: &Second| f64::from(second.refused) / f64::from(second.taken.max(1));
+    fn table(&self) -> Table {
+        let mut table = Table::new();
+        table.load_preset(UTF8_BORDERS_ONLY);
+        let rows = [self.service_rows(), self.request_rows(), self.origin_rows(), self.count_rows()];
+        rows.into_iter().flatten().for_each(|(name, value)| {
+            table.add_row([name, value]);
+        });
+        let violations = self.result.verdict.violation_counts;
+        table.add_row(["rules broken, 1 to 4".to_owned(), joined(&violations)]);
+        if let Some(column) = table.column_mut(1) {
+            column.set_cell_alignment(CellAlignment::Right);
+        }
+        table
+    }
+
+    fn service_rows(&self) -> Vec<(String, String)> {
+        let service = &self.result.verdict.service;
+        let (worst, from) = service.worst_window;
+        let mut rows = vec![
+            ("service".into(), format!("{:.4}", service.overall)),
+            ("worst 10 s".into(), format!("{worst:.4} from {from} s")),
+        ];
+        let classes = service.classes.iter();
+        rows.extend(classes.map(|(class, service)| (format!("  {class}"), format!("{service:.4}"))));
+        rows
+    }
+
+    fn request_rows(&self) -> Vec<(String, String)> {
+        let verdict = &self.result.verdict;
+        let [served, rejected, failed, _] = verdict.answers;
+        let attempts_per_request = verdict.attempts as f64 / verdict.accepted.max(1) as f64;
+        vec![
+            ("asked, tries taken".into(), joined(&[verdict.operations, verdict.accepted])),
+            ("served, refused, failed".into(), joined(&[served, rejected, failed])),
+            ("attempts a try".into(), format!("{attempts_per_request:.2}")),
+        ]
+    }
+
+    fn origin_rows(&self) -> Vec<(String, String)> {
+        let (accepted, rejected) = self.result.fetches;
+        vec![
+            ("held by its cache server".into(), format!("{:.1}%", self.result.hit_rate * 100.0)),
+            ("fetches, turned away".into(), joined(&[accepted, rejected])),
+            ("most waiting at the origin".into(), self.result.origin_queue.to_string()),
+        ]
+    }
+
+    /// Empty on sockets, where nothing is counted.
+    fn count_rows(&self) -> Vec<(String, String)> {
+        if self.result.counts.is_empty() {
+            return Vec::new();
+        }
+        let sum: Counts = self.result.counts.iter().copied().sum();
+        let attempts = [sum.healthy, sum.warming_up, sum.faulty, sum.draining, sum.removed, sum.unreachable];
+        let list_calls = [sum.list_calls, sum.list_calls_failed, sum.list_lines];
+        vec![
+            ("met well, cold, bad, draining, gone, cut off".into(), joined(&attempts)),
+            ("connections opened, failed".into(), joined(&[sum.connects, sum.connects_failed])),
+            ("calls for lists, failed, lines".into(), joined(&list_calls)),
+        ]
+    }
+
+    /// Service and rejections by second, and the incidents under them.
+    fn timeline(&self) -> String {
+        let seconds = &self.result.verdict.seconds;
+        let rejected =
+            |second: &SecondFigures| f64::from(second.rejected) / f64::from(second.accepted.max(1));
         let mut text = String::new();
-        let _ = writeln!(text, "  service  {}", bars(seconds.iter().map(service)));
-        let _ = writeln!(text, "  refused  {}", bars(seconds.iter().map(refused)));
-        for mark in &self.incidents {
-            let (from, to) =
-                (mark.from_s.floor() as usize, mark.to_s.ceil().max(mark.from_s.floor() + 1.0) as usize);
-            let _ = writeln!(text, "           {}{} {}", " ".repeat(from), "─".repeat(to - from), mark.what);
+        let _ = writeln!(text, "  service  {}", bars(seconds.iter().map(SecondFigures::service)));
+        let _ = writeln!(text, "  refused  {}", bars(seconds.iter().map(rejected)));
+        for span in &self.incidents {
+            let from = span.from_s.floor();
+            let to = span.to_s.ceil().max(from + 1.0) as usize;
+            let from = from as usize;
+            let (indent, line) = (" ".repeat(from), "─".repeat(to - from));
+            let _ = writeln!(text, "           {indent}{line} {}", span.description);
         }
-        let _ = writeln!(
-            text,
-            "           {}",
-            (0..seconds.len()).step_by(10).map(|s| format!("{s:<10}")).collect::<String>()
-        );
+        let axis: String = (0..seconds.len()).step_by(10).map(|second| format!("{second:<10}")).collect();
+        let _ = writeln!(text, "           {axis}");
         text
     }
 }
 
-/// A bar for each part from 0 to 1.
-fn bars(parts: impl Iterator<Item = f64>) -> String {
+fn rules_check(result: &RunResult) -> Check {
+    let violations: u64 = result.verdict.violation_counts.iter().sum();
+    Check { figure: "rules broken".into(), expected: 0.0, actual: violations as f64, met: violations == 0 }
+}
+
+fn service_checks(script: &Script, result: &RunResult) -> Vec<Check> {
+    let (minimum, service) = (&script.expectations, &result.verdict.service);
+    let figures = [
+        ("service", minimum.service, service.overall),
+        ("worst 10 s", minimum.worst_window, service.worst_window.0),
+        ("worst class", minimum.worst_class, service.worst_class),
+    ];
+    let checks = figures.into_iter().filter_map(|(figure, minimum, actual)| {
+        let expected = minimum?;
+        Some(Check { figure: figure.into(), expected, actual, met: actual >= expected })
+    });
+    checks.collect()
+}
+
+/// Empty on sockets, where nothing is counted.
+fn count_checks(script: &Script, result: &RunResult) -> Vec<Check> {
+    if result.counts.is_empty() {
+        return Vec::new();
+    }
+    let sum: Counts = result.counts.iter().copied().sum();
+    let maximum = &script.expectations;
+    let figures = [
+        ("attempts at gone or cut-off servers", maximum.lost_attempts, sum.lost_attempts()),
+        ("attempts at bad servers", maximum.faulty_attempts, sum.faulty),
+        ("connections opened", maximum.connects, sum.connects),
+        ("calls to discovery that failed", maximum.failed_list_calls, sum.list_calls_failed),
+    ];
+    let checks = figures.into_iter().filter_map(|(figure, maximum, actual)| {
+        let maximum = maximum?;
+        let figure = format!("{figure}, at most");
+        Some(Check { figure, expected: maximum as f64, actual: actual as f64, met: actual <= maximum })
+    });
+    checks.collect()
+}
+
+fn incident_span(script: &Script, incident: &Incident) -> IncidentSpan {
+    let zone = incident.zone.map_or_else(String::new, |zone| format!(" in {}", script.zones[zone]));
+    IncidentSpan {
+        from_s: incident.at.as_secs_f64(),
+        to_s: (incident.at + incident.duration).as_secs_f64(),
+        description: format!(
+            "{}{zone} from {} for {}",
+            describe_fault(&incident.fault),
+            time_text(incident.at),
+            time_text(incident.duration)
+        ),
+    }
+}
+
+fn joined(counts: &[u64]) -> String {
+    counts.iter().map(u64::to_string).collect::<Vec<_>>().join(", ")
+}
+
+/// A bar for each fraction from 0 to 1.
+fn bars(fractions: impl Iterator<Item = f64>) -> String {
     const BARS: [char; 9] = [' ', '▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
-    parts.map(|part| BARS[((part * 8.0).round() as usize).min(8)]).collect()
+    fractions.map(|fraction| BARS[((fraction * 8.0).round() as usize).min(8)]).collect()
 }
 
-/// An incident in words.
-pub fn words(trouble: &Trouble) -> String {
-    let part = |share: f64| format!("{:.0}%", share * 100.0);
-    match trouble {
-        Trouble::Shrink { share, .. } => format!("{} of the fleet drained for good", part(*share)),
-        Trouble::Deploy { share, batch, .. } => {
-            format!("{} replaced, {} at a time", part(*share), part(*batch))
+/// A fault in words.
+pub fn describe_fault(fault: &Fault) -> String {
+    let percent = |share: f64| format!("{:.0}%", share * 100.0);
+    match fault {
+        Fault::Shrink { share, .. } => format!("{} of the fleet drained for good", percent(*share)),
+        Fault::Deploy { share, batch, .. } => {
+            format!("{} replaced, {} at a time", percent(*share), percent(*batch))
         }
-        Trouble::RestartNodes { share, killed: true, .. } => format!("{} of the nodes killed", part(*share)),
-        Trouble::Upgrade { share, .. } => format!("{} of the nodes upgraded", part(*share)),
-        Trouble::Reload { share, times } => {
-            format!("{} of the nodes reload, {times} times each", part(*share))
+        Fault::RestartNodes { share, killed: true, .. } => format!("{} of the nodes killed", percent(*share)),
+        Fault::RestartNodes { share, .. } => format!("{} of the nodes restarted", percent(*share)),
+        Fault::Upgrade { share, .. } => format!("{} of the nodes upgraded", percent(*share)),
+        Fault::Reload { share, times } => {
+            format!("{} of the nodes reload, {times} times each", percent(*share))
         }
-        Trouble::RestartNodes { share, .. } => format!("{} of the nodes restarted", part(*share)),
-        Trouble::Crash { share } => format!("{} of the boxes dead", part(*share)),
-        Trouble::Vanish { share } => format!("{} of the boxes cut off", part(*share)),
-        Trouble::Pause { share } => format!("{} of the boxes standing still", part(*share)),
-        Trouble::Errors { share, rate } => {
-            format!("errors for {} at {} of the boxes", part(*rate), part(*share))
+        Fault::Crash { share } => format!("{} of the boxes dead", percent(*share)),
+        Fault::Unreachable { share } => format!("{} of the boxes cut off", percent(*share)),
+        Fault::Pause { share } => format!("{} of the boxes standing still", percent(*share)),
+        Fault::Errors { share, rate } => {
+            format!("errors for {} at {} of the boxes", percent(*rate), percent(*share))
         }
-        Trouble::Delay { share, extra } => {
-            format!("{} later to and from {} of the boxes", time_text(*extra), part(*share))
+        Fault::Delay { share, extra } => {
+            format!("{} later to and from {} of the boxes", time_text(*extra), percent(*share))
         }
-        Trouble::Loss { share, rate } => {
-            format!("{} of the packets lost at {} of the boxes", part(*rate), part(*share))
+        Fault::Loss { share, rate } => {
+            format!("{} of the packets lost at {} of the boxes", percent(*rate), percent(*share))
         }
-        Trouble::Resets { share, rate } => {
-            format!("{} of the answers broken off at {} of the boxes", part(*rate), part(*share))
+        Fault::Resets { share, rate } => {
+            format!("{} of the answers broken off at {} of the boxes", percent(*rate), percent(*share))
         }
-        Trouble::HalfOpen { share } => format!("connections to {} of the boxes forgotten", part(*share)),
-        Trouble::HotKeys { keys, share } => format!("{} of all requests for {keys} keys", part(*share)),
-        Trouble::Surge { factor } => format!("traffic times {factor}"),
-        Trouble::SlowOrigin { factor } => format!("origin slower by {factor}"),
-        Trouble::DiscoveryAway => "discovery away".into(),
-        Trouble::DiscoveryBreaks { rate } => format!("{} of discovery's answers broken", part(*rate)),
+        Fault::HalfOpen { share } => format!("connections to {} of the boxes forgotten", percent(*share)),
+        Fault::HotKeys { keys, share } => format!("{} of all requests for {keys} keys", percent(*share)),
+        Fault::Surge { factor } => format!("traffic times {factor}"),
+        Fault::SlowOrigin { factor } => format!("origin slower by {factor}"),
+        Fault::DiscoveryOutage => "discovery away".into(),
+        Fault::DiscoveryErrors { rate } => format!("{} of discovery's answers broken", percent(*rate)),
     }
 }
--- a/crates/testbed/src/scale/children.rs
+++ b/crates/testbed/src/scale/child_processes.rs
@@ -16,7 +16,7 @@
 
 /// A process that does not take a command within this time is stuck.
 const TAKES_COMMAND: Duration = Duration::from_secs(60);
-/// After [`Children::stop`], those that have not ended within this time are killed.
+/// After [`ChildProcesses::stop`], those that have not ended within this time are killed.
 const ENDS: Duration = Duration::from_secs(5);
 /// The longest line that a process may write.
 const LONGEST_LINE: u64 = 256 << 20;
@@ -25,18 +25,18 @@
 
 /// One process of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Who {
+pub enum ChildProcess {
     /// A replica of discovery, by its number.
     Replica(usize),
     /// A process of hollow nodes, by its number.
     Hollow(usize),
 }
 
-impl fmt::Display for Who {
+impl fmt::Display for ChildProcess {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Who::Replica(number) => write!(formatter, "replica {number}"),
-            Who::Hollow(number) => write!(formatter, "hollow process {number}"),
+            ChildProcess::Replica(number) => write!(formatter, "replica {number}"),
+            ChildProcess::Hollow(number) => write!(formatter, "hollow process {number}"),
         }
     }
 }
@@ -48,7 +48,7 @@
     #[error("{who} does not start: {source}")]
     Start {
         /// Which.
-        who: Who,
+        who: ChildProcess,
         /// Why.
         source: std::io::Error,
     },
@@ -56,7 +56,7 @@
     #[error("{who} takes no commands: {source}; it said last: {said}")]
     Command {
         /// Which.
-        who: Who,
+        who: ChildProcess,
         /// Why.
         source: std::io::Error,
         /// Its last line on standard error.
@@ -66,7 +66,7 @@
     #[error("{who} has ended; it said last: {said}")]
     Ended {
         /// Which.
-        who: Who,
+        who: ChildProcess,
         /// Its last line on standard error.
         said: String,
     },
@@ -74,7 +74,7 @@
     #[error("{who} wrote a line that is no event: {source}")]
     Malformed {
         /// Which.
-        who: Who,
+        who: ChildProcess,
         /// What is wrong with the line.
         source: serde_json::Error,
     },
@@ -82,7 +82,7 @@
     #[error("{who} has not answered within {waited:?}")]
     Silent {
         /// Which.
-        who: Who,
+        who: ChildProcess,
         /// How long was waited.
         waited: Duration,
     },
@@ -90,7 +90,7 @@
 
 /// What came from the processes.
 #[derive(Debug)]
-pub enum Heard {
+pub enum ChildMessage {
     /// From a replica.
     Replica(usize, ReplicaEvent),
     /// From a process of hollow nodes.
@@ -99,7 +99,7 @@
 
 #[derive(Debug)]
 struct Running {
-    who: Who,
+    who: ChildProcess,
     /// Killed when it is dropped.
     child: Child,
     commands: ChildStdin,
@@ -108,29 +108,29 @@
 
 /// The processes of a run. Dropped, all of them are killed.
 #[derive(Debug)]
-pub struct Children {
+pub struct ChildProcesses {
     running: Vec<Running>,
-    sender: UnboundedSender<Result<Heard, ChildError>>,
-    heard: UnboundedReceiver<Result<Heard, ChildError>>,
+    sender: UnboundedSender<Result<ChildMessage, ChildError>>,
+    heard: UnboundedReceiver<Result<ChildMessage, ChildError>>,
 }
 
-impl Default for Children {
+impl Default for ChildProcesses {
     fn default() -> Self {
         let (sender, heard) = unbounded_channel();
         Self { running: Vec::new(), sender, heard }
     }
 }
 
-impl Children {
+impl ChildProcesses {
     /// Starts a process of `program`, which acts as `who` and then waits for its first command.
     ///
     /// # Errors
     /// When the system does not start it.
-    pub fn start(&mut self, program: &Path, who: Who) -> Result<(), ChildError> {
+    pub fn start(&mut self, program: &Path, who: ChildProcess) -> Result<(), ChildError> {
         let failed = |source| ChildError::Start { who, source };
         let subcommand = match who {
-            Who::Replica(_) => "scale-replica",
-            Who::Hollow(_) => "scale-hollow",
+            ChildProcess::Replica(_) => "scale-replica",
+            ChildProcess::Hollow(_) => "scale-hollow",
         };
         let mut child = Command::new(program)
             .arg(subcommand)
@@ -151,10 +151,12 @@
         let (sender, last) = (self.sender.clone(), said.clone());
         tokio::spawn(async move {
             let error = match who {
-                Who::Replica(number) => {
-                    read(who, events, &sender, |event| Heard::Replica(number, event)).await
+                ChildProcess::Replica(number) => {
+                    read(who, events, &sender, |event| ChildMessage::Replica(number, event)).await
+                }
+                ChildProcess::Hollow(number) => {
+                    read(who, events, &sender, |event| ChildMessage::Hollow(number, event)).await
                 }
-                Who::Hollow(number) => read(who, events, &sender, |event| Heard::Hollow(number, event)).await,
             };
             // What it said last explains its end.
             let _ = keeping.await;
@@ -172,7 +174,7 @@
     /// # Errors
     /// When it does not take it.
     pub async fn tell_replica(&mut self, number: usize, command: &ReplicaCommand) -> Result<(), ChildError> {
-        self.tell(Who::Replica(number), command).await
+        self.tell(ChildProcess::Replica(number), command).await
     }
 
     /// Sends a process of hollow nodes a command.
@@ -180,10 +182,10 @@
     /// # Errors
     /// When it does not take it.
     pub async fn tell_hollow(&mut self, number: usize, command: &HollowCommand) -> Result<(), ChildError> {
-        self.tell(Who::Hollow(number), command).await
+        self.tell(ChildProcess::Hollow(number), command).await
     }
 
-    async fn tell(&mut self, who: Who, command: &impl Serialize) -> Result<(), ChildError> {
+    async fn tell(&mut self, who: ChildProcess, command: &impl Serialize) -> Result<(), ChildError> {
         let Some(running) = self.running.iter_mut().find(|running| running.who == who) else {
             return Err(ChildError::Start { who, source: std::io::ErrorKind::NotFound.into() });
         };
@@ -197,7 +199,7 @@
     ///
     /// # Errors
     /// When one has ended, or says what is no event.
-    pub async fn heard(&mut self) -> Result<Heard, ChildError> {
+    pub async fn heard(&mut self) -> Result<ChildMessage, ChildError> {
         match self.heard.recv().await {
             Some(heard) => heard,
             // It is never closed: a sender is kept here.
@@ -206,7 +208,7 @@
     }
 
     /// The system's numbers of the processes of a kind that still run.
-    pub fn ids(&self, of_kind: impl Fn(Who) -> bool) -> Vec<u32> {
+    pub fn ids(&self, of_kind: impl Fn(ChildProcess) -> bool) -> Vec<u32> {
         self.running
             .iter()
             .filter(|running| of_kind(running.who))
@@ -219,8 +221,8 @@
         for running in &mut self.running {
             // One that has ended takes no command, and needs none.
             let _ = match running.who {
-                Who::Replica(_) => write_line(&mut running.commands, &ReplicaCommand::Stop).await,
-                Who::Hollow(_) => write_line(&mut running.commands, &HollowCommand::Stop).await,
+                ChildProcess::Replica(_) => write_line(&mut running.commands, &ReplicaCommand::Stop).await,
+                ChildProcess::Hollow(_) => write_line(&mut running.commands, &HollowCommand::Stop).await,
             };
         }
         let ended = async {
@@ -247,10 +249,10 @@
 
 /// Passes on what a process writes, until it ends: then `None`, or what was wrong with a line.
 async fn read<E: DeserializeOwned>(
-    who: Who,
+    who: ChildProcess,
     events: impl AsyncRead + Unpin,
-    sender: &UnboundedSender<Result<Heard, ChildError>>,
-    heard: impl Fn(E) -> Heard,
+    sender: &UnboundedSender<Result<ChildMessage, ChildError>>,
+    heard: impl Fn(E) -> ChildMessage,
 ) -> Option<ChildError> {
     let mut events = BufReader::new(events);
     let mut line = Vec::new();
--- a/crates/testbed/src/scale/acts.rs
+++ b/crates/testbed/src/scale/propagation.rs
@@ -46,7 +46,7 @@
 
 /// All that is known of the acts of a run.
 #[derive(Clone, Debug)]
-pub struct Acts {
+pub struct Propagation {
     changes: Vec<Change>,
     nodes: Vec<Node>,
     launches: Vec<Launch>,
@@ -67,7 +67,7 @@
 
 /// From a change at discovery to the nodes that act on it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ActFigures {
+pub struct PropagationFigures {
     /// Changes of the list.
     pub changes: u64,
     /// From each change to each node that acted on it.
@@ -103,7 +103,7 @@
     pub largest_group_multiple: f64,
 }
 
-impl Acts {
+impl Propagation {
     /// Of so many nodes that have a list from the beginning.
     pub fn new(nodes: u32, from_us: u64, version: u64) -> Self {
         let life = Life { from_us, to_us: None, with_list: true };
@@ -172,8 +172,9 @@
     }
 
     /// From each change to the nodes that act on it. `within_ms` is what the script expects.
-    pub fn act_figures(&self, within_ms: Option<f64>) -> ActFigures {
-        let mut figures = ActFigures { changes: self.changes.len() as u64, ..ActFigures::default() };
+    pub fn propagation_figures(&self, within_ms: Option<f64>) -> PropagationFigures {
+        let mut figures =
+            PropagationFigures { changes: self.changes.len() as u64, ..PropagationFigures::default() };
         let mut times = Recorder::default();
         for node in &self.nodes {
             let never_before = figures.never;
@@ -188,7 +189,7 @@
         figures
     }
 
-    fn acts_of(&self, node: &Node, life: &Life, figures: &mut ActFigures, times: &mut Recorder) {
+    fn acts_of(&self, node: &Node, life: &Life, figures: &mut PropagationFigures, times: &mut Recorder) {
         let until = life.to_us.unwrap_or(u64::MAX);
         // A node without a list is not ready yet; what changes until then comes with its list.
         let from = if life.with_list { Some(life.from_us) } else { first_list(node, life) };
--- a/crates/testbed/src/scale/real/load.rs
+++ b/crates/testbed/src/scale/real/load.rs
@@ -2,8 +2,8 @@
 
 use super::answer_body;
 use super::recorder::{lock, Recorder};
-use crate::draw::Draw;
-use crate::ledger::{Answer, Fact, TryId, TOLERANCE};
+use crate::judge::{FinalAnswer, Observation, RequestNumber, TOLERANCE};
+use crate::random::RandomSource;
 use crate::script::Class;
 use balancer_core::Idempotency;
 use bytes::Bytes;
@@ -133,7 +133,7 @@
     /// What they ask for.
     pub classes: Vec<Class>,
     /// For chance.
-    pub draw: Draw,
+    pub random: RandomSource,
     /// The nodes.
     pub nodes: Arc<Vec<Node>>,
     /// For the judge.
@@ -148,8 +148,8 @@
         let mut out = JoinSet::new();
         let mut due = Instant::now();
         for number in 0..MOST_REQUESTS {
-            let draw = self.draw.on(number);
-            due += self.gap(draw.on(1));
+            let random = self.random.derive(number);
+            due += self.gap(random.derive(1));
             tokio::select! {
                 () = sleep_until(due) => {}
                 // A sender that is gone wants nothing more either.
@@ -157,14 +157,14 @@
             }
             self.seen.came_late(due.elapsed());
             self.seen.ran_out.store(number + 1 == MOST_REQUESTS, Ordering::Relaxed);
-            let node = (draw.on(2).bits() % self.nodes.len() as u64) as usize;
+            let node = (random.derive(2).bits() % self.nodes.len() as u64) as usize;
             let Ok(permit) = self.nodes[node].out.clone().try_acquire_owned() else {
                 self.seen.held_back.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
             let clients = self.clone();
             out.spawn(async move {
-                clients.ask(node, draw).await;
+                clients.ask(node, random).await;
                 drop(permit);
             });
             while out.try_join_next().is_some() {}
@@ -174,14 +174,14 @@
     }
 
     /// The time between two requests; with no load, long after the end of a run.
-    fn gap(&self, draw: Draw) -> Duration {
-        Duration::try_from_secs_f64(draw.exponential() / self.rate)
+    fn gap(&self, random: RandomSource) -> Duration {
+        Duration::try_from_secs_f64(random.exponential() / self.rate)
             .map_or(LONGEST_GAP, |gap| gap.min(LONGEST_GAP))
     }
 
-    fn class(&self, draw: Draw) -> usize {
+    fn class(&self, random: RandomSource) -> usize {
         let all: f64 = self.classes.iter().map(|class| class.share).sum();
-        let mut left = draw.unit() * all;
+        let mut left = random.uniform() * all;
         let found = self.classes.iter().position(|class| {
             left -= class.share;
             left < 0.0
@@ -189,19 +189,19 @@
         found.unwrap_or(0)
     }
 
-    async fn ask(&self, node: usize, draw: Draw) {
+    async fn ask(&self, node: usize, random: RandomSource) {
         if lock(&self.nodes[node].state).address.is_none() {
             self.seen.held_back.fetch_add(1, Ordering::Relaxed);
             return;
         }
-        let class = self.class(draw.on(3));
+        let class = self.class(random.derive(3));
         let wanted = &self.classes[class];
-        let work = wanted.work.mul_f64(draw.on(4).log_normal(wanted.spread));
+        let work = wanted.mean_work.mul_f64(random.derive(4).log_normal(wanted.work_variation));
         let question = Question {
             request: self.recorder.ask(class, work),
             node,
             class,
-            key: draw.on(5).bits() % KEYS,
+            key: random.derive(5).bits() % KEYS,
             until: Instant::now() + wanted.deadline,
         };
         // Past that the client has left, and what was owed and did not come is lost.
@@ -230,7 +230,7 @@
             match self.answer(&mut link, question).await {
                 Ok(answer) => {
                     let request = question.request;
-                    self.recorder.note(|at| Fact::Answered { request, at, answer });
+                    self.recorder.record(|at| Observation::Answered { request, at, answer });
                     return node.keep(link);
                 }
                 // A node may close between two requests; what crossed that is sent once more, on a new connection.
@@ -242,30 +242,36 @@
         }
         if taken {
             // The node is gone, or nobody listened any more where the request was to be sent again: it was never taken.
-            self.recorder.note(|_| Fact::Left { request: question.request });
+            self.recorder.record(|_| Observation::ClientDisconnected { request: question.request });
         }
     }
 
     fn note_taken(&self, question: &Question) {
         let (request, node) = (question.request, question.node);
         let left = question.until.saturating_duration_since(Instant::now());
-        self.recorder.note(|at| Fact::Taken { request, ask: request, node, at, until: at + left });
+        self.recorder.record(|at| Observation::RequestAccepted {
+            request,
+            operation: request,
+            node,
+            at,
+            expires_at: at + left,
+        });
     }
 
-    async fn answer(&self, link: &mut Link, question: &Question) -> Result<Answer, NoAnswer> {
+    async fn answer(&self, link: &mut Link, question: &Question) -> Result<FinalAnswer, NoAnswer> {
         let asked = Instant::now();
         let response = link.sender.send_request(self.request(question)?).await?;
         let status = response.status();
         let body = Limited::new(response.into_body(), LONGEST_ANSWER).collect().await;
         // An answer that has begun and breaks off has failed: the client can tell that it is not whole.
-        let Ok(body) = body.map(|body| body.to_bytes()) else { return Ok(Answer::Failed) };
+        let Ok(body) = body.map(|body| body.to_bytes()) else { return Ok(FinalAnswer::Failed) };
         let answer = match status {
-            StatusCode::OK if body == answer_body(question.request) => Answer::Served,
-            StatusCode::OK => Answer::Foreign,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Answer::Refused,
-            _ => Answer::Failed,
+            StatusCode::OK if body == answer_body(question.request) => FinalAnswer::Served,
+            StatusCode::OK => FinalAnswer::Mismatched,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => FinalAnswer::Rejected,
+            _ => FinalAnswer::Failed,
         };
-        if answer == Answer::Served {
+        if answer == FinalAnswer::Served {
             let took = u32::try_from(asked.elapsed().as_micros()).unwrap_or(u32::MAX);
             lock(&self.seen.latencies).push(took);
         }
@@ -284,7 +290,7 @@
             .header("req-id", &id)
             .header("req-kind", &class.name)
             .header("req-deadline-ms", left.as_millis() as u64);
-        if matches!(class.effect, Idempotency::WithKey { .. }) {
+        if matches!(class.idempotency, Idempotency::WithKey { .. }) {
             request = request.header("idempotency-key", &id);
         }
         request.body(Full::new(Bytes::from(body)))
@@ -293,7 +299,7 @@
 
 #[derive(Debug)]
 struct Question {
-    request: TryId,
+    request: RequestNumber,
     node: usize,
     class: usize,
     key: u64,
--- a/crates/testbed/src/scale/real/mod.rs
+++ b/crates/testbed/src/scale/real/mod.rs
@@ -3,11 +3,11 @@
 //!
 //! - [`CacheServers`] are stand-ins on loopback, up to 1,100 in this process; their entries are what discovery lists.
 //! - [`RealNodes`] starts the nodes, asks them, is told what discovery has, and reports at the end.
-//! - [`Judge`] decides when a node counts as told of a change; the [`Ledger`](crate::Ledger) decides the rules.
+//! - [`NotificationJudge`] decides when a node counts as told of a change; the [`Judge`](crate::Judge) decides the rules.
 //!
 //! When a node is told: discovery is another process here, and what it writes to a node this judge doesn't see. So it goes
 //! by the operators' term alone: a node counts as told of a change 6 s after discovery had it and could be reached
-//! ([`judge::TOLD_AFTER`]), counted anew from the end of an outage and from the node's own start; then come the grace of
+//! ([`notification_judge::TOLD_AFTER`]), counted anew from the end of an outage and from the node's own start; then come the grace of
 //! 0.5 s and the protocol's tolerance of 50 ms. What was written to the node earlier isn't seen, so this judge is milder
 //! there than one that sees the wire. A send is timed when it reaches the stand-in.
 //!
@@ -16,8 +16,8 @@
 //! and nodes are killed, when [`RealNodes`] is dropped, also on errors; a program that takes Ctrl-C has to drop it then.
 
 mod error;
-pub mod judge;
 mod load;
+pub mod notification_judge;
 mod process;
 mod recorder;
 mod report;
@@ -26,14 +26,14 @@
 mod usage;
 
 pub use error::RealError;
-pub use judge::Judge;
+pub use notification_judge::NotificationJudge;
 pub use report::{Latency, NodeUsage, RealReport, RulesBroken};
 pub use servers::{CacheServers, ServerSettings, MOST_SERVERS};
 pub use settings::{classes, RealSettings, MOST_NODES};
 pub use usage::Usage;
 
-use crate::draw::Draw;
-use crate::ledger::{Answer, Fact};
+use crate::judge::{FinalAnswer, Observation};
+use crate::random::RandomSource;
 use crate::scale::messages::ListedServer;
 use load::{Clients, Node, Seen};
 use process::Process;
@@ -105,13 +105,13 @@
         let clients = Clients {
             rate: settings.rate,
             classes: settings.classes.clone(),
-            draw: Draw::new(settings.seed).on(0x7265_616c),
+            random: RandomSource::new(settings.seed).derive(0x7265_616c),
             nodes: nodes.clone(),
             recorder: servers.recorder().clone(),
             seen: seen.clone(),
         };
         for (number, slot) in slots.iter().enumerate() {
-            servers.recorder().note(|_| Fact::Started { node: number });
+            servers.recorder().record(|_| Observation::NodeStarted { node: number });
             slot.process.iter().for_each(|process| nodes[number].started(process.address));
         }
         let load = tokio::spawn(Arc::new(clients).run(stopped));
@@ -151,7 +151,7 @@
         *before = Usage { processor: before.processor + used.processor, rss_anon: used.rss_anon };
         self.nodes[number].killing();
         process.kill().await;
-        self.servers.recorder().note(|at| Fact::Killed { node: number, at });
+        self.servers.recorder().record(|at| Observation::NodeKilled { node: number, at });
         self.nodes[number].gone();
         Ok(())
     }
@@ -168,7 +168,7 @@
         };
         let process = Process::start(&self.settings.program, &slot.file, node, self.log_lines.clone());
         let process = process.await?;
-        self.servers.recorder().note(|_| Fact::Started { node: number });
+        self.servers.recorder().record(|_| Observation::NodeStarted { node: number });
         self.nodes[number].started(process.address);
         slot.process = Some(process);
         Ok(())
@@ -213,16 +213,16 @@
         let nodes = self.usage();
         self.slots.clear();
         let verdict = self.servers.recorder().verdict(self.settings.classes.clone());
-        let answers = |answer: Answer| verdict.answers[answer as usize];
+        let answers = |answer: FinalAnswer| verdict.answers[answer as usize];
         let (served, refused, failed) =
-            (answers(Answer::Served), answers(Answer::Refused), answers(Answer::Failed));
+            (answers(FinalAnswer::Served), answers(FinalAnswer::Rejected), answers(FinalAnswer::Failed));
         let latencies = std::mem::take(&mut *lock(&self.seen.latencies));
         RealReport {
-            requests: verdict.taken,
+            requests: verdict.accepted,
             served,
             refused,
             failed,
-            unanswered: verdict.taken - served - refused - failed,
+            unanswered: verdict.accepted - served - refused - failed,
             held_back: self.seen.held_back.load(Ordering::Relaxed),
             load_ran_out: self.seen.ran_out.load(Ordering::Relaxed),
             latest_us: self.seen.latest_us.load(Ordering::Relaxed),
@@ -230,7 +230,7 @@
             turned_away: self.servers.turned_away(),
             log_lines: self.log_lines.load(Ordering::Relaxed),
             rules_broken: RulesBroken::of(&verdict),
-            breaches: verdict.breaches,
+            breaches: verdict.violations,
             latency: Latency::of(latencies),
             nodes,
         }
--- a/crates/testbed/src/scale/real/process.rs
+++ b/crates/testbed/src/scale/real/process.rs
@@ -1,8 +1,8 @@
 //! Real nodes as processes of the program: their configuration, their start, their end, and what they use.
 
 use super::{servers, RealError, RealSettings};
-use crate::live::class_table;
 use crate::script::Script;
+use crate::sockets::class_table;
 use checked_toml::time_text;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -40,13 +40,13 @@
         name = name(node),
         fleet = settings.fleet,
         // TOML's numbers have a sign.
-        seed = crate::draw::Draw::new(settings.seed).on(u64::from(node)).bits() >> 1,
+        seed = crate::random::RandomSource::new(settings.seed).derive(u64::from(node)).bits() >> 1,
         attempts = rules.max_attempts,
         idle = time(IDLE),
-        cold = kind.cold,
-        warm = time(kind.warm_within),
-        multiple = rules.fall_multiple,
-        span = time(rules.fall_span),
+        cold = kind.slow_start_min_fraction,
+        warm = time(kind.slow_start_window),
+        multiple = rules.slow_start_overload_factor,
+        span = time(rules.slow_start_overload_window),
         discovery = discovery(settings),
         classes = settings.classes.iter().map(class_table).collect::<String>(),
     )
--- a/crates/testbed/src/scale/real/recorder.rs
+++ b/crates/testbed/src/scale/real/recorder.rs
@@ -1,7 +1,7 @@
 //! What stand-ins and clients write down together: facts for the judge, by one clock.
 
-use super::judge::Judge;
-use crate::ledger::{Fact, TryId, Verdict};
+use super::notification_judge::NotificationJudge;
+use crate::judge::{Observation, RequestNumber, Verdict};
 use crate::script::Class;
 use balancer_core::Timestamp;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -31,7 +31,7 @@
 
 #[derive(Debug)]
 struct State {
-    judge: Judge,
+    judge: NotificationJudge,
     /// A run has begun.
     begun: bool,
     /// By number.
@@ -51,7 +51,7 @@
         let begun_unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self {
             clock: Clock { begun: Instant::now(), begun_unix },
-            state: Mutex::new(State { judge: Judge::new(0), begun: false, requests: Vec::new() }),
+            state: Mutex::new(State { judge: NotificationJudge::new(0), begun: false, requests: Vec::new() }),
         }
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Changes the judge's books.
-    pub fn judge<T>(&self, change: impl FnOnce(&mut Judge) -> T) -> T {
+    pub fn judge<T>(&self, change: impl FnOnce(&mut NotificationJudge) -> T) -> T {
         change(&mut lock(&self.state).judge)
     }
 
@@ -86,18 +86,18 @@
     }
 
     /// Writes down what happens now.
-    pub fn note(&self, fact: impl FnOnce(Timestamp) -> Fact) {
+    pub fn record(&self, fact: impl FnOnce(Timestamp) -> Observation) {
         let mut state = lock(&self.state);
         let at = self.now();
-        state.judge.note(at, fact(at));
+        state.judge.record(at, fact(at));
     }
 
     /// Takes in a new request of this class, which costs a cache server so much; its number.
-    pub fn ask(&self, class: usize, work: Duration) -> TryId {
+    pub fn ask(&self, class: usize, work: Duration) -> RequestNumber {
         let mut state = lock(&self.state);
         let (at, ask) = (self.now(), state.requests.len() as u64);
         state.requests.push(Sent { work, attempts: 0 });
-        state.judge.note(at, Fact::Asked { ask, at, class });
+        state.judge.record(at, Observation::OperationStarted { operation: ask, at, class });
         ask
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// Takes in an attempt at this request: what there was before it; `None` where no client has sent this number.
-    pub fn attempt(&self, request: TryId) -> Option<Sent> {
+    pub fn attempt(&self, request: RequestNumber) -> Option<Sent> {
         let mut state = lock(&self.state);
         let sent = state.requests.get_mut(usize::try_from(request).ok()?)?;
         let before = *sent;
@@ -117,7 +117,7 @@
 
     /// Judges what was noted up to now.
     pub fn verdict(&self, classes: Vec<Class>) -> Verdict {
-        let judge = std::mem::replace(&mut lock(&self.state).judge, Judge::new(0));
+        let judge = std::mem::replace(&mut lock(&self.state).judge, NotificationJudge::new(0));
         judge.verdict(classes)
     }
 }
--- a/crates/testbed/src/scale/real/report.rs
+++ b/crates/testbed/src/scale/real/report.rs
@@ -1,6 +1,6 @@
 //! What the real nodes of a scale run came to.
 
-use crate::ledger::{Breach, Verdict};
+use crate::judge::{Verdict, Violation};
 use serde::Serialize;
 
 /// How often each rule was broken.
@@ -24,7 +24,7 @@
 
     /// As the ledger counts them.
     pub fn of(verdict: &Verdict) -> Self {
-        let [lost, repeated_effect, after_drain, cold_server_fell] = verdict.broken;
+        let [lost, repeated_effect, after_drain, cold_server_fell] = verdict.violation_counts;
         Self { lost, repeated_effect, after_drain, cold_server_fell }
     }
 }
@@ -90,7 +90,7 @@
     /// Rules that were broken.
     pub rules_broken: RulesBroken,
     /// The first breaches in words.
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// How long requests took.
     pub latency: Latency,
     /// By node.
--- a/crates/testbed/src/scale/real/servers.rs
+++ b/crates/testbed/src/scale/real/servers.rs
@@ -5,13 +5,13 @@
 //! time.
 
 use super::recorder::{lock, Recorder};
-use super::{answer_body, judge::Wanted, zone_number, RealError};
-use crate::draw::Draw;
-use crate::ledger::Fact;
+use super::{answer_body, notification_judge::Wanted, zone_number, RealError};
+use crate::judge::Observation;
+use crate::models::cache_server::{Job, JobId, ServerOutput};
+use crate::models::{CacheServer, OfferResult};
+use crate::random::RandomSource;
 use crate::scale::messages::ListedServer;
-use crate::script::{Kind, Script};
-use crate::world::cache_server::{Did, Job, JobId};
-use crate::world::{CacheServer, Verdict};
+use crate::script::{Script, ServerKind};
 use balancer_core::Timestamp;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -62,8 +62,8 @@
 }
 
 /// What every stand-in is; nodes are told the same of them.
-pub fn kind() -> Kind {
-    Kind { name: "standard".into(), errors: 0.0, ..Kind::default() }
+pub fn kind() -> ServerKind {
+    ServerKind { name: "standard".into(), error_rate: 0.0, ..ServerKind::default() }
 }
 
 /// What a process at an address does with requests.
@@ -296,7 +296,7 @@
 
 fn machine(now: Timestamp, warm: bool) -> CacheServer {
     let base = Script::default();
-    CacheServer::new(kind(), base.rules, base.reports, now, warm)
+    CacheServer::new(kind(), base.rules, base.load_reports, now, warm)
 }
 
 async fn accept(shared: Arc<Shared>, server: Arc<Server>, listener: TcpListener) {
@@ -324,7 +324,7 @@
 
 fn counted(server: &Arc<Server>) -> Option<Counted> {
     let mut process = lock(&server.process);
-    if process.connections >= process.machine.most_connections() {
+    if process.connections >= process.machine.max_connections() {
         return None;
     }
     process.connections += 1;
@@ -371,8 +371,8 @@
     // A body that never comes whole has started nothing.
     body.await.map_err(|_| BrokenOff)?;
     let job_id = id * ATTEMPTS + u64::from(attempt) % ATTEMPTS;
-    let draw = Draw::new(id).on(u64::from(attempt));
-    let job = Job { id: job_id, key, initial_rank: None, work, write, handshake: Duration::ZERO, draw };
+    let random = RandomSource::new(id).derive(u64::from(attempt));
+    let job = Job { id: job_id, key, initial_rank: None, work, write, handshake: Duration::ZERO, random };
     let done = match server.offer(&recorder, job) {
         Offered::Taken(done) => done,
         Offered::Declined => return Ok(declined()),
@@ -388,7 +388,7 @@
     let id = u64::from_str_radix(id, 16).ok()?;
     let sent = recorder.attempt(id)?;
     let number = lock(&server.process).number;
-    recorder.note(|at| Fact::Sent { request: id, server: number, at });
+    recorder.record(|at| Observation::AttemptSent { request: id, server: number, at });
     Some((id, sent.attempts, sent.work))
 }
 
@@ -408,16 +408,16 @@
         }
         let (now, id) = (recorder.now(), job.id);
         match process.machine.offer(now, job) {
-            Verdict::Taken => {
+            OfferResult::Accepted => {
                 let (sender, receiver) = oneshot::channel();
                 process.waiting.insert(id, sender);
                 self.news.notify_one();
                 Offered::Taken(receiver)
             }
-            Verdict::Declined => Offered::Declined,
-            Verdict::Fell => {
+            OfferResult::Declined => Offered::Declined,
+            OfferResult::Overloaded => {
                 let server = process.number;
-                recorder.note(|at| Fact::Fell { server, at });
+                recorder.record(|at| Observation::ServerOverloaded { server, at });
                 self.end_process(&mut process);
                 Offered::Ended
             }
@@ -435,14 +435,14 @@
             let mut did = Vec::new();
             process.machine.advance(now, &mut did);
             if did.is_empty() {
-                return process.machine.next();
+                return process.machine.next_wakeup();
             }
             for did in did {
                 match did {
-                    Did::Fetch(job) => process.machine.fetched(now, job, true),
-                    Did::Done { id, .. } => {
+                    ServerOutput::Fetch(job) => process.machine.fetch_ended(now, job, true),
+                    ServerOutput::Finished { id, .. } => {
                         let server = process.number;
-                        recorder.note(|at| Fact::Ran { request: id / ATTEMPTS, server, at });
+                        recorder.record(|at| Observation::Executed { request: id / ATTEMPTS, server, at });
                         if let Some(waiting) = process.waiting.remove(&id) {
                             // Whoever asked may have gone: the work was done all the same.
                             let _ = waiting.send(());
--- a/crates/testbed/src/scale/real/settings.rs
+++ b/crates/testbed/src/scale/real/settings.rs
@@ -62,16 +62,16 @@
 /// Reads of a safe class, and writes of a keyed and of an unsafe one, with little work each. Their deadline is long:
 /// a rig that is short of processor time must not be what loses a request.
 pub fn classes() -> Vec<Class> {
-    let class = |name: &str, share, effect, write| Class {
+    let class = |name: &str, share, idempotency, write| Class {
         name: name.into(),
         share,
-        work: Duration::from_millis(2),
-        spread: 0.5,
-        aim: Duration::from_secs(1),
+        mean_work: Duration::from_millis(2),
+        work_variation: 0.5,
+        latency_objective: Duration::from_secs(1),
         deadline: Duration::from_secs(10),
-        worth: 1.0,
-        late_worth: 0.4,
-        effect,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.4,
+        idempotency,
         write,
     };
     let keyed = Idempotency::WithKey { scope: DeduplicationScope::All, window: Duration::from_secs(20) };
--- a/crates/testbed/src/scale/beside.rs
+++ b/crates/testbed/src/scale/real_fleet.rs
@@ -1,18 +1,18 @@
 //! The real nodes of a run: what happens is passed on to them and to the servers that they use.
 
-use super::events::servers_at_start;
 use super::measure::Cost;
 use super::messages::{Answering, ListedServer};
 use super::real::{classes, CacheServers, RealError, RealNodes, RealReport, RealSettings, ServerSettings};
 use super::report::RealFigures;
 use super::script::ScaleScript;
+use super::steps::servers_at_start;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
 /// Whoever stands beside the hollow nodes: nobody, or real nodes and the servers that they use.
 #[derive(Debug)]
-pub struct Beside {
+pub struct RealFleet {
     servers: Option<CacheServers>,
     nodes: Option<RealNodes>,
     /// How each replica answers.
@@ -22,7 +22,7 @@
     away_since_us: Option<u64>,
 }
 
-impl Beside {
+impl RealFleet {
     /// Starts the servers, if the script has real nodes.
     ///
     /// # Errors
@@ -140,6 +140,6 @@
         p50_us: report.latency.p50_us,
         p99_us: report.latency.p99_us,
         rules_broken: [broken.lost, broken.repeated_effect, broken.after_drain, broken.cold_server_fell],
-        breaches: report.breaches.iter().map(|breach| breach.what.clone()).collect(),
+        breaches: report.breaches.iter().map(|violation| violation.description.clone()).collect(),
     }
 }
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -1,7 +1,7 @@
 //! What a scale run came to: as a table, and as one line of JSON that `fit` reads again.
 
-use super::acts::{ActFigures, ReadyFigures, Times};
 use super::messages::{ReplicaCapacity, ReplicaReport};
+use super::propagation::{PropagationFigures, ReadyFigures, Times};
 use super::snapshot::Window;
 use comfy_table::presets::UTF8_BORDERS_ONLY;
 use comfy_table::{CellAlignment, Table};
@@ -42,7 +42,7 @@
     /// From the first event until all have caught up; none where nothing happens.
     pub active: Option<WindowFigures>,
     /// From changes to nodes that act on them.
-    pub acts: ActFigures,
+    pub acts: PropagationFigures,
     /// From starts without a list to the list.
     pub ready: ReadyFigures,
     /// Processor time of a node for a change that it acts on, above that at rest, in microseconds; none where whole lists
--- a/crates/testbed/src/scale/needs.rs
+++ b/crates/testbed/src/scale/requirements.rs
@@ -33,7 +33,7 @@
 
 /// What a run needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Needs {
+pub struct Requirements {
     /// Descriptors of the process that needs most.
     pub descriptors: u64,
     /// Resident memory of all processes, in bytes.
@@ -56,7 +56,7 @@
 /// Something that does not fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{what}: the run needs {needed} {unit}, {allowed} are allowed ({source_of_limit})")]
-pub struct NeedFault {
+pub struct Shortage {
     /// Of what there is too little.
     pub what: &'static str,
     /// In what it is counted.
@@ -80,7 +80,7 @@
     Malformed,
 }
 
-impl Needs {
+impl Requirements {
     /// Of a script.
     ///
     /// Memory is `processes * PROCESS + nodes * (NODE + servers * LISTED) + nodes * CONNECTIONS * CONNECTION + real *
@@ -109,12 +109,12 @@
     ///
     /// # Errors
     /// All that does not fit.
-    pub fn fit(&self, limits: &Limits) -> Result<(), Vec<NeedFault>> {
+    pub fn fit(&self, limits: &Limits) -> Result<(), Vec<Shortage>> {
         const MIB: u64 = 1 << 20;
         let mut faults = Vec::new();
         let mut compare = |what, unit, needed, allowed, source_of_limit| {
             if needed > allowed {
-                faults.push(NeedFault { what, unit, needed, allowed, source_of_limit });
+                faults.push(Shortage { what, unit, needed, allowed, source_of_limit });
             }
         };
         let (needed, allowed) = (self.descriptors, limits.descriptors);
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -1,19 +1,19 @@
 //! One scale run: starts the processes, carries the steps out at their times, and takes the measurements.
 
-use super::acts::Acts;
-use super::beside::Beside;
-use super::children::{ChildError, Children, Heard, Who};
-use super::events::{plan, Planned, Step};
+use super::child_processes::{ChildError, ChildMessage, ChildProcess, ChildProcesses};
 use super::measure::{cost_of, Cost};
 use super::messages::{
     HollowCommand, HollowEvent, ListedServer, ReplicaCommand, ReplicaEvent, ReplicaReport,
 };
-use super::needs::{Limits, LimitsError, NeedFault, Needs};
+use super::propagation::Propagation;
 use super::real::RealError;
+use super::real_fleet::RealFleet;
 use super::replica_set::{ReplicaSet, Told};
 use super::report::{largest_over_mean, ScaleReport, WindowFigures, VERSION};
+use super::requirements::{Limits, LimitsError, Requirements, Shortage};
 use super::script::ScaleScript;
 use super::snapshot::{Snapshot, Window};
+use super::steps::{plan, Planned, Step};
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -39,7 +39,7 @@
 pub enum RunError {
     /// The machine is too small for it.
     #[error("the run does not fit into this machine:{}", listed(.0))]
-    Needs(Vec<NeedFault>),
+    Requirements(Vec<Shortage>),
     /// The machine's limits could not be read.
     #[error(transparent)]
     Limits(#[from] LimitsError),
@@ -65,7 +65,7 @@
     Interrupted,
 }
 
-fn listed(faults: &[NeedFault]) -> String {
+fn listed(faults: &[Shortage]) -> String {
     faults.iter().map(|fault| format!("\n  {fault}")).collect()
 }
 
@@ -108,7 +108,7 @@
     progress: impl FnMut(&Progress),
     stop: impl Future<Output = ()>,
 ) -> Result<ScaleReport, RunError> {
-    Needs::of(script).fit(&Limits::of_this_machine()?).map_err(RunError::Needs)?;
+    Requirements::of(script).fit(&Limits::of_this_machine()?).map_err(RunError::Requirements)?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(RunError::Runtime)?;
     let local = tokio::task::LocalSet::new();
@@ -126,7 +126,7 @@
     program: &Path,
     progress: impl FnMut(&Progress),
 ) -> Result<ScaleReport, RunError> {
-    let beside = Beside::start_servers(script).await?;
+    let beside = RealFleet::start_servers(script).await?;
     let servers = beside.servers(script);
     let steps = plan(script, &servers);
     let mut run = Run::new(script, &servers, beside, progress);
@@ -159,11 +159,11 @@
 
 struct Run<'a, P> {
     script: &'a ScaleScript,
-    children: Children,
-    beside: Beside,
+    children: ChildProcesses,
+    beside: RealFleet,
     replicas: ReplicaSet,
     addresses: Vec<SocketAddr>,
-    acts: Acts,
+    acts: Propagation,
     /// Each replica's last report; none while one is awaited.
     reports: Vec<Option<ReplicaReport>>,
     hollow_started: usize,
@@ -182,15 +182,15 @@
 }
 
 impl<'a, P: FnMut(&Progress)> Run<'a, P> {
-    fn new(script: &'a ScaleScript, servers: &[ListedServer], beside: Beside, progress: P) -> Self {
+    fn new(script: &'a ScaleScript, servers: &[ListedServer], beside: RealFleet, progress: P) -> Self {
         let replicas = script.running_replicas();
         Self {
             script,
-            children: Children::default(),
+            children: ChildProcesses::default(),
             beside,
             replicas: ReplicaSet::new(replicas, FIRST_VERSION, servers),
             addresses: Vec::new(),
-            acts: Acts::new(script.nodes, unix_us(), FIRST_VERSION),
+            acts: Propagation::new(script.nodes, unix_us(), FIRST_VERSION),
             reports: vec![None; replicas as usize],
             hollow_started: 0,
             hollow_awaited: 0,
@@ -213,7 +213,7 @@
     /// Starts replicas, then real nodes, then hollow ones.
     async fn start(&mut self, program: &Path, servers: &[ListedServer]) -> Result<(), RunError> {
         for number in 0..self.reports.len() {
-            self.children.start(program, Who::Replica(number))?;
+            self.children.start(program, ChildProcess::Replica(number))?;
             let command = ReplicaCommand::Start {
                 listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
                 capacity: self.script.capacity,
@@ -222,13 +222,14 @@
             };
             self.children.tell_replica(number, &command).await?;
             // In their order, so that addresses are by number.
-            self.hear_until(STARTS, Who::Replica(number), |run| run.addresses.len() > number).await?;
+            self.hear_until(STARTS, ChildProcess::Replica(number), |run| run.addresses.len() > number)
+                .await?;
         }
         let known = self.known(self.script.known_replicas());
         self.beside.start_nodes(self.script, program, known.clone()).await?;
         let mut first = 0;
         for (number, count) in self.shares().into_iter().enumerate() {
-            self.children.start(program, Who::Hollow(number))?;
+            self.children.start(program, ChildProcess::Hollow(number))?;
             let command = HollowCommand::Start {
                 first,
                 count,
@@ -244,7 +245,7 @@
             first += count;
         }
         let processes = self.shares().len();
-        self.hear_until(STARTS, Who::Hollow(0), |run| run.hollow_started == processes).await
+        self.hear_until(STARTS, ChildProcess::Hollow(0), |run| run.hollow_started == processes).await
     }
 
     /// How many nodes each process of hollow nodes has.
@@ -376,7 +377,7 @@
         self.next_poll = None;
         loop {
             self.ask_hollow().await?;
-            self.hear_until(REPORTS, Who::Hollow(0), |run| run.hollow_awaited == 0).await?;
+            self.hear_until(REPORTS, ChildProcess::Hollow(0), |run| run.hollow_awaited == 0).await?;
             if self.behind == 0 || Instant::now() >= until {
                 return Ok(());
             }
@@ -397,7 +398,7 @@
     async fn hear_until(
         &mut self,
         patience: Duration,
-        who: Who,
+        who: ChildProcess,
         done: impl Fn(&Self) -> bool,
     ) -> Result<(), RunError> {
         let until = Instant::now() + patience;
@@ -411,12 +412,14 @@
         Ok(())
     }
 
-    fn take_in(&mut self, heard: Heard) {
+    fn take_in(&mut self, heard: ChildMessage) {
         match heard {
-            Heard::Replica(_, ReplicaEvent::Listening { address }) => self.addresses.push(address),
-            Heard::Replica(number, ReplicaEvent::Report(report)) => self.reports[number] = Some(report),
-            Heard::Hollow(_, HollowEvent::Started) => self.hollow_started += 1,
-            Heard::Hollow(_, HollowEvent::Report(report)) => {
+            ChildMessage::Replica(_, ReplicaEvent::Listening { address }) => self.addresses.push(address),
+            ChildMessage::Replica(number, ReplicaEvent::Report(report)) => {
+                self.reports[number] = Some(report)
+            }
+            ChildMessage::Hollow(_, HollowEvent::Started) => self.hollow_started += 1,
+            ChildMessage::Hollow(_, HollowEvent::Report(report)) => {
                 self.hollow_awaited = self.hollow_awaited.saturating_sub(1);
                 self.failed_calls += report.failed_calls;
                 report.applied.into_iter().for_each(|applied| self.acts.applied(applied));
@@ -441,20 +444,21 @@
     /// Has all processes report, and reads what they cost.
     async fn snapshot(&mut self) -> Result<Snapshot, RunError> {
         let at = std::time::Instant::now();
-        let hollow = cost(&self.children.ids(|who| matches!(who, Who::Hollow(_))))?;
-        let replicas = cost(&self.children.ids(|who| matches!(who, Who::Replica(_))))?;
+        let hollow = cost(&self.children.ids(|who| matches!(who, ChildProcess::Hollow(_))))?;
+        let replicas = cost(&self.children.ids(|who| matches!(who, ChildProcess::Replica(_))))?;
         let run = cost(&[std::process::id()])?;
         let real = self.beside.cost();
-        self.hear_until(REPORTS, Who::Hollow(0), |run| run.hollow_awaited == 0).await?;
+        self.hear_until(REPORTS, ChildProcess::Hollow(0), |run| run.hollow_awaited == 0).await?;
         self.ask_hollow().await?;
         for number in 0..self.reports.len() {
             self.reports[number] = None;
             self.children.tell_replica(number, &ReplicaCommand::Report).await?;
         }
         for number in 0..self.reports.len() {
-            self.hear_until(REPORTS, Who::Replica(number), |run| run.reports[number].is_some()).await?;
+            self.hear_until(REPORTS, ChildProcess::Replica(number), |run| run.reports[number].is_some())
+                .await?;
         }
-        self.hear_until(REPORTS, Who::Hollow(0), |run| run.hollow_awaited == 0).await?;
+        self.hear_until(REPORTS, ChildProcess::Hollow(0), |run| run.hollow_awaited == 0).await?;
         // From the first snapshot on, nodes are polled.
         self.next_poll.get_or_insert(Instant::now() + POLL);
         let reports = self.reports.iter().map(|report| report.unwrap_or_default()).collect();
@@ -494,7 +498,7 @@
             most_late_ms: self.most_late.as_secs_f64() * 1e3,
             rest: at_rest,
             active,
-            acts: self.acts.act_figures(within_ms),
+            acts: self.acts.propagation_figures(within_ms),
             ready: self.acts.ready_figures(),
             node_change_us: (changes > 0 && whole == 0).then(|| above_rest_us / changes as f64),
             node_whole_list_us: (whole > changes).then(|| above_rest_us / whole as f64),
--- a/crates/testbed/src/scale/events.rs
+++ b/crates/testbed/src/scale/steps.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{Answering, ListedServer};
 use super::script::{Event, EventKind, ScaleScript};
-use crate::draw::Draw;
+use crate::random::RandomSource;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
@@ -101,7 +101,7 @@
     let (zones, others): (Vec<_>, Vec<_>) =
         script.events.iter().enumerate().partition(|(_, event)| matches!(event.what, EventKind::Zone { .. }));
     for (number, event) in zones.into_iter().chain(others) {
-        planner.event(event, Draw::new(script.seed).on(number as u64));
+        planner.event(event, RandomSource::new(script.seed).derive(number as u64));
     }
     planner.carry_out_servers();
     let mut planned = planner.planned;
@@ -129,9 +129,9 @@
     }
 
     /// Takes the first free one from a drawn one on.
-    fn draw(&mut self, draw: Draw, from: Duration, to: Duration) -> Option<u32> {
+    fn take_random(&mut self, random: RandomSource, from: Duration, to: Duration) -> Option<u32> {
         let count = self.0.len() as u64;
-        let first = draw.bits() % count;
+        let first = random.bits() % count;
         (0..count).map(|next| ((first + next) % count) as u32).find(|&number| self.take(number, from, to))
     }
 }
@@ -185,33 +185,33 @@
         }
     }
 
-    fn event(&mut self, event: &Event, draw: Draw) {
+    fn event(&mut self, event: &Event, random: RandomSource) {
         let from = event.at;
         let to = event.over.map(|over| from + over);
         match event.what {
-            EventKind::Changes { per_day, step } => self.changes(event, per_day, step, draw),
+            EventKind::Changes { per_day, step } => self.changes(event, per_day, step, random),
             EventKind::Restarts { per_day, down, nodes_only } => {
-                self.restarts(event, per_day, down, nodes_only, draw);
+                self.restarts(event, per_day, down, nodes_only, random);
             }
             EventKind::Zone { zone } => {
-                let drawn = (draw.bits() % u64::from(self.script.zones)) as u32;
+                let drawn = (random.bits() % u64::from(self.script.zones)) as u32;
                 self.zone(event, zone.unwrap_or(drawn));
             }
             EventKind::ReplicaLost { replica } => {
-                let replica = self.replica(replica, draw);
+                let replica = self.replica(replica, random);
                 self.answer(event, vec![replica], Answering::Away);
             }
             EventKind::ReplicaSilent { replica } => {
-                let replica = self.replica(replica, draw);
+                let replica = self.replica(replica, random);
                 self.answer(event, vec![replica], Answering::Silent);
             }
             EventKind::ReplicaLagging { replica, lag } => {
-                let replica = self.replica(replica, draw);
+                let replica = self.replica(replica, random);
                 self.step(from, Step::Lag { replica, by: lag });
                 self.step_at_end(to, Step::Lag { replica, by: Duration::ZERO });
             }
             EventKind::ReplicaReset { replica, versions } => {
-                let replica = self.replica(replica, draw);
+                let replica = self.replica(replica, random);
                 self.step(from, Step::Lose { replica, versions });
                 self.step_at_end(to, Step::Restore { replica });
             }
@@ -228,9 +228,9 @@
     }
 
     /// A replica that nodes know: the one that the script names, or a drawn one.
-    fn replica(&self, named: Option<u32>, draw: Draw) -> u32 {
+    fn replica(&self, named: Option<u32>, random: RandomSource) -> u32 {
         let known = self.script.known_replicas();
-        named.unwrap_or((draw.bits() % u64::from(known)) as u32).min(known - 1)
+        named.unwrap_or((random.bits() % u64::from(known)) as u32).min(known - 1)
     }
 
     fn answer(&mut self, event: &Event, replicas: Vec<u32>, answering: Answering) {
@@ -239,29 +239,36 @@
         self.step_at_end(end, Step::Answer { replicas, answering: Answering::Up });
     }
 
-    fn changes(&mut self, event: &Event, per_day: f64, step: Duration, draw: Draw) {
+    fn changes(&mut self, event: &Event, per_day: f64, step: Duration, random: RandomSource) {
         let takes = step * 2;
         let replacements_a_day = per_day / CHANGES_A_REPLACEMENT;
-        for (number, at) in times(event, replacements_a_day, takes, draw).into_iter().enumerate() {
-            let draw = draw.on(1).on(number as u64);
-            if let Some(seat) = self.servers.draw(draw, at, at + takes) {
+        for (number, at) in times(event, replacements_a_day, takes, random).into_iter().enumerate() {
+            let random = random.derive(1).derive(number as u64);
+            if let Some(seat) = self.servers.take_random(random, at, at + takes) {
                 self.server_jobs.push(ServerJob { seat, at, kind: ServerJobKind::Replace { step } });
             }
         }
     }
 
-    fn restarts(&mut self, event: &Event, per_day: f64, down: Duration, nodes_only: bool, draw: Draw) {
+    fn restarts(
+        &mut self,
+        event: &Event,
+        per_day: f64,
+        down: Duration,
+        nodes_only: bool,
+        random: RandomSource,
+    ) {
         let machines = u64::from(self.script.nodes) + self.at_start.len() as u64;
-        for (number, at) in times(event, per_day, down, draw).into_iter().enumerate() {
-            let draw = draw.on(1).on(number as u64);
+        for (number, at) in times(event, per_day, down, random).into_iter().enumerate() {
+            let random = random.derive(1).derive(number as u64);
             let back = at + down;
-            let is_node = nodes_only || draw.bits() % machines < u64::from(self.script.nodes);
+            let is_node = nodes_only || random.bits() % machines < u64::from(self.script.nodes);
             if is_node {
-                if let Some(node) = self.nodes.draw(draw.on(1), at, back) {
+                if let Some(node) = self.nodes.take_random(random.derive(1), at, back) {
                     self.step(at, Step::Kill(vec![node]));
                     self.step(back, Step::Launch(vec![node]));
                 }
-            } else if let Some(seat) = self.servers.draw(draw.on(1), at, back) {
+            } else if let Some(seat) = self.servers.take_random(random.derive(1), at, back) {
                 self.server_jobs.push(ServerJob { seat, at, kind: ServerJobKind::Restart { back } });
             }
         }
@@ -324,12 +331,12 @@
 }
 
 /// When things of a rate begin that take so long, within an event: evenly, each drawn within its part. At least one.
-fn times(event: &Event, per_day: f64, takes: Duration, draw: Draw) -> Vec<Duration> {
+fn times(event: &Event, per_day: f64, takes: Duration, random: RandomSource) -> Vec<Duration> {
     let over = event.over.unwrap_or_default();
     let count = (per_day * over.as_secs_f64() / SECONDS_A_DAY).round().max(1.0) as u32;
     let room = over.saturating_sub(takes);
     let part = room / count;
     (0..count)
-        .map(|number| event.at + part * number + part.mul_f64(draw.on(u64::from(number)).unit()))
+        .map(|number| event.at + part * number + part.mul_f64(random.derive(u64::from(number)).uniform()))
         .collect()
 }
--- a/crates/testbed/src/scale/virtual_time/client.rs
+++ b/crates/testbed/src/scale/virtual_time/client.rs
@@ -76,13 +76,13 @@
     pub applied: Option<u64>,
 }
 
-/// The decisions of one node's client. `draw` gives random numbers from 0 to 1.
+/// The decisions of one node's client. `random` gives random numbers from 0 to 1.
 pub trait ClientDecisions {
     /// The next call.
-    fn next_call(&mut self, now: Duration, draw: &mut dyn FnMut() -> f64) -> NextCall;
+    fn next_call(&mut self, now: Duration, random: &mut dyn FnMut() -> f64) -> NextCall;
 
     /// Takes in how the last call ended.
-    fn ended(&mut self, now: Duration, end: CallEnd, draw: &mut dyn FnMut() -> f64) -> Next;
+    fn ended(&mut self, now: Duration, end: CallEnd, random: &mut dyn FnMut() -> f64) -> Next;
 }
 
 /// The real decisions: of a client that knows one address, or several replicas and what each can do.
@@ -150,8 +150,8 @@
 }
 
 impl ClientDecisions for ReplicasClient {
-    fn next_call(&mut self, _now: Duration, draw: &mut dyn FnMut() -> f64) -> NextCall {
-        self.call = self.client.call(self.pace(), self.asks_for_changes(), draw());
+    fn next_call(&mut self, _now: Duration, random: &mut dyn FnMut() -> f64) -> NextCall {
+        self.call = self.client.call(self.pace(), self.asks_for_changes(), random());
         let Call { wait, limit } = self.call;
         NextCall {
             replica: self.client.replicas().current() as u32,
@@ -162,10 +162,10 @@
         }
     }
 
-    fn ended(&mut self, now: Duration, end: CallEnd, draw: &mut dyn FnMut() -> f64) -> Next {
+    fn ended(&mut self, now: Duration, end: CallEnd, random: &mut dyn FnMut() -> f64) -> Next {
         let (end, applied) = self.end(end);
         let now = Timestamp::from_micros(now.as_micros() as u64);
-        let jitter = Jitter { hold_down: draw(), pause: draw() };
+        let jitter = Jitter { hold_down: random(), pause: random() };
         let (pace, for_changes) = (self.pace(), self.asks_for_changes());
         let next = self.client.ended(now, pace, self.call, end, for_changes, jitter);
         Next { pause: next.pause, applied }
--- a/crates/testbed/src/scale/virtual_time/agenda.rs
+++ b/crates/testbed/src/scale/virtual_time/event_queue.rs
@@ -14,13 +14,13 @@
 
 /// Something that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Due {
+pub(super) enum SimulationEvent {
     /// An occurrence of the scene, by its place.
     Occurrence(usize),
     /// Counting begins.
     Measure,
     /// A node sets out on its next call.
-    Ask { node: u32, life: u32 },
+    Operation { node: u32, life: u32 },
     /// A call reaches its replica.
     Arrive(CallId),
     /// Its call lines are worked through.
@@ -38,18 +38,18 @@
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Agenda {
-    heap: BinaryHeap<Reverse<(Duration, u64, Due)>>,
+pub(super) struct EventQueue {
+    heap: BinaryHeap<Reverse<(Duration, u64, SimulationEvent)>>,
     number: u64,
 }
 
-impl Agenda {
-    pub(super) fn put(&mut self, at: Duration, due: Due) {
+impl EventQueue {
+    pub(super) fn put(&mut self, at: Duration, due: SimulationEvent) {
         self.number += 1;
         self.heap.push(Reverse((at, self.number, due)));
     }
 
-    pub(super) fn pop(&mut self) -> Option<(Duration, Due)> {
+    pub(super) fn pop(&mut self) -> Option<(Duration, SimulationEvent)> {
         self.heap.pop().map(|Reverse((at, _, due))| (at, due))
     }
 }
--- a/crates/testbed/src/scale/virtual_time/mod.rs
+++ b/crates/testbed/src/scale/virtual_time/mod.rs
@@ -6,21 +6,21 @@
 //!
 //! - [`Scene`] says what the world is and what happens; [`scenes`] makes those that are played by name.
 //! - [`client`] holds the decisions of one node.
-//! - [`player`] plays one; [`replica`] is the queue, the list and the watches of one replica.
+//! - [`simulation`] runs one; [`replica`] is the queue, the list and the watches of one replica.
 //! - [`Outcome`] is what came of it; [`table`] shows several side by side.
 
-mod agenda;
 pub mod client;
+mod event_queue;
 mod measure;
 mod nodes;
-pub mod player;
 pub mod replica;
 pub mod report;
 pub mod scene;
 pub mod scenes;
+pub mod simulation;
 mod versions;
 
 pub use measure::{Latencies, Outcome, ReplicaOutcome, Sent};
-pub use player::{play, play_traced, play_with};
 pub use report::table;
 pub use scene::{Occurrence, Scene, SceneError};
+pub use simulation::{run, run_traced, run_with};
--- a/crates/testbed/src/scale/virtual_time/nodes.rs
+++ b/crates/testbed/src/scale/virtual_time/nodes.rs
@@ -3,7 +3,7 @@
 use super::client::{ClientDecisions, NextCall};
 use super::replica::Answer;
 use super::versions::FIRST_VERSION;
-use crate::draw::Draw;
+use crate::random::RandomSource;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -49,12 +49,12 @@
     pub(super) counts_after: u64,
     /// When it was launched, until it holds a list.
     pub(super) launched: Option<Duration>,
-    draw: Draw,
-    draws: u64,
+    random: RandomSource,
+    random_count: u64,
 }
 
 impl Node {
-    pub(super) fn new(draw: Draw) -> Self {
+    pub(super) fn new(random: RandomSource) -> Self {
         Self {
             life: 0,
             up: false,
@@ -65,14 +65,14 @@
             held: None,
             counts_after: FIRST_VERSION,
             launched: None,
-            draw,
-            draws: 0,
+            random,
+            random_count: 0,
         }
     }
 
     /// When it makes its first call, from 0 to 1 of the time that there is for that.
-    pub(super) fn first_draw(&self) -> f64 {
-        self.draw.on(0).unit()
+    pub(super) fn first_random(&self) -> f64 {
+        self.random.derive(0).uniform()
     }
 
     /// Its decisions, with random numbers.
@@ -80,10 +80,10 @@
         &mut self,
         decide: impl FnOnce(&mut dyn ClientDecisions, &mut dyn FnMut() -> f64) -> T,
     ) -> Option<T> {
-        let Self { decisions, draw, draws, .. } = self;
+        let Self { decisions, random, random_count, .. } = self;
         let mut random = || {
-            *draws += 1;
-            draw.on(*draws).unit()
+            *random_count += 1;
+            random.derive(*random_count).uniform()
         };
         decisions.as_deref_mut().map(|decisions| decide(decisions, &mut random))
     }
--- a/crates/testbed/src/scale/virtual_time/replica.rs
+++ b/crates/testbed/src/scale/virtual_time/replica.rs
@@ -1,7 +1,7 @@
 //! One replica of discovery: a queue that works through lines at a stated rate, a list that is known up to some version,
 //! and watches that wait for news.
 
-use super::agenda::CallId;
+use super::event_queue::CallId;
 use super::versions::{ServerNumber, Versions, FIRST_VERSION};
 use crate::scale::messages::{Answering, ReplicaCapacity};
 use balancer_core::EndpointState;
--- a/crates/testbed/src/scale/virtual_time/scene.rs
+++ b/crates/testbed/src/scale/virtual_time/scene.rs
@@ -1,7 +1,7 @@
 //! A scene: the world of a scale run's script, and what happens in it.
 
-use crate::scale::events::{plan, servers_at_start, Step};
 use crate::scale::script::ScaleScript;
+use crate::scale::steps::{plan, servers_at_start, Step};
 use std::time::Duration;
 use thiserror::Error;
 
--- a/crates/testbed/src/scale/virtual_time/scenes.rs
+++ b/crates/testbed/src/scale/virtual_time/scenes.rs
@@ -2,10 +2,10 @@
 //! play: a rack that is lost, a region that is cut off, all nodes started at once without a list.
 
 use super::scene::{Occurrence, Scene, SceneError};
-use crate::scale::events::{servers_at_start, Step};
 use crate::scale::messages::{ListedServer, ReplicaCapacity};
 use crate::scale::scenarios;
 use crate::scale::script::{Event, EventKind, ScaleScript};
+use crate::scale::steps::{servers_at_start, Step};
 use std::time::Duration;
 
 /// Scenes that only virtual time plays.
--- a/crates/testbed/src/scale/virtual_time/player.rs
+++ b/crates/testbed/src/scale/virtual_time/simulation.rs
@@ -1,15 +1,15 @@
 //! Plays a scene: nodes, the ways between them and replicas, and what happens.
 
-use super::agenda::{Agenda, CallId, Due};
 use super::client::{listed, CallEnd, ClientDecisions, ClientStart, Listing, Next, NextCall};
+use super::event_queue::{CallId, EventQueue, SimulationEvent};
 use super::measure::{Outcome, ReplicaOutcome, Sent};
 use super::nodes::{Call, Came, Link, Node};
 use super::replica::{Answer, Replica};
 use super::scene::{Occurrence, Scene};
 use super::versions::{Versions, FIRST_VERSION};
-use crate::draw::Draw;
-use crate::scale::events::{servers_at_start, Step};
+use crate::random::RandomSource;
 use crate::scale::messages::{Answering, ListedServer};
+use crate::scale::steps::{servers_at_start, Step};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -21,27 +21,27 @@
 const FIRST_CALLS: Duration = Duration::from_secs(20);
 
 /// Plays a scene with the real decisions.
-pub fn play(scene: &Scene) -> Outcome {
-    play_with(scene, &mut |start| start.client())
+pub fn run(scene: &Scene) -> Outcome {
+    run_with(scene, &mut |start| start.client())
 }
 
 /// Plays a scene with the real decisions and tells all lines that replicas worked through.
-pub fn play_traced(scene: &Scene) -> (Outcome, Vec<Sent>) {
+pub fn run_traced(scene: &Scene) -> (Outcome, Vec<Sent>) {
     let mut make = |start: ClientStart| start.client();
-    let player = Player { traced: true, ..Player::new(scene, &mut make) };
-    player.play()
+    let simulation = Simulation { traced: true, ..Simulation::new(scene, &mut make) };
+    simulation.run()
 }
 
 /// Plays a scene with decisions of `make`'s.
-pub fn play_with(scene: &Scene, make: &mut dyn FnMut(ClientStart) -> Box<dyn ClientDecisions>) -> Outcome {
-    Player::new(scene, make).play().0
+pub fn run_with(scene: &Scene, make: &mut dyn FnMut(ClientStart) -> Box<dyn ClientDecisions>) -> Outcome {
+    Simulation::new(scene, make).run().0
 }
 
-struct Player<'a> {
+struct Simulation<'a> {
     scene: &'a Scene,
     make: &'a mut dyn FnMut(ClientStart) -> Box<dyn ClientDecisions>,
     now: Duration,
-    agenda: Agenda,
+    events: EventQueue,
     versions: Versions,
     names_at_start: Vec<String>,
     nodes: Vec<Node>,
@@ -54,20 +54,20 @@
     sent: Vec<Sent>,
 }
 
-impl<'a> Player<'a> {
+impl<'a> Simulation<'a> {
     fn new(scene: &'a Scene, make: &'a mut dyn FnMut(ClientStart) -> Box<dyn ClientDecisions>) -> Self {
         let script = &scene.script;
         let servers = servers_at_start(script);
-        let draw = Draw::new(script.seed).on(0x7669_7274);
+        let random = RandomSource::new(script.seed).derive(0x7669_7274);
         let replicas = script.known_replicas();
         Self {
             scene,
             make,
             now: Duration::ZERO,
-            agenda: Agenda::default(),
+            events: EventQueue::default(),
             versions: Versions::new(&servers),
             names_at_start: servers.into_iter().map(|server| server.host).collect(),
-            nodes: (0..script.nodes).map(|node| Node::new(draw.on(u64::from(node)))).collect(),
+            nodes: (0..script.nodes).map(|node| Node::new(random.derive(u64::from(node)))).collect(),
             replicas: (0..replicas).map(|_| Replica::new(&script.capacity, script.servers)).collect(),
             counts: vec![ReplicaOutcome::default(); replicas as usize],
             counts_before: vec![ReplicaOutcome::default(); replicas as usize],
@@ -78,17 +78,17 @@
         }
     }
 
-    fn play(mut self) -> (Outcome, Vec<Sent>) {
+    fn run(mut self) -> (Outcome, Vec<Sent>) {
         let script = &self.scene.script;
         let end = script.settle + script.length + script.catch_up;
-        self.agenda.put(script.settle, Due::Measure);
+        self.events.put(script.settle, SimulationEvent::Measure);
         for (place, (at, _)) in self.scene.occurrences.iter().enumerate() {
-            self.agenda.put(script.settle + *at, Due::Occurrence(place));
+            self.events.put(script.settle + *at, SimulationEvent::Occurrence(place));
         }
         if self.scene.nodes_run {
             (0..script.nodes).for_each(|node| self.begin(node));
         }
-        while let Some((at, due)) = self.agenda.pop().filter(|(at, _)| *at <= end) {
+        while let Some((at, due)) = self.events.pop().filter(|(at, _)| *at <= end) {
             self.now = at;
             self.step(due);
         }
@@ -102,8 +102,8 @@
         let first = FIRST_CALLS.min(self.scene.script.settle);
         let state = &mut self.nodes[node as usize];
         (state.up, state.held, state.decisions) = (true, Some(FIRST_VERSION), Some(decisions));
-        let at = first.mul_f64(state.first_draw());
-        self.agenda.put(at, Due::Ask { node, life: 0 });
+        let at = first.mul_f64(state.first_random());
+        self.events.put(at, SimulationEvent::Operation { node, life: 0 });
     }
 
     fn finish(mut self, end: Duration) -> (Outcome, Vec<Sent>) {
@@ -136,18 +136,18 @@
         counted.collect()
     }
 
-    fn step(&mut self, due: Due) {
+    fn step(&mut self, due: SimulationEvent) {
         match due {
-            Due::Occurrence(place) => self.occur(place),
-            Due::Measure => self.counts_before = self.now_counted(),
-            Due::Ask { node, life } => self.ask(node, life),
-            Due::Arrive(call) => self.arrive(call),
-            Due::Handled(call) => self.handled(call),
-            Due::WaitOver(call) => self.wait_over(call),
-            Due::Written(call) => self.written(call),
-            Due::Back(call) => self.back(call),
-            Due::GiveUp(call) => self.give_up(call),
-            Due::Learn { replica, version } => self.learn(replica, version),
+            SimulationEvent::Occurrence(place) => self.occur(place),
+            SimulationEvent::Measure => self.counts_before = self.now_counted(),
+            SimulationEvent::Operation { node, life } => self.ask(node, life),
+            SimulationEvent::Arrive(call) => self.arrive(call),
+            SimulationEvent::Handled(call) => self.handled(call),
+            SimulationEvent::WaitOver(call) => self.wait_over(call),
+            SimulationEvent::Written(call) => self.written(call),
+            SimulationEvent::Back(call) => self.back(call),
+            SimulationEvent::GiveUp(call) => self.give_up(call),
+            SimulationEvent::Learn { replica, version } => self.learn(replica, version),
         }
     }
 
@@ -185,7 +185,7 @@
         let version = self.versions.change(server, self.now);
         for replica in 0..self.replicas.len() as u32 {
             let lag = self.replicas[replica as usize].lag;
-            self.agenda.put(self.now + lag, Due::Learn { replica, version });
+            self.events.put(self.now + lag, SimulationEvent::Learn { replica, version });
         }
     }
 
@@ -222,7 +222,7 @@
         (state.up, state.decisions, state.launched) = (true, Some(decisions), Some(self.now));
         state.counts_after = self.versions.latest();
         self.outcome.launches += 1;
-        self.agenda.put(self.now, Due::Ask { node, life: state.life });
+        self.events.put(self.now, SimulationEvent::Operation { node, life: state.life });
     }
 
     fn answer_like(&mut self, replica: u32, answering: Answering) {
@@ -289,14 +289,14 @@
         if !state.up || state.life != life {
             return;
         }
-        let Some(asked) = state.decide(|decisions, draw| decisions.next_call(now, draw)) else { return };
+        let Some(asked) = state.decide(|decisions, random| decisions.next_call(now, random)) else { return };
         state.calls += 1;
         let id = CallId { node, number: state.calls };
         state.call =
             Some(Call { number: id.number, asked, began: now, lost: false, answer: None, came: None });
         let linked =
             state.link.take_if(|link| link.replica != asked.replica).is_none() && state.link.is_some();
-        self.agenda.put(now + asked.limit, Due::GiveUp(id));
+        self.events.put(now + asked.limit, SimulationEvent::GiveUp(id));
         self.set_out(id, asked, linked);
     }
 
@@ -306,14 +306,14 @@
         let passes = self.passes(id.node, replica);
         let away = self.replicas[replica as usize].answering == Answering::Away;
         match (linked, passes) {
-            (true, true) => self.agenda.put(self.now + WAY, Due::Arrive(id)),
+            (true, true) => self.events.put(self.now + WAY, SimulationEvent::Arrive(id)),
             // The connection seems to be there, and nothing passes.
             (true, false) => {}
             (false, false) => self.end_with(id.node, Came::Unreached, asked.connect),
             (false, true) if away => self.end_with(id.node, Came::Unreached, WAY * 2),
             (false, true) => {
                 self.nodes[id.node as usize].link = Some(Link { replica, watch_answered: None });
-                self.agenda.put(self.now + WAY * 3, Due::Arrive(id));
+                self.events.put(self.now + WAY * 3, SimulationEvent::Arrive(id));
             }
         }
     }
@@ -348,18 +348,18 @@
         if news {
             self.send_in_turn(id, replica, after, cost);
         } else {
-            self.charge(id, replica, cost, Due::Handled(id));
+            self.charge(id, replica, cost, SimulationEvent::Handled(id));
         }
     }
 
     /// Charges lines, after which something is due; else the call is refused.
-    fn charge(&mut self, id: CallId, replica: u32, lines: f64, due: Due) {
+    fn charge(&mut self, id: CallId, replica: u32, lines: f64, due: SimulationEvent) {
         match self.replicas[replica as usize].queue.charge(self.now, lines) {
             Ok(at) => {
                 if self.traced {
                     self.sent.push(Sent { replica, at, lines });
                 }
-                self.agenda.put(at, due);
+                self.events.put(at, due);
             }
             Err(_) => {
                 self.counts[replica as usize].refused += 1;
@@ -377,7 +377,7 @@
             return self.send(id);
         }
         state.watch(id, after);
-        self.agenda.put(self.now + asked.wait, Due::WaitOver(id));
+        self.events.put(self.now + asked.wait, SimulationEvent::WaitOver(id));
     }
 
     fn wait_over(&mut self, id: CallId) {
@@ -400,7 +400,7 @@
         if let Some(call) = self.nodes[id.node as usize].call.as_mut() {
             call.answer = Some(answer);
         }
-        self.charge(id, replica, lines, Due::Written(id));
+        self.charge(id, replica, lines, SimulationEvent::Written(id));
     }
 
     /// A replica has written an answer, unless it says nothing.
@@ -428,7 +428,7 @@
         if let Some(call) = self.nodes[node as usize].call.as_mut().filter(|call| call.came.is_none()) {
             let id = CallId { node, number: call.number };
             call.came = Some(came);
-            self.agenda.put(self.now + after, Due::Back(id));
+            self.events.put(self.now + after, SimulationEvent::Back(id));
         }
     }
 
@@ -469,7 +469,7 @@
         let entries = answer.entries.iter().map(|(server, state)| listed(versions.name(*server), *state));
         let listing = Listing { version: answer.version, whole: answer.whole, entries: entries.collect() };
         let end = CallEnd::Answered { took, listing };
-        let next = self.nodes[node as usize].decide(|decisions, draw| decisions.ended(now, end, draw));
+        let next = self.nodes[node as usize].decide(|decisions, random| decisions.ended(now, end, random));
         let Some(next) = next else { return };
         match next.applied {
             Some(version) => self.applied(node, version),
@@ -483,14 +483,14 @@
         let now = self.now;
         let state = &mut self.nodes[node as usize];
         state.link = None;
-        if let Some(next) = state.decide(|decisions, draw| decisions.ended(now, end, draw)) {
+        if let Some(next) = state.decide(|decisions, random| decisions.ended(now, end, random)) {
             self.go_on(node, next);
         }
     }
 
     fn go_on(&mut self, node: u32, next: Next) {
         let life = self.nodes[node as usize].life;
-        self.agenda.put(self.now + next.pause, Due::Ask { node, life });
+        self.events.put(self.now + next.pause, SimulationEvent::Operation { node, life });
     }
 
     /// A node acts on a list of this version.
--- /dev/null
+++ b/crates/testbed/src/sockets/faulty_stream/mod.rs
@@ -0,0 +1,106 @@
+//! The cache server's end of a connection, with the faults of the network: the connection is reset in the middle of an
+//! answer, or passes nothing any more without notice to either end.
+
+#[cfg(test)]
+mod tests;
+
+use std::cell::Cell;
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+
+/// When the middlebox before a cache server last forgot its connections.
+pub(super) type ForgottenAt = Rc<Cell<Option<Instant>>>;
+
+/// The faults of one connection.
+#[derive(Clone, Debug)]
+pub(super) struct ConnectionFaults {
+    established_at: Instant,
+    forgotten_at: ForgottenAt,
+    reset_next_write: Rc<Cell<bool>>,
+}
+
+impl ConnectionFaults {
+    /// For a connection that is established now.
+    pub(super) fn new(forgotten_at: ForgottenAt) -> Self {
+        Self { established_at: Instant::now(), forgotten_at, reset_next_write: Rc::default() }
+    }
+
+    /// Whether nothing passes any more.
+    pub(super) fn is_forgotten(&self) -> bool {
+        self.forgotten_at.get().is_some_and(|at| self.established_at <= at)
+    }
+
+    /// Resets the connection in the middle of the next write.
+    pub(super) fn reset_next_write(&self) {
+        self.reset_next_write.set(true);
+    }
+}
+
+/// A TCP stream with faults.
+#[derive(Debug)]
+pub(super) struct FaultyStream {
+    stream: TcpStream,
+    faults: ConnectionFaults,
+}
+
+impl FaultyStream {
+    pub(super) fn new(stream: TcpStream, faults: ConnectionFaults) -> Self {
+        Self { stream, faults }
+    }
+}
+
+impl AsyncRead for FaultyStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        if self.faults.is_forgotten() {
+            // No wake-up is needed: nothing ever passes again.
+            return Poll::Pending;
+        }
+        let before = buf.filled().len();
+        let read = Pin::new(&mut self.stream).poll_read(cx, buf);
+        // The connection may have been forgotten since the check above; its end must not show then.
+        if read.is_ready() && self.faults.is_forgotten() {
+            buf.set_filled(before);
+            return Poll::Pending;
+        }
+        read
+    }
+}
+
+impl AsyncWrite for FaultyStream {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        if self.faults.is_forgotten() {
+            return Poll::Ready(Ok(buf.len()));
+        }
+        if !self.faults.reset_next_write.get() {
+            return Pin::new(&mut self.stream).poll_write(cx, buf);
+        }
+        match Pin::new(&mut self.stream).poll_write(cx, &buf[..buf.len() / 2]) {
+            Poll::Ready(Ok(_)) => {
+                // With zero linger, closing the socket sends a reset.
+                self.stream.set_zero_linger()?;
+                Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()))
+            }
+            other => other,
+        }
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        if self.faults.is_forgotten() {
+            return Poll::Ready(Ok(()));
+        }
+        Pin::new(&mut self.stream).poll_shutdown(cx)
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/workload.rs
@@ -0,0 +1,170 @@
+//! The operations that clients want done, in the order of time. The same script gives the same operations; everything
+//! random about an operation is derived from its number.
+
+use crate::models::cache_server::{Job, JobId};
+use crate::random::{RandomSource, Zipf};
+use crate::script::{Fault, Incident, Script};
+use std::f64::consts::TAU;
+use std::time::Duration;
+
+/// Something that a client wants done. It takes one request or, with retries, several.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Operation {
+    /// The number of the operation, from 0.
+    pub number: u64,
+    /// When its first request is sent, from the start of the run.
+    pub at: Duration,
+    /// The index of its class in the script.
+    pub class: usize,
+    /// The popularity rank of its key; rank 0 is the most popular.
+    pub key_rank: u32,
+    /// The zone of its client.
+    pub zone: usize,
+    /// The source of everything random about it.
+    pub random: RandomSource,
+}
+
+impl Operation {
+    /// The source of everything random about one of its requests; 0 is the first one.
+    pub fn request_random(&self, ordinal: u32) -> RandomSource {
+        self.random.derive(100 + u64::from(ordinal))
+    }
+
+    /// The key as nodes and cache servers know it.
+    pub fn key(&self) -> u64 {
+        key_of_rank(self.key_rank)
+    }
+}
+
+/// The key of this popularity rank as nodes and cache servers know it.
+pub fn key_of_rank(rank: u32) -> u64 {
+    RandomSource::new(0x6b65_7973).derive(u64::from(rank)).bits()
+}
+
+/// The job that an attempt for an operation is to its cache server. `random` is the attempt's own source.
+pub fn job(
+    script: &Script,
+    operation: &Operation,
+    random: RandomSource,
+    id: JobId,
+    new_connection: bool,
+) -> Job {
+    let class = &script.classes[operation.class];
+    Job {
+        id,
+        key: operation.key(),
+        initial_rank: None,
+        work: class.mean_work.mul_f64(random.derive(1).log_normal(class.work_variation)),
+        write: class.write,
+        handshake: if new_connection { script.network.handshake_work } else { Duration::ZERO },
+        random,
+    }
+}
+
+/// Iterates over all operations of a script, in the order of time.
+#[derive(Debug)]
+pub struct Workload<'a> {
+    script: &'a Script,
+    popularity: Zipf,
+    random: RandomSource,
+    next_number: u64,
+    /// The time of the last operation, in seconds.
+    now: f64,
+}
+
+impl<'a> Workload<'a> {
+    /// Starts with the first operation of this script.
+    pub fn new(script: &'a Script) -> Self {
+        Self {
+            script,
+            popularity: Zipf::new(script.load.keys, script.load.zipf_exponent),
+            random: RandomSource::new(script.seed).derive(0x6173_6b73),
+            next_number: 0,
+            now: 0.0,
+        }
+    }
+
+    /// Operations per second at this time.
+    fn rate(&self, at: f64) -> f64 {
+        let load = &self.script.load;
+        let wave = 1.0 + load.swing * (TAU * at / load.swing_period.as_secs_f64()).sin();
+        let surges = active_incidents(self.script, at).filter_map(|incident| match incident.fault {
+            Fault::Surge { factor } => Some(factor),
+            _ => None,
+        });
+        load.rate * wave * surges.product::<f64>()
+    }
+
+    fn class(&self, random: RandomSource) -> usize {
+        let classes = &self.script.classes;
+        let total: f64 = classes.iter().map(|class| class.share).sum();
+        let mut left = random.uniform() * total;
+        let class = classes.iter().position(|class| {
+            left -= class.share;
+            left < 0.0
+        });
+        class.unwrap_or(classes.len() - 1)
+    }
+
+    fn zone(&self, random: RandomSource) -> usize {
+        let zones = self.script.zones.len();
+        let first = self.script.load.first_zone_share;
+        let zone = match random.uniform() {
+            _ if zones == 1 => 0,
+            at if at < first => 0,
+            at => 1 + ((at - first) / (1.0 - first) * (zones - 1) as f64) as usize,
+        };
+        zone.min(zones - 1)
+    }
+
+    fn key_rank(&self, at: f64, random: RandomSource) -> u32 {
+        for (i, incident) in active_incidents(self.script, at).enumerate() {
+            if let Fault::HotKeys { keys, share } = incident.fault {
+                let random = random.derive(i as u64);
+                if random.derive(0).uniform() < share {
+                    return self.hot_key_rank(incident, keys, random.derive(1));
+                }
+            }
+        }
+        self.popularity.rank(random.derive(u64::MAX))
+    }
+
+    /// One of the hot keys of an incident. They are of medium popularity otherwise.
+    fn hot_key_rank(&self, incident: &Incident, keys: u32, random: RandomSource) -> u32 {
+        let of_incident = RandomSource::new(self.script.seed).derive(incident.at.as_micros() as u64);
+        let start = of_incident.uniform() / 2.0 + 0.25;
+        let first = (start * f64::from(self.script.load.keys)) as u32;
+        let hot = first + (random.uniform() * f64::from(keys)) as u32;
+        hot.min(self.script.load.keys - 1)
+    }
+}
+
+/// The incidents that are active at this time, in seconds.
+fn active_incidents(script: &Script, at: f64) -> impl Iterator<Item = &Incident> {
+    let is_active = move |incident: &&Incident| {
+        (incident.at.as_secs_f64()..(incident.at + incident.duration).as_secs_f64()).contains(&at)
+    };
+    script.incidents.iter().filter(is_active)
+}
+
+impl Iterator for Workload<'_> {
+    type Item = Operation;
+
+    fn next(&mut self) -> Option<Operation> {
+        let random = self.random.derive(self.next_number);
+        self.now += random.derive(1).exponential() / self.rate(self.now);
+        if self.now >= self.script.length.as_secs_f64() {
+            return None;
+        }
+        let operation = Operation {
+            number: self.next_number,
+            at: Duration::from_secs_f64(self.now),
+            class: self.class(random.derive(2)),
+            key_rank: self.key_rank(self.now, random.derive(4)),
+            zone: self.zone(random.derive(3)),
+            random,
+        };
+        self.next_number += 1;
+        Some(operation)
+    }
+}
