--- a/crates/testbed/tests/placement.rs
+++ b/crates/testbed/tests/placement.rs
@@ -3,12 +3,12 @@
 
 use std::collections::BTreeMap;
 use std::time::Duration;
-use testbed::demand::Demand;
-use testbed::draw::Draw;
-use testbed::placement::{held_at_start, Placement};
-use testbed::script::Kind;
-use testbed::simulate::play;
-use testbed::world::{CacheServer, InitialEntries, Job};
+use testbed::models::{CacheServer, InitialEntries, Job};
+use testbed::placement::{initial_entries, Placement};
+use testbed::random::RandomSource;
+use testbed::script::ServerKind;
+use testbed::virtual_time::run;
+use testbed::workload::Workload;
 use testbed::{fleet, Script};
 
 use balancer_core::{Endpoint, EndpointState, ServerId, Timestamp};
@@ -16,11 +16,11 @@
 const START: Timestamp = Timestamp::from_micros(0);
 
 fn list(script: &Script) -> Vec<Endpoint> {
-    let entry = |seat| {
-        let id = ServerId::from(fleet::name(script, seat, 0).as_str());
-        fleet::entry(script, id, seat, EndpointState::Ready, None)
+    let endpoint = |index| {
+        let id = ServerId::from(fleet::server_name(script, index, 0).as_str());
+        fleet::endpoint(script, id, index, EndpointState::Ready, None)
     };
-    (0..fleet::seats(script)).map(entry).collect()
+    (0..fleet::server_count(script)).map(endpoint).collect()
 }
 
 fn counts(held: &[(ServerId, u64)]) -> BTreeMap<ServerId, f64> {
@@ -34,7 +34,7 @@
     let script = Script::default();
     let list = list(&script);
     let placement = Placement::new(&script, list.clone());
-    let listed = counts(&held_at_start(&script, list.clone()));
+    let listed = counts(&initial_entries(&script, list.clone()));
     for (number, entry) in list.iter().enumerate() {
         let (ranks, share) = (placement.ranks(), placement.share(entry.weight));
         let mean = f64::from(ranks) * share;
@@ -42,7 +42,9 @@
         let listed = listed[&entry.id];
         assert!((listed - mean).abs() < 5.0 * deviation, "{}: {listed} listed, {mean} expected", entry.id);
         let drawn: Vec<_> = (0..400)
-            .map(|seed| InitialEntries::new(ranks, share, u32::MAX, Draw::new(seed).on(number as u64)))
+            .map(|seed| {
+                InitialEntries::new(ranks, share, u32::MAX, RandomSource::new(seed).derive(number as u64))
+            })
             .map(|initial| initial.count() as f64)
             .collect();
         let drawn_mean = drawn.iter().sum::<f64>() / drawn.len() as f64;
@@ -67,37 +69,37 @@
 }
 
 /// The hits of a row of requests at one server that holds a share of the ranks.
-fn hits(script: &Script, memory: u32, listed: bool) -> (usize, usize) {
+fn hits(script: &Script, cache_entries: u32, listed: bool) -> (usize, usize) {
     let list = list(script);
     let (server, weight) = (list[0].id.clone(), list[0].weight);
     let mut placement = Placement::new(script, list.clone());
-    let kind = Kind { memory, errors: 0.0, ..Kind::default() };
-    let mut cache = CacheServer::new(kind, script.rules.clone(), script.reports.clone(), START, true);
+    let kind = ServerKind { cache_entries, error_rate: 0.0, ..ServerKind::default() };
+    let mut cache = CacheServer::new(kind, script.rules.clone(), script.load_reports.clone(), START, true);
     if listed {
-        let held = held_at_start(script, list);
-        held.iter().filter(|(holder, _)| *holder == server).for_each(|(_, key)| cache.hold(*key));
+        let held = initial_entries(script, list);
+        held.iter().filter(|(holder, _)| *holder == server).for_each(|(_, key)| cache.insert_entry(*key));
     } else {
         let share = placement.share(weight);
-        let draw = Draw::new(script.seed);
-        cache.hold_initially(InitialEntries::new(placement.ranks(), share, memory, draw));
+        let random = RandomSource::new(script.seed);
+        cache.set_initial_entries(InitialEntries::new(placement.ranks(), share, cache_entries, random));
     }
     let (mut hits, mut asked) = (0, 0);
-    for ask in Demand::new(script) {
+    for operation in Workload::new(script) {
         // Beyond the ranks held at the start, this server gets its share of what is asked for.
-        let elsewhere = placement.share(weight) < ask.draw.on(99).unit();
-        let here = placement.server(ask.key).map_or(!elsewhere, |holder| holder == server);
+        let elsewhere = placement.share(weight) < operation.random.derive(99).uniform();
+        let here = placement.server(operation.key_rank).map_or(!elsewhere, |holder| holder == server);
         if !here {
             continue;
         }
-        let at = START + ask.at;
+        let at = START + operation.at;
         let job = Job {
-            id: ask.number,
-            key: ask.key_number(),
-            initial_rank: (!listed).then_some(ask.key),
+            id: operation.number,
+            key: operation.key(),
+            initial_rank: (!listed).then_some(operation.key_rank),
             work: Duration::from_micros(1),
             write: false,
             handshake: Duration::ZERO,
-            draw: ask.draw,
+            random: operation.random,
         };
         cache.offer(at, job);
         let mut did = Vec::new();
@@ -106,10 +108,10 @@
         if did.is_empty() {
             hits += 1;
         } else {
-            cache.fetched(at, ask.number, true);
+            cache.fetch_ended(at, operation.number, true);
         }
         cache.advance(at + Duration::from_micros(10), &mut did);
-        assert!(cache.entries() <= memory as usize, "{} entries", cache.entries());
+        assert!(cache.cached_entries() <= cache_entries as usize, "{} entries", cache.cached_entries());
     }
     (hits, asked)
 }
@@ -136,7 +138,7 @@
 
 #[test]
 fn evictions_take_the_least_asked_for_and_leave_none_in_the_end() {
-    let mut initial = InitialEntries::new(100_000, 0.01, 500, Draw::new(1));
+    let mut initial = InitialEntries::new(100_000, 0.01, 500, RandomSource::new(1));
     assert_eq!(initial.count(), 500);
     assert!(
         initial.reaches(40_000) && !initial.reaches(60_000),
@@ -154,16 +156,16 @@
 #[test]
 fn places_are_looked_up_for_what_is_asked_for_and_for_nothing_else() {
     let mut script = Script { nodes: 2, length: Duration::from_secs(2), ..Script::default() };
-    script.boxes[0].count = 700;
-    script.boxes[1].count = 400;
+    script.server_kinds[0].count = 700;
+    script.server_kinds[1].count = 400;
     script.load.rate = 100.0;
     let mut looked_up = Vec::new();
     for keys in [40_000, 400_000, 4_000_000] {
         script.load.keys = keys;
-        let asked = Demand::new(&script).count();
-        let played = play(&script);
-        assert!(played.placements_looked_up <= asked, "{} of {asked}", played.placements_looked_up);
-        looked_up.push(played.placements_looked_up);
+        let asked = Workload::new(&script).count();
+        let played = run(&script);
+        assert!(played.placement_lookups <= asked, "{} of {asked}", played.placement_lookups);
+        looked_up.push(played.placement_lookups);
     }
     assert!(looked_up.iter().all(|&count| count > 0), "{looked_up:?}");
 }
--- a/crates/testbed/tests/properties.rs
+++ b/crates/testbed/tests/properties.rs
@@ -1,11 +1,11 @@
-//! What holds for every script: a text is read or its faults are named, and a play keeps the rules and replays.
+//! What holds for every script: a text is read or its faults are named, and a run keeps the rules and replays.
 
 use balancer_core::{DeduplicationScope, Idempotency};
 use proptest::prelude::*;
 use std::time::Duration;
 use testbed::report::Report;
-use testbed::script::{Incident, Trouble};
-use testbed::simulate::play;
+use testbed::script::{Fault, Incident};
+use testbed::virtual_time::run;
 use testbed::{scenarios, Script};
 
 /// A shipped script with a stretch of it cut out and something else put there.
@@ -33,37 +33,37 @@
     )
 }
 
-fn trouble() -> impl Strategy<Value = Trouble> {
+fn fault() -> impl Strategy<Value = Fault> {
     let share = || 0.0..=1.0;
     let batch = || 0.05..=1.0;
     let drain = || (0u64..3_000).prop_map(Duration::from_millis);
     prop_oneof![
-        (0.0..=0.7, drain()).prop_map(|(share, drain)| Trouble::Shrink { share, drain }),
+        (0.0..=0.7, drain()).prop_map(|(share, drain)| Fault::Shrink { share, drain }),
         (share(), batch(), drain(), any::<bool>()).prop_map(|(share, batch, drain, same_address)| {
-            Trouble::Deploy { share, batch, drain, same_address }
+            Fault::Deploy { share, batch, drain, same_address }
         }),
-        (share(), batch(), drain(), any::<bool>())
-            .prop_map(|(share, batch, down, killed)| Trouble::RestartNodes { share, batch, down, killed }),
-        (share(), 0.1..1.0).prop_map(|(share, batch)| Trouble::Upgrade { share, batch }),
-        (share(), 1..20_u32).prop_map(|(share, times)| Trouble::Reload { share, times }),
-        share().prop_map(|share| Trouble::Crash { share }),
-        share().prop_map(|share| Trouble::Vanish { share }),
-        share().prop_map(|share| Trouble::Pause { share }),
-        (share(), share()).prop_map(|(share, rate)| Trouble::Errors { share, rate }),
-        (share(), 0u64..60)
-            .prop_map(|(share, ms)| Trouble::Delay { share, extra: Duration::from_millis(ms) }),
-        (share(), share()).prop_map(|(share, rate)| Trouble::Loss { share, rate }),
-        (share(), share()).prop_map(|(share, rate)| Trouble::Resets { share, rate }),
-        share().prop_map(|share| Trouble::HalfOpen { share }),
-        (1u32..5, share()).prop_map(|(keys, share)| Trouble::HotKeys { keys, share }),
-        (0.1..4.0).prop_map(|factor| Trouble::Surge { factor }),
-        (0.1..20.0).prop_map(|factor| Trouble::SlowOrigin { factor }),
-        Just(Trouble::DiscoveryAway),
-        share().prop_map(|rate| Trouble::DiscoveryBreaks { rate }),
+        (share(), batch(), drain(), any::<bool>()).prop_map(|(share, batch, downtime, killed)| {
+            Fault::RestartNodes { share, batch, downtime, killed }
+        }),
+        (share(), 0.1..1.0).prop_map(|(share, batch)| Fault::Upgrade { share, batch }),
+        (share(), 1..20_u32).prop_map(|(share, times)| Fault::Reload { share, times }),
+        share().prop_map(|share| Fault::Crash { share }),
+        share().prop_map(|share| Fault::Unreachable { share }),
+        share().prop_map(|share| Fault::Pause { share }),
+        (share(), share()).prop_map(|(share, rate)| Fault::Errors { share, rate }),
+        (share(), 0u64..60).prop_map(|(share, ms)| Fault::Delay { share, extra: Duration::from_millis(ms) }),
+        (share(), share()).prop_map(|(share, rate)| Fault::Loss { share, rate }),
+        (share(), share()).prop_map(|(share, rate)| Fault::Resets { share, rate }),
+        share().prop_map(|share| Fault::HalfOpen { share }),
+        (1u32..5, share()).prop_map(|(keys, share)| Fault::HotKeys { keys, share }),
+        (0.1..4.0).prop_map(|factor| Fault::Surge { factor }),
+        (0.1..20.0).prop_map(|factor| Fault::SlowOrigin { factor }),
+        Just(Fault::DiscoveryOutage),
+        share().prop_map(|rate| Fault::DiscoveryErrors { rate }),
     ]
 }
 
-fn effect() -> impl Strategy<Value = Idempotency> {
+fn idempotency() -> impl Strategy<Value = Idempotency> {
     let scope = prop::sample::select(vec![
         DeduplicationScope::All,
         DeduplicationScope::Zone,
@@ -77,32 +77,37 @@
     ]
 }
 
-/// A small world in which anything goes wrong at any time.
-fn world() -> impl Strategy<Value = Script> {
+/// A small fleet with any faults at any time.
+fn script() -> impl Strategy<Value = Script> {
     let time = || (0u64..6_000).prop_map(Duration::from_millis);
     let zone = prop::option::of(0..2_usize);
-    let incident = (time(), time(), zone, trouble()).prop_map(|(at, over, zone, what)| Incident {
+    let incident = (time(), time(), zone, fault()).prop_map(|(at, duration, zone, fault)| Incident {
         at,
-        over,
+        duration,
         zone,
-        what,
+        fault,
     });
     let incidents = prop::collection::vec(incident, 0..8);
     let sizes = (any::<u64>(), 1u32..5, 1u32..10, 10.0..150.0);
     let clients = (0u32..4, 0u64..100, 0.0..0.3);
-    let boxes = (prop::option::of(1u64..500), 2u32..40);
-    (sizes, clients, boxes, incidents, prop::collection::vec(effect(), 3)).prop_map(
-        |(sizes, clients, boxes, mut incidents, effects)| {
+    let servers = (prop::option::of(1u64..500), 2u32..40);
+    (sizes, clients, servers, incidents, prop::collection::vec(idempotency(), 3)).prop_map(
+        |(sizes, clients, servers, mut incidents, idempotencies)| {
             incidents.sort_by_key(|incident| incident.at);
             let mut script = Script { length: Duration::from_secs(6), incidents, ..Script::default() };
-            script.boxes.truncate(1);
-            (script.seed, script.nodes, script.boxes[0].count, script.load.rate) = sizes;
-            let (retries, backoff, impatient) = clients;
-            (script.clients.retries, script.clients.impatient) = (retries, impatient);
+            script.server_kinds.truncate(1);
+            (script.seed, script.nodes, script.server_kinds[0].count, script.load.rate) = sizes;
+            let (max_retries, backoff, disconnect_fraction) = clients;
+            (script.clients.max_retries, script.clients.disconnect_fraction) =
+                (max_retries, disconnect_fraction);
             script.clients.backoff = Duration::from_millis(backoff);
-            (script.boxes[0].idle, script.boxes[0].connections) =
-                (boxes.0.map(Duration::from_millis), boxes.1);
-            script.classes.iter_mut().zip(effects).for_each(|(class, effect)| class.effect = effect);
+            (script.server_kinds[0].idle_timeout, script.server_kinds[0].max_connections) =
+                (servers.0.map(Duration::from_millis), servers.1);
+            script
+                .classes
+                .iter_mut()
+                .zip(idempotencies)
+                .for_each(|(class, idempotency)| class.idempotency = idempotency);
             script
         },
     )
@@ -118,7 +123,7 @@
     #![proptest_config(cases(512))]
 
     #[test]
-    fn a_text_is_read_or_every_fault_names_a_line_that_it_has(text in spoilt()) {
+    fn a_text_is_read_or_every_fault_names_one_of_its_lines(text in spoilt()) {
         if let Err(faults) = Script::parse("spoilt.toml", &text) {
             prop_assert!(!faults.is_empty());
             for fault in faults {
@@ -134,10 +139,10 @@
     #![proptest_config(cases(64))]
 
     #[test]
-    fn whatever_goes_wrong_the_rules_hold_and_the_same_script_plays_to_the_same_bytes(script in world()) {
-        let played = play(&script);
-        prop_assert_eq!(played.verdict.broken, [0; 4], "{:?}", played.verdict.breaches);
-        let json = |played| Report::new(&script, played).json();
-        prop_assert_eq!(json(played), json(play(&script)));
+    fn under_any_faults_the_rules_hold_and_a_run_replays_to_the_same_bytes(script in script()) {
+        let result = run(&script);
+        prop_assert_eq!(result.verdict.violation_counts, [0; 4], "{:?}", result.verdict.violations);
+        let json = |result| Report::new(&script, result).json();
+        prop_assert_eq!(json(result), json(run(&script)));
     }
 }
--- a/crates/testbed/tests/replay.rs
+++ b/crates/testbed/tests/replay.rs
@@ -1,9 +1,9 @@
-//! Plays in virtual time: the same bytes every time, and figures that follow from the script alone.
+//! Runs in virtual time: the same bytes every time, and figures that follow from the script alone.
 
 use std::time::Duration;
 use testbed::report::Report;
-use testbed::script::{Incident, Trouble};
-use testbed::simulate::play;
+use testbed::script::{Fault, Incident};
+use testbed::virtual_time::run;
 use testbed::{scenarios, Script};
 
 fn shipped(name: &str) -> Script {
@@ -12,11 +12,11 @@
 }
 
 fn json(script: &Script) -> String {
-    Report::new(script, play(script)).json()
+    Report::new(script, run(script)).json()
 }
 
 #[test]
-fn every_scenario_plays_to_the_same_bytes_again_and_to_others_from_another_seed() {
+fn every_scenario_replays_to_the_same_bytes_and_differs_with_another_seed() {
     for scenario in scenarios::ALL {
         let mut script = shipped(scenario.name);
         let first = json(&script);
@@ -27,36 +27,41 @@
 }
 
 #[test]
-fn every_scenario_keeps_the_rules_and_comes_to_what_it_expects() {
+fn every_scenario_keeps_the_rules_and_meets_its_expectations() {
     for scenario in scenarios::ALL {
         let script = shipped(scenario.name);
-        let report = Report::new(&script, play(&script));
-        assert!(report.held(), "{}", report.text());
+        let report = Report::new(&script, run(&script));
+        assert!(report.all_met(), "{}", report.text());
     }
 }
 
-// Guards against work drawn from a sequence that everything shares: a request would get other work, and other luck, for
-// what happens elsewhere.
+/// With one random sequence for everything, a request would get other work and other latencies because of events elsewhere.
+/// Two runs that differ in one late incident would then differ from the beginning.
 #[test]
 fn an_incident_changes_nothing_that_came_before_it() {
     let calm = shipped("calm");
-    let what = Trouble::Crash { share: 0.25 };
-    let late = Incident { at: Duration::from_secs(30), over: Duration::from_secs(10), zone: None, what };
+    let fault = Fault::Crash { share: 0.25 };
+    let late = Incident { at: Duration::from_secs(30), duration: Duration::from_secs(10), zone: None, fault };
     let crash = Script { incidents: vec![late], ..calm.clone() };
-    let (calm, crash) = (play(&calm).verdict, play(&crash).verdict);
+    let (calm, crash) = (run(&calm).verdict, run(&crash).verdict);
     assert_eq!(calm.seconds[..29], crash.seconds[..29]);
     assert_ne!(calm.seconds[30..], crash.seconds[30..]);
-    let asked =
-        |seconds: &[testbed::ledger::Second]| seconds.iter().map(|second| second.asked).collect::<Vec<_>>();
-    assert_eq!(asked(&calm.seconds), asked(&crash.seconds), "what clients wish depends on nothing");
+    let operations = |seconds: &[testbed::judge::SecondFigures]| {
+        seconds.iter().map(|second| second.operations).collect::<Vec<_>>()
+    };
+    assert_eq!(
+        operations(&calm.seconds),
+        operations(&crash.seconds),
+        "the workload depends on no fault but surges and hot keys"
+    );
 }
 
 #[test]
-fn a_report_misses_what_the_play_does_not_reach() {
+fn a_report_says_which_expectation_a_run_missed() {
     let mut script = shipped("slow-origin");
     script.length = Duration::from_secs(31);
-    script.expect.service = Some(0.999);
-    let report = Report::new(&script, play(&script));
-    assert!(!report.held());
+    script.expectations.service = Some(0.999);
+    let report = Report::new(&script, run(&script));
+    assert!(!report.all_met());
     assert!(report.text().contains("MISSED: service 0.999 expected"), "{}", report.text());
 }
--- a/crates/testbed/tests/scale_fit.rs
+++ b/crates/testbed/tests/scale_fit.rs
@@ -1,10 +1,10 @@
 //! Lines through the figures of several sizes.
 
-use testbed::draw::Draw;
-use testbed::scale::acts::{ActFigures, ReadyFigures};
+use testbed::random::RandomSource;
 use testbed::scale::fit::{fit, FitError, Line, Over};
 use testbed::scale::messages::ReplicaCapacity;
 use testbed::scale::plot;
+use testbed::scale::propagation::{PropagationFigures, ReadyFigures};
 use testbed::scale::report::{largest_over_mean, ScaleReport, WindowFigures, VERSION};
 
 /// A result in which a node takes 5 us a second and its memory is 40,000 bytes and 300 for each server.
@@ -36,7 +36,7 @@
         most_late_ms: 0.0,
         rest,
         active: None,
-        acts: ActFigures::default(),
+        acts: PropagationFigures::default(),
         ready: ReadyFigures::default(),
         node_change_us: None,
         node_whole_list_us: None,
@@ -75,7 +75,7 @@
         .map(|n| {
             let size = f64::from(n) * 100.0;
             let figure = 3.0 + 0.5 * size;
-            (size, figure * Draw::new(5).on(n as u64).between(1.0 - noise, 1.0 + noise))
+            (size, figure * RandomSource::new(5).derive(n as u64).uniform_between(1.0 - noise, 1.0 + noise))
         })
         .collect();
     let line = Line::through(points).unwrap();
--- a/crates/testbed/tests/scale_real.rs
+++ b/crates/testbed/tests/scale_real.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use testbed::ledger::{Answer, Fact, Verdict, TOLERANCE};
+use testbed::judge::{FinalAnswer, Observation, Verdict, TOLERANCE};
 use testbed::scale::messages::ListedServer;
-use testbed::scale::real::judge::{Judge, Wanted, DRAIN_GRACE, TOLD_AFTER};
+use testbed::scale::real::notification_judge::{NotificationJudge, Wanted, DRAIN_GRACE, TOLD_AFTER};
 use testbed::scale::real::{
     classes, CacheServers, Latency, RealError, RealNodes, RealSettings, RulesBroken, ServerSettings,
     MOST_SERVERS,
@@ -29,14 +29,14 @@
 
 /// A judge and the number of the next request.
 struct Books {
-    judge: Judge,
+    judge: NotificationJudge,
     requests: u64,
 }
 
 impl Books {
     /// Two nodes, and two cache servers in different zones and cells.
     fn new() -> Self {
-        let mut judge = Judge::new(2);
+        let mut judge = NotificationJudge::new(2);
         assert_eq!((judge.server("a", 0, 0), judge.server("b", 1, 1)), (0, 1));
         Self { judge, requests: 0 }
     }
@@ -50,21 +50,24 @@
         let request = self.requests;
         self.requests += 1;
         let until = at(ms) + classes()[class].deadline;
-        self.judge.note(at(ms), Fact::Asked { ask: request, at: at(ms), class });
-        self.judge.note(at(ms), Fact::Taken { request, ask: request, node, at: at(ms), until });
+        self.judge.record(at(ms), Observation::OperationStarted { operation: request, at: at(ms), class });
+        self.judge.record(
+            at(ms),
+            Observation::RequestAccepted { request, operation: request, node, at: at(ms), expires_at: until },
+        );
         request
     }
 
     fn sent(&mut self, ms: u64, request: u64, server: usize) {
-        self.judge.note(at(ms), Fact::Sent { request, server, at: at(ms) });
+        self.judge.record(at(ms), Observation::AttemptSent { request, server, at: at(ms) });
     }
 
     fn ran(&mut self, ms: u64, request: u64, server: usize) {
-        self.judge.note(at(ms), Fact::Ran { request, server, at: at(ms) });
+        self.judge.record(at(ms), Observation::Executed { request, server, at: at(ms) });
     }
 
-    fn answered(&mut self, ms: u64, request: u64, answer: Answer) {
-        self.judge.note(at(ms), Fact::Answered { request, at: at(ms), answer });
+    fn answered(&mut self, ms: u64, request: u64, answer: FinalAnswer) {
+        self.judge.record(at(ms), Observation::Answered { request, at: at(ms), answer });
     }
 
     /// A node takes a read, sends it to this server at once, and serves it.
@@ -72,11 +75,11 @@
         let request = self.taken_by(node, ms, READ);
         self.sent(ms, request, server);
         self.ran(ms, request, server);
-        self.answered(ms, request, Answer::Served);
+        self.answered(ms, request, FinalAnswer::Served);
     }
 
     fn started(&mut self, ms: u64, node: usize) {
-        self.judge.note(at(ms), Fact::Started { node });
+        self.judge.record(at(ms), Observation::NodeStarted { node });
     }
 
     fn changed(&mut self, ms: u64, server: usize, wanted: Wanted) {
@@ -202,7 +205,7 @@
         let request = books.taken(0, READ);
         books.sent(1, request, 0);
         books.ran(2, request, 0);
-        (0..times).for_each(|time| books.answered(10 + time, request, Answer::Served));
+        (0..times).for_each(|time| books.answered(10 + time, request, FinalAnswer::Served));
         books.broken()
     };
     let lost = RulesBroken { lost: 1, ..KEPT };
@@ -211,7 +214,7 @@
 
 #[test]
 fn an_answer_that_is_late_or_made_for_another_is_none() {
-    let answer = |ms: u64, answer: Answer| {
+    let answer = |ms: u64, answer: FinalAnswer| {
         let mut books = Books::new();
         let request = books.taken(0, READ);
         books.sent(1, request, 0);
@@ -219,10 +222,10 @@
         books.answered(ms, request, answer);
         books.broken().lost
     };
-    assert_eq!(answer(10_050, Answer::Served), 0);
-    assert_eq!(answer(10_051, Answer::Served), 1);
+    assert_eq!(answer(10_050, FinalAnswer::Served), 0);
+    assert_eq!(answer(10_051, FinalAnswer::Served), 1);
     // Not made for it, and so never answered either.
-    assert_eq!(answer(10, Answer::Foreign), 2);
+    assert_eq!(answer(10, FinalAnswer::Mismatched), 2);
 }
 
 #[test]
@@ -230,7 +233,7 @@
     let killed = |node: usize| {
         let mut books = Books::new();
         books.taken(0, READ);
-        books.judge.note(at(100), Fact::Killed { node, at: at(100) });
+        books.judge.record(at(100), Observation::NodeKilled { node, at: at(100) });
         books.broken().lost
     };
     assert_eq!((killed(0), killed(1)), (0, 1));
@@ -238,7 +241,7 @@
 
 #[test]
 fn a_repeat_is_judged_by_its_class() {
-    let repeats = |class: usize, again: u64, answer: Answer| {
+    let repeats = |class: usize, again: u64, answer: FinalAnswer| {
         let mut books = Books::new();
         let request = books.taken(0, class);
         for (ms, server) in [(10, 0), (again, 1)] {
@@ -248,13 +251,13 @@
         books.answered(again + 1, request, answer);
         books.broken().repeated_effect
     };
-    let served = [READ, KEYED, UNSAFE].map(|class| repeats(class, 20, Answer::Served));
+    let served = [READ, KEYED, UNSAFE].map(|class| repeats(class, 20, FinalAnswer::Served));
     assert_eq!(served, [0, 0, 1]);
     // Refused although it ran: asking again must be harmless.
-    let refused = [READ, KEYED, UNSAFE].map(|class| repeats(class, 20, Answer::Refused));
+    let refused = [READ, KEYED, UNSAFE].map(|class| repeats(class, 20, FinalAnswer::Rejected));
     assert_eq!(refused, [0, 0, 2]);
     // Its first run is forgotten after 20 s.
-    assert_eq!([20_060, 20_061].map(|again| repeats(KEYED, again, Answer::Served)), [0, 1]);
+    assert_eq!([20_060, 20_061].map(|again| repeats(KEYED, again, FinalAnswer::Served)), [0, 1]);
 }
 
 #[test]
--- a/crates/testbed/tests/scale_replica_set.rs
+++ b/crates/testbed/tests/scale_replica_set.rs
@@ -1,9 +1,9 @@
 //! What each replica of a scale run is told.
 
 use std::time::Duration;
-use testbed::scale::events::servers_at_start;
 use testbed::scale::messages::{ListedServer, ReplicaCommand};
 use testbed::scale::replica_set::{ReplicaSet, Told};
+use testbed::scale::steps::servers_at_start;
 use testbed::scale::{scenarios, ScaleScript};
 use tokio::time::Instant;
 
--- a/crates/testbed/tests/scale_needs.rs
+++ b/crates/testbed/tests/scale_requirements.rs
@@ -1,6 +1,6 @@
 //! What a scale run needs of its machine.
 
-use testbed::scale::needs::{Limits, Needs, MOST_DESCRIPTORS, MOST_PROCESSES};
+use testbed::scale::requirements::{Limits, Requirements, MOST_DESCRIPTORS, MOST_PROCESSES};
 use testbed::scale::script::RealLoad;
 use testbed::scale::{scenarios, ScaleScript};
 
@@ -17,7 +17,7 @@
 fn the_size_that_is_coming_fits_into_a_machine_of_24_gib() {
     let script = ScaleScript { nodes: 5_900, servers: 1_100, ..script() };
     let limits = Limits { memory_bytes: 12 * GIB, ..ROOMY };
-    assert_eq!(Needs::of(&script).fit(&limits), Ok(()));
+    assert_eq!(Requirements::of(&script).fit(&limits), Ok(()));
 }
 
 #[test]
@@ -26,7 +26,7 @@
         ScaleScript { nodes: 20_000, servers: 4_000, hollow_processes: 200, replicas: 64, ..script() };
     let script = ScaleScript { real: RealLoad { nodes: 20, rate: 1.0 }, ..script };
     let limits = Limits { descriptors: 20_000, memory_bytes: GIB, processes: 200 };
-    let needs = Needs::of(&script);
+    let needs = Requirements::of(&script);
     let faults = needs.fit(&limits).unwrap_err();
     let told: Vec<_> = faults.iter().map(ToString::to_string).collect();
     assert_eq!(faults.len(), 3, "{told:?}");
@@ -45,7 +45,7 @@
 fn more_processes_need_fewer_descriptors_each_until_replicas_need_more() {
     let descriptors = |hollow_processes| {
         let real = RealLoad { nodes: 0, rate: 1.0 };
-        Needs::of(&ScaleScript { nodes: 5_000, hollow_processes, real, ..script() }).descriptors
+        Requirements::of(&ScaleScript { nodes: 5_000, hollow_processes, real, ..script() }).descriptors
     };
     assert_eq!(descriptors(1), 5_000 * 2 + 64);
     assert_eq!(descriptors(2), 2_500 * 2 + 64);
@@ -57,7 +57,7 @@
 fn servers_for_real_nodes_count_against_the_runs_own_descriptors() {
     let descriptors = |real| {
         let real = RealLoad { nodes: real, rate: 1.0 };
-        Needs::of(&ScaleScript { nodes: 100, servers: 1_000, real, ..script() }).descriptors
+        Requirements::of(&ScaleScript { nodes: 100, servers: 1_000, real, ..script() }).descriptors
     };
     assert_eq!(descriptors(0), 100 + 64);
     assert!(descriptors(1) >= 1_000 + 1_000);
@@ -66,7 +66,7 @@
 
 #[test]
 fn memory_grows_with_nodes_times_servers() {
-    let memory = |nodes, servers| Needs::of(&ScaleScript { nodes, servers, ..script() }).memory_bytes;
+    let memory = |nodes, servers| Requirements::of(&ScaleScript { nodes, servers, ..script() }).memory_bytes;
     let for_servers = |nodes| memory(nodes, 2_000) - memory(nodes, 1_000);
     assert_eq!(for_servers(2_000), 2 * for_servers(1_000));
     assert!(memory(2_000, 1_000) > memory(1_000, 1_000));
--- a/crates/testbed/tests/scale_events.rs
+++ b/crates/testbed/tests/scale_steps.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use testbed::scale::events::{servers_at_start, Planned, Step};
 use testbed::scale::messages::Answering;
 use testbed::scale::script::{Event, EventKind};
+use testbed::scale::steps::{servers_at_start, Planned, Step};
 use testbed::scale::{scenarios, ScaleScript};
 
 fn shipped(name: &str) -> ScaleScript {
@@ -18,7 +18,7 @@
 }
 
 fn plan(script: &ScaleScript) -> Vec<Planned> {
-    testbed::scale::events::plan(script, &servers_at_start(script))
+    testbed::scale::steps::plan(script, &servers_at_start(script))
 }
 
 fn changes(steps: &[Planned]) -> usize {
--- a/crates/testbed/tests/live.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -2,20 +2,20 @@
 
 use std::path::Path;
 use std::time::Duration;
-use testbed::live::{play, LiveError};
-use testbed::simulate::Sample;
+use testbed::run_result::Sample;
+use testbed::sockets::{run, SocketRunError};
 use testbed::Script;
 
-fn played(program: &str) -> Result<testbed::live::Live, LiveError> {
+fn played(program: &str) -> Result<testbed::sockets::SocketRun, SocketRunError> {
     let nobody = |_: Duration, _: &Sample| ();
-    play(&Script::default(), Path::new(program), nobody, std::future::pending())
+    run(&Script::default(), Path::new(program), nobody, std::future::pending())
 }
 
 #[test]
 fn more_nodes_than_one_machine_can_stand_in_for_are_refused_before_anything_starts() {
     let script = Script { nodes: 2_001, ..Script::default() };
     let nobody = |_: Duration, _: &Sample| ();
-    let refused = play(&script, Path::new("/no/such/program"), nobody, std::future::pending());
+    let refused = run(&script, Path::new("/no/such/program"), nobody, std::future::pending());
     let text = refused.expect_err("too many").to_string();
     let expected =
         "expected 2000 nodes at the most on sockets, found 2001; the player in virtual time takes more";
@@ -26,7 +26,7 @@
 #[test]
 fn a_program_that_is_no_node_is_named_and_nothing_is_played() {
     match played("/bin/false") {
-        Err(LiveError::Node { node: 0, .. }) => {}
+        Err(SocketRunError::Node { node: 0, .. }) => {}
         other => panic!("{other:?}"),
     }
     let missing = played("/no/such/program").expect_err("no program");
