--- a/crates/cache-balancer/src/scale.rs
+++ b/crates/cache-balancer/src/scale.rs
@@ -187,7 +187,7 @@
         Err(problem) => return failed(&problem),
     };
     if let Some(path) = &arguments.svg {
-        if let Err(problem) = write_plot(path, plot::acts(&report)) {
+        if let Err(problem) = write_plot(path, plot::propagation(&report)) {
             return failed(&problem);
         }
     }
@@ -199,7 +199,7 @@
     } else {
         print!("{}", report.text());
     }
-    if report.held() {
+    if report.all_met() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/cache-balancer/tests/scale.rs
+++ b/crates/cache-balancer/tests/scale.rs
@@ -150,16 +150,16 @@
     let (report, status) = Run::start("on", &text).result();
     let shown = report.text();
     assert!(changes_after_the_loss(&text) >= 9, "{shown}");
-    assert_eq!(report.acts.changes, 18, "{shown}");
-    assert_eq!((report.acts.never, report.acts.nodes_never), (0, 0), "{shown}");
-    assert_eq!(report.acts.times.count, report.acts.changes * NODES, "{shown}");
+    assert_eq!(report.propagation.changes, 18, "{shown}");
+    assert_eq!((report.propagation.never, report.propagation.nodes_never), (0, 0), "{shown}");
+    assert_eq!(report.propagation.times.count, report.propagation.changes * NODES, "{shown}");
     assert_eq!(report.replica_loads.len(), 3, "{shown}");
     assert!(report.replica_loads.iter().all(|load| load.calls > 0), "{shown}");
     let real = report.real.clone().unwrap();
     assert_eq!((real.nodes, real.rules_broken, real.breaches.len()), (3, [0; 4], 0), "{shown}");
     assert!(real.served > 0, "{shown}");
     assert_eq!(report.rest.hollow_processor_s > 0.0, report.rest.hollow_resident_bytes > 0, "{shown}");
-    assert!(report.held() && status.success(), "{shown}");
+    assert!(report.all_met() && status.success(), "{shown}");
 }
 
 #[test]
@@ -167,12 +167,16 @@
     let text = script(false, "5s");
     let (report, status) = Run::start("off", &text).result();
     let shown = report.text();
-    assert_eq!((report.mechanism, report.replicas, report.acts.changes), (false, 1, 18), "{shown}");
-    assert_eq!(report.acts.nodes_never, NODES, "{shown}");
-    assert!(report.acts.never >= changes_after_the_loss(&text) * NODES, "{shown}");
-    assert_eq!(report.acts.times.count + report.acts.never, report.acts.changes * NODES, "{shown}");
+    assert_eq!((report.mechanism, report.replicas, report.propagation.changes), (false, 1, 18), "{shown}");
+    assert_eq!(report.propagation.nodes_never, NODES, "{shown}");
+    assert!(report.propagation.never >= changes_after_the_loss(&text) * NODES, "{shown}");
+    assert_eq!(
+        report.propagation.times.count + report.propagation.never,
+        report.propagation.changes * NODES,
+        "{shown}"
+    );
     assert!(report.text().contains("MISSED: 300 nodes never acted on a change"), "{shown}");
-    assert!(!report.held(), "{shown}");
+    assert!(!report.all_met(), "{shown}");
     assert_eq!(status.code(), Some(1), "{shown}");
 }
 
--- a/crates/testbed/src/scale/child_processes.rs
+++ b/crates/testbed/src/scale/child_processes.rs
@@ -1,96 +1,97 @@
-//! The processes of a scale run: their start, the lines that go to them and come from them, and their end.
+//! The child processes of a scale run: replicas and hollow nodes, their commands and events, and their end.
 
 use super::messages::{HollowCommand, HollowEvent, ReplicaCommand, ReplicaEvent};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt;
+use std::io;
 use std::path::Path;
 use std::process::Stdio;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use thiserror::Error;
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncReadExt, AsyncWriteExt, BufReader};
-use tokio::process::{Child, ChildStdin, Command};
+use tokio::process::{Child, ChildStdin, ChildStdout, Command};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::timeout;
 
-/// A process that does not take a command within this time is stuck.
-const TAKES_COMMAND: Duration = Duration::from_secs(60);
-/// After [`ChildProcesses::stop`], those that have not ended within this time are killed.
-const ENDS: Duration = Duration::from_secs(5);
-/// The longest line that a process may write.
-const LONGEST_LINE: u64 = 256 << 20;
-/// Of what a process says on standard error, this much of the last line is kept.
-const KEPT_ERROR: u64 = 4_096;
+/// A process that has not read a command within this time has failed.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(60);
+/// Processes that have not ended this long after [`ChildProcesses::stop`] are killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
+/// The longest line of an event, in bytes.
+const MAX_EVENT_BYTES: u64 = 256 << 20;
+/// The longest line of standard error that is kept whole, in bytes.
+const MAX_ERROR_BYTES: u64 = 4_096;
 
-/// One process of a run.
+/// A child process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ChildProcess {
-    /// A replica of discovery, by its number.
+pub enum ChildId {
+    /// The replica of discovery with this number.
     Replica(usize),
-    /// A process of hollow nodes, by its number.
+    /// The process of hollow nodes with this number.
     Hollow(usize),
 }
 
-impl fmt::Display for ChildProcess {
+impl fmt::Display for ChildId {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ChildProcess::Replica(number) => write!(formatter, "replica {number}"),
-            ChildProcess::Hollow(number) => write!(formatter, "hollow process {number}"),
+            ChildId::Replica(number) => write!(formatter, "replica {number}"),
+            ChildId::Hollow(number) => write!(formatter, "hollow process {number}"),
         }
     }
 }
 
-/// What one of the processes did that ends a run.
+/// The failure of a child process.
 #[derive(Debug, Error)]
 pub enum ChildError {
-    /// It did not start.
-    #[error("{who} does not start: {source}")]
+    /// The process did not start.
+    #[error("{process} does not start: {source}")]
     Start {
-        /// Which.
-        who: ChildProcess,
-        /// Why.
-        source: std::io::Error,
+        /// The process.
+        process: ChildId,
+        /// What the system said.
+        source: io::Error,
     },
-    /// It takes no commands.
-    #[error("{who} takes no commands: {source}; it said last: {said}")]
+    /// The process does not read commands.
+    #[error("{process} takes no commands: {source}; it said last: {last_line}")]
     Command {
-        /// Which.
-        who: ChildProcess,
-        /// Why.
-        source: std::io::Error,
-        /// Its last line on standard error.
-        said: String,
+        /// The process.
+        process: ChildId,
+        /// What the system said.
+        source: io::Error,
+        /// The last line that the process wrote to standard error.
+        last_line: String,
     },
-    /// It ended before it was told to.
-    #[error("{who} has ended; it said last: {said}")]
+    /// The process ended before it was stopped.
+    #[error("{process} has ended; it said last: {last_line}")]
     Ended {
-        /// Which.
-        who: ChildProcess,
-        /// Its last line on standard error.
-        said: String,
+        /// The process.
+        process: ChildId,
+        /// The last line that the process wrote to standard error.
+        last_line: String,
     },
-    /// It wrote a line that is no event.
-    #[error("{who} wrote a line that is no event: {source}")]
+    /// The process wrote a line that is not an event.
+    #[error("{process} wrote a line that is no event: {source}")]
     Malformed {
-        /// Which.
-        who: ChildProcess,
+        /// The process.
+        process: ChildId,
         /// What is wrong with the line.
         source: serde_json::Error,
     },
-    /// What it was asked for did not come in time.
-    #[error("{who} has not answered within {waited:?}")]
+    /// The process did not send an expected event in time.
+    #[error("{process} has not answered within {waited:?}")]
     Silent {
-        /// Which.
-        who: ChildProcess,
-        /// How long was waited.
+        /// The process.
+        process: ChildId,
+        /// How long the run waited.
         waited: Duration,
     },
 }
 
-/// What came from the processes.
+/// An event of a child process, with the number of the process.
 #[derive(Debug)]
-pub enum ChildMessage {
+pub enum ChildEvent {
     /// From a replica.
     Replica(usize, ReplicaEvent),
     /// From a process of hollow nodes.
@@ -99,186 +100,200 @@
 
 #[derive(Debug)]
 struct Running {
-    who: ChildProcess,
+    id: ChildId,
     /// Killed when it is dropped.
     child: Child,
     commands: ChildStdin,
-    said: Arc<Mutex<String>>,
+    /// The last line on standard error.
+    last_line: Arc<Mutex<String>>,
 }
 
-/// The processes of a run. Dropped, all of them are killed.
+type EventSender = UnboundedSender<Result<ChildEvent, ChildError>>;
+
+/// The child processes of a run. Dropping this kills all of them.
 #[derive(Debug)]
 pub struct ChildProcesses {
     running: Vec<Running>,
-    sender: UnboundedSender<Result<ChildMessage, ChildError>>,
-    heard: UnboundedReceiver<Result<ChildMessage, ChildError>>,
+    sender: EventSender,
+    events: UnboundedReceiver<Result<ChildEvent, ChildError>>,
 }
 
 impl Default for ChildProcesses {
     fn default() -> Self {
-        let (sender, heard) = unbounded_channel();
-        Self { running: Vec::new(), sender, heard }
+        let (sender, events) = unbounded_channel();
+        Self { running: Vec::new(), sender, events }
     }
 }
 
 impl ChildProcesses {
-    /// Starts a process of `program`, which acts as `who` and then waits for its first command.
+    /// Starts a process of `program`, which then waits for its first command.
     ///
     /// # Errors
-    /// When the system does not start it.
-    pub fn start(&mut self, program: &Path, who: ChildProcess) -> Result<(), ChildError> {
-        let failed = |source| ChildError::Start { who, source };
-        let subcommand = match who {
-            ChildProcess::Replica(_) => "scale-replica",
-            ChildProcess::Hollow(_) => "scale-hollow",
-        };
-        let mut child = Command::new(program)
-            .arg(subcommand)
-            .stdin(Stdio::piped())
-            .stdout(Stdio::piped())
-            .stderr(Stdio::piped())
-            // Ctrl-C on the terminal is for the run, which ends them.
-            .process_group(0)
-            .kill_on_drop(true)
-            .spawn()
-            .map_err(failed)?;
-        let missing = || failed(std::io::ErrorKind::BrokenPipe.into());
+    /// If the system does not start it.
+    pub fn start(&mut self, program: &Path, id: ChildId) -> Result<(), ChildError> {
+        let failed = |source| ChildError::Start { process: id, source };
+        let mut child = command(program, id).spawn().map_err(failed)?;
+        let missing = || failed(io::ErrorKind::BrokenPipe.into());
         let commands = child.stdin.take().ok_or_else(missing)?;
         let events = child.stdout.take().ok_or_else(missing)?;
         let errors = child.stderr.take().ok_or_else(missing)?;
-        let said = Arc::new(Mutex::new(String::new()));
-        let keeping = tokio::spawn(keep_last_line(errors, said.clone()));
-        let (sender, last) = (self.sender.clone(), said.clone());
+        let last_line = Arc::new(Mutex::new(String::new()));
+        let (sender, explanation) = (self.sender.clone(), last_line.clone());
+        let reading_errors = tokio::spawn(keep_last_line(errors, last_line.clone()));
         tokio::spawn(async move {
-            let error = match who {
-                ChildProcess::Replica(number) => {
-                    read(who, events, &sender, |event| ChildMessage::Replica(number, event)).await
-                }
-                ChildProcess::Hollow(number) => {
-                    read(who, events, &sender, |event| ChildMessage::Hollow(number, event)).await
-                }
-            };
-            // What it said last explains its end.
-            let _ = keeping.await;
-            let said = text(&last);
-            let error = error.unwrap_or(ChildError::Ended { who, said });
-            // The run may have ended, and with it whoever wants to know.
+            let malformed = forward_events(id, events, &sender).await;
+            // The last line on standard error explains the end of the process.
+            let _ = reading_errors.await;
+            let last_line = text(&explanation);
+            let error = malformed.unwrap_or(ChildError::Ended { process: id, last_line });
+            // The run may have ended by now.
             let _ = sender.send(Err(error));
         });
-        self.running.push(Running { who, child, commands, said });
+        self.running.push(Running { id, child, commands, last_line });
         Ok(())
     }
 
-    /// Sends a replica a command.
+    /// Sends a command to a replica.
     ///
     /// # Errors
-    /// When it does not take it.
-    pub async fn tell_replica(&mut self, number: usize, command: &ReplicaCommand) -> Result<(), ChildError> {
-        self.tell(ChildProcess::Replica(number), command).await
+    /// If it does not read the command in time.
+    pub async fn send_to_replica(
+        &mut self,
+        number: usize,
+        command: &ReplicaCommand,
+    ) -> Result<(), ChildError> {
+        self.send(ChildId::Replica(number), command).await
     }
 
-    /// Sends a process of hollow nodes a command.
+    /// Sends a command to a process of hollow nodes.
     ///
     /// # Errors
-    /// When it does not take it.
-    pub async fn tell_hollow(&mut self, number: usize, command: &HollowCommand) -> Result<(), ChildError> {
-        self.tell(ChildProcess::Hollow(number), command).await
+    /// If it does not read the command in time.
+    pub async fn send_to_hollow(&mut self, number: usize, command: &HollowCommand) -> Result<(), ChildError> {
+        self.send(ChildId::Hollow(number), command).await
     }
 
-    async fn tell(&mut self, who: ChildProcess, command: &impl Serialize) -> Result<(), ChildError> {
-        let Some(running) = self.running.iter_mut().find(|running| running.who == who) else {
-            return Err(ChildError::Start { who, source: std::io::ErrorKind::NotFound.into() });
+    async fn send(&mut self, id: ChildId, command: &impl Serialize) -> Result<(), ChildError> {
+        let Some(running) = self.running.iter_mut().find(|running| running.id == id) else {
+            return Err(ChildError::Start { process: id, source: io::ErrorKind::NotFound.into() });
         };
-        let written = write_line(&mut running.commands, command);
-        let result =
-            timeout(TAKES_COMMAND, written).await.unwrap_or(Err(std::io::ErrorKind::TimedOut.into()));
-        result.map_err(|source| ChildError::Command { who, source, said: text(&running.said) })
+        let written = timeout(COMMAND_TIMEOUT, write_line(&mut running.commands, command)).await;
+        let written = written.unwrap_or(Err(io::ErrorKind::TimedOut.into()));
+        written.map_err(|source| ChildError::Command {
+            process: id,
+            source,
+            last_line: text(&running.last_line),
+        })
     }
 
-    /// The next that any of them says.
+    /// Waits for the next event of any process.
     ///
     /// # Errors
-    /// When one has ended, or says what is no event.
-    pub async fn heard(&mut self) -> Result<ChildMessage, ChildError> {
-        match self.heard.recv().await {
-            Some(heard) => heard,
-            // It is never closed: a sender is kept here.
+    /// If a process has ended, or wrote a line that is not an event.
+    pub async fn next_event(&mut self) -> Result<ChildEvent, ChildError> {
+        match self.events.recv().await {
+            Some(event) => event,
+            // Unreachable: `self.sender` keeps the channel open.
             None => std::future::pending().await,
         }
     }
 
-    /// The system's numbers of the processes of a kind that still run.
-    pub fn ids(&self, of_kind: impl Fn(ChildProcess) -> bool) -> Vec<u32> {
+    /// The process ids of the running processes that are selected.
+    pub fn ids(&self, is_selected: impl Fn(ChildId) -> bool) -> Vec<u32> {
         self.running
             .iter()
-            .filter(|running| of_kind(running.who))
+            .filter(|running| is_selected(running.id))
             .filter_map(|running| running.child.id())
             .collect()
     }
 
-    /// Tells all of them to end and waits for that; those that do not end in time are killed.
+    /// Stops all processes and waits for their end. Those that do not end in time are killed.
     pub async fn stop(mut self) {
         for running in &mut self.running {
-            // One that has ended takes no command, and needs none.
-            let _ = match running.who {
-                ChildProcess::Replica(_) => write_line(&mut running.commands, &ReplicaCommand::Stop).await,
-                ChildProcess::Hollow(_) => write_line(&mut running.commands, &HollowCommand::Stop).await,
+            // A process that has ended does not read the command, and need not.
+            let _ = match running.id {
+                ChildId::Replica(_) => write_line(&mut running.commands, &ReplicaCommand::Stop).await,
+                ChildId::Hollow(_) => write_line(&mut running.commands, &HollowCommand::Stop).await,
             };
         }
         let ended = async {
             for running in &mut self.running {
-                // What is left is killed below.
+                // A process that cannot be waited for is killed below.
                 let _ = running.child.wait().await;
             }
         };
-        // Dropped after this, those that still run are killed.
-        let _ = timeout(ENDS, ended).await;
+        // Dropping `self` kills those that still run.
+        let _ = timeout(STOP_TIMEOUT, ended).await;
     }
 }
 
-fn text(said: &Mutex<String>) -> String {
-    said.lock().unwrap_or_else(PoisonError::into_inner).clone()
+fn command(program: &Path, id: ChildId) -> Command {
+    let subcommand = match id {
+        ChildId::Replica(_) => "scale-replica",
+        ChildId::Hollow(_) => "scale-hollow",
+    };
+    let mut command = Command::new(program);
+    command.arg(subcommand).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    // Ctrl-C on the terminal goes to the run, which ends its processes.
+    command.process_group(0).kill_on_drop(true);
+    command
+}
+
+fn text(line: &Mutex<String>) -> String {
+    line.lock().unwrap_or_else(PoisonError::into_inner).clone()
 }
 
-async fn write_line(commands: &mut ChildStdin, command: &impl Serialize) -> std::io::Result<()> {
+async fn write_line(commands: &mut ChildStdin, command: &impl Serialize) -> io::Result<()> {
     let mut line = serde_json::to_vec(command)?;
     line.push(b'\n');
     commands.write_all(&line).await?;
     commands.flush().await
 }
 
-/// Passes on what a process writes, until it ends: then `None`, or what was wrong with a line.
-async fn read<E: DeserializeOwned>(
-    who: ChildProcess,
+/// Forwards the events of a process until it ends. Returns the error if it wrote a line that is not an event.
+async fn forward_events(id: ChildId, events: ChildStdout, sender: &EventSender) -> Option<ChildError> {
+    match id {
+        ChildId::Replica(number) => {
+            forward(id, events, sender, |event| ChildEvent::Replica(number, event)).await
+        }
+        ChildId::Hollow(number) => {
+            forward(id, events, sender, |event| ChildEvent::Hollow(number, event)).await
+        }
+    }
+}
+
+async fn forward<E: DeserializeOwned>(
+    id: ChildId,
     events: impl AsyncRead + Unpin,
-    sender: &UnboundedSender<Result<ChildMessage, ChildError>>,
-    heard: impl Fn(E) -> ChildMessage,
+    sender: &EventSender,
+    wrap: impl Fn(E) -> ChildEvent,
 ) -> Option<ChildError> {
     let mut events = BufReader::new(events);
     let mut line = Vec::new();
     loop {
         line.clear();
-        let read = (&mut events).take(LONGEST_LINE).read_until(b'\n', &mut line).await;
+        let read = (&mut events).take(MAX_EVENT_BYTES).read_until(b'\n', &mut line).await;
         if !matches!(read, Ok(1..)) {
             return None;
         }
         match serde_json::from_slice(&line) {
-            Ok(event) => sender.send(Ok(heard(event))).ok()?,
-            Err(source) => return Some(ChildError::Malformed { who, source }),
+            Ok(event) => sender.send(Ok(wrap(event))).ok()?,
+            Err(source) => return Some(ChildError::Malformed { process: id, source }),
         }
     }
 }
 
-async fn keep_last_line(errors: impl AsyncRead + Unpin, said: Arc<Mutex<String>>) {
+/// Reads standard error to its end and keeps the last line.
+async fn keep_last_line(errors: impl AsyncRead + Unpin, last_line: Arc<Mutex<String>>) {
     let mut errors = BufReader::new(errors);
     let mut line = Vec::new();
     loop {
         line.clear();
-        let read = (&mut errors).take(KEPT_ERROR).read_until(b'\n', &mut line).await;
+        let read = (&mut errors).take(MAX_ERROR_BYTES).read_until(b'\n', &mut line).await;
         if !matches!(read, Ok(1..)) {
             return;
         }
         let text = String::from_utf8_lossy(&line).trim_end().to_owned();
-        *said.lock().unwrap_or_else(PoisonError::into_inner) = text;
+        *last_line.lock().unwrap_or_else(PoisonError::into_inner) = text;
     }
 }
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -140,16 +140,16 @@
         active(report, |window| window.replicas_processor_s / window.seconds)
     }),
     ("from change to act, p50, ms", Over::Nodes, |report| {
-        (report.acts.times.count > 0).then_some(report.acts.times.p50_ms)
+        (report.propagation.times.count > 0).then_some(report.propagation.times.p50_ms)
     }),
     ("from change to act, p99, ms", Over::Nodes, |report| {
-        (report.acts.times.count > 0).then_some(report.acts.times.p99_ms)
+        (report.propagation.times.count > 0).then_some(report.propagation.times.p99_ms)
     }),
     ("from change to act, last, ms", Over::Nodes, |report| {
-        (report.acts.times.count > 0).then_some(report.acts.times.last_ms)
+        (report.propagation.times.count > 0).then_some(report.propagation.times.last_ms)
     }),
     ("largest group ready, multiples of sending", Over::Nodes, |report| {
-        (report.ready.launched > 0).then_some(report.ready.largest_group_multiple)
+        (report.readiness.launched > 0).then_some(report.readiness.largest_group_multiple)
     }),
 ];
 
--- a/crates/testbed/src/scale/plot.rs
+++ b/crates/testbed/src/scale/plot.rs
@@ -31,9 +31,9 @@
 ///
 /// # Errors
 /// When it can't be drawn.
-pub fn acts(report: &ScaleReport) -> Result<String, PlotError> {
+pub fn propagation(report: &ScaleReport) -> Result<String, PlotError> {
     let points: Vec<_> =
-        report.acts.distribution.iter().map(|&(part, millis)| (millis / 1e3, part * 100.0)).collect();
+        report.propagation.distribution.iter().map(|&(part, millis)| (millis / 1e3, part * 100.0)).collect();
     let longest = points.iter().map(|&(seconds, _)| seconds).fold(0.001, f64::max) * ROOM;
     let caption = format!(
         "{}: from a change to nodes that act on it, {} nodes, {} servers, {} replicas",
--- a/crates/testbed/src/scale/propagation.rs
+++ b/crates/testbed/src/scale/propagation.rs
@@ -1,15 +1,15 @@
-//! Who acted on what, and when: the changes of the list, the lives of the nodes, and the lists that they took.
+//! The propagation of the endpoint list: the changes, the incarnations of the nodes, and the lists that they applied.
 
 use super::messages::Applied;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// The longest time that is told apart from longer ones: an hour, in microseconds.
-const LONGEST_US: u64 = 3_600_000_000;
-/// Points of a distribution that are kept for a plot.
-const POINTS: u32 = 200;
-/// Significant decimal digits of times.
-const DIGITS: u8 = 3;
+/// The longest time that a histogram distinguishes: an hour, in microseconds.
+const MAX_US: u64 = 3_600_000_000;
+/// The number of points of a distribution.
+const DISTRIBUTION_POINTS: u32 = 200;
+/// The significant decimal digits of times.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// A change of the list.
 #[derive(Clone, Copy, Debug)]
@@ -18,21 +18,21 @@
     at_us: u64,
 }
 
-/// From a node's start to its end.
+/// A run of a node, from its start to its end.
 #[derive(Clone, Copy, Debug)]
-struct Life {
+struct Incarnation {
     from_us: u64,
     to_us: Option<u64>,
-    /// It began with the list, and not without one.
+    /// It started with a list.
     with_list: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Node {
-    lives: Vec<Life>,
+    incarnations: Vec<Incarnation>,
     applied: Vec<Applied>,
-    /// In its present life; none before it has a list.
-    holds: Option<u64>,
+    /// The version of its list; `None` if the present incarnation has none.
+    held_version: Option<u64>,
 }
 
 /// Nodes that were started together without a list.
@@ -44,7 +44,7 @@
     sending_ms: f64,
 }
 
-/// All that is known of the acts of a run.
+/// Records which node applied which list, and when.
 #[derive(Clone, Debug)]
 pub struct Propagation {
     changes: Vec<Change>,
@@ -52,117 +52,125 @@
     launches: Vec<Launch>,
 }
 
-/// How long something took, over all times that it did.
+/// A latency distribution.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Times {
-    /// How often.
+pub struct LatencyFigures {
+    /// The number of values.
     pub count: u64,
-    /// Half took no longer than this.
+    /// The median, in milliseconds.
     pub p50_ms: f64,
-    /// And 99 of 100 no longer than this.
+    /// The 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// The longest.
+    /// The maximum, in milliseconds.
     pub last_ms: f64,
 }
 
-/// From a change at discovery to the nodes that act on it.
+/// From a change at discovery to the nodes that apply it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PropagationFigures {
-    /// Changes of the list.
+    /// The number of changes of the list.
     pub changes: u64,
-    /// From each change to each node that acted on it.
-    pub times: Times,
-    /// Acts that came later than the script expects.
+    /// The time from each change to each node that applied it.
+    pub times: LatencyFigures,
+    /// The number of these times that are longer than the script expects.
     pub late: u64,
-    /// A node that lived on and never acted on a change, for each such change.
+    /// The number of pairs of a change and a node that ran on and never applied it.
     pub never: u64,
-    /// Nodes that never acted on some change, though they lived on.
+    /// The number of nodes in such pairs.
     pub nodes_never: u64,
-    /// A node that was killed before it acted on a change, for each such change. Nothing is expected of it.
+    /// The number of pairs of a change and a node that was killed before it applied it, which is not expected of it.
     pub killed_before: u64,
-    /// Parts of all acts, and the milliseconds within which so many came.
+    /// Fractions of all these times, and the milliseconds within which so many are.
     pub distribution: Vec<(f64, f64)>,
 }
 
 /// From the start of nodes without a list until they hold one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ReadyFigures {
-    /// Nodes that were started.
+pub struct ReadinessFigures {
+    /// The number of nodes that were started without a list.
     pub launched: u64,
-    /// From each start to the whole list.
-    pub times: Times,
-    /// Those that lived on and never held a list.
+    /// The time from each start to the first list.
+    pub times: LatencyFigures,
+    /// The number of nodes that ran on and never had a list.
     pub never: u64,
-    /// The most that were started together.
+    /// The size of the largest group that was started together.
     pub largest_group: u64,
-    /// Until all of these were ready.
+    /// The time until all of these had a list, in milliseconds.
     pub largest_group_ms: f64,
-    /// How long discovery takes to send them the list, by its capacity.
+    /// The time that discovery takes to send them the list, by its capacity, in milliseconds.
     pub largest_group_sending_ms: f64,
-    /// The one in multiples of the other.
+    /// The former time in multiples of the latter.
     pub largest_group_multiple: f64,
 }
 
 impl Propagation {
-    /// Of so many nodes that have a list from the beginning.
+    /// Creates the record of nodes that all start with a list of this version.
     pub fn new(nodes: u32, from_us: u64, version: u64) -> Self {
-        let life = Life { from_us, to_us: None, with_list: true };
-        let node = Node { lives: vec![life], applied: Vec::new(), holds: Some(version) };
+        let incarnation = Incarnation { from_us, to_us: None, with_list: true };
+        let node = Node { incarnations: vec![incarnation], applied: Vec::new(), held_version: Some(version) };
         Self { changes: Vec::new(), nodes: vec![node; nodes as usize], launches: Vec::new() }
     }
 
-    /// Discovery has a new version of the list.
-    pub fn changed(&mut self, version: u64, at_us: u64) {
+    /// Records a new version of the list at discovery.
+    pub fn record_change(&mut self, version: u64, at_us: u64) {
         self.changes.push(Change { version, at_us });
     }
 
-    /// Nodes are killed.
-    pub fn killed(&mut self, nodes: &[u32], at_us: u64) {
+    /// Records that nodes were killed.
+    pub fn record_kill(&mut self, nodes: &[u32], at_us: u64) {
         for &number in nodes {
             if let Some(node) = self.nodes.get_mut(number as usize) {
-                node.holds = None;
-                if let Some(life) = node.lives.last_mut() {
-                    life.to_us.get_or_insert(at_us);
+                node.held_version = None;
+                if let Some(incarnation) = node.incarnations.last_mut() {
+                    incarnation.to_us.get_or_insert(at_us);
                 }
             }
         }
     }
 
-    /// Nodes start without a list; discovery takes so long to send it to all of them, by its capacity.
-    pub fn launched(&mut self, nodes: &[u32], at_us: u64, sending_ms: f64) {
+    /// Records that nodes were started without a list. `sending_ms` is the time that discovery takes to send it to all of them,
+    /// by its capacity.
+    pub fn record_launch(&mut self, nodes: &[u32], at_us: u64, sending_ms: f64) {
         for &number in nodes {
             if let Some(node) = self.nodes.get_mut(number as usize) {
-                node.holds = None;
-                node.lives.push(Life { from_us: at_us, to_us: None, with_list: false });
+                node.held_version = None;
+                node.incarnations.push(Incarnation { from_us: at_us, to_us: None, with_list: false });
             }
         }
         self.launches.push(Launch { at_us, nodes: nodes.to_vec(), sending_ms });
     }
 
-    /// A node acted on a list. Those of one node come in the order of time.
-    pub fn applied(&mut self, applied: Applied) {
+    /// Records that a node applied a list. Records of one node come in the order of time.
+    pub fn record_applied(&mut self, applied: Applied) {
         let Some(node) = self.nodes.get_mut(applied.node as usize) else { return };
         node.applied.push(applied);
-        let in_this_life =
-            node.lives.last().is_some_and(|life| life.to_us.is_none() && applied.at_us >= life.from_us);
-        if in_this_life {
-            node.holds = Some(applied.version);
+        let in_this_incarnation = node
+            .incarnations
+            .last()
+            .is_some_and(|incarnation| incarnation.to_us.is_none() && applied.at_us >= incarnation.from_us);
+        if in_this_incarnation {
+            node.held_version = Some(applied.version);
         }
     }
 
-    /// How many changes there were.
-    pub fn changes(&self) -> usize {
+    /// The number of changes.
+    pub fn change_count(&self) -> usize {
         self.changes.len()
     }
 
-    /// How many nodes that live do not hold this version of the list, or a later one.
-    pub fn behind(&self, version: u64) -> usize {
-        let lives = |node: &&Node| node.lives.last().is_some_and(|life| life.to_us.is_none());
-        self.nodes.iter().filter(lives).filter(|node| node.holds.is_none_or(|holds| holds < version)).count()
+    /// The number of running nodes that have neither this version of the list nor a later one.
+    pub fn nodes_behind(&self, version: u64) -> usize {
+        let incarnations =
+            |node: &&Node| node.incarnations.last().is_some_and(|incarnation| incarnation.to_us.is_none());
+        self.nodes
+            .iter()
+            .filter(incarnations)
+            .filter(|node| node.held_version.is_none_or(|held_version| held_version < version))
+            .count()
     }
 
-    /// How many lists were taken from a time on: changes, and whole ones.
-    pub fn taken_since(&self, from_us: u64) -> (u64, u64) {
+    /// The numbers of deltas and of snapshots that were applied from a time on.
+    pub fn lists_applied_since(&self, from_us: u64) -> (u64, u64) {
         let applied =
             self.nodes.iter().flat_map(|node| &node.applied).filter(|applied| applied.at_us >= from_us);
         applied.fold((0, 0), |(changes, whole), applied| match applied.whole {
@@ -171,15 +179,15 @@
         })
     }
 
-    /// From each change to the nodes that act on it. `within_ms` is what the script expects.
+    /// The times from changes to the nodes that applied them. `within_ms` is what the script expects.
     pub fn propagation_figures(&self, within_ms: Option<f64>) -> PropagationFigures {
         let mut figures =
             PropagationFigures { changes: self.changes.len() as u64, ..PropagationFigures::default() };
-        let mut times = Recorder::default();
+        let mut times = LatencyRecorder::default();
         for node in &self.nodes {
             let never_before = figures.never;
-            for life in &node.lives {
-                self.acts_of(node, life, &mut figures, &mut times);
+            for incarnation in &node.incarnations {
+                self.figures_of(node, incarnation, &mut figures, &mut times);
             }
             figures.nodes_never += u64::from(figures.never > never_before);
         }
@@ -189,10 +197,17 @@
         figures
     }
 
-    fn acts_of(&self, node: &Node, life: &Life, figures: &mut PropagationFigures, times: &mut Recorder) {
-        let until = life.to_us.unwrap_or(u64::MAX);
-        // A node without a list is not ready yet; what changes until then comes with its list.
-        let from = if life.with_list { Some(life.from_us) } else { first_list(node, life) };
+    fn figures_of(
+        &self,
+        node: &Node,
+        incarnation: &Incarnation,
+        figures: &mut PropagationFigures,
+        times: &mut LatencyRecorder,
+    ) {
+        let until = incarnation.to_us.unwrap_or(u64::MAX);
+        // A node without a list is not ready yet; its first list contains the changes until then.
+        let from =
+            if incarnation.with_list { Some(incarnation.from_us) } else { first_list(node, incarnation) };
         let Some(from) = from else { return };
         let first = self.changes.partition_point(|change| change.at_us < from);
         for change in self.changes[first..].iter().take_while(|change| change.at_us < until) {
@@ -200,22 +215,22 @@
             let acted = node.applied[later..].iter().find(|applied| applied.version >= change.version);
             match acted.filter(|applied| applied.at_us < until) {
                 Some(applied) => times.record(applied.at_us - change.at_us),
-                None if life.to_us.is_some() => figures.killed_before += 1,
+                None if incarnation.to_us.is_some() => figures.killed_before += 1,
                 None => figures.never += 1,
             }
         }
     }
 
-    /// From each start without a list to the list.
-    pub fn ready_figures(&self) -> ReadyFigures {
-        let mut figures = ReadyFigures::default();
-        let mut times = Recorder::default();
+    /// The times from starts without a list to the first list.
+    pub fn readiness_figures(&self) -> ReadinessFigures {
+        let mut figures = ReadinessFigures::default();
+        let mut times = LatencyRecorder::default();
         for node in &self.nodes {
-            for life in node.lives.iter().filter(|life| !life.with_list) {
+            for incarnation in node.incarnations.iter().filter(|incarnation| !incarnation.with_list) {
                 figures.launched += 1;
-                match first_list(node, life) {
-                    Some(at_us) => times.record(at_us - life.from_us),
-                    None if life.to_us.is_none() => figures.never += 1,
+                match first_list(node, incarnation) {
+                    Some(at_us) => times.record(at_us - incarnation.from_us),
+                    None if incarnation.to_us.is_none() => figures.never += 1,
                     None => {}
                 }
             }
@@ -234,32 +249,33 @@
     fn last_ready(&self, launch: &Launch) -> u64 {
         let nodes = launch.nodes.iter().filter_map(|&number| self.nodes.get(number as usize));
         let ready = nodes.filter_map(|node| {
-            let life = node.lives.iter().find(|life| life.from_us == launch.at_us)?;
-            first_list(node, life)
+            let incarnation =
+                node.incarnations.iter().find(|incarnation| incarnation.from_us == launch.at_us)?;
+            first_list(node, incarnation)
         });
         ready.max().unwrap_or(launch.at_us)
     }
 }
 
-/// When a node that started without a list had one.
-fn first_list(node: &Node, life: &Life) -> Option<u64> {
-    let until = life.to_us.unwrap_or(u64::MAX);
-    let in_life = |applied: &&Applied| (life.from_us..until).contains(&applied.at_us);
-    node.applied.iter().find(in_life).map(|applied| applied.at_us)
+/// When an incarnation that started without a list had its first one.
+fn first_list(node: &Node, incarnation: &Incarnation) -> Option<u64> {
+    let until = incarnation.to_us.unwrap_or(u64::MAX);
+    let in_incarnation = |applied: &&Applied| (incarnation.from_us..until).contains(&applied.at_us);
+    node.applied.iter().find(in_incarnation).map(|applied| applied.at_us)
 }
 
-/// Takes times in microseconds.
+/// A histogram of times in microseconds.
 #[derive(Debug)]
-struct Recorder(Option<Histogram<u64>>);
+struct LatencyRecorder(Option<Histogram<u64>>);
 
-impl Default for Recorder {
+impl Default for LatencyRecorder {
     fn default() -> Self {
-        // These bounds are valid ones; were they not, there would be no figures rather than false ones.
-        Self(Histogram::new_with_bounds(1, LONGEST_US, DIGITS).ok())
+        // The bounds are valid; if they were not, there would be no figures.
+        Self(Histogram::new_with_bounds(1, MAX_US, SIGNIFICANT_DIGITS).ok())
     }
 }
 
-impl Recorder {
+impl LatencyRecorder {
     fn record(&mut self, micros: u64) {
         if let Some(histogram) = &mut self.0 {
             histogram.saturating_record(micros);
@@ -268,24 +284,24 @@
 
     fn later_than(&self, millis: f64) -> u64 {
         let Some(histogram) = &self.0 else { return 0 };
-        let limit = ((millis * 1e3) as u64).clamp(1, LONGEST_US - 1);
-        histogram.count_between(limit + 1, LONGEST_US)
+        let limit = ((millis * 1e3) as u64).clamp(1, MAX_US - 1);
+        histogram.count_between(limit + 1, MAX_US)
     }
 
-    fn times(&self) -> Times {
+    fn times(&self) -> LatencyFigures {
         let Some(histogram) = self.0.as_ref().filter(|histogram| !histogram.is_empty()) else {
-            return Times::default();
+            return LatencyFigures::default();
         };
         let millis = |quantile| histogram.value_at_quantile(quantile) as f64 / 1e3;
         let last_ms = histogram.max() as f64 / 1e3;
-        Times { count: histogram.len(), p50_ms: millis(0.5), p99_ms: millis(0.99), last_ms }
+        LatencyFigures { count: histogram.len(), p50_ms: millis(0.5), p99_ms: millis(0.99), last_ms }
     }
 
     fn distribution(&self) -> Vec<(f64, f64)> {
         let Some(histogram) = self.0.as_ref().filter(|histogram| !histogram.is_empty()) else {
             return Vec::new();
         };
-        let parts = (0..=POINTS).map(|point| f64::from(point) / f64::from(POINTS));
+        let parts = (0..=DISTRIBUTION_POINTS).map(|point| f64::from(point) / f64::from(DISTRIBUTION_POINTS));
         parts.map(|part| (part, histogram.value_at_quantile(part) as f64 / 1e3)).collect()
     }
 }
--- a/crates/testbed/src/scale/real_fleet.rs
+++ b/crates/testbed/src/scale/real_fleet.rs
@@ -1,8 +1,10 @@
-//! The real nodes of a run: what happens is passed on to them and to the servers that they use.
+//! The real nodes of a scale run and their cache servers, which learn of the same events as the replicas.
 
 use super::measure::Cost;
 use super::messages::{Answering, ListedServer};
-use super::real::{classes, CacheServers, RealError, RealNodes, RealReport, RealSettings, ServerSettings};
+use super::real::{
+    classes, CacheServers, NodeUsage, RealError, RealNodes, RealReport, RealSettings, ServerSettings,
+};
 use super::report::RealFigures;
 use super::script::ScaleScript;
 use super::steps::servers_at_start;
@@ -10,35 +12,40 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Whoever stands beside the hollow nodes: nobody, or real nodes and the servers that they use.
+/// The real nodes of a run and the cache servers that they use. Both are absent if the script has no real nodes.
 #[derive(Debug)]
 pub struct RealFleet {
     servers: Option<CacheServers>,
     nodes: Option<RealNodes>,
     /// How each replica answers.
     answering: Vec<Answering>,
-    known: usize,
-    /// In microseconds of Unix time.
-    away_since_us: Option<u64>,
+    /// The number of replicas that nodes know.
+    known_replicas: usize,
+    /// Since when no known replica answers, in microseconds of Unix time.
+    discovery_away_since_us: Option<u64>,
 }
 
 impl RealFleet {
-    /// Starts the servers, if the script has real nodes.
+    /// Starts the cache servers, if the script has real nodes.
     ///
     /// # Errors
-    /// When they don't start.
+    /// If they do not start.
     pub async fn start_servers(script: &ScaleScript) -> Result<Self, RealError> {
         let mut servers = None;
         if script.real.nodes > 0 {
             let settings = ServerSettings { count: script.servers, zones: zones(script) };
             servers = Some(CacheServers::start(settings).await?);
         }
-        let answering = vec![Answering::Up; script.running_replicas() as usize];
-        let known = script.known_replicas() as usize;
-        Ok(Self { servers, nodes: None, answering, known, away_since_us: None })
+        Ok(Self {
+            servers,
+            nodes: None,
+            answering: vec![Answering::Up; script.running_replicas() as usize],
+            known_replicas: script.known_replicas() as usize,
+            discovery_away_since_us: None,
+        })
     }
 
-    /// The list at the start.
+    /// The list of cache servers at the start.
     pub fn servers(&self, script: &ScaleScript) -> Vec<ListedServer> {
         self.servers.as_ref().map_or_else(|| servers_at_start(script), CacheServers::servers)
     }
@@ -46,7 +53,7 @@
     /// Starts the real nodes, if the script has any, and waits until they are ready.
     ///
     /// # Errors
-    /// When one doesn't come up.
+    /// If a node does not start.
     pub async fn start_nodes(
         &mut self,
         script: &ScaleScript,
@@ -66,38 +73,39 @@
             seed: script.seed,
         };
         let nodes = RealNodes::start(servers, settings).await?;
-        // They have read their files and are not started again: a run that is killed leaves none behind. What is still
-        // there goes with the nodes.
+        // The nodes have read their files and are not started again; without this, a run that is killed would leave the files
+        // behind. What cannot be removed now is removed with the nodes.
         let _ = std::fs::remove_dir_all(nodes.folder());
         self.nodes = Some(nodes);
         Ok(())
     }
 
-    /// Discovery has a new entry.
+    /// Records a new entry of discovery's list.
     ///
     /// # Errors
-    /// When it is of no server that was started here.
-    pub fn changed(&self, server: &ListedServer, at_us: u64) -> Result<(), RealError> {
+    /// If the entry is not of a server that was started here.
+    pub fn record_change(&self, server: &ListedServer, at_us: u64) -> Result<(), RealError> {
         self.nodes.as_ref().map_or(Ok(()), |nodes| nodes.notify(server, at_us))
     }
 
-    /// Replicas answer like this from now on. While none that nodes know does, discovery is away.
-    pub fn answers(&mut self, replicas: &[u32], answering: Answering, at_us: u64) {
+    /// Records how replicas answer from now on. Discovery is away while no replica that nodes know answers.
+    pub fn set_answering(&mut self, replicas: &[u32], answering: Answering, at_us: u64) {
         for &replica in replicas {
             if let Some(of_replica) = self.answering.get_mut(replica as usize) {
                 *of_replica = answering;
             }
         }
-        let away = self.answering.iter().take(self.known).all(|answering| *answering != Answering::Up);
-        match self.away_since_us {
-            None if away => self.away_since_us = Some(at_us),
-            Some(_) if !away => self.back(at_us),
+        let mut known = self.answering.iter().take(self.known_replicas);
+        let away = known.all(|answering| *answering != Answering::Up);
+        match self.discovery_away_since_us {
+            None if away => self.discovery_away_since_us = Some(at_us),
+            Some(_) if !away => self.end_outage(at_us),
             _ => {}
         }
     }
 
-    fn back(&mut self, at_us: u64) {
-        let since = self.away_since_us.take();
+    fn end_outage(&mut self, at_us: u64) {
+        let since = self.discovery_away_since_us.take();
         if let (Some(nodes), Some(since)) = (&self.nodes, since) {
             nodes.discovery_away(since, at_us);
         }
@@ -106,16 +114,16 @@
     /// What all real nodes have cost since their start.
     pub fn cost(&self) -> Cost {
         let usage = self.nodes.as_ref().map(RealNodes::usage).unwrap_or_default();
-        let cost = |of_node: &super::real::NodeUsage| Cost {
-            processor: Duration::from_micros(of_node.processor_us),
-            resident_bytes: of_node.rss_anon,
+        let cost = |node: &NodeUsage| Cost {
+            processor: Duration::from_micros(node.processor_us),
+            resident_bytes: node.rss_anon,
         };
         usage.iter().map(cost).sum()
     }
 
     /// Ends the real nodes and judges what they did.
     pub async fn finish(mut self, at_us: u64) -> Option<RealFigures> {
-        self.back(at_us);
+        self.end_outage(at_us);
         let nodes = self.nodes.take()?;
         Some(figures(nodes.finish().await))
     }
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -1,7 +1,7 @@
 //! What a scale run came to: as a table, and as one line of JSON that `fit` reads again.
 
 use super::messages::{ReplicaCapacity, ReplicaReport};
-use super::propagation::{PropagationFigures, ReadyFigures, Times};
+use super::propagation::{LatencyFigures, PropagationFigures, ReadinessFigures};
 use super::snapshot::Window;
 use comfy_table::presets::UTF8_BORDERS_ONLY;
 use comfy_table::{CellAlignment, Table};
@@ -34,17 +34,20 @@
     pub mechanism: bool,
     /// What one replica could do.
     pub capacity: ReplicaCapacity,
-    /// The run's steps were carried out so much later than planned at the most: beyond a few hundred milliseconds, this
-    /// machine was too busy for its times to mean anything.
-    pub most_late_ms: f64,
+    /// The longest delay of a step of the run: beyond a few hundred milliseconds, the machine was too busy for meaningful
+    /// times.
+    #[serde(rename = "most_late_ms")]
+    pub longest_step_delay_ms: f64,
     /// Nothing happens.
     pub rest: WindowFigures,
     /// From the first event until all have caught up; none where nothing happens.
     pub active: Option<WindowFigures>,
-    /// From changes to nodes that act on them.
-    pub acts: PropagationFigures,
-    /// From starts without a list to the list.
-    pub ready: ReadyFigures,
+    /// From a change of the list to the nodes that apply it.
+    #[serde(rename = "acts")]
+    pub propagation: PropagationFigures,
+    /// From the start of a node without a list to its first list.
+    #[serde(rename = "ready")]
+    pub readiness: ReadinessFigures,
     /// Processor time of a node for a change that it acts on, above that at rest, in microseconds; none where whole lists
     /// were taken as well, since the two can't be told apart.
     pub node_change_us: Option<f64>,
@@ -180,9 +183,9 @@
 impl ScaleReport {
     /// Whether every node that lived acted on every change, every node that was started got a list, nothing came later
     /// than the script expects, and the real nodes broke no rule.
-    pub fn held(&self) -> bool {
+    pub fn all_met(&self) -> bool {
         let rules_held = self.real.as_ref().is_none_or(|real| real.rules_broken == [0; 4]);
-        self.acts.never == 0 && self.acts.late == 0 && self.ready.never == 0 && rules_held
+        self.propagation.never == 0 && self.propagation.late == 0 && self.readiness.never == 0 && rules_held
     }
 
     /// One line of JSON.
@@ -221,14 +224,16 @@
         );
         let _ = writeln!(text, "{}", self.windows_table());
         let _ = writeln!(text, "{}", self.events_table());
-        if self.acts.never > 0 {
-            let _ = writeln!(text, "MISSED: {} nodes never acted on a change", self.acts.nodes_never);
+        if self.propagation.never > 0 {
+            let _ = writeln!(text, "MISSED: {} nodes never acted on a change", self.propagation.nodes_never);
         }
-        if self.acts.late > 0 {
-            let _ = writeln!(text, "MISSED: {} acts came later than the script expects", self.acts.late);
+        if self.propagation.late > 0 {
+            let _ =
+                writeln!(text, "MISSED: {} acts came later than the script expects", self.propagation.late);
         }
-        if self.ready.never > 0 {
-            let _ = writeln!(text, "MISSED: {} nodes that were started never held a list", self.ready.never);
+        if self.readiness.never > 0 {
+            let _ =
+                writeln!(text, "MISSED: {} nodes that were started never held a list", self.readiness.never);
         }
         if let Some(real) = self.real.as_ref().filter(|real| real.rules_broken != [0; 4]) {
             let _ = writeln!(text, "MISSED: rules 1 to 4 broken {:?} times by real nodes", real.rules_broken);
@@ -279,20 +284,23 @@
         let mut row = |what: &str, value: String| {
             table.add_row([what.to_owned(), value]);
         };
-        let (acts, ready) = (&self.acts, &self.ready);
-        if acts.changes > 0 {
-            row("changes of the list", acts.changes.to_string());
-            row("acts of nodes on them", acts.times.count.to_string());
-            row("  from change to act, ms: p50, p99, last", milliseconds(&acts.times));
-            row("  later than expected, never", format!("{}, {}", acts.late, acts.never));
-            row("  not expected: the node was killed before", acts.killed_before.to_string());
+        let (propagation, readiness) = (&self.propagation, &self.readiness);
+        if propagation.changes > 0 {
+            row("changes of the list", propagation.changes.to_string());
+            row("acts of nodes on them", propagation.times.count.to_string());
+            row("  from change to act, ms: p50, p99, last", milliseconds(&propagation.times));
+            row("  later than expected, never", format!("{}, {}", propagation.late, propagation.never));
+            row("  not expected: the node was killed before", propagation.killed_before.to_string());
         }
-        if ready.launched > 0 {
-            row("nodes started without a list, never ready", format!("{}, {}", ready.launched, ready.never));
-            row("  from start to list, ms: p50, p99, last", milliseconds(&ready.times));
-            row("  most at once", ready.largest_group.to_string());
-            let [took, sending] = [ready.largest_group_ms, ready.largest_group_sending_ms];
-            let multiple = ready.largest_group_multiple;
+        if readiness.launched > 0 {
+            row(
+                "nodes started without a list, never ready",
+                format!("{}, {}", readiness.launched, readiness.never),
+            );
+            row("  from start to list, ms: p50, p99, last", milliseconds(&readiness.times));
+            row("  most at once", readiness.largest_group.to_string());
+            let [took, sending] = [readiness.largest_group_ms, readiness.largest_group_sending_ms];
+            let multiple = readiness.largest_group_multiple;
             row("  all of these ready, ms", format!("{took:.0}: {multiple:.2} x {sending:.0}"));
         }
         let optional =
@@ -305,7 +313,7 @@
         row("replicas' lines, largest over mean", format!("{:.2}", self.lines_largest_over_mean));
         let queue = self.replica_loads.iter().map(|load| load.longest_queue_ms).max().unwrap_or_default();
         row("longest wait of a call for its turn, ms", queue.to_string());
-        row("steps carried out late by at most, ms", format!("{:.0}", self.most_late_ms));
+        row("steps carried out late by at most, ms", format!("{:.0}", self.longest_step_delay_ms));
         if let Some(real) = &self.real {
             row("real nodes", real.nodes.to_string());
             let answers = [real.requests, real.served, real.refused, real.failed, real.unanswered];
@@ -331,7 +339,7 @@
     table
 }
 
-fn milliseconds(times: &Times) -> String {
+fn milliseconds(times: &LatencyFigures) -> String {
     format!("{:.1}, {:.1}, {:.1}", times.p50_ms, times.p99_ms, times.last_ms)
 }
 
--- a/crates/testbed/src/scale/steps.rs
+++ b/crates/testbed/src/scale/steps.rs
@@ -1,4 +1,4 @@
-//! Draws what a script's events do, step by step: the same script gives the same steps.
+//! The steps of a script's events, chosen at random by the seed: the same script gives the same steps.
 
 use super::messages::{Answering, ListedServer};
 use super::script::{Event, EventKind, ScaleScript};
@@ -6,87 +6,87 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-const SECONDS_A_DAY: f64 = 86_400.0;
-/// Changes of the list that replacing one server makes.
-const CHANGES_A_REPLACEMENT: f64 = 3.0;
-/// Servers that share a cell.
-const SERVERS_A_CELL: u32 = 16;
-/// Where servers would listen, were there any.
+const SECONDS_PER_DAY: f64 = 86_400.0;
+/// The number of changes of the list that the replacement of one server makes.
+const CHANGES_PER_REPLACEMENT: f64 = 3.0;
+/// The number of servers in a cell.
+const SERVERS_PER_CELL: u32 = 16;
+/// The port of listed servers, which nobody connects to.
 const SERVER_PORT: u16 = 7070;
 
-/// A step of the run.
+/// A step and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
     /// From the beginning of the measurement.
     pub at: Duration,
-    /// What is done.
+    /// The step.
     pub step: Step,
 }
 
-/// What the run does at one time.
+/// Something that the run does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// A server's entry on the list is new.
+    /// The entry of a server changes.
     Change {
-        /// The entry.
+        /// The new entry.
         server: ListedServer,
-        /// It starts at this time, so that its `born_ms` is that of the step.
+        /// The server starts now: its `born_ms` is the time of the step.
         starts: bool,
     },
-    /// Hollow nodes are killed.
+    /// These hollow nodes are killed.
     Kill(Vec<u32>),
-    /// Hollow nodes start, without a list.
+    /// These hollow nodes start, without a list.
     Launch(Vec<u32>),
-    /// Replicas answer like this from here on.
+    /// Replicas answer in another way from now on.
     Answer {
         /// Their numbers.
         replicas: Vec<u32>,
-        /// How.
+        /// How they answer.
         answering: Answering,
     },
-    /// A replica learns of changes later by this from here on.
+    /// A replica learns of changes with a lag from now on.
     Lag {
         /// Its number.
         replica: u32,
-        /// Zero: at once, also what it was to learn later.
+        /// The lag. Zero ends it, and the replica learns at once of everything that is pending.
         by: Duration,
     },
-    /// A replica loses all entries, or its count of versions.
+    /// A replica loses its entries or its version.
     Lose {
         /// Its number.
         replica: u32,
-        /// The count of versions.
+        /// Whether it loses its version instead of its entries.
         versions: bool,
     },
-    /// A replica that lost something has it again.
+    /// A replica has again what it lost.
     Restore {
         /// Its number.
         replica: u32,
     },
-    /// Nodes are told to use the first so many replicas.
+    /// Nodes are configured to use only this many of the replicas, the first ones.
     ReplicaSet(u32),
 }
 
-/// A list for runs in which nobody sends anything to servers: all of them ready, for a long time.
+/// The list at the start of a run in which nobody connects to the servers: all of them are ready.
 pub fn servers_at_start(script: &ScaleScript) -> Vec<ListedServer> {
-    (0..script.servers).map(|seat| server_at_start(script, seat)).collect()
+    (0..script.servers).map(|index| server_at_start(script, index)).collect()
 }
 
-fn server_at_start(script: &ScaleScript, seat: u32) -> ListedServer {
-    let address = Ipv4Addr::new(127, 1, (seat / 250) as u8, 1 + (seat % 250) as u8);
+fn server_at_start(script: &ScaleScript, index: u32) -> ListedServer {
+    let address = Ipv4Addr::new(127, 1, (index / 250) as u8, 1 + (index % 250) as u8);
     ListedServer {
-        host: format!("server-{seat}"),
+        host: format!("server-{index}"),
         dial: SocketAddr::from((address, SERVER_PORT)),
-        site: script.zone_name(seat % script.zones),
+        site: script.zone_name(index % script.zones),
         class: "standard".into(),
-        block: u64::from(seat / SERVERS_A_CELL),
+        block: u64::from(index / SERVERS_PER_CELL),
         health: "ready".into(),
         share: 1.0,
         born_ms: 0,
     }
 }
 
-/// The server in a seat, after so many replacements: each has a name of its own, and listens where the first one did.
+/// The server after so many replacements of the first one: it has a name of its own, and the address of the first one.
 fn successor(first: &ListedServer, generation: u32) -> ListedServer {
     match generation {
         0 => first.clone(),
@@ -94,32 +94,32 @@
     }
 }
 
-/// All steps of a script's events, in the order of time. `servers` are on the list at the start, one for each seat.
+/// All steps of a script's events, in the order of time. `servers` are those of the list at the start.
 pub fn plan(script: &ScaleScript, servers: &[ListedServer]) -> Vec<Planned> {
     let mut planner = Planner::new(script, servers);
-    // A zone takes all that is in it; the others draw among what is left.
+    // A zone takes everything in it; the other events choose among the rest.
     let (zones, others): (Vec<_>, Vec<_>) =
         script.events.iter().enumerate().partition(|(_, event)| matches!(event.what, EventKind::Zone { .. }));
     for (number, event) in zones.into_iter().chain(others) {
         planner.event(event, RandomSource::new(script.seed).derive(number as u64));
     }
-    planner.carry_out_servers();
+    planner.plan_server_changes();
     let mut planned = planner.planned;
     planned.sort_by_key(|planned| planned.at);
     planned
 }
 
-/// What is under way at which times, so that no node or server is drawn for two things at once.
+/// When each node or server is taken by an event, so that none is chosen for two events at once.
 #[derive(Debug)]
-struct Occupied(Vec<Vec<(Duration, Duration)>>);
+struct Reservations(Vec<Vec<(Duration, Duration)>>);
 
-impl Occupied {
+impl Reservations {
     fn new(count: u32) -> Self {
         Self(vec![Vec::new(); count as usize])
     }
 
-    /// Takes this one for the time between, if it is free.
-    fn take(&mut self, number: u32, from: Duration, to: Duration) -> bool {
+    /// Reserves one for a time. Returns `false` if it is reserved for any part of that time.
+    fn reserve(&mut self, number: u32, from: Duration, to: Duration) -> bool {
         let times = &mut self.0[number as usize];
         let free = times.iter().all(|&(taken_from, taken_to)| to < taken_from || taken_to < from);
         if free {
@@ -128,36 +128,36 @@
         free
     }
 
-    /// Takes the first free one from a drawn one on.
-    fn take_random(&mut self, random: RandomSource, from: Duration, to: Duration) -> Option<u32> {
+    /// Reserves the first free one, from a random one on.
+    fn reserve_random(&mut self, random: RandomSource, from: Duration, to: Duration) -> Option<u32> {
         let count = self.0.len() as u64;
         let first = random.bits() % count;
-        (0..count).map(|next| ((first + next) % count) as u32).find(|&number| self.take(number, from, to))
+        (0..count).map(|next| ((first + next) % count) as u32).find(|&number| self.reserve(number, from, to))
     }
 }
 
-/// What is drawn for a server.
+/// What an event does to a server.
 #[derive(Clone, Copy, Debug)]
 struct ServerJob {
-    seat: u32,
+    index: u32,
     at: Duration,
     kind: ServerJobKind,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum ServerJobKind {
-    /// It drains, is gone after one step, and its successor is ready after another.
+    /// It drains, is removed one step later, and its successor is ready after another step.
     Replace { step: Duration },
-    /// It is gone, and ready again at this time.
+    /// It is removed, and ready again at this time.
     Restart { back: Duration },
 }
 
 struct Planner<'a> {
     script: &'a ScaleScript,
     at_start: &'a [ListedServer],
-    nodes: Occupied,
-    servers: Occupied,
-    /// Which server is in a seat is known once all of them are drawn.
+    nodes: Reservations,
+    servers: Reservations,
+    /// Planned last: which replacement is running depends on all earlier ones.
     server_jobs: Vec<ServerJob>,
     planned: Vec<Planned>,
 }
@@ -167,8 +167,8 @@
         Self {
             script,
             at_start,
-            nodes: Occupied::new(script.nodes),
-            servers: Occupied::new(at_start.len() as u32),
+            nodes: Reservations::new(script.nodes),
+            servers: Reservations::new(at_start.len() as u32),
             server_jobs: Vec::new(),
             planned: Vec::new(),
         }
@@ -178,7 +178,7 @@
         self.planned.push(Planned { at, step });
     }
 
-    /// A step with which something ends, if it does.
+    /// Adds the step that ends something, if it ends.
     fn step_at_end(&mut self, end: Option<Duration>, step: Step) {
         if let Some(at) = end {
             self.step(at, step);
@@ -222,12 +222,12 @@
             EventKind::ReplicaSet { replicas } if self.script.mechanism => {
                 self.step(from, Step::ReplicaSet(replicas));
             }
-            // Nodes know one address, whatever set there is.
+            // Without the mechanism, nodes know one address whatever the set is.
             EventKind::ReplicaSet { .. } => {}
         }
     }
 
-    /// A replica that nodes know: the one that the script names, or a drawn one.
+    /// A replica that nodes know: the one that the script names, or a random one.
     fn replica(&self, named: Option<u32>, random: RandomSource) -> u32 {
         let known = self.script.known_replicas();
         named.unwrap_or((random.bits() % u64::from(known)) as u32).min(known - 1)
@@ -241,11 +241,11 @@
 
     fn changes(&mut self, event: &Event, per_day: f64, step: Duration, random: RandomSource) {
         let takes = step * 2;
-        let replacements_a_day = per_day / CHANGES_A_REPLACEMENT;
-        for (number, at) in times(event, replacements_a_day, takes, random).into_iter().enumerate() {
+        let replacements_per_day = per_day / CHANGES_PER_REPLACEMENT;
+        for (number, at) in times(event, replacements_per_day, takes, random).into_iter().enumerate() {
             let random = random.derive(1).derive(number as u64);
-            if let Some(seat) = self.servers.take_random(random, at, at + takes) {
-                self.server_jobs.push(ServerJob { seat, at, kind: ServerJobKind::Replace { step } });
+            if let Some(index) = self.servers.reserve_random(random, at, at + takes) {
+                self.server_jobs.push(ServerJob { index, at, kind: ServerJobKind::Replace { step } });
             }
         }
     }
@@ -264,12 +264,12 @@
             let back = at + down;
             let is_node = nodes_only || random.bits() % machines < u64::from(self.script.nodes);
             if is_node {
-                if let Some(node) = self.nodes.take_random(random.derive(1), at, back) {
+                if let Some(node) = self.nodes.reserve_random(random.derive(1), at, back) {
                     self.step(at, Step::Kill(vec![node]));
                     self.step(back, Step::Launch(vec![node]));
                 }
-            } else if let Some(seat) = self.servers.take_random(random.derive(1), at, back) {
-                self.server_jobs.push(ServerJob { seat, at, kind: ServerJobKind::Restart { back } });
+            } else if let Some(index) = self.servers.reserve_random(random.derive(1), at, back) {
+                self.server_jobs.push(ServerJob { index, at, kind: ServerJobKind::Restart { back } });
             }
         }
     }
@@ -278,12 +278,12 @@
         let (from, to) = (event.at, event.at + event.over.unwrap_or_default());
         let in_zone = |number: &u32| number % self.script.zones == zone;
         let nodes: Vec<_> = (0..self.script.nodes).filter(in_zone).collect();
-        let nodes: Vec<_> = nodes.into_iter().filter(|&node| self.nodes.take(node, from, to)).collect();
-        let seats: Vec<_> = (0..self.at_start.len() as u32).filter(in_zone).collect();
-        for seat in seats {
-            if self.servers.take(seat, from, to) {
+        let nodes: Vec<_> = nodes.into_iter().filter(|&node| self.nodes.reserve(node, from, to)).collect();
+        let indices: Vec<_> = (0..self.at_start.len() as u32).filter(in_zone).collect();
+        for index in indices {
+            if self.servers.reserve(index, from, to) {
                 let kind = ServerJobKind::Restart { back: to };
-                self.server_jobs.push(ServerJob { seat, at: from, kind });
+                self.server_jobs.push(ServerJob { index, at: from, kind });
             }
         }
         if !nodes.is_empty() {
@@ -292,14 +292,14 @@
         }
     }
 
-    /// Turns what is drawn for servers into changes of the list, each of the server that is in the seat by then.
-    fn carry_out_servers(&mut self) {
+    /// Turns server jobs into changes of the list, each of the replacement that is running by then.
+    fn plan_server_changes(&mut self) {
         let mut jobs = std::mem::take(&mut self.server_jobs);
         jobs.sort_by_key(|job| job.at);
         let mut generations = vec![0_u32; self.at_start.len()];
-        for ServerJob { seat, at, kind } in jobs {
-            let first = &self.at_start[seat as usize];
-            let generation = &mut generations[seat as usize];
+        for ServerJob { index, at, kind } in jobs {
+            let first = &self.at_start[index as usize];
+            let generation = &mut generations[index as usize];
             let present = successor(first, *generation);
             match kind {
                 ServerJobKind::Replace { step } => {
@@ -330,10 +330,11 @@
     ListedServer { health: health.into(), ..server.clone() }
 }
 
-/// When things of a rate begin that take so long, within an event: evenly, each drawn within its part. At least one.
+/// The times, within an event, of things that happen at this rate and take this long: one at a random time within each of
+/// equal parts. There is at least one.
 fn times(event: &Event, per_day: f64, takes: Duration, random: RandomSource) -> Vec<Duration> {
     let over = event.over.unwrap_or_default();
-    let count = (per_day * over.as_secs_f64() / SECONDS_A_DAY).round().max(1.0) as u32;
+    let count = (per_day * over.as_secs_f64() / SECONDS_PER_DAY).round().max(1.0) as u32;
     let room = over.saturating_sub(takes);
     let part = room / count;
     (0..count)
--- /dev/null
+++ b/crates/testbed/src/scale/virtual_time/calls.rs
@@ -0,0 +1,261 @@
+//! The calls of nodes to replicas, from the decision to call until the answer is applied.
+
+use super::client::{listed, CallEnd, Listing, Next, NextCall};
+use super::event_queue::{CallId, SimulationEvent};
+use super::measure::Sent;
+use super::nodes::{Call, CallResult, Connection};
+use super::replica::Answer;
+use super::simulation::{Simulation, LATENCY};
+use crate::scale::messages::Answering;
+use std::time::Duration;
+
+/// A call continues a watch if it comes within this time of the last answer. Defined by discovery's protocol.
+const WATCH_CONTINUED_WITHIN: Duration = Duration::from_millis(200);
+/// The round trips, in latencies, until a call on a new connection arrives.
+const NEW_CONNECTION_LATENCIES: u32 = 3;
+
+impl Simulation<'_> {
+    /// A node makes its next call.
+    pub(super) fn begin_call(&mut self, node: u32, incarnation: u32) {
+        let now = self.now;
+        let state = &mut self.nodes[node as usize];
+        if !state.up || state.incarnation != incarnation {
+            return;
+        }
+        let next_call = state.decide(|decisions, random| decisions.next_call(now, random));
+        let Some(parameters) = next_call else { return };
+        state.calls += 1;
+        let id = CallId { node, number: state.calls };
+        state.call = Some(Call {
+            number: id.number,
+            parameters,
+            began_at: now,
+            lost: false,
+            answer: None,
+            result: None,
+        });
+        // A connection to another replica is closed.
+        state.connection = state.connection.filter(|connection| connection.replica == parameters.replica);
+        let connected = state.connection.is_some();
+        self.events.schedule(now + parameters.limit, SimulationEvent::CallTimesOut(id));
+        self.send_call(id, parameters, connected);
+    }
+
+    /// Sends a call, on the existing connection or on a new one.
+    fn send_call(&mut self, id: CallId, parameters: NextCall, connected: bool) {
+        let replica = parameters.replica;
+        let passes = self.passes(id.node, replica);
+        let away = self.replicas[replica as usize].answering == Answering::Away;
+        match (connected, passes) {
+            (true, true) => self.events.schedule(self.now + LATENCY, SimulationEvent::CallArrives(id)),
+            // The connection seems to be open, and nothing passes.
+            (true, false) => {}
+            (false, false) => self.end_call(id.node, CallResult::Unreachable, parameters.connect),
+            (false, true) if away => self.end_call(id.node, CallResult::Unreachable, LATENCY * 2),
+            (false, true) => {
+                let connection = Connection { replica, watch_answered_at: None };
+                self.nodes[id.node as usize].connection = Some(connection);
+                let at = self.now + LATENCY * NEW_CONNECTION_LATENCIES;
+                self.events.schedule(at, SimulationEvent::CallArrives(id));
+            }
+        }
+    }
+
+    /// The replica of a call that is still in flight and not lost.
+    fn replica_of(&self, id: CallId) -> Option<u32> {
+        let call = self.nodes[id.node as usize].call.as_ref()?;
+        let in_flight = call.number == id.number && !call.lost && call.result.is_none();
+        in_flight.then_some(call.parameters.replica)
+    }
+
+    pub(super) fn call_arrives(&mut self, id: CallId) {
+        let Some(replica) = self.replica_of(id) else { return };
+        match self.replicas[replica as usize].answering {
+            Answering::Away => self.end_call(id.node, CallResult::Failed, LATENCY),
+            Answering::Silent => self.replicas[replica as usize].held_calls.push(id),
+            Answering::Up => self.serve(id),
+        }
+    }
+
+    /// A replica accepts a call.
+    pub(super) fn serve(&mut self, id: CallId) {
+        let Some(replica) = self.replica_of(id) else { return };
+        self.counts[replica as usize].calls += 1;
+        let (now, capacity) = (self.now, self.scene.script.capacity);
+        let state = &mut self.nodes[id.node as usize];
+        let answered_at =
+            state.connection.as_mut().and_then(|connection| connection.watch_answered_at.take());
+        let after = state.call.as_ref().and_then(|call| call.parameters.after);
+        let continues_watch = after.is_some()
+            && answered_at.is_some_and(|answered_at| now - answered_at <= WATCH_CONTINUED_WITHIN);
+        let cost = if continues_watch { capacity.continued_call_lines } else { capacity.call_lines };
+        let has_news = after.is_none_or(|after| self.replicas[replica as usize].has_news(after));
+        if has_news {
+            self.queue_answer(id, replica, after, cost);
+        } else {
+            self.charge(id, replica, cost, SimulationEvent::CallHandled(id));
+        }
+    }
+
+    /// Charges lines to a replica. The event happens once they are sent; if the queue is full, the call is rejected.
+    fn charge(&mut self, id: CallId, replica: u32, lines: f64, event: SimulationEvent) {
+        match self.replicas[replica as usize].queue.charge(self.now, lines) {
+            Ok(at) => {
+                if self.traced {
+                    self.sent.push(Sent { replica, at, lines });
+                }
+                self.events.schedule(at, event);
+            }
+            Err(_) => {
+                self.counts[replica as usize].refused += 1;
+                self.end_call(id.node, CallResult::Rejected, LATENCY);
+            }
+        }
+    }
+
+    /// A replica begins to watch for changes, unless there is one by now.
+    pub(super) fn call_handled(&mut self, id: CallId) {
+        let Some(replica) = self.replica_of(id) else { return };
+        let call = self.nodes[id.node as usize].call.as_ref();
+        let Some(parameters) = call.map(|call| call.parameters) else { return };
+        let after = parameters.after.unwrap_or_default();
+        let state = &mut self.replicas[replica as usize];
+        if state.has_news(after) && state.answering == Answering::Up {
+            return self.send_answer(id);
+        }
+        state.watch(id, after);
+        self.events.schedule(self.now + parameters.wait, SimulationEvent::WatchTimesOut(id));
+    }
+
+    pub(super) fn watch_times_out(&mut self, id: CallId) {
+        let Some(replica) = self.replica_of(id) else { return };
+        if self.replicas[replica as usize].unwatch(id) {
+            self.send_answer(id);
+        }
+    }
+
+    /// Answers a call with what there is by now.
+    pub(super) fn send_answer(&mut self, id: CallId) {
+        let Some(replica) = self.replica_of(id) else { return };
+        let after = self.nodes[id.node as usize].call.as_ref().and_then(|call| call.parameters.after);
+        self.queue_answer(id, replica, after, 0.0);
+    }
+
+    fn queue_answer(&mut self, id: CallId, replica: u32, after: Option<u64>, call_lines: f64) {
+        let answer = self.replicas[replica as usize].answer(&self.versions, after);
+        let lines = answer.entries.len() as f64 + call_lines;
+        if let Some(call) = self.nodes[id.node as usize].call.as_mut() {
+            call.answer = Some(answer);
+        }
+        self.charge(id, replica, lines, SimulationEvent::AnswerSent(id));
+    }
+
+    /// A replica has sent an answer, unless it has become silent.
+    pub(super) fn answer_sent(&mut self, id: CallId) {
+        let Some(replica) = self.replica_of(id) else { return };
+        if self.replicas[replica as usize].answering == Answering::Silent {
+            return self.replicas[replica as usize].held_answers.push(id);
+        }
+        let state = &mut self.nodes[id.node as usize];
+        let Some(call) = state.call.as_mut() else { return };
+        let Some(answer) = call.answer.take() else { return };
+        if let Some(connection) = state.connection.as_mut() {
+            connection.watch_answered_at = call.parameters.after.map(|_| self.now);
+        }
+        let counts = &mut self.counts[replica as usize];
+        counts.answers += 1;
+        counts.whole_lists += u64::from(answer.whole);
+        let bytes = answer.entries.iter().map(|(server, _)| self.versions.entry_bytes(*server));
+        counts.entry_bytes += bytes.sum::<usize>() as u64;
+        self.end_call(id.node, CallResult::Answer(answer), LATENCY);
+    }
+
+    /// The result of a node's call reaches the node after a time.
+    pub(super) fn end_call(&mut self, node: u32, result: CallResult, after: Duration) {
+        let call = self.nodes[node as usize].call.as_mut();
+        if let Some(call) = call.filter(|call| call.result.is_none()) {
+            let id = CallId { node, number: call.number };
+            call.result = Some(result);
+            self.events.schedule(self.now + after, SimulationEvent::CallEnds(id));
+        }
+    }
+
+    pub(super) fn call_ends(&mut self, id: CallId) {
+        let state = &mut self.nodes[id.node as usize];
+        let current = state.call.as_ref().is_some_and(|call| call.number == id.number && !call.lost);
+        let Some(call) = state.call.take_if(|_| current) else { return };
+        let took = self.now - call.began_at;
+        match call.result {
+            Some(CallResult::Answer(answer)) => self.call_answered(id.node, took, &answer),
+            Some(CallResult::Unreachable) => {
+                self.outcome.unreached += 1;
+                self.call_failed(id.node, CallEnd::Unreached { took });
+            }
+            Some(CallResult::Rejected) => self.call_failed(id.node, CallEnd::Refused { took }),
+            Some(CallResult::Failed) | None => self.call_failed(id.node, CallEnd::Failed),
+        }
+    }
+
+    pub(super) fn call_times_out(&mut self, id: CallId) {
+        let call = self.nodes[id.node as usize].call.as_ref();
+        if call.is_some_and(|call| call.number == id.number) {
+            self.drop_call(id.node);
+            self.outcome.overdue += 1;
+            self.call_failed(id.node, CallEnd::Overdue);
+        }
+    }
+
+    /// Removes the call that a node has in flight, if there is one, from the node and the replica.
+    pub(super) fn drop_call(&mut self, node: u32) {
+        if let Some(call) = self.nodes[node as usize].call.take() {
+            let id = CallId { node, number: call.number };
+            self.replicas[call.parameters.replica as usize].unwatch(id);
+        }
+    }
+
+    fn call_answered(&mut self, node: u32, took: Duration, answer: &Answer) {
+        let (now, versions) = (self.now, &self.versions);
+        let entries = answer.entries.iter().map(|(server, state)| listed(versions.name(*server), *state));
+        let listing = Listing { version: answer.version, whole: answer.whole, entries: entries.collect() };
+        let end = CallEnd::Answered { took, listing };
+        let next = self.nodes[node as usize].decide(|decisions, random| decisions.ended(now, end, random));
+        let Some(next) = next else { return };
+        match next.applied {
+            Some(version) => self.list_applied(node, version),
+            // A rejected list ends its connection.
+            None => self.nodes[node as usize].connection = None,
+        }
+        self.schedule_next_call(node, next);
+    }
+
+    fn call_failed(&mut self, node: u32, end: CallEnd) {
+        let now = self.now;
+        let state = &mut self.nodes[node as usize];
+        state.connection = None;
+        if let Some(next) = state.decide(|decisions, random| decisions.ended(now, end, random)) {
+            self.schedule_next_call(node, next);
+        }
+    }
+
+    fn schedule_next_call(&mut self, node: u32, next: Next) {
+        let incarnation = self.nodes[node as usize].incarnation;
+        let event = SimulationEvent::CallBegins { node, incarnation };
+        self.events.schedule(self.now + next.pause, event);
+    }
+
+    /// A node applies a list of this version.
+    fn list_applied(&mut self, node: u32, version: u64) {
+        let state = &mut self.nodes[node as usize];
+        let before = state.version.replace(version);
+        self.outcome.went_back += u64::from(before.is_some_and(|before| version < before));
+        if let Some(launched_at) = state.launched_at.take() {
+            self.outcome.lists.add(self.now - launched_at);
+        }
+        let from = before.unwrap_or(0).max(state.counts_after);
+        for version in from + 1..=version {
+            if let Some(change) = self.versions.made(version) {
+                self.outcome.latencies.add(self.now - change.at);
+            }
+        }
+    }
+}
--- a/crates/testbed/src/scale/virtual_time/mod.rs
+++ b/crates/testbed/src/scale/virtual_time/mod.rs
@@ -9,6 +9,7 @@
 //! - [`simulation`] runs one; [`replica`] is the queue, the list and the watches of one replica.
 //! - [`Outcome`] is what came of it; [`table`] shows several side by side.
 
+mod calls;
 pub mod client;
 mod event_queue;
 mod measure;
--- a/crates/testbed/src/scale/virtual_time/nodes.rs
+++ b/crates/testbed/src/scale/virtual_time/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes as the player sees them: a life, a connection, a call that is out, and the decisions of a client.
+//! The nodes of a simulation: an incarnation, a connection, a call in flight, and the decisions of a discovery client.
 
 use super::client::{ClientDecisions, NextCall};
 use super::replica::Answer;
@@ -7,84 +7,87 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An open connection.
+/// An open connection to a replica.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Link {
+pub(super) struct Connection {
     pub(super) replica: u32,
-    /// When the last watch on it was answered, if that was the last call.
-    pub(super) watch_answered: Option<Duration>,
+    /// When a watch on it was answered, if that was the last call.
+    pub(super) watch_answered_at: Option<Duration>,
 }
 
-/// What came of a call.
+/// The result of a call, on its way to the node.
 #[derive(Debug)]
-pub(super) enum Came {
+pub(super) enum CallResult {
     Answer(Rc<Answer>),
-    Unreached,
-    Refused,
+    Unreachable,
+    Rejected,
     Failed,
 }
 
-/// A call that is out.
+/// A call in flight.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) number: u64,
-    pub(super) asked: NextCall,
-    pub(super) began: Duration,
-    /// Nothing that belongs to it passes any more.
+    pub(super) parameters: NextCall,
+    pub(super) began_at: Duration,
+    /// A partition has cut it off: nothing that belongs to it passes any more.
     pub(super) lost: bool,
-    /// What the replica is about to send.
+    /// The answer that the replica is sending.
     pub(super) answer: Option<Rc<Answer>>,
-    pub(super) came: Option<Came>,
+    pub(super) result: Option<CallResult>,
 }
 
 pub(super) struct Node {
-    pub(super) life: u32,
+    /// Counts its kills.
+    pub(super) incarnation: u32,
     pub(super) up: bool,
     pub(super) decisions: Option<Box<dyn ClientDecisions>>,
     pub(super) call: Option<Call>,
+    /// The number of calls of all incarnations.
     pub(super) calls: u64,
-    pub(super) link: Option<Link>,
-    pub(super) held: Option<u64>,
-    /// Changes after this version count: it runs since then.
+    pub(super) connection: Option<Connection>,
+    /// The version of its list.
+    pub(super) version: Option<u64>,
+    /// Changes up to this version do not count: it was not running yet.
     pub(super) counts_after: u64,
-    /// When it was launched, until it holds a list.
-    pub(super) launched: Option<Duration>,
+    /// When it was launched; `None` once it has a list.
+    pub(super) launched_at: Option<Duration>,
     random: RandomSource,
-    random_count: u64,
+    random_values: u64,
 }
 
 impl Node {
     pub(super) fn new(random: RandomSource) -> Self {
         Self {
-            life: 0,
+            incarnation: 0,
             up: false,
             decisions: None,
             call: None,
             calls: 0,
-            link: None,
-            held: None,
+            connection: None,
+            version: None,
             counts_after: FIRST_VERSION,
-            launched: None,
+            launched_at: None,
             random,
-            random_count: 0,
+            random_values: 0,
         }
     }
 
-    /// When it makes its first call, from 0 to 1 of the time that there is for that.
-    pub(super) fn first_random(&self) -> f64 {
+    /// When it makes its first call, as a fraction of the time over which first calls are spread.
+    pub(super) fn first_call_fraction(&self) -> f64 {
         self.random.derive(0).uniform()
     }
 
-    /// Its decisions, with random numbers.
+    /// Calls its decisions, if it has any, with a source of uniform random values.
     pub(super) fn decide<T>(
         &mut self,
         decide: impl FnOnce(&mut dyn ClientDecisions, &mut dyn FnMut() -> f64) -> T,
     ) -> Option<T> {
-        let Self { decisions, random, random_count, .. } = self;
-        let mut random = || {
-            *random_count += 1;
-            random.derive(*random_count).uniform()
+        let Self { decisions, random, random_values, .. } = self;
+        let mut next_random = || {
+            *random_values += 1;
+            random.derive(*random_values).uniform()
         };
-        decisions.as_deref_mut().map(|decisions| decide(decisions, &mut random))
+        decisions.as_deref_mut().map(|decisions| decide(decisions, &mut next_random))
     }
 }
--- a/crates/testbed/tests/scale_fit.rs
+++ b/crates/testbed/tests/scale_fit.rs
@@ -4,7 +4,7 @@
 use testbed::scale::fit::{fit, FitError, Line, Over};
 use testbed::scale::messages::ReplicaCapacity;
 use testbed::scale::plot;
-use testbed::scale::propagation::{PropagationFigures, ReadyFigures};
+use testbed::scale::propagation::{PropagationFigures, ReadinessFigures};
 use testbed::scale::report::{largest_over_mean, ScaleReport, WindowFigures, VERSION};
 
 /// A result in which a node takes 5 us a second and its memory is 40,000 bytes and 300 for each server.
@@ -33,11 +33,11 @@
             continued_call_lines: 1.0,
             queue_limit_ms: 1,
         },
-        most_late_ms: 0.0,
+        longest_step_delay_ms: 0.0,
         rest,
         active: None,
-        acts: PropagationFigures::default(),
-        ready: ReadyFigures::default(),
+        propagation: PropagationFigures::default(),
+        readiness: ReadinessFigures::default(),
         node_change_us: None,
         node_whole_list_us: None,
         replica_loads: Vec::new(),
@@ -145,8 +145,8 @@
     // Of hollow nodes, over both sizes, and of replicas.
     assert_eq!(svg.matches("processor at rest, s/s").count(), 3);
     let mut report = result(500, 100);
-    report.acts.distribution = vec![(0.0, 1.0), (0.5, 20.0), (1.0, 80.0)];
-    assert!(plot::acts(&report).unwrap().contains("<polyline"));
+    report.propagation.distribution = vec![(0.0, 1.0), (0.5, 20.0), (1.0, 80.0)];
+    assert!(plot::propagation(&report).unwrap().contains("<polyline"));
     // Nothing to show is no failure.
-    assert!(plot::acts(&result(500, 100)).unwrap().contains("500 nodes"));
+    assert!(plot::propagation(&result(500, 100)).unwrap().contains("500 nodes"));
 }
--- a/crates/testbed/tests/scale_propagation.rs
+++ b/crates/testbed/tests/scale_propagation.rs
@@ -1,4 +1,4 @@
-//! Who acted on what, and when.
+//! The time from a change of the list to the nodes that apply it.
 
 use testbed::scale::messages::Applied;
 use testbed::scale::propagation::Propagation;
@@ -8,17 +8,17 @@
 }
 
 #[test]
-fn a_change_is_acted_on_by_the_first_list_that_holds_it() {
-    let mut acts = Propagation::new(2, 0, 1);
-    acts.changed(2, 1_000);
-    acts.changed(3, 2_000);
+fn a_change_counts_as_applied_with_the_first_list_that_contains_it() {
+    let mut propagation = Propagation::new(2, 0, 1);
+    propagation.record_change(2, 1_000);
+    propagation.record_change(3, 2_000);
     // One takes both at once, the other one after the other.
-    acts.applied(applied(0, 3, 5_000));
-    acts.applied(applied(1, 2, 1_500));
-    assert_eq!(acts.behind(3), 1);
-    acts.applied(applied(1, 3, 2_500));
-    assert_eq!(acts.behind(3), 0);
-    let figures = acts.propagation_figures(Some(3.5));
+    propagation.record_applied(applied(0, 3, 5_000));
+    propagation.record_applied(applied(1, 2, 1_500));
+    assert_eq!(propagation.nodes_behind(3), 1);
+    propagation.record_applied(applied(1, 3, 2_500));
+    assert_eq!(propagation.nodes_behind(3), 0);
+    let figures = propagation.propagation_figures(Some(3.5));
     assert_eq!((figures.changes, figures.times.count, figures.never), (2, 4, 0));
     assert_eq!(figures.late, 1);
     assert!((figures.times.last_ms - 4.0).abs() < 0.01, "{figures:?}");
@@ -26,43 +26,43 @@
 }
 
 #[test]
-fn a_node_that_lives_on_without_a_change_never_acted_on_it() {
-    let mut acts = Propagation::new(3, 0, 1);
-    acts.changed(2, 1_000);
-    acts.changed(3, 2_000);
-    acts.applied(applied(0, 3, 2_500));
+fn a_running_node_without_a_change_is_counted_as_never() {
+    let mut propagation = Propagation::new(3, 0, 1);
+    propagation.record_change(2, 1_000);
+    propagation.record_change(3, 2_000);
+    propagation.record_applied(applied(0, 3, 2_500));
     // An older list is no act on a newer one.
-    acts.applied(applied(1, 2, 2_500));
-    let figures = acts.propagation_figures(None);
+    propagation.record_applied(applied(1, 2, 2_500));
+    let figures = propagation.propagation_figures(None);
     assert_eq!((figures.times.count, figures.never, figures.nodes_never), (3, 3, 2));
-    assert_eq!((acts.behind(2), acts.behind(3)), (1, 2));
+    assert_eq!((propagation.nodes_behind(2), propagation.nodes_behind(3)), (1, 2));
 }
 
 #[test]
 fn nothing_is_expected_of_a_node_that_was_killed() {
-    let mut acts = Propagation::new(1, 0, 1);
-    acts.changed(2, 1_000);
-    acts.killed(&[0], 1_500);
-    acts.changed(3, 2_000);
-    let figures = acts.propagation_figures(None);
+    let mut propagation = Propagation::new(1, 0, 1);
+    propagation.record_change(2, 1_000);
+    propagation.record_kill(&[0], 1_500);
+    propagation.record_change(3, 2_000);
+    let figures = propagation.propagation_figures(None);
     assert_eq!((figures.times.count, figures.never, figures.killed_before), (0, 0, 1));
-    assert_eq!(acts.behind(3), 0);
+    assert_eq!(propagation.nodes_behind(3), 0);
 }
 
 #[test]
-fn a_started_node_is_ready_with_its_first_list_and_acts_from_then_on() {
-    let mut acts = Propagation::new(2, 0, 1);
-    acts.killed(&[0, 1], 1_000);
-    acts.launched(&[0, 1], 2_000, 4.0);
-    acts.changed(2, 3_000);
-    assert_eq!(acts.behind(2), 2);
-    acts.applied(Applied { node: 0, version: 2, at_us: 10_000, whole: true });
-    acts.changed(3, 12_000);
-    acts.applied(applied(0, 3, 13_000));
-    let (figures, ready) = (acts.propagation_figures(None), acts.ready_figures());
+fn a_started_node_is_ready_with_its_first_list() {
+    let mut propagation = Propagation::new(2, 0, 1);
+    propagation.record_kill(&[0, 1], 1_000);
+    propagation.record_launch(&[0, 1], 2_000, 4.0);
+    propagation.record_change(2, 3_000);
+    assert_eq!(propagation.nodes_behind(2), 2);
+    propagation.record_applied(Applied { node: 0, version: 2, at_us: 10_000, whole: true });
+    propagation.record_change(3, 12_000);
+    propagation.record_applied(applied(0, 3, 13_000));
+    let (figures, ready) = (propagation.propagation_figures(None), propagation.readiness_figures());
     // The other one is never ready, which is told once.
     assert_eq!((figures.times.count, figures.never), (1, 0));
     assert_eq!((ready.launched, ready.times.count, ready.never, ready.largest_group), (2, 1, 1, 2));
     assert!((ready.largest_group_ms - 8.0).abs() < 1e-9 && (ready.largest_group_multiple - 2.0).abs() < 1e-9);
-    assert_eq!(acts.taken_since(0), (1, 1));
+    assert_eq!(propagation.lists_applied_since(0), (1, 1));
 }
