--- a/crates/cache-balancer/src/scale/run.rs
+++ b/crates/cache-balancer/src/scale/run.rs
@@ -14,14 +14,14 @@
     eprintln!("{}: {}", script.name, script.about);
     let report = report(&script)?;
     if let Some(path) = &arguments.svg {
-        write_plot(path, plot::acts(&report))?;
+        write_plot(path, plot::propagation(&report))?;
     }
     if arguments.json {
         println!("{}", report.json().map_err(|error| ScaleError::Json("result", error))?);
     } else {
         print!("{}", report.text());
     }
-    Ok(exit_code(report.held()))
+    Ok(exit_code(report.all_met()))
 }
 
 fn report(script: &ScaleScript) -> Result<ScaleReport, ScaleError> {
--- a/crates/cache-balancer/src/scale/virtual_time.rs
+++ b/crates/cache-balancer/src/scale/virtual_time.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use testbed::scale::scenarios;
 use testbed::scale::virtual_time::scenes::{self, Size, VIRTUAL_ONLY};
-use testbed::scale::virtual_time::{play, table, Scene};
+use testbed::scale::virtual_time::{self, table, Scene};
 
 /// Runs a scene, prints its outcome and returns the exit code.
 pub(super) fn run(arguments: &RunArguments) -> Result<ExitCode, ScaleError> {
@@ -12,7 +12,7 @@
         return Err(ScaleError::PlotOfVirtualTime);
     }
     let scene = scene(arguments)?;
-    let outcome = play(&scene);
+    let outcome = virtual_time::run(&scene);
     if arguments.json {
         println!("{}", serde_json::to_string(&outcome).map_err(|error| ScaleError::Json("result", error))?);
     } else {
--- a/crates/cache-balancer/src/scenario/mod.rs
+++ b/crates/cache-balancer/src/scenario/mod.rs
@@ -10,7 +10,7 @@
 use clap::{Args, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use testbed::report::words;
+use testbed::report::describe_fault;
 use testbed::{scenarios, Script};
 
 /// Exit code: the machine was too busy for the figures of the run to be the program's.
@@ -72,7 +72,7 @@
     /// Lists the scenarios that ship with the program
     List,
     /// Plays scripts again and again, and shows how far their figures lie apart
-    Spread(SpreadArguments),
+    Variance(SpreadArguments),
     /// Says what is wrong with a script, and plays nothing
     Check {
         /// The script's file
@@ -84,7 +84,7 @@
 pub fn run(arguments: Arguments) -> ExitCode {
     match arguments.command {
         Some(Command::List) => list(),
-        Some(Command::Spread(arguments)) => spread::run(&arguments),
+        Some(Command::Variance(arguments)) => spread::run(&arguments),
         Some(Command::Check { file }) => check(&file),
         Some(Command::Run(arguments)) => run::run(&arguments),
         None => run::run(&arguments.run),
@@ -108,8 +108,8 @@
     };
     println!("{}: {} over {}", file.display(), script.name, time_text(script.length));
     for incident in &script.incidents {
-        let (at, over) = (time_text(incident.at), time_text(incident.over));
-        println!("  {at}: {} for {over}", words(&incident.what));
+        let (at, over) = (time_text(incident.at), time_text(incident.duration));
+        println!("  {at}: {} for {over}", describe_fault(&incident.fault));
     }
     ExitCode::SUCCESS
 }
--- a/crates/cache-balancer/src/scenario/run.rs
+++ b/crates/cache-balancer/src/scenario/run.rs
@@ -5,9 +5,9 @@
 use crate::cli::{exit_code, Player};
 use std::path::Path;
 use std::process::ExitCode;
-use testbed::page::page;
+use testbed::html_report;
 use testbed::report::Report;
-use testbed::{simulate, Script};
+use testbed::{virtual_time, Script};
 use thiserror::Error;
 
 /// The page of timelines could not be written.
@@ -47,21 +47,22 @@
     } else {
         print!("{}", report.text());
     }
-    exit_code(report.held())
+    exit_code(report.all_met())
 }
 
 fn report(script: &Script, arguments: &RunArguments) -> Result<Report, SocketRunError> {
     let (played, partial) = match arguments.player {
-        Player::Virtual => (simulate::play(script), false),
+        Player::Virtual => (virtual_time::run(script), false),
         Player::Sockets => {
             let run = sockets::run(script, !arguments.json)?;
-            (run.played, run.partial)
+            (run.result, run.partial)
         }
     };
     Ok(Report { partial, ..Report::new(script, played) })
 }
 
 fn write_page(path: &Path, report: &Report) -> Result<(), PageError> {
-    let written = page(report).and_then(|html| Ok(std::fs::write(path, html)?));
-    written.map_err(|cause| PageError { file: path.display().to_string(), cause })
+    let error = |cause| PageError { file: path.display().to_string(), cause };
+    let html = html_report::render(report).map_err(|cause| error(cause.into()))?;
+    std::fs::write(path, html).map_err(|cause| error(cause.into()))
 }
--- a/crates/cache-balancer/src/scenario/sockets.rs
+++ b/crates/cache-balancer/src/scenario/sockets.rs
@@ -3,8 +3,8 @@
 use crate::cli::progress::ProgressDisplay;
 use crate::cli::{interrupted, program, ProgramNotFound};
 use std::time::Duration;
-use testbed::simulate::{Played, Sample};
-use testbed::{live, Script};
+use testbed::run_result::{RunResult, Sample};
+use testbed::Script;
 use thiserror::Error;
 
 /// Why a run on sockets has no result.
@@ -33,7 +33,7 @@
 
 /// The result of a run on sockets.
 pub(super) struct SocketRun {
-    pub(super) played: Played,
+    pub(super) result: RunResult,
     /// Whether it was broken off.
     pub(super) partial: bool,
 }
@@ -48,25 +48,25 @@
             display.show(&progress_line(at, length_s, sample), false);
         }
     };
-    let live = live::play(script, &program, progress, interrupted())
+    let live = testbed::sockets::run(script, &program, progress, interrupted())
         .map_err(|error| SocketRunError::Run(error.into()))?;
     if show_progress {
         eprintln!();
     }
-    if let Some(error) = &live.failed {
+    if let Some(error) = &live.error {
         eprintln!("the play is broken off: {error}");
     }
-    if live.void() {
-        let (percentile_99, max) = live.late;
-        return Err(VoidRun { percentile_99, max }.into());
+    if live.is_void() {
+        let testbed::sockets::TimerLag { p99, max } = live.timer_lag;
+        return Err(VoidRun { percentile_99: p99, max }.into());
     }
-    Ok(SocketRun { played: live.played, partial: live.partial })
+    Ok(SocketRun { result: live.result, partial: live.partial })
 }
 
 fn progress_line(at: Duration, length_s: u64, sample: &Sample) -> String {
-    let Sample { running, cold, held, origin_waiting, .. } = sample;
+    let Sample { servers, warming_servers, requests_in_servers, origin_queue, .. } = sample;
     format!(
-        "{:>4} of {length_s} s: {running} boxes, {cold} cold, {held} requests in them, {origin_waiting} wait at the origin",
+        "{:>4} of {length_s} s: {servers} boxes, {warming_servers} cold, {requests_in_servers} requests in them, {origin_queue} wait at the origin",
         at.as_secs()
     )
 }
--- a/crates/cache-balancer/src/scenario/spread.rs
+++ b/crates/cache-balancer/src/scenario/spread.rs
@@ -5,8 +5,8 @@
 use crate::cli::{exit_code, Player};
 use std::process::ExitCode;
 use testbed::report::Report;
-use testbed::simulate::{self, Played};
-use testbed::spread::{table, Spread};
+use testbed::variance::{table, Variance};
+use testbed::{run_result::RunResult, virtual_time};
 use testbed::{scenarios, Script};
 
 /// Runs each script several times, prints a table and returns the exit code.
@@ -24,7 +24,7 @@
         }
     }
     println!("{}", table(&rows));
-    exit_code(rows.iter().all(Spread::held))
+    exit_code(rows.iter().all(Variance::all_met))
 }
 
 /// All scripts, which are read before the first is run. Each that can't be used is reported.
@@ -36,8 +36,8 @@
 }
 
 /// The row of one script: its runs with its own seed, then those with further seeds.
-fn row(script: &Script, arguments: &SpreadArguments) -> Result<Spread, ExitCode> {
-    let mut row = Spread::new(&script.name);
+fn row(script: &Script, arguments: &SpreadArguments) -> Result<Variance, ExitCode> {
+    let mut row = Variance::new(&script.name);
     let own_seed = (0..arguments.plays).map(|_| (script.seed, true));
     let further_seeds =
         (0..u64::from(arguments.seeds)).map(|offset| (script.seed.wrapping_add(offset), false));
@@ -45,28 +45,28 @@
         let nodes = arguments.nodes.unwrap_or(script.nodes);
         let script = Script { seed, nodes, ..script.clone() };
         let Some(played) = play(&script, arguments.player)? else {
-            row.void();
+            row.add_void();
             continue;
         };
         let report = Report::new(&script, played);
         if repeated {
-            row.again(&report);
+            row.add_same_seed(&report);
         } else {
-            row.seed(&report);
+            row.add_other_seed(&report);
         }
     }
     Ok(row)
 }
 
 /// Runs a script once. Returns `None` if the machine was too busy, and an exit code if no further run makes sense.
-fn play(script: &Script, player: Player) -> Result<Option<Played>, ExitCode> {
+fn play(script: &Script, player: Player) -> Result<Option<RunResult>, ExitCode> {
     if player == Player::Virtual {
-        return Ok(Some(simulate::play(script)));
+        return Ok(Some(virtual_time::run(script)));
     }
     match sockets::run(script, false) {
         // Broken off by the operator.
         Ok(run) if run.partial => Err(ExitCode::from(VOID)),
-        Ok(run) => Ok(Some(run.played)),
+        Ok(run) => Ok(Some(run.result)),
         Err(SocketRunError::Void(void)) => {
             eprintln!("{void}");
             Ok(None)
