--- a/crates/balancer-core/src/admission.rs
+++ b/crates/balancer-core/src/admission.rs
@@ -1,7 +1,7 @@
 //! Admission control: how much of the demand a node admits, and what it rejects first.
 //!
-//! One of hundreds of nodes cannot know how full a server is that it meets every ten seconds. What it can know is the state
-//! of the fleet: the results of *all* its attempts, whatever their server, are a fair sample of all nodes' attempts. So the
+//! One of hundreds of nodes cannot know how full a server is that it sends a request to every ten seconds. What it can know is
+//! the state of the fleet: the results of *all* its attempts, whatever their server, are a fair sample of all nodes' attempts. So the
 //! controller has one level for the whole fleet.
 //!
 //! The level falls by a fraction of itself with each attempt that was late or found the queue full, and rises by a step
@@ -29,7 +29,7 @@
 const INCREASE_MIN: f64 = 0.003;
 const TOLERATED_FAILURE_RATE: f64 = 0.12;
 /// What each result counts against the level. A late answer most often comes from a server that works and is overloaded.
-/// A time-out may as well come from one that is down or unreachable, and rejecting requests for that helps nobody.
+/// A time-out may as well come from one that is down or unreachable, and rejecting requests for that protects no server.
 const LATE_WEIGHT: f64 = 0.7;
 const TIMED_OUT_WEIGHT: f64 = 0.15;
 const QUEUE_FULL_WEIGHT: f64 = 1.0;
--- a/crates/balancer-core/src/balance.rs
+++ b/crates/balancer-core/src/balance.rs
@@ -10,8 +10,8 @@
 //! - what the origin is sent: `cached_keys`, `fetch_limit`, `origin_breaker`;
 //! - what is sent at all: [`admission`](crate::admission), `retry_budget`, `queue`, `retry_after`, `dispatch`
 //!   (the wiring);
-//! - what a result shows: `assessment`, `request_costs`, `attempt_results` (the wiring);
-//! - what a successor takes on: `learned_state`.
+//! - what a result is evidence of: `assessment`, `request_costs`, `attempt_results` (the wiring);
+//! - what a successor restores: `learned_state`.
 
 mod assessment;
 mod attempt_results;
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Takes on new settings. What is known of servers stays, and what is counted by class stays with the
+    /// Applies new settings. What is known of servers stays, and what is counted by class stays with the
     /// class of that name.
     fn reconfigure(&mut self, now: Timestamp, settings: Settings) {
         let before = std::mem::replace(&mut self.settings, with_unnamed_class(settings));
--- a/crates/balancer-core/src/balance/assessment.rs
+++ b/crates/balancer-core/src/balance/assessment.rs
@@ -15,7 +15,8 @@
     pub queue_was_empty: bool,
     /// Whether the server reported an empty queue with the answer; `None` without a report.
     pub queue_is_empty: Option<bool>,
-    /// Whether this node meets a server often enough for its reports of queues to explain its latency.
+    /// Whether this node sends a server requests often enough for its reports of queues to explain its
+    /// latency.
     pub queue_explains_latency: bool,
     /// Whether a failure is the origin's: the server fetched the value from it, or the origin is overloaded.
     pub origin_at_fault: bool,
@@ -26,7 +27,7 @@
 pub enum Assessment {
     /// Served in time.
     InTime,
-    /// Served late by a server with idle cores: the work takes long, nobody waits.
+    /// Served late by a server with idle cores: the work takes long, and no request waits.
     LateWithSpareCpu,
     /// Served late by a server with an empty queue and busy cores: most likely the work takes long.
     LateWithEmptyQueue,
@@ -40,7 +41,7 @@
     /// Not answered in time, most likely for the server's load.
     TimedOut,
     /// Not answered in time by a server whose queue was empty: not for its load (a miss may wait for the
-    /// origin). A breaker for this server would help nobody, and its keys would be missed elsewhere.
+    /// origin). Ejecting the server would not help, and its keys would be missed elsewhere.
     TimedOutWithEmptyQueue,
     /// A fetch from the origin that was not answered in time.
     FetchTimedOut,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Whether a value that the server reported as a hit is still cached there, as far as the result tells.
+    /// Whether a value that the server reported as a hit is still cached there, as far as the result shows.
     pub fn confirms_hit(self) -> bool {
         !matches!(
             self,
--- a/crates/balancer-core/src/balance/attempt_results.rs
+++ b/crates/balancer-core/src/balance/attempt_results.rs
@@ -1,5 +1,5 @@
-//! What the balancer learns from the result of an attempt: of the server, of its class there, of its kind, of
-//! the origin and of the fleet's load.
+//! What the balancer learns from the result of an attempt about the server, of its class there, of its kind,
+//! of the origin and of the fleet's load.
 
 use super::assessment::{Assessment, Evidence};
 use super::circuit_breaker::CallResult;
@@ -14,7 +14,8 @@
 
 /// A server with a CPU utilization below this has idle cores.
 const SPARE_CPU_UTILIZATION: f64 = 0.8;
-/// Up to this many nodes, each meets a server often enough for its reports of queues to explain its latency.
+/// Up to this many nodes, each sends a server requests often enough for its reports of queues to explain its
+/// latency.
 const MAX_NODES_FOR_QUEUE_REPORTS: u32 = 100;
 /// A reported queue shorter than this is empty, in requests.
 const EMPTY_QUEUE_BELOW: f64 = 1.0;
--- a/crates/balancer-core/src/balance/circuit_breaker.rs
+++ b/crates/balancer-core/src/balance/circuit_breaker.rs
@@ -27,7 +27,7 @@
     Success,
     /// It did not.
     Failure,
-    /// That cannot be told.
+    /// The result does not show whether it did.
     Inconclusive,
 }
 
@@ -82,7 +82,7 @@
     }
 
     /// Number of state changes so far. The result of a call counts only in the epoch in which the call was
-    /// sent: results of calls that were sent earlier tell nothing of the present state.
+    /// sent: results of calls that were sent earlier are no evidence of the present state.
     pub fn epoch(&self) -> u32 {
         self.epoch
     }
--- a/crates/balancer-core/src/balance/concurrency_limit.rs
+++ b/crates/balancer-core/src/balance/concurrency_limit.rs
@@ -92,7 +92,7 @@
         self.limit
     }
 
-    /// Takes on a limit that a predecessor learned.
+    /// Restores a limit that a predecessor learned.
     pub fn restore(&mut self, limit: f64) {
         self.limit = non_negative(limit, MAX_VALUE).max(LIMIT_MIN);
     }
--- a/crates/balancer-core/src/balance/fetch_limit.rs
+++ b/crates/balancer-core/src/balance/fetch_limit.rs
@@ -96,7 +96,7 @@
             self.others.record(failed);
             return false;
         }
-        // What was sent before the last reduction tells nothing of the new limit.
+        // What was sent before the last reduction is no evidence of the new limit.
         let counts = attempt.sent_at >= self.reduced_at;
         if counts {
             self.probable_misses.record(failed);
@@ -144,7 +144,7 @@
         [self.others, self.probable_misses].map(|count| (count.all, count.failed))
     }
 
-    /// Takes on what a predecessor learned. What is in flight here stays so.
+    /// Restores what a predecessor learned. The number of requests in flight is that of this process.
     pub fn restore(&mut self, limit: Option<f64>, counts: [(f64, f64); 2]) {
         self.limit = limit.map(|limit| non_negative(limit, MAX_VALUE));
         [self.others, self.probable_misses] = counts.map(AttemptCount::restored);
--- a/crates/balancer-core/src/balance/learned_state.rs
+++ b/crates/balancer-core/src/balance/learned_state.rs
@@ -1,4 +1,4 @@
-//! Conversion between the balancer's state and [`LearnedState`], which its successor takes on.
+//! Conversion between the balancer's state and [`LearnedState`], which its successor restores.
 
 use super::cached_keys::{CacheMarks, CachedKeys};
 use super::origin_breaker::OriginBreaker;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes on what a predecessor learned. Numbers out of range are taken for the nearest in range, or for
+    /// Restores what a predecessor learned. Numbers out of range are taken for the nearest in range, or for
     /// none.
     pub(super) fn restore(&mut self, now: Timestamp, learned: &LearnedState) {
         let class_names = self.class_names();
--- a/crates/balancer-core/src/balance/origin_breaker.rs
+++ b/crates/balancer-core/src/balance/origin_breaker.rs
@@ -1,8 +1,9 @@
 //! The circuit breaker of the origin, where cache servers fetch from it and report misses.
 //!
-//! An origin with a queue longer than anyone waits serves nobody: each fetch that fails is sent again by its
-//! client, so the queue stays full. The breaker keeps misses off the origin until it has worked its queue
-//! down. Keys that are cached are served meanwhile, and no cache server is ejected for the failures.
+//! An origin whose queue is longer than clients wait serves none of them in time: each fetch that fails is
+//! sent again by its client, so the queue stays full. The breaker keeps misses off the origin until it has
+//! worked its queue down. Keys that are cached are served meanwhile, and no cache server is ejected for the
+//! failures.
 
 use super::circuit_breaker::{BreakerState, CallResult, CircuitBreaker, COOLDOWN, MIN_CALLS};
 use super::outlier_detection::SERVER_WINDOW;
--- a/crates/balancer-core/src/balance/outlier_detection.rs
+++ b/crates/balancer-core/src/balance/outlier_detection.rs
@@ -146,7 +146,7 @@
         classes.map(|(name, breaker)| (name.to_string(), breaker.learned(now))).collect()
     }
 
-    /// Takes on the state that a predecessor learned; a class that it did not know keeps its breaker.
+    /// Restores the state that a predecessor learned; a class that it did not know keeps its breaker.
     pub fn restore(
         &mut self,
         server: &LearnedBreaker,
--- a/crates/balancer-core/src/balance/request_costs.rs
+++ b/crates/balancer-core/src/balance/request_costs.rs
@@ -75,7 +75,7 @@
         self.mean_work
     }
 
-    /// Takes on the means of a predecessor; a class that it did not know keeps its own.
+    /// Restores the means of a predecessor; a class that it did not know keeps its own.
     pub fn restore(&mut self, latencies: &[(String, f64)], work: f64, names: &[Name]) {
         for (name, mean) in names.iter().zip(&mut self.mean_latency) {
             if let Some((_, learned)) = latencies.iter().find(|(other, _)| other == name.as_str()) {
--- a/crates/balancer-core/src/balance/selection.rs
+++ b/crates/balancer-core/src/balance/selection.rs
@@ -107,7 +107,7 @@
         self.servers[index].concurrency.has_capacity(fraction, pending.random)
     }
 
-    /// Whether a read at this server will be fetched from the origin, as far as can be told from what that
+    /// Whether a read at this server will be fetched from the origin, as far as is known from what that
     /// server has answered here. Other nodes may have asked it for the key: some of these are hits.
     pub fn is_probable_miss(&self, request: &Request, server: &Server) -> bool {
         self.settings.mode == CacheMode::Through
@@ -136,7 +136,7 @@
     }
 
     /// Whether a server has reported an empty queue. Only a node with a substantial part of a server's
-    /// requests can tell: for one of many nodes, a report is older than the bursts of the others.
+    /// requests can know: for one of many nodes, a report is older than the bursts of the others.
     pub fn has_empty_queue(&self, server: &Server) -> bool {
         self.initial_limit > INITIAL_LIMIT_MIN && server.reports_empty_queue(self.now)
     }
--- a/crates/balancer-core/src/balance/server_kinds.rs
+++ b/crates/balancer-core/src/balance/server_kinds.rs
@@ -1,6 +1,6 @@
-//! How fast each kind of server is, where the weights of discovery's list do not tell: by how long answers
-//! take relative to their expected work. Otherwise servers of a slow kind would get as many keys as fast
-//! ones, and queue.
+//! How fast each kind of server is, where the weights of discovery's list do not reflect it: by how long
+//! answers take relative to their expected work. Otherwise servers of a slow kind would get as many keys as
+//! fast ones, and queue.
 
 use crate::learned_state::{non_negative, LearnedKind};
 use crate::names::Name;
@@ -15,7 +15,7 @@
 /// Bound of the logarithm of a relative latency that is taken over from a predecessor.
 const MAX_RESTORED_LOG: f64 = 10.0;
 
-/// The kinds of servers met so far.
+/// The kinds of servers that have been on the list.
 #[derive(Debug, Default)]
 pub struct ServerKinds {
     kinds: Vec<ServerKind>,
@@ -68,7 +68,7 @@
         self.kinds.iter().map(learned).collect()
     }
 
-    /// Takes on what a predecessor learned of the kinds that are met here.
+    /// Restores what a predecessor learned of the kinds that are known here.
     pub fn restore(&mut self, learned: &[LearnedKind]) {
         for kind in &mut self.kinds {
             let name = kind.name.as_ref().map(Name::as_str);
--- a/crates/balancer-core/src/balance/servers.rs
+++ b/crates/balancer-core/src/balance/servers.rs
@@ -14,7 +14,7 @@
 use std::ops::{Index, IndexMut};
 use std::time::Duration;
 
-/// Time for which a report of an empty queue tells of the present.
+/// Time for which a report of an empty queue counts as the present state.
 const QUEUE_REPORT_TTL: Duration = Duration::from_millis(500);
 /// Least capacity, so that one of no weight can still be compared.
 const CAPACITY_MIN: f64 = 1e-9;
@@ -93,7 +93,7 @@
 }
 
 impl ServerList {
-    /// Takes on a complete list: servers that it lacks are removed. Limits of new servers start at
+    /// Applies a complete list: servers that it lacks are removed. Limits of new servers start at
     /// `initial_limit`.
     pub fn apply_snapshot(
         &mut self,
@@ -106,7 +106,7 @@
         self.apply_delta(endpoints, settings, initial_limit, now);
     }
 
-    /// Takes on the endpoints that changed. Limits of new servers start at `initial_limit`.
+    /// Applies the endpoints that changed. Limits of new servers start at `initial_limit`.
     pub fn apply_delta(
         &mut self,
         endpoints: &[Endpoint],
@@ -212,7 +212,7 @@
         (servers.collect(), self.kinds.learned())
     }
 
-    /// Takes on what a predecessor learned of the servers on the list, of each if it has not restarted since.
+    /// Restores what a predecessor learned of the servers on the list, of each if it has not restarted since.
     pub fn restore(
         &mut self,
         servers: &[LearnedServer],
--- a/crates/balancer-core/src/balance/slow_start.rs
+++ b/crates/balancer-core/src/balance/slow_start.rs
@@ -60,7 +60,7 @@
         self.0.iter().filter(|sent_at| now.since(**sent_at) < window).count()
     }
 
-    /// Takes on the sends of a predecessor as if they were of this moment.
+    /// Restores the sends of a predecessor, as if they were made now.
     pub fn restore(&mut self, count: u32, now: Timestamp) {
         self.0 = std::iter::repeat_n(now, count.min(MAX_RESTORED_SENDS) as usize).collect();
     }
@@ -136,7 +136,7 @@
         self.prompt_answers
     }
 
-    /// Takes on the count of prompt answers of a predecessor.
+    /// Restores the count of prompt answers of a predecessor.
     pub fn restored(prompt_answers: f64) -> Self {
         Self { prompt_answers: non_negative(prompt_answers, MAX_VALUE) }
     }
--- a/crates/balancer-core/src/hot_keys.rs
+++ b/crates/balancer-core/src/hot_keys.rs
@@ -49,7 +49,7 @@
 }
 
 impl HotKeys {
-    /// Counts a request for a key. The first one for a key tells nothing of its share, so it counts as overestimate.
+    /// Counts a request for a key. The first one for a key is no evidence of its share, so it counts as overestimate.
     pub fn record(&mut self, now: Timestamp, key: u64) {
         let weight = self.weight(now);
         self.total += weight;
--- a/crates/balancer-core/src/learned_state.rs
+++ b/crates/balancer-core/src/learned_state.rs
@@ -83,7 +83,7 @@
 /// State of a circuit breaker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LearnedBreaker {
-    /// Remaining time of its cooldown; `None` while it is closed. A half-open one has none left: its trials begin anew.
+    /// Remaining time of its cooldown; `None` while it is closed. A half-open one has none left: its trials start over.
     #[serde(rename = "open_left")]
     pub(crate) open_remaining: Option<u64>,
     #[serde(rename = "window_left")]
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -2,7 +2,7 @@
 //! actions.
 //!
 //! Start from three types: a [`Balancer`] is made from [`Settings`], takes in [`Event`]s, and answers with [`Action`]s that
-//! its caller carries out. It reads no clock: the caller says what time it is.
+//! its caller carries out. It reads no clock: the caller passes the time.
 //!
 //! ```
 //! use balancer_core::{Action, Balancer, Endpoint, EndpointUpdate, Event, Request, Settings, Timestamp};
@@ -28,7 +28,7 @@
 //! [`time`]; [`api`] has all of them. The other modules are one decision each:
 //!
 //! - [`balance`]: which server a request goes to, when it is retried, and when it is rejected; [`admission`]: how much of
-//!   the demand is admitted; [`hot_keys`]: how many replicas a key has; [`learned_state`]: what a successor takes on;
+//!   the demand is admitted; [`hot_keys`]: how many replicas a key has; [`learned_state`]: what a successor restores;
 //! - [`handover`]: who accepts clients while one process takes another's place;
 //! - [`asking`]: when discovery is polled, and when a watch is dead; [`replicas`]: which replica of discovery;
 //!   [`share`]: what one replica can do for its share of the nodes; [`discovery_client`]: these three put together;
--- a/crates/simulator-adapter/src/wire/parser.rs
+++ b/crates/simulator-adapter/src/wire/parser.rs
@@ -14,7 +14,7 @@
 const OPTION_EXPECTED_WORK: u32 = 1;
 const OPTION_CLIENT_RETRY: u32 = 2;
 const OPTION_WRITE: u32 = 4;
-/// Messages that tell an event of an instance.
+/// Messages that are an event of an instance.
 const EVENT_MESSAGES: [&str; 7] =
     ["peers_known", "submit", "timer", "abandoned", "first_byte", "returned", "sampled"];
 
@@ -85,7 +85,7 @@
         Ok(Message::InstanceStarted { instance, seed: fields.required("prng")?, settings })
     }
 
-    /// The event that one of the [`EVENT_MESSAGES`] tells; `None` where its kind is not known.
+    /// The event of one of the [`EVENT_MESSAGES`]; `None` where its kind is not known.
     fn event(&mut self, name: &str, fields: &Fields) -> Result<Option<Message>, WireError> {
         let instance = instance(fields)?;
         let event = match name {
