--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -2,7 +2,7 @@
 //! actions.
 //!
 //! Start from three types: a [`Balancer`] is made from [`Settings`], takes in [`Event`]s, and answers with [`Action`]s that
-//! its caller carries out. It reads no clock: the caller says what time it is.
+//! its caller carries out. It reads no clock: the caller passes the time.
 //!
 //! ```
 //! use balancer_core::{Action, Balancer, Endpoint, EndpointUpdate, Event, Request, Settings, Timestamp};
@@ -28,7 +28,7 @@
 //! [`time`]; [`api`] has all of them. The other modules are one decision each:
 //!
 //! - [`balance`]: which server a request goes to, when it is retried, and when it is rejected; [`admission`]: how much of
-//!   the demand is admitted; [`hot_keys`]: how many replicas a key has; [`learned_state`]: what a successor takes on;
+//!   the demand is admitted; [`hot_keys`]: how many replicas a key has; [`learned_state`]: what a successor restores;
 //! - [`graceful_restart`]: which process accepts clients while one takes the place of another;
 //! - [`discovery`]: when and where discovery is polled, and which endpoint lists are accepted;
 //! - [`supervisor`]: when the instances of a fleet are started, and restarted.
