--- a/crates/balancer-core/src/supervisor/messages.rs
+++ b/crates/balancer-core/src/supervisor/messages.rs
@@ -178,7 +178,7 @@
 }
 
 impl InstanceState {
-    /// The word that `cache-balancer fleet` prints for it.
+    /// The name that `cache-balancer fleet` prints.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Starting => "starting",
--- a/crates/cache-balancer/src/daemon/change/tests.rs
+++ b/crates/cache-balancer/src/daemon/change/tests.rs
@@ -41,9 +41,9 @@
         // The system picks the port of each: only the name tells which is which.
         (&[("a", 0), ("b", 0)], &[("b", 0)], &[Some(1)], "listener a removed"),
     ];
-    for (current, new, places, words) in cases {
+    for (current, new, indices, expected) in cases {
         let change = between(&with(current), &with(new));
-        assert_eq!((change.listeners.as_slice(), change.to_string().as_str()), (places, words));
+        assert_eq!((change.listeners.as_slice(), change.to_string().as_str()), (indices, expected));
     }
 }
 
@@ -104,9 +104,9 @@
             "pool q added, pool p removed, class a changed",
         ),
     ];
-    for (current, new, words) in cases {
+    for (current, new, expected) in cases {
         let change = between(&current, &new).to_string();
         // The number of descriptors is the system's where the file has none.
-        assert_eq!(change, words);
+        assert_eq!(change, expected);
     }
 }
--- a/crates/cache-balancer/src/daemon/pools/tests.rs
+++ b/crates/cache-balancer/src/daemon/pools/tests.rs
@@ -11,7 +11,7 @@
 const PORTS: std::ops::RangeInclusive<u16> = 1..=6;
 const POOLS: [&str; 2] = ["p", "q"];
 
-/// What a file says of one pool's discovery: ports in the file's order, and whether capacity is stated.
+/// The discovery of one pool in a file: ports in the order of the file, and the capacity if it is stated.
 #[derive(Clone, Debug)]
 struct Wanted {
     ports: Vec<u16>,
@@ -24,7 +24,7 @@
         DiscoveryReplicas::new(addresses.collect(), self.capacity)
     }
 
-    /// Names of no replica, or of one twice, are faults.
+    /// No replica, or the same one twice, is a fault.
     fn is_faulty(&self) -> bool {
         let once: BTreeSet<_> = self.ports.iter().collect();
         once.is_empty() || once.len() < self.ports.len()
@@ -41,7 +41,7 @@
     }
 }
 
-/// A file: what it says of each pool, and whether it names the pools in the other order.
+/// A file with both pools, in this or the other order.
 #[derive(Clone, Debug)]
 struct File {
     pools: [Wanted; POOLS.len()],
@@ -64,7 +64,7 @@
 }
 
 fn wanted() -> impl Strategy<Value = Wanted> {
-    // Mostly without fault; the list may name one twice.
+    // Mostly without a fault; the list may name one twice.
     let ports = prop_oneof![
         8 => proptest::sample::subsequence(PORTS.collect::<Vec<_>>(), 1..=6).prop_shuffle(),
         1 => proptest::collection::vec(PORTS, 0..=3),
@@ -89,7 +89,7 @@
     client: AbortHandle,
 }
 
-/// A pool at work whose client asks nobody.
+/// A running pool whose client polls nothing.
 fn running(pool: &Pool) -> (Running, Ends) {
     let Source::Discovery(replicas) = &pool.source else { panic!("expected discovery") };
     let (sender, replicas) = watch::channel(replicas.clone());
@@ -119,26 +119,26 @@
     (pools, ends)
 }
 
-/// What the log has to say of a pool, by a comparison of sets.
-fn expected_words(name: &str, held: &DiscoveryReplicas, wanted: &DiscoveryReplicas) -> Vec<String> {
+/// The differences that the log has to name for a pool, by a comparison of sets.
+fn expected_differences(name: &str, held: &DiscoveryReplicas, wanted: &DiscoveryReplicas) -> Vec<String> {
     let set = |replicas: &DiscoveryReplicas| replicas.addresses.iter().copied().collect::<BTreeSet<_>>();
-    let mut words = Vec::new();
+    let mut differences = Vec::new();
     if set(held) != set(wanted) {
         let addresses: Vec<_> = set(wanted).iter().map(ToString::to_string).collect();
-        words.push(format!("pool {name}: list from discovery at {}", addresses.join(", ")));
+        differences.push(format!("pool {name}: list from discovery at {}", addresses.join(", ")));
     }
     if held.capacity != wanted.capacity {
-        words.push(match wanted.capacity {
+        differences.push(match wanted.capacity {
             Some(Capacity { lines_per_second, .. }) => {
                 format!("pool {name}: discovery of {lines_per_second} lines a second and 10 a call")
             }
             None => format!("pool {name}: discovery of unknown capacity"),
         });
     }
-    words
+    differences
 }
 
-/// Reloads these files one after the other, and compares what clients and log hear with a model of sets.
+/// Reloads these files one after the other, and compares what clients and log are notified of with a model of sets.
 async fn reload_each(files: Vec<File>) -> Result<(), TestCaseError> {
     let first = File {
         pools: [(); POOLS.len()].map(|()| Wanted { ports: vec![1], capacity: None }),
@@ -152,16 +152,17 @@
         prop_assert_eq!(read.is_err(), file.pools.iter().any(Wanted::is_faulty));
         if let Ok(config) = read {
             let change = Change::between(&held, &config);
-            let mut words = Vec::new();
+            let mut differences = Vec::new();
             let mut order: Vec<_> = file.pools.iter().zip(POOLS).zip(&model).collect();
             if file.backwards {
                 order.reverse();
             }
             for ((wanted, name), model) in order {
-                words.extend(expected_words(name, model, &wanted.replicas()));
+                differences.extend(expected_differences(name, model, &wanted.replicas()));
             }
-            let words = if words.is_empty() { "nothing changed".to_owned() } else { words.join(", ") };
-            prop_assert_eq!(change.to_string(), words);
+            let expected =
+                if differences.is_empty() { "nothing changed".to_owned() } else { differences.join(", ") };
+            prop_assert_eq!(change.to_string(), expected);
             pools.change(&change, &config);
             held = config;
             let before = std::mem::replace(&mut model, file.pools.map(|wanted| wanted.replicas()));
@@ -172,7 +173,7 @@
         for (ends, model) in ends.iter_mut().zip(&model) {
             prop_assert_eq!(&*ends.replicas.borrow_and_update(), model);
             prop_assert!(!ends.client.is_finished());
-            // Its driver hears of settings and of lists, and neither has changed.
+            // A driver is notified of settings and of lists, and neither has changed.
             prop_assert!(ends.inputs.try_recv().is_err());
         }
         let names: Vec<_> = pools.running.iter().map(|running| running.pool.name.as_str()).collect();
@@ -202,9 +203,9 @@
     let mut wanted = held.clone();
     wanted.pools.truncate(1);
     pools.change(&Change::between(&held, &wanted), &wanted);
-    // An aborted task ends when it is looked at next.
+    // An aborted task ends when it is polled next.
     tokio::task::yield_now().await;
     assert_eq!([ends[0].client.is_finished(), ends[1].client.is_finished()], [false, true]);
     assert!(matches!(ends[1].inputs.try_recv(), Ok(Input::Retired)));
-    assert!(ends[1].replicas.has_changed().is_err(), "nobody tells it of replicas any more");
+    assert!(ends[1].replicas.has_changed().is_err(), "no sender of replicas is left");
 }
--- a/crates/cache-balancer/src/handover/peer_link.rs
+++ b/crates/cache-balancer/src/handover/peer_link.rs
@@ -40,7 +40,7 @@
         Self { link: Some(link), peer, supports_probation: false, loss_reported: false }
     }
 
-    /// Whether the peer supports probation. To one that does not, the end of the link says everything.
+    /// Whether the peer supports probation. One that does not takes the end of the link for the departure or the death of its peer.
     pub fn supports_probation(&self) -> bool {
         self.supports_probation
     }
--- a/crates/cache-balancer/src/handover/predecessor/mod.rs
+++ b/crates/cache-balancer/src/handover/predecessor/mod.rs
@@ -125,7 +125,7 @@
     pub async fn depart(&mut self) {
         match self.successor.as_mut().filter(|successor| successor.supports_probation()) {
             Some(successor) => successor.send_last(Kind::Departed, &()).await,
-            // The end of the link says it.
+            // A version without probation learns it from the end of the link.
             None => self.disconnect(),
         }
     }
--- a/crates/cache-balancer/tests/handover.rs
+++ b/crates/cache-balancer/tests/handover.rs
@@ -42,27 +42,27 @@
     let broken = CacheServer::start(|_| common::Does::Close(String::new()));
     let discovery = Discovery::start(&[good.entry("good", "ready"), broken.entry("broken", "ready")]);
     let fixture = Fixture::new(&format!("discovery = \"{}\"\n", discovery.address), "20s");
-    let old = fixture.ready();
+    let predecessor = fixture.ready();
     for key in 0..60 {
         assert_eq!(fixture.read(key), b"good");
     }
     let tripped = broken.count();
-    assert_eq!(old.said("breaker of broken tripped"), 1);
+    assert_eq!(predecessor.said("breaker of broken tripped"), 1);
     discovery.tell(false, &[]);
     discovery.wait_until_told(2);
     // The request 0xff is in flight, and another client is idle.
-    let (mut out, mut idle) = (old.client(), old.client());
+    let (mut out, mut idle) = (predecessor.client(), predecessor.client());
     assert_eq!(idle.ask(&read("read", 0x100, 20_000)).body, b"good");
     out.send(&read("read", 0xff, 20_000));
     wait_for("the request", || {
         good.asked.lock().unwrap().iter().any(|asked| asked.header("req-id") == Some("ff"))
     });
-    let new = fixture.start();
-    wait_for("the hand-over", || old.said("stands by: its successor serves, on probation") == 1);
+    let successor = fixture.start();
+    wait_for("the hand-over", || predecessor.said("stands by: its successor serves, on probation") == 1);
     for key in 0..60 {
         assert_eq!(fixture.read(0x200 + key), b"good");
     }
-    assert_eq!(broken.count(), tripped, "the breaker is open at the new one too");
+    assert_eq!(broken.count(), tripped, "the breaker is open at the successor too");
     // The watch goes on from the version handed over: no snapshot is requested.
     discovery.wait_until_told(2);
     let lists = discovery.asked.lock().unwrap().iter().filter(|path| *path == "/v1/servers").count();
@@ -74,9 +74,9 @@
     let answer = out.answer().unwrap();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     drop((out, idle));
-    assert!(old.exit().success());
+    assert!(predecessor.exit().success());
     assert_eq!(fixture.read(0x300), b"good");
-    drop(new);
+    drop(successor);
 }
 
 /// A predecessor that stopped accepting before its successor was ready would turn clients away for as long as the successor
@@ -85,7 +85,7 @@
 fn a_successor_that_is_not_ready_leaves_the_predecessor_serving() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&fixed(&server), "20s");
-    let old = fixture.ready();
+    let predecessor = fixture.ready();
     // The discovery service of the next version has no list yet.
     let discovery = Discovery::start(&[]);
     let text = &fixture.text;
@@ -99,9 +99,9 @@
     for key in 0..20 {
         assert_eq!(fixture.read(key), b"a");
     }
-    assert_eq!(old.said("has handed over"), 0);
+    assert_eq!(predecessor.said("has handed over"), 0);
     discovery.tell(true, &[server.entry("box", "ready")]);
-    assert!(old.exit().success());
+    assert!(predecessor.exit().success());
     assert_eq!(fixture.read(99), b"a");
     next.kill().unwrap();
     next.wait().unwrap();
@@ -111,31 +111,31 @@
 fn a_reload_waits_for_the_end_of_a_hand_over_and_a_stop_does_not() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&fixed(&server), "20s");
-    let old = fixture.ready();
+    let predecessor = fixture.ready();
     let text = &fixture.text;
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
-    old.reload(&format!("{text}[[class]]\nname = \"new\"\neffect = \"safe\"\n"));
+    predecessor.reload(&format!("{text}[[class]]\nname = \"new\"\neffect = \"safe\"\n"));
     for key in 0..20 {
         assert_eq!(fixture.read(key), b"a");
     }
-    assert_eq!(old.said("configuration read again"), 0);
+    assert_eq!(predecessor.said("configuration read again"), 0);
     drop(peer);
-    wait_for("the reload", || old.said("configuration read again: class new added") == 1);
+    wait_for("the reload", || predecessor.said("configuration read again: class new added") == 1);
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
-    old.terminate();
+    predecessor.terminate();
     assert_eq!(peer.expect(CANCEL)["why"], "it is told to stop");
-    assert!(old.exit().success());
+    assert!(predecessor.exit().success());
     // Told to stop while neither accepts, it leaves the clients to the successor.
-    let old = fixture.ready();
+    let predecessor = fixture.ready();
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
     peer.send(READY);
     peer.expect(PROCEED);
-    old.terminate();
+    predecessor.terminate();
     assert!(peer.receive().is_none());
-    assert!(old.exit().success());
+    assert!(predecessor.exit().success());
 }
 
 #[test]
@@ -144,27 +144,27 @@
     let fixture = Fixture::new(&fixed(&server), "20s");
     let socket = UnixDatagram::bind(fixture.folder.0.join("notify")).unwrap();
     socket.set_read_timeout(Some(PATIENCE)).unwrap();
-    let word = || common::word(&socket);
+    let notification = || common::word(&socket);
     let mut command = fixture.command();
     command.env("NOTIFY_SOCKET", fixture.folder.0.join("notify")).env("WATCHDOG_USEC", "60000000");
-    let old = fixture.spawn(command);
-    while word() != "READY=1" {}
+    let predecessor = fixture.spawn(command);
+    while notification() != "READY=1" {}
     wait_for("the socket", || fixture.socket().exists());
-    old.signal("-USR2");
+    predecessor.signal("-USR2");
     // First its readiness; it becomes the main process once its probation is over.
-    while word() != "READY=1" {}
+    while notification() != "READY=1" {}
     let process: i32 = loop {
-        if let Some(process) = word().strip_prefix("MAINPID=") {
+        if let Some(process) = notification().strip_prefix("MAINPID=") {
             break process.parse().unwrap();
         }
     };
-    assert_ne!(process, old.child.id() as i32);
-    assert!(old.exit().success());
+    assert_ne!(process, predecessor.child.id() as i32);
+    assert!(predecessor.exit().success());
     assert_eq!(fixture.read(1), b"a");
     let process = rustix::process::Pid::from_raw(process).unwrap();
     rustix::process::kill_process(process, rustix::process::Signal::TERM).unwrap();
     // The predecessor reported no stop: the service goes on.
-    while word() != "STOPPING=1" {}
+    while notification() != "STOPPING=1" {}
     wait_for("its end", || rustix::process::test_kill_process(process).is_err());
 }
 
@@ -173,14 +173,16 @@
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&fixed(&server), "20s");
     let good = &fixture.text;
-    let old = fixture.ready();
+    let predecessor = fixture.ready();
     let without: String = good.replace(&format!("{HAND_OVER}within = \"20s\"\n"), "");
-    old.reconfigure(&without);
-    assert_eq!(old.said("configuration read again: hand-over changed"), 1);
+    predecessor.reconfigure(&without);
+    assert_eq!(predecessor.said("configuration read again: hand-over changed"), 1);
     wait_for("the socket's end", || UnixStream::connect(fixture.socket()).is_err());
-    old.signal("-USR2");
-    wait_for("a word", || old.said("hand-over: the configuration has no [hand_over]") == 1);
-    old.reconfigure(&good.replace("n.sock", "m.sock"));
+    predecessor.signal("-USR2");
+    wait_for("a line in the log", || {
+        predecessor.said("hand-over: the configuration has no [hand_over]") == 1
+    });
+    predecessor.reconfigure(&good.replace("n.sock", "m.sock"));
     assert!(UnixStream::connect(fixture.folder.0.join("m.sock")).is_ok());
     let far = fixture.folder.write("far.toml", &good.replace("n.sock", &"n".repeat(90)));
     let checked = command().arg("check").arg(far).output().unwrap();
@@ -196,20 +198,20 @@
     let server = CacheServer::serving("a");
     let mut fixture = Fixture::new(&fixed(&server), "20s");
     fixture.text = fixture.text.replace(&fixture.address.to_string(), "127.0.0.1:0");
-    let old = fixture.ready();
-    fixture.text = fixture.text.replace("127.0.0.1:0", &old.address.to_string());
-    let new = fixture.take_over(&old);
-    assert_eq!(new.address, old.address);
-    assert_eq!(new.read("read", 1).body, b"a");
+    let predecessor = fixture.ready();
+    fixture.text = fixture.text.replace("127.0.0.1:0", &predecessor.address.to_string());
+    let successor = fixture.take_over(&predecessor);
+    assert_eq!(successor.address, predecessor.address);
+    assert_eq!(successor.read("read", 1).body, b"a");
 }
 
 #[test]
 fn after_the_probation_the_predecessor_departs_and_does_not_roll_back() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&fixed(&server), "20s");
-    let old = fixture.ready();
-    let new = fixture.start();
-    assert!(old.exit().success());
-    drop(new);
+    let predecessor = fixture.ready();
+    let successor = fixture.start();
+    assert!(predecessor.exit().success());
+    drop(successor);
     assert!(std::net::TcpStream::connect(fixture.address).is_err());
 }
--- a/crates/cache-balancer/tests/handover_predecessor.rs
+++ b/crates/cache-balancer/tests/handover_predecessor.rs
@@ -13,7 +13,7 @@
 fn a_successor_that_dies_at_any_step_leaves_the_predecessor_serving() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&fixed(&server), "20s");
-    let old = fixture.ready();
+    let predecessor = fixture.ready();
     // It connects and sends nothing, or what is no frame.
     drop(UnixStream::connect(fixture.socket()).unwrap());
     UnixStream::connect(fixture.socket()).unwrap().write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
@@ -25,7 +25,7 @@
             peer.expect(OFFER);
         }
         drop(peer);
-        wait_for("the node to see it", || old.said("has died") == before + 1);
+        wait_for("the node to see it", || predecessor.said("has died") == before + 1);
         assert_eq!(fixture.read(2), b"a");
     }
     // It dies while neither accepts: the predecessor serves the clients that came meanwhile.
@@ -37,10 +37,10 @@
     waiting.send(&read("read", 3, 20_000));
     drop(peer);
     assert_eq!(waiting.answer().unwrap().body, b"a");
-    let new = fixture.start();
-    assert!(old.exit().success());
+    let successor = fixture.start();
+    assert!(predecessor.exit().success());
     assert_eq!(fixture.read(4), b"a");
-    drop(new);
+    drop(successor);
 }
 
 /// A predecessor that still accepted after it told the successor to proceed would compete with it for clients, and take some
@@ -49,7 +49,7 @@
 fn clients_that_come_after_the_pause_are_the_successors() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&fixed(&server), "20s");
-    let old = fixture.ready();
+    let predecessor = fixture.ready();
     let mut peer = fixture.request_hand_over();
     let (_, socket) = peer.receive_with_socket();
     peer.send(READY);
@@ -61,14 +61,14 @@
     }
     peer.send(ACCEPTING);
     assert!(peer.receive().is_none());
-    assert!(old.exit().success());
+    assert!(predecessor.exit().success());
 }
 
 #[test]
 fn a_successor_that_hangs_or_is_out_of_order_is_cancelled() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&fixed(&server), "200ms");
-    let old = fixture.ready();
+    let predecessor = fixture.ready();
     let in_time = "the successor was not done in time";
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
@@ -90,5 +90,5 @@
     peer.send(ACCEPTING);
     assert_eq!(peer.expect(CANCEL)["why"], "the successor's words came out of their order");
     assert_eq!(fixture.read(2), b"a");
-    assert_eq!(old.said("has handed over"), 0);
+    assert_eq!(predecessor.said("has handed over"), 0);
 }
--- a/crates/cache-balancer/tests/handover_probation.rs
+++ b/crates/cache-balancer/tests/handover_probation.rs
@@ -103,30 +103,30 @@
     notify.set_read_timeout(Some(PATIENCE)).unwrap();
     let mut command = fixture.command();
     command.env("NOTIFY_SOCKET", fixture.folder.0.join("notify"));
-    let old = fixture.spawn(command);
+    let predecessor = fixture.spawn(command);
     wait_for("the socket", || fixture.socket().exists());
-    let mut taken_by_old = old.client();
-    taken_by_old.send(&read("read", 1, 20_000));
+    let mut accepted_by_predecessor = predecessor.client();
+    accepted_by_predecessor.send(&read("read", 1, 20_000));
     wait_for("the request", || server.count() == 1);
-    let mut new = fixture.take_over(&old);
-    let mut taken_by_new = Client::to(fixture.address);
-    taken_by_new.send(&read("read", 2, 20_000));
+    let mut successor = fixture.take_over(&predecessor);
+    let mut accepted_by_successor = Client::to(fixture.address);
+    accepted_by_successor.send(&read("read", 2, 20_000));
     wait_for("the request", || server.count() == 2);
     // A client that comes while no process accepts waits, and is served.
     rustix::process::kill_process(
-        rustix::process::Pid::from_child(&new.child),
+        rustix::process::Pid::from_child(&successor.child),
         rustix::process::Signal::STOP,
     )
     .unwrap();
     let mut waiting = Client::to(fixture.address);
     waiting.send(&read("read", 3, 20_000));
-    new.child.kill().unwrap();
-    wait_for("the taking back", || old.said("has rolled back and serves again") == 1);
+    successor.child.kill().unwrap();
+    wait_for("the rollback", || predecessor.said("has rolled back and serves again") == 1);
     wait_for("the request", || server.count() == 3);
     gate.open();
     assert_eq!(waiting.answer().unwrap().body, b"a");
-    assert_eq!(taken_by_old.answer().unwrap().body, b"a");
-    assert!(taken_by_new.answer().is_none(), "lost with the process that had taken it");
+    assert_eq!(accepted_by_predecessor.answer().unwrap().body, b"a");
+    assert!(accepted_by_successor.answer().is_none(), "lost with the process that had accepted it");
     for key in 4..20 {
         assert_eq!(fixture.read(key), b"a");
     }
@@ -134,32 +134,34 @@
     let mut kept = Client::to(fixture.address);
     assert_eq!(kept.ask(&read("read", 21, 20_000)).header("connection"), None);
     let mut said = Vec::new();
-    let main = format!("MAINPID={}", old.child.id());
+    let main = format!("MAINPID={}", predecessor.child.id());
     while !said.ends_with(&["READY=1".to_owned()]) || !said.contains(&main) {
         said.push(common::word(&notify));
     }
     let status = "STATUS=serving: the successor has died, and its clients were taken back";
     assert!(said.iter().any(|word| word == status), "{said:?}");
-    assert_eq!(old.get("/healthz").status(), 200);
+    assert_eq!(predecessor.get("/healthz").status(), 200);
     // The next successor is accepted.
-    let new = fixture.take_over(&old);
+    let successor = fixture.take_over(&predecessor);
     assert_eq!(fixture.read(22), b"a");
-    drop(new);
+    drop(successor);
 }
 
 #[test]
 fn two_deaths_on_probation_reject_the_next_successor_until_the_backoff_ends() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::with_long_probation(&server);
-    let old = fixture.ready();
+    let predecessor = fixture.ready();
     for turn in 1..=2 {
         // It is killed on probation.
-        drop(fixture.take_over(&old));
-        wait_for("the taking back", || old.said("has rolled back") == turn);
+        drop(fixture.take_over(&predecessor));
+        wait_for("the rollback", || predecessor.said("has rolled back") == turn);
     }
-    assert_eq!(old.said("further ones are rejected for 1s"), 1);
-    old.signal("-USR2");
-    wait_for("a word", || old.said("no successor is started: two died while they served") == 1);
+    assert_eq!(predecessor.said("further ones are rejected for 1s"), 1);
+    predecessor.signal("-USR2");
+    wait_for("a line in the log", || {
+        predecessor.said("no successor is started: two died while they served") == 1
+    });
     let output = ended(fixture.command());
     let said = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(1));
@@ -179,22 +181,22 @@
 fn a_stop_on_probation_is_no_death_on_either_side() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::with_long_probation(&server);
-    let old = fixture.ready();
-    let new = fixture.take_over(&old);
-    new.terminate();
-    assert!(new.exit().success());
-    assert_eq!(old.said("has rolled back"), 0);
-    assert!(old.exit().success());
-    let old = fixture.ready();
-    let new = fixture.take_over(&old);
-    old.terminate();
-    assert!(old.exit().success());
+    let predecessor = fixture.ready();
+    let successor = fixture.take_over(&predecessor);
+    successor.terminate();
+    assert!(successor.exit().success());
+    assert_eq!(predecessor.said("has rolled back"), 0);
+    assert!(predecessor.exit().success());
+    let predecessor = fixture.ready();
+    let successor = fixture.take_over(&predecessor);
+    predecessor.terminate();
+    assert!(predecessor.exit().success());
     assert_eq!(fixture.read(1), b"a");
     // It has a socket of its own by now, and no process on standby behind it.
-    let next = fixture.take_over(&new);
+    let next = fixture.take_over(&successor);
     assert_eq!(fixture.read(2), b"a");
     drop(next);
-    wait_for("the taking back", || new.said("has rolled back") == 1);
+    wait_for("the rollback", || successor.said("has rolled back") == 1);
     assert_eq!(fixture.read(3), b"a");
 }
 
@@ -223,21 +225,21 @@
 fn a_cut_off_successor_is_fenced_before_it_serves_and_left_alone_after() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::with_long_probation(&server);
-    let old = fixture.ready();
+    let predecessor = fixture.ready();
     let mut fenced = SuccessorProcess::done(&fixture, "request offer ready proceed close");
     assert_eq!(fenced.ended_by(), Some(15));
     assert_eq!(fixture.read(1), b"a");
-    assert_eq!(old.said("has lost its link, and lives"), 1);
+    assert_eq!(predecessor.said("has lost its link, and lives"), 1);
     // It may serve: only its death has an effect.
     let mut serving = SuccessorProcess::done(&fixture, "request offer ready proceed accepting commit close");
-    wait_for("the cut", || old.said("has lost its link, and lives") == 2);
+    wait_for("the lost link", || predecessor.said("has lost its link, and lives") == 2);
     let mut waiting = Client::to(fixture.address);
     waiting.send(&read("read", 2, 20_000));
-    assert_eq!(old.said("has rolled back"), 0);
+    assert_eq!(predecessor.said("has rolled back"), 0);
     assert_eq!(serving.process.try_wait().unwrap(), None);
     serving.process.kill().unwrap();
     assert_eq!(waiting.answer().unwrap().body, b"a");
-    assert_eq!(old.said("has rolled back"), 1);
+    assert_eq!(predecessor.said("has rolled back"), 1);
 }
 
 #[test]
@@ -246,13 +248,13 @@
     let fixture = Fixture::with_long_probation(&server);
     let mut command = fixture.command();
     command.env("NOTIFY_SOCKET", fixture.folder.0.join("nobody"));
-    let old = fixture.spawn(command);
+    let predecessor = fixture.spawn(command);
     wait_for("the socket", || fixture.socket().exists());
-    let new = fixture.take_over(&old);
+    let successor = fixture.take_over(&predecessor);
     // A directory takes the fixture of its socket.
     fixture.block_socket();
-    drop(new);
-    wait_for("the taking back", || old.said("has rolled back") == 1);
+    drop(successor);
+    wait_for("the rollback", || predecessor.said("has rolled back") == 1);
     assert_eq!(fixture.read(1), b"a");
-    assert_eq!(old.said("hand-over: no successor can connect: "), 1);
+    assert_eq!(predecessor.said("hand-over: no successor can connect: "), 1);
 }
--- a/crates/cache-balancer/tests/handover_successor.rs
+++ b/crates/cache-balancer/tests/handover_successor.rs
@@ -136,16 +136,16 @@
     let server = CacheServer::serving("a");
     let discovery = Discovery::start(&[]);
     let fixture = Fixture::new(&format!("discovery = \"{}\"\n", discovery.address), "20s");
-    let mut old = fixture.start();
+    let mut predecessor = fixture.start();
     wait_for("the socket", || fixture.socket().exists());
     discovery.wait_until_told(1);
     // Neither has had a server yet: the successor cannot become ready.
     let node = std::thread::scope(|scope| {
         let node = scope.spawn(|| fixture.start());
-        wait_for("the question", || old.said("requested by version") == 1);
+        wait_for("the request of a hand-over", || predecessor.said("requested by version") == 1);
         let calls = discovery.calls();
-        wait_for("the new one's watch", || discovery.calls() > calls || discovery.calls() >= 3);
-        old.child.kill().unwrap();
+        wait_for("the successor's watch", || discovery.calls() > calls || discovery.calls() >= 3);
+        predecessor.child.kill().unwrap();
         node.join().unwrap()
     });
     discovery.tell(true, &[server.entry("box", "ready")]);
@@ -174,7 +174,7 @@
     assert!(Command::new("kill").args(["-TERM", &early.id().to_string()]).status().unwrap().success());
     assert!(peer.receive().is_none() && early.wait().unwrap().success());
     notify.set_nonblocking(true).unwrap();
-    assert!(notify.recv(&mut [0; 64]).is_err(), "it said something");
+    assert!(notify.recv(&mut [0; 64]).is_err(), "it notified the manager");
     let node = std::thread::scope(|scope| {
         let node = scope.spawn(|| Node::spawn(start(), fixture.folder.0.join("cache-balancer.toml")));
         let mut peer = scripted.accept_request();
@@ -185,7 +185,7 @@
         drop(peer);
         node.join().unwrap()
     });
-    wait_for("a word of it", || node.said("hand-over: no successor can connect: ") == 1);
+    wait_for("the failure in the log", || node.said("hand-over: no successor can connect: ") == 1);
     drop(scripted);
     assert_eq!(fixture.read(1), b"a");
 }
