--- a/crates/cache-balancer/tests/handover_versions.rs
+++ b/crates/cache-balancer/tests/handover_versions.rs
@@ -229,13 +229,11 @@
 }
 
 #[test]
-fn a_stopped_successor_declines_or_releases_as_the_version_before_does() {
+fn a_successor_stopped_on_probation_releases_as_the_version_before_does() {
     let world = World::new();
-    let fixture = &world.fixture;
-    let recording = world.recording();
+    let (fixture, recording) = (&world.fixture, world.recording());
     let sent = recording.frames("handover", PREDECESSOR);
     let predecessor = ScriptedPredecessor::at(fixture);
-    // On probation it releases the predecessor.
     let (node, mut peer) = std::thread::scope(|scope| {
         let node = scope.spawn(|| fixture.start());
         let mut peer = play_predecessor(&predecessor, &sent);
@@ -246,40 +244,51 @@
     node.terminate();
     assert_eq!(peer.receive_bytes().unwrap(), recording.frame_of("release", SUCCESSOR));
     assert!(node.exit().success());
-    drop((peer, predecessor));
-    // Cancelled by the recorded frame, it exits with its reason.
-    std::fs::remove_file(fixture.socket()).unwrap();
+}
+
+#[test]
+fn a_successor_cancelled_by_the_version_before_exits_with_its_reason() {
+    let world = World::new();
+    let (fixture, recording) = (&world.fixture, world.recording());
+    let offer = &recording.frames("handover", PREDECESSOR)[0];
     let predecessor = ScriptedPredecessor::at(fixture);
     let output = std::thread::scope(|scope| {
         let node = scope.spawn(|| ended(fixture.command()));
-        let mut peer = predecessor.accept();
-        peer.receive_bytes().unwrap();
-        peer.send_with_socket(&sent[0], &predecessor.clients);
-        peer.receive_bytes().unwrap();
+        let mut peer = play_offer(&predecessor, offer);
         peer.0.write_all(&recording.frame_of("cancel", PREDECESSOR)).unwrap();
         node.join().unwrap()
     });
     let log = String::from_utf8(output.stderr).unwrap();
     let reason = "the predecessor goes on by itself: the successor was not done in time";
     assert!(output.status.code() == Some(1) && log.contains(reason), "{log}");
-    // Stopped while it waits to proceed, it declines.
-    let mut early = fixture.command().stderr(std::process::Stdio::null()).spawn().unwrap();
-    let mut peer = predecessor.accept();
-    peer.receive_bytes().unwrap();
-    peer.send_with_socket(&sent[0], &predecessor.clients);
-    peer.receive_bytes().unwrap();
-    let pid = rustix::process::Pid::from_child(&early);
+}
+
+#[test]
+fn a_successor_stopped_before_it_proceeds_declines_as_the_version_before_does() {
+    let world = World::new();
+    let (fixture, recording) = (&world.fixture, world.recording());
+    let offer = &recording.frames("handover", PREDECESSOR)[0];
+    let predecessor = ScriptedPredecessor::at(fixture);
+    let mut node = fixture.command().stderr(std::process::Stdio::null()).spawn().unwrap();
+    let mut peer = play_offer(&predecessor, offer);
+    let pid = rustix::process::Pid::from_child(&node);
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).unwrap();
     assert_eq!(peer.receive_bytes().unwrap(), recording.frame_of("decline", SUCCESSOR));
-    assert!(early.wait().unwrap().success());
+    assert!(node.wait().unwrap().success());
 }
 
-/// Plays the recorded predecessor until the successor accepts.
-fn play_predecessor(predecessor: &ScriptedPredecessor, frames: &[Vec<u8>]) -> Peer {
+/// Plays the recorded predecessor until the successor is ready.
+fn play_offer(predecessor: &ScriptedPredecessor, offer: &[u8]) -> Peer {
     let mut peer = predecessor.accept();
     peer.receive_bytes().unwrap();
-    peer.send_with_socket(&frames[0], &predecessor.clients);
+    peer.send_with_socket(offer, &predecessor.clients);
     peer.receive_bytes().unwrap();
+    peer
+}
+
+/// Plays the recorded predecessor until the successor accepts.
+fn play_predecessor(predecessor: &ScriptedPredecessor, frames: &[Vec<u8>]) -> Peer {
+    let mut peer = play_offer(predecessor, &frames[0]);
     peer.0.write_all(&frames[1]).unwrap();
     peer.receive_bytes().unwrap();
     peer
