--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use testbed::scale::messages::ListedServer;
-use testbed::scale::real::notification_judge::{DRAIN_GRACE, TOLD_AFTER};
+use testbed::scale::real::notification_judge::{DRAIN_GRACE, NOTIFIED_AFTER};
 use testbed::scale::real::{
     classes, CacheServers, RealError, RealNodes, RealReport, RealSettings, RulesBroken, ServerSettings,
 };
@@ -61,8 +61,8 @@
 
     /// Waits until so many more requests were made.
     async fn more(&self, requests: u64) {
-        let (start, enough) = (Instant::now(), self.nodes.asked() + requests);
-        while self.nodes.asked() < enough {
+        let (start, enough) = (Instant::now(), self.nodes.requests() + requests);
+        while self.nodes.requests() < enough {
             assert!(start.elapsed() < PATIENCE, "waited in vain for {requests} requests");
             sleep(Duration::from_millis(5)).await;
         }
@@ -113,7 +113,7 @@
     run.change(0..4, health("gone"));
     run.tell();
     // The judge has an eye on drains from then on.
-    let term = TOLD_AFTER + DRAIN_GRACE * 2;
+    let term = NOTIFIED_AFTER + DRAIN_GRACE * 2;
     sleep(term.saturating_sub(drained.elapsed())).await;
     run.more(100).await;
     run.change(0..2, |server| {
@@ -123,7 +123,7 @@
     });
     run.tell();
     run.more(100).await;
-    let asked = run.nodes.asked();
+    let asked = run.nodes.requests();
     let usage = run.nodes.usage();
     let names: Vec<_> = usage.iter().map(|node| (node.name.as_str(), node.running)).collect();
     assert_eq!(names, [("real-0", true), ("real-1", true), ("real-2", true)]);
@@ -143,7 +143,7 @@
     run.more(50).await;
     // Not told by discovery: nodes go on sending there.
     run.change(0..SERVERS as usize / 2, health("draining"));
-    sleep(TOLD_AFTER + DRAIN_GRACE * 2).await;
+    sleep(NOTIFIED_AFTER + DRAIN_GRACE * 2).await;
     run.more(100).await;
     let report = run.nodes.finish().await;
     let RulesBroken { lost, repeated_effect, after_drain, cold_server_fell } = report.rules_broken;
@@ -158,9 +158,9 @@
     run.more(50).await;
     let from = now_us();
     run.change(0..SERVERS as usize / 2, health("draining"));
-    sleep(TOLD_AFTER + DRAIN_GRACE * 2).await;
+    sleep(NOTIFIED_AFTER + DRAIN_GRACE * 2).await;
     run.more(100).await;
-    let asked = run.nodes.asked();
+    let asked = run.nodes.requests();
     run.nodes.discovery_away(from, now_us());
     let report = run.nodes.finish().await;
     accounted(&report, asked + MOST_OUT * u64::from(NODES));
--- a/crates/testbed/src/scale/real/error.rs
+++ b/crates/testbed/src/scale/real/error.rs
@@ -1,7 +1,7 @@
-//! Why real nodes could not be run.
+//! Errors of real nodes and their cache servers.
 
-use super::servers::MOST_SERVERS;
-use super::settings::{MOST_NODES, MOST_RATE};
+use super::servers::MAX_SERVERS;
+use super::settings::{MAX_NODES, MAX_RATE};
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -9,7 +9,7 @@
 /// Why real nodes could not be run.
 #[derive(Debug, Error)]
 pub enum RealError {
-    /// The system would not do what is needed.
+    /// A system call failed.
     #[error("{what}: {error}")]
     System {
         /// What was tried.
@@ -17,72 +17,72 @@
         /// What the system said.
         error: io::Error,
     },
-    /// A node did not come up.
-    #[error("node {node} did not start: {said}")]
+    /// A node did not start.
+    #[error("node {node} did not start: {reason}")]
     Node {
-        /// Which.
+        /// The node.
         node: u32,
-        /// The last that it said.
-        said: String,
+        /// The last line of its log, or what was expected of it in vain.
+        reason: String,
     },
-    /// There is no such node, or it runs when it should not, or the other way round.
+    /// There is no node with this number in the expected state.
     #[error("node {node}: expected the number of one that {expected}")]
     NoNode {
-        /// Its number.
+        /// The number.
         node: u32,
-        /// What was expected of it.
+        /// The expected state.
         expected: &'static str,
     },
-    /// Too many nodes or none.
-    #[error("count: expected a whole number from 1 to {MOST_NODES}, found {found}")]
+    /// The number of nodes is out of range.
+    #[error("count: expected a whole number from 1 to {MAX_NODES}, found {found}")]
     Nodes {
         /// What was found.
         found: u32,
     },
-    /// Too many cache servers or none.
-    #[error("servers: expected a whole number from 1 to {MOST_SERVERS}, found {found}")]
+    /// The number of cache servers is out of range.
+    #[error("servers: expected a whole number from 1 to {MAX_SERVERS}, found {found}")]
     Servers {
         /// What was found.
         found: u32,
     },
-    /// No zone.
+    /// There is no zone.
     #[error("zones: expected at least one")]
     Zones,
-    /// No address of discovery.
+    /// There is no address of discovery.
     #[error("replicas: expected at least one address of discovery")]
     Replicas,
-    /// A load that can't be made.
-    #[error("rate: expected a number from 0 to {MOST_RATE}, found {found}")]
+    /// The rate of requests is out of range.
+    #[error("rate: expected a number from 0 to {MAX_RATE}, found {found}")]
     Rate {
         /// What was found.
         found: f64,
     },
-    /// No class, or a share that is none.
+    /// There is no class, or one whose share is not positive.
     #[error("classes: expected at least one, each with a share above 0")]
     Classes,
-    /// The cache servers have had nodes before.
+    /// The cache servers were used in a run before.
     #[error("these cache servers were used in a run before; a further one starts its own")]
     Used,
-    /// Too few descriptors.
+    /// The process may not hold enough descriptors.
     #[error("this process may hold {limit} descriptors, and its cache servers need {needed}")]
     Descriptors {
-        /// What is needed.
+        /// The number that is needed.
         needed: u64,
-        /// What the system allows.
+        /// The limit of the process.
         limit: u64,
     },
-    /// An entry of a server that does not listen here.
+    /// No cache server listens at the address of an entry.
     #[error("no cache server listens at {dial} here, where {host} is said to be")]
     UnknownServer {
-        /// Its name.
+        /// The name of the entry.
         host: String,
-        /// Its address.
+        /// The address of the entry.
         dial: SocketAddr,
     },
-    /// An entry with a health of its own.
+    /// The health of an entry is not one of discovery's words.
     #[error("{host}: expected its health to be ready, draining or gone, found {found:?}")]
     Health {
-        /// The server.
+        /// The name of the entry.
         host: String,
         /// What was found.
         found: String,
--- a/crates/testbed/src/scale/real/load.rs
+++ b/crates/testbed/src/scale/real/load.rs
@@ -1,7 +1,7 @@
-//! A little load on the real nodes: clients that keep connections, and what each of their requests got.
+//! The load on real nodes: clients that keep connections open, and the results of their requests.
 
-use super::answer_body;
 use super::recorder::{lock, Recorder};
+use super::response_body;
 use crate::judge::{FinalAnswer, Observation, RequestNumber, TOLERANCE};
 use crate::random::RandomSource;
 use crate::script::Class;
@@ -21,51 +21,51 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// Requests that are out at one node at a time, each on a connection of its own.
-const MOST_OUT: usize = 32;
-/// Requests of one run; the judge keeps what became of each.
-const MOST_REQUESTS: u64 = 500_000;
-/// Time between two requests at the most; no run lasts so long.
-const LONGEST_GAP: Duration = Duration::from_secs(365 * 24 * 3_600);
-/// Entries that are asked for.
+/// The most requests in flight at one node, each on a connection of its own.
+const MAX_IN_FLIGHT: usize = 32;
+/// The most requests of one run; the judge remembers each of them.
+const MAX_REQUESTS: u64 = 500_000;
+/// The longest time between two requests, longer than any run.
+const MAX_GAP: Duration = Duration::from_secs(365 * 24 * 3_600);
+/// The number of keys that are requested.
 const KEYS: u64 = 64;
-/// An answer that is longer is none of the stand-ins'.
-const LONGEST_ANSWER: usize = 64 << 10;
+/// The longest answer of a cache server, in bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// What clients know of a node.
+/// A node as its clients know it.
 #[derive(Debug)]
-pub struct Node {
+pub(super) struct Node {
     state: Mutex<NodeState>,
-    out: Arc<Semaphore>,
+    in_flight: Arc<Semaphore>,
 }
 
 #[derive(Debug, Default)]
 struct NodeState {
-    /// Where it listens; none while it is not there.
+    /// Where it listens; `None` while it does not run.
     address: Option<SocketAddr>,
-    /// Counts its kills: a request that was out at one is excused.
+    /// Counts its kills: requests that were in flight at a kill are excused.
     kills: u64,
-    idle: Vec<Link>,
+    idle: Vec<Connection>,
 }
 
 impl Node {
-    /// One that has not started.
-    pub fn new() -> Self {
-        Self { state: Mutex::default(), out: Arc::new(Semaphore::new(MOST_OUT)) }
+    /// Creates a node that has not started.
+    pub(super) fn new() -> Self {
+        Self { state: Mutex::default(), in_flight: Arc::new(Semaphore::new(MAX_IN_FLIGHT)) }
     }
 
-    /// Clients may ask it here.
-    pub fn started(&self, address: SocketAddr) {
+    /// The node listens at this address from now on.
+    pub(super) fn set_started(&self, address: SocketAddr) {
         lock(&self.state).address = Some(address);
     }
 
-    /// It is about to be killed. Clients go on asking until they know.
-    pub fn killing(&self) {
+    /// The node is about to be killed. Clients still send requests to it.
+    pub(super) fn set_being_killed(&self) {
         lock(&self.state).kills += 1;
     }
 
-    /// Clients know that it is gone.
-    pub fn gone(&self) {
+    /// The node is gone, and clients know.
+    pub(super) fn set_gone(&self) {
         let mut state = lock(&self.state);
         state.address = None;
         state.idle.clear();
@@ -75,113 +75,121 @@
         lock(&self.state).kills
     }
 
-    /// An idle connection, if there is one, and where to open another.
-    fn idle(&self) -> Option<(SocketAddr, Option<Link>)> {
+    fn is_running(&self) -> bool {
+        lock(&self.state).address.is_some()
+    }
+
+    /// The address of the node and an idle connection, if there is one. Returns `None` if the node does not run.
+    fn take_idle(&self) -> Option<(SocketAddr, Option<Connection>)> {
         let mut state = lock(&self.state);
         let address = state.address?;
-        state.idle.retain(|link| !link.sender.is_closed());
+        state.idle.retain(|connection| !connection.sender.is_closed());
         Some((address, state.idle.pop()))
     }
 
-    fn keep(&self, link: Link) {
+    /// Keeps a connection for another request, unless the node has ended since.
+    fn keep(&self, connection: Connection) {
         let mut state = lock(&self.state);
-        if state.address == Some(link.address) {
-            state.idle.push(link);
+        if state.address == Some(connection.address) {
+            state.idle.push(connection);
         }
     }
 }
 
-/// A connection to a node. Dropped, it closes.
+/// A connection to a node. Dropping it closes it.
 #[derive(Debug)]
-struct Link {
+struct Connection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// What clients have seen beside what the judge knows.
+/// What clients observe beside what the judge records.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// Requests that were not made, since too many were out or no node was there.
-    pub held_back: AtomicU64,
-    /// A client came so late with a request at the most, in microseconds: the machine was busy.
-    pub latest_us: AtomicU64,
-    /// The most requests of a run were made, and there is no more load.
-    pub ran_out: AtomicBool,
-    /// How long served requests took, in microseconds.
-    pub latencies: Mutex<Vec<u32>>,
+pub(super) struct Statistics {
+    /// Requests that were not sent because too many were in flight at their node, or it did not run.
+    pub(super) not_sent: AtomicU64,
+    /// The longest delay of a request at its client, in microseconds.
+    pub(super) longest_delay_us: AtomicU64,
+    /// [`MAX_REQUESTS`] were sent, and the load has ended.
+    pub(super) load_ran_out: AtomicBool,
+    /// The latencies of served requests, in microseconds.
+    pub(super) latencies_us: Mutex<Vec<u32>>,
 }
 
-impl Seen {
-    fn came_late(&self, by: Duration) {
-        let by = u64::try_from(by.as_micros()).unwrap_or(u64::MAX);
-        self.latest_us.fetch_max(by, Ordering::Relaxed);
+impl Statistics {
+    fn record_delay(&self, delay: Duration) {
+        let delay = u64::try_from(delay.as_micros()).unwrap_or(u64::MAX);
+        self.longest_delay_us.fetch_max(delay, Ordering::Relaxed);
+    }
+
+    fn count_not_sent(&self) {
+        self.not_sent.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 /// The clients of all nodes.
 #[derive(Debug)]
-pub struct Clients {
-    /// Requests a second over all nodes.
-    pub rate: f64,
-    /// What they ask for.
-    pub classes: Vec<Class>,
-    /// For chance.
-    pub random: RandomSource,
+pub(super) struct Clients {
+    /// Requests per second over all nodes.
+    pub(super) rate: f64,
+    /// The classes of requests.
+    pub(super) classes: Vec<Class>,
+    /// The source of everything random.
+    pub(super) random: RandomSource,
     /// The nodes.
-    pub nodes: Arc<Vec<Node>>,
-    /// For the judge.
-    pub recorder: Arc<Recorder>,
-    /// What they see.
-    pub seen: Arc<Seen>,
+    pub(super) nodes: Arc<Vec<Node>>,
+    /// Records observations for the judge.
+    pub(super) recorder: Arc<Recorder>,
+    /// What they observe beside that.
+    pub(super) statistics: Arc<Statistics>,
 }
 
 impl Clients {
-    /// Asks at the rate until told to stop, and then waits for what is out.
-    pub async fn run(self: Arc<Self>, mut stop: watch::Receiver<bool>) {
-        let mut out = JoinSet::new();
+    /// Sends requests at the rate until told to stop, and then waits for those in flight.
+    pub(super) async fn run(self: Arc<Self>, mut stop: watch::Receiver<bool>) {
+        let mut in_flight = JoinSet::new();
         let mut due = Instant::now();
-        for number in 0..MOST_REQUESTS {
+        for number in 0..MAX_REQUESTS {
             let random = self.random.derive(number);
             due += self.gap(random.derive(1));
             tokio::select! {
                 () = sleep_until(due) => {}
-                // A sender that is gone wants nothing more either.
+                // A sender that was dropped stops the load, too.
                 _ = stop.wait_for(|stop| *stop) => break,
             }
-            self.seen.came_late(due.elapsed());
-            self.seen.ran_out.store(number + 1 == MOST_REQUESTS, Ordering::Relaxed);
+            self.statistics.record_delay(due.elapsed());
+            self.statistics.load_ran_out.store(number + 1 == MAX_REQUESTS, Ordering::Relaxed);
             let node = (random.derive(2).bits() % self.nodes.len() as u64) as usize;
-            let Ok(permit) = self.nodes[node].out.clone().try_acquire_owned() else {
-                self.seen.held_back.fetch_add(1, Ordering::Relaxed);
+            let Ok(permit) = self.nodes[node].in_flight.clone().try_acquire_owned() else {
+                self.statistics.count_not_sent();
                 continue;
             };
             let clients = self.clone();
-            out.spawn(async move {
-                clients.ask(node, random).await;
+            in_flight.spawn(async move {
+                clients.request(node, random).await;
                 drop(permit);
             });
-            while out.try_join_next().is_some() {}
+            while in_flight.try_join_next().is_some() {}
         }
-        // Each ends by its deadline.
-        while out.join_next().await.is_some() {}
+        // Each request ends by its deadline.
+        while in_flight.join_next().await.is_some() {}
     }
 
-    /// The time between two requests; with no load, long after the end of a run.
+    /// The time between two requests; without load, longer than any run.
     fn gap(&self, random: RandomSource) -> Duration {
-        Duration::try_from_secs_f64(random.exponential() / self.rate)
-            .map_or(LONGEST_GAP, |gap| gap.min(LONGEST_GAP))
+        Duration::try_from_secs_f64(random.exponential() / self.rate).map_or(MAX_GAP, |gap| gap.min(MAX_GAP))
     }
 
     fn class(&self, random: RandomSource) -> usize {
-        let all: f64 = self.classes.iter().map(|class| class.share).sum();
-        let mut left = random.uniform() * all;
+        let total: f64 = self.classes.iter().map(|class| class.share).sum();
+        let mut left = random.uniform() * total;
         let found = self.classes.iter().position(|class| {
             left -= class.share;
             left < 0.0
@@ -189,125 +197,131 @@
         found.unwrap_or(0)
     }
 
-    async fn ask(&self, node: usize, random: RandomSource) {
-        if lock(&self.nodes[node].state).address.is_none() {
-            self.seen.held_back.fetch_add(1, Ordering::Relaxed);
-            return;
+    /// Sends a random request to a node and waits for the answer.
+    async fn request(&self, node: usize, random: RandomSource) {
+        if !self.nodes[node].is_running() {
+            return self.statistics.count_not_sent();
         }
-        let class = self.class(random.derive(3));
-        let wanted = &self.classes[class];
-        let work = wanted.mean_work.mul_f64(random.derive(4).log_normal(wanted.work_variation));
-        let question = Question {
-            request: self.recorder.ask(class, work),
+        let class_index = self.class(random.derive(3));
+        let class = &self.classes[class_index];
+        let work = class.mean_work.mul_f64(random.derive(4).log_normal(class.work_variation));
+        let request = OutgoingRequest {
+            number: self.recorder.start_request(class_index, work),
             node,
-            class,
+            class: class_index,
             key: random.derive(5).bits() % KEYS,
-            until: Instant::now() + wanted.deadline,
+            expires_at: Instant::now() + class.deadline,
         };
-        // Past that the client has left, and what was owed and did not come is lost.
-        let _ = timeout_at(question.until + TOLERANCE, self.exchange(&question)).await;
+        // After that the client disconnects, and an answer that is due and missing is lost.
+        let _ = timeout_at(request.expires_at + TOLERANCE, self.exchange(&request)).await;
     }
 
-    /// Sends a request and reads its answer.
-    async fn exchange(&self, question: &Question) {
-        let node = &self.nodes[question.node];
+    /// Sends a request and reads the answer.
+    async fn exchange(&self, request: &OutgoingRequest) {
+        let node = &self.nodes[request.node];
         let kills = node.kills();
-        let mut taken = false;
+        let mut accepted = false;
         loop {
-            let Some((address, idle)) = node.idle() else { break };
+            let Some((address, idle)) = node.take_idle() else { break };
             let reused = idle.is_some();
-            let link = match idle {
-                Some(link) => Some(link),
+            let connection = match idle {
+                Some(connection) => Some(connection),
                 None => connect(address).await,
             };
-            let Some(mut link) = link else { break };
-            if link.sender.ready().await.is_err() {
+            let Some(mut connection) = connection else { break };
+            if connection.sender.ready().await.is_err() {
                 continue;
             }
-            if !std::mem::replace(&mut taken, true) {
-                self.note_taken(question);
+            if !std::mem::replace(&mut accepted, true) {
+                self.record_accepted(request);
             }
-            match self.answer(&mut link, question).await {
+            match self.send(&mut connection, request).await {
                 Ok(answer) => {
-                    let request = question.request;
+                    let request = request.number;
                     self.recorder.record(|at| Observation::Answered { request, at, answer });
-                    return node.keep(link);
+                    return node.keep(connection);
                 }
-                // A node may close between two requests; what crossed that is sent once more, on a new connection.
+                // A node may close an idle connection while a request is on its way; it is sent again on a new connection.
                 Err(_) if reused => {}
-                // The answer that it owed is lost, unless it was killed meanwhile.
+                // The answer is lost, unless the node was killed meanwhile.
                 Err(_) if node.kills() == kills => return,
                 Err(_) => break,
             }
         }
-        if taken {
-            // The node is gone, or nobody listened any more where the request was to be sent again: it was never taken.
-            self.recorder.record(|_| Observation::ClientDisconnected { request: question.request });
+        if accepted {
+            // The node is gone, or did not listen any more when the request was sent again: it never accepted it.
+            let request = request.number;
+            self.recorder.record(|_| Observation::ClientDisconnected { request });
         }
     }
 
-    fn note_taken(&self, question: &Question) {
-        let (request, node) = (question.request, question.node);
-        let left = question.until.saturating_duration_since(Instant::now());
+    fn record_accepted(&self, request: &OutgoingRequest) {
+        let (number, node) = (request.number, request.node);
+        let left = request.expires_at.saturating_duration_since(Instant::now());
         self.recorder.record(|at| Observation::RequestAccepted {
-            request,
-            operation: request,
+            request: number,
+            operation: number,
             node,
             at,
             expires_at: at + left,
         });
     }
 
-    async fn answer(&self, link: &mut Link, question: &Question) -> Result<FinalAnswer, NoAnswer> {
-        let asked = Instant::now();
-        let response = link.sender.send_request(self.request(question)?).await?;
+    async fn send(
+        &self,
+        connection: &mut Connection,
+        request: &OutgoingRequest,
+    ) -> Result<FinalAnswer, NoAnswer> {
+        let sent_at = Instant::now();
+        let response = connection.sender.send_request(self.http_request(request)?).await?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), LONGEST_ANSWER).collect().await;
-        // An answer that has begun and breaks off has failed: the client can tell that it is not whole.
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await;
+        // An answer that is cut short has failed: the client can tell that it is incomplete.
         let Ok(body) = body.map(|body| body.to_bytes()) else { return Ok(FinalAnswer::Failed) };
         let answer = match status {
-            StatusCode::OK if body == answer_body(question.request) => FinalAnswer::Served,
+            StatusCode::OK if body == response_body(request.number) => FinalAnswer::Served,
             StatusCode::OK => FinalAnswer::Mismatched,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => FinalAnswer::Rejected,
             _ => FinalAnswer::Failed,
         };
         if answer == FinalAnswer::Served {
-            let took = u32::try_from(asked.elapsed().as_micros()).unwrap_or(u32::MAX);
-            lock(&self.seen.latencies).push(took);
+            let latency = u32::try_from(sent_at.elapsed().as_micros()).unwrap_or(u32::MAX);
+            lock(&self.statistics.latencies_us).push(latency);
         }
         Ok(answer)
     }
 
-    fn request(&self, question: &Question) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-        let class = &self.classes[question.class];
-        let id = format!("{:x}", question.request);
-        let left = question.until.saturating_duration_since(Instant::now());
+    fn http_request(&self, request: &OutgoingRequest) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
+        let class = &self.classes[request.class];
+        let id = format!("{:x}", request.number);
+        let left = request.expires_at.saturating_duration_since(Instant::now());
         let body = if class.write { format!("value of {id}") } else { String::new() };
-        let mut request = Request::builder()
+        let mut builder = Request::builder()
             .method(if class.write { Method::PUT } else { Method::GET })
-            .uri(format!("/api/{:016x}", question.key))
+            .uri(format!("/api/{:016x}", request.key))
             .header("host", "service.internal")
             .header("req-id", &id)
             .header("req-kind", &class.name)
             .header("req-deadline-ms", left.as_millis() as u64);
         if matches!(class.idempotency, Idempotency::WithKey { .. }) {
-            request = request.header("idempotency-key", &id);
+            builder = builder.header("idempotency-key", &id);
         }
-        request.body(Full::new(Bytes::from(body)))
+        builder.body(Full::new(Bytes::from(body)))
     }
 }
 
+/// A request to a node.
 #[derive(Debug)]
-struct Question {
-    request: RequestNumber,
+struct OutgoingRequest {
+    number: RequestNumber,
     node: usize,
     class: usize,
     key: u64,
-    /// The client gives it up then.
-    until: Instant,
+    /// When the client's timeout ends.
+    expires_at: Instant,
 }
 
-/// Why a connection brought no whole answer.
+/// Why there is no answer on a connection.
 #[derive(Debug, Error)]
 enum NoAnswer {
     #[error("the request can't be made: {0}")]
@@ -316,13 +330,13 @@
     Connection(#[from] hyper::Error),
 }
 
-async fn connect(address: SocketAddr) -> Option<Link> {
+async fn connect(address: SocketAddr) -> Option<Connection> {
     let stream = TcpStream::connect(address).await.ok()?;
     stream.set_nodelay(true).ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let task = tokio::spawn(async move {
-        // How it ends shows at the request on it.
+        // An error shows at the request that is sent on it.
         let _ = connection.await;
     });
-    Some(Link { address, sender, task: task.abort_handle() })
+    Some(Connection { address, sender, task: task.abort_handle() })
 }
--- a/crates/testbed/src/scale/real/notification_judge.rs
+++ b/crates/testbed/src/scale/real/notification_judge.rs
@@ -1,6 +1,7 @@
-//! The judge of a scale run's real nodes: when a node counts as told of a change, and what the [`Judge`] says then.
+//! Decides when a real node counts as notified of a change; the [`Judge`] decides the rules.
 //!
-//! Facts are kept and judged at the end, in the order of time. So an outage of discovery may be reported when it is over.
+//! Observations are kept and judged at the end, in the order of time, so an outage of discovery may be recorded when it is
+//! over.
 
 use crate::judge::{Judge, Observation, Verdict};
 use crate::script::{Class, Script};
@@ -8,34 +9,36 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A node counts as told of a change so long after discovery had it and could be reached throughout: the operators' term.
-pub const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// A node that was told that a cache server stops may send to it for so long; the ledger adds the protocol's tolerance.
+/// A node counts as notified of a change this long after discovery had it, if the node could reach discovery throughout. The
+/// operators define this time.
+pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+/// How long a node may send requests to a cache server after it was notified that the server is unavailable. The judge adds
+/// its tolerance.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
-/// What the list says of a cache server from some time on.
+/// Whether discovery lists a cache server as ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum Availability {
     /// It is ready.
-    Requests,
-    /// It drains or is gone.
-    Nothing,
+    Available,
+    /// It drains or is removed.
+    Unavailable,
 }
 
 #[derive(Debug)]
-struct Place {
+struct ServerRecord {
     name: String,
     zone: usize,
     cell: u64,
-    /// Spans in which it wanted nothing, in the order of time.
-    stops: Vec<Stop>,
+    /// The times in which it was unavailable, in order.
+    unavailable: Vec<UnavailableSpan>,
 }
 
-/// A span in which a cache server wanted nothing.
 #[derive(Clone, Copy, Debug)]
-struct Stop {
-    since: Timestamp,
-    until: Option<Timestamp>,
+struct UnavailableSpan {
+    from: Timestamp,
+    /// `None` if it has not ended.
+    to: Option<Timestamp>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -44,140 +47,154 @@
     to: Timestamp,
 }
 
-/// See the module's page. Nodes are numbered from 0.
+/// The run of a node's process.
+#[derive(Clone, Copy, Debug)]
+struct Incarnation {
+    from: Timestamp,
+    /// `None` if it has not ended.
+    to: Option<Timestamp>,
+}
+
+/// Records what clients, cache servers and discovery do. Nodes are numbered from 0.
 #[derive(Debug)]
 pub struct NotificationJudge {
     nodes: usize,
-    servers: Vec<Place>,
-    by_name: BTreeMap<String, usize>,
-    facts: Vec<(Timestamp, Observation)>,
+    servers: Vec<ServerRecord>,
+    server_by_name: BTreeMap<String, usize>,
+    observations: Vec<(Timestamp, Observation)>,
     outages: Vec<Outage>,
 }
 
 impl NotificationJudge {
-    /// For so many nodes.
+    /// Creates the judge of so many nodes.
     pub fn new(nodes: usize) -> Self {
-        Self { nodes, servers: Vec::new(), by_name: BTreeMap::new(), facts: Vec::new(), outages: Vec::new() }
+        Self {
+            nodes,
+            servers: Vec::new(),
+            server_by_name: BTreeMap::new(),
+            observations: Vec::new(),
+            outages: Vec::new(),
+        }
     }
 
-    /// So many nodes there are; set before a fact names one of them.
+    /// Sets the number of nodes, before an observation names one of them.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.nodes = nodes;
     }
 
-    /// The number of the cache server of this name. `zone` and `cell` hold from its first mention on.
+    /// The number of the cache server with this name. `zone` and `cell` are those of the first call for it.
     pub fn server(&mut self, name: &str, zone: usize, cell: u64) -> usize {
-        if let Some(number) = self.by_name.get(name) {
+        if let Some(number) = self.server_by_name.get(name) {
             return *number;
         }
         let number = self.servers.len();
-        self.servers.push(Place { name: name.to_owned(), zone, cell, stops: Vec::new() });
-        self.by_name.insert(name.to_owned(), number);
+        self.servers.push(ServerRecord { name: name.to_owned(), zone, cell, unavailable: Vec::new() });
+        self.server_by_name.insert(name.to_owned(), number);
         number
     }
 
-    /// Discovery has this of a cache server from then on. Changes of one server come in the order of time.
-    pub fn changed(&mut self, server: usize, at: Timestamp, wanted: Wanted) {
-        let stops = &mut self.servers[server].stops;
-        let open = stops.last_mut().filter(|stop| stop.until.is_none());
-        match (open, wanted) {
-            (Some(stop), Wanted::Requests) => stop.until = Some(at),
-            (None, Wanted::Nothing) => stops.push(Stop { since: at, until: None }),
-            // What drains and is then gone has been told of at its drain.
-            (Some(_), Wanted::Nothing) | (None, Wanted::Requests) => {}
+    /// Records how discovery lists a cache server from a time on. Changes of one server come in the order of time.
+    pub fn record_change(&mut self, server: usize, at: Timestamp, availability: Availability) {
+        let spans = &mut self.servers[server].unavailable;
+        let open = spans.last_mut().filter(|span| span.to.is_none());
+        match (open, availability) {
+            (Some(span), Availability::Available) => span.to = Some(at),
+            (None, Availability::Unavailable) => spans.push(UnavailableSpan { from: at, to: None }),
+            // Nodes are notified of a server that drains and is then removed at its drain.
+            (Some(_), Availability::Unavailable) | (None, Availability::Available) => {}
         }
     }
 
-    /// No node could reach discovery in this span.
-    pub fn discovery_away(&mut self, from: Timestamp, to: Timestamp) {
+    /// Records that no node could reach discovery during a time.
+    pub fn record_outage(&mut self, from: Timestamp, to: Timestamp) {
         self.outages.push(Outage { from, to });
     }
 
-    /// Takes in a fact of this time. The judge makes [`Observation::EndpointNotified`] by itself.
-    pub fn record(&mut self, at: Timestamp, fact: Observation) {
-        self.facts.push((at, fact));
+    /// Records an observation. The judge derives [`Observation::EndpointNotified`] by itself.
+    pub fn record(&mut self, at: Timestamp, observation: Observation) {
+        self.observations.push((at, observation));
     }
 
-    /// Judges all that was noted, for requests of these classes.
+    /// Judges everything that was recorded, for requests of these classes.
     pub fn verdict(mut self, classes: Vec<Class>) -> Verdict {
         self.outages.sort_by_key(|outage| outage.from);
-        let mut facts = self.told();
-        facts.append(&mut self.facts);
-        // Stable: what was noted first stays first.
-        facts.sort_by_key(|(at, _)| *at);
+        let mut observations = self.notifications();
+        observations.append(&mut self.observations);
+        // The sort is stable: at the same time, the order of recording remains.
+        observations.sort_by_key(|(at, _)| *at);
         let mut script = Script { classes, ..Script::default() };
         script.rules.drain_grace = DRAIN_GRACE;
-        let last = facts.last().map_or(Timestamp::default(), |(at, _)| *at);
+        let last = observations.last().map_or(Timestamp::default(), |(at, _)| *at);
         script.length = last.since(Timestamp::default());
         let mut judge = Judge::new(&script);
-        for place in &self.servers {
-            judge.add_server(&place.name, place.zone, place.cell);
+        for server in &self.servers {
+            judge.add_server(&server.name, server.zone, server.cell);
         }
-        facts.into_iter().for_each(|(_, fact)| judge.record(fact));
+        observations.into_iter().for_each(|(_, observation)| judge.record(observation));
         judge.verdict()
     }
 
-    /// When which node counts as told of what.
-    fn told(&self) -> Vec<(Timestamp, Observation)> {
-        let mut told = Vec::new();
+    /// When each node counts as notified of what.
+    fn notifications(&self) -> Vec<(Timestamp, Observation)> {
+        let mut notifications = Vec::new();
         for node in 0..self.nodes {
-            let lives = self.lives(node);
-            for (number, &(begun, ended)) in lives.iter().enumerate() {
-                debug_assert!(number + 1 == lives.len() || ended.is_some());
-                for (server, place) in self.servers.iter().enumerate() {
-                    for stop in &place.stops {
-                        self.told_in_life(node, server, stop, begun, ended, &mut told);
+            let incarnations = self.incarnations(node);
+            debug_assert!(incarnations.iter().rev().skip(1).all(|incarnation| incarnation.to.is_some()));
+            for incarnation in incarnations {
+                for (server, record) in self.servers.iter().enumerate() {
+                    for span in &record.unavailable {
+                        notifications.extend(self.notifications_of(node, incarnation, server, span));
                     }
                 }
             }
         }
-        told
+        notifications
     }
 
-    /// What a node that ran from `begun` to `ended` was told of one stop.
-    fn told_in_life(
+    /// The notifications of one incarnation of a node about the beginning and the end of one span.
+    fn notifications_of(
         &self,
         node: usize,
+        incarnation: Incarnation,
         server: usize,
-        stop: &Stop,
-        begun: Timestamp,
-        ended: Option<Timestamp>,
-        told: &mut Vec<(Timestamp, Observation)>,
-    ) {
-        let at = self.told_at(stop.since.max(begun));
-        // A server that is back before a node is told may be sent to all the time, and so may one that is back at once:
-        // the node may have heard of it before its term was over.
-        if stop.until.is_some_and(|until| until <= at) || ended.is_some_and(|ended| ended <= at) {
-            return;
-        }
-        told.push((at, Observation::EndpointNotified { node, server, at, unavailable: true }));
-        if let Some(until) = stop.until {
-            told.push((until, Observation::EndpointNotified { node, server, at: until, unavailable: false }));
+        span: &UnavailableSpan,
+    ) -> Vec<(Timestamp, Observation)> {
+        let at = self.notified_at(span.from.max(incarnation.from));
+        // A server that is back before a node counts as notified may be sent requests all the time. So may one that is back at
+        // that very time: the node may have been notified earlier.
+        if span.to.is_some_and(|to| to <= at) || incarnation.to.is_some_and(|to| to <= at) {
+            return Vec::new();
         }
+        let notified =
+            |at, unavailable| (at, Observation::EndpointNotified { node, server, at, unavailable });
+        let mut notifications = vec![notified(at, true)];
+        notifications.extend(span.to.map(|to| notified(to, false)));
+        notifications
     }
 
-    /// When the node's processes began and ended, in order. Nodes that say nothing of it run from the beginning.
-    fn lives(&self, node: usize) -> Vec<(Timestamp, Option<Timestamp>)> {
-        let starts = self.facts.iter().filter_map(|(at, fact)| match fact {
+    /// The incarnations of a node, in order. A node without recorded starts runs from the beginning.
+    fn incarnations(&self, node: usize) -> Vec<Incarnation> {
+        let starts = self.observations.iter().filter_map(|(at, observation)| match observation {
             Observation::NodeStarted { node: started } if *started == node => Some(*at),
             _ => None,
         });
         let mut starts: Vec<_> = std::iter::once(Timestamp::default()).chain(starts).collect();
         starts.sort();
         let ends = starts.iter().skip(1).map(|at| Some(*at)).chain([None]);
-        starts.iter().copied().zip(ends).collect()
+        starts.iter().copied().zip(ends).map(|(from, to)| Incarnation { from, to }).collect()
     }
 
-    /// When nodes count as told of what discovery had at this time. The term counts anew from the end of an outage.
-    fn told_at(&self, had: Timestamp) -> Timestamp {
-        let since = self.outages.iter().fold(had, |since, outage| {
-            let overlaps = outage.from < since + TOLD_AFTER && since < outage.to;
+    /// When a node counts as notified of what discovery had at this time. An outage in between starts the time anew at its
+    /// end.
+    fn notified_at(&self, had: Timestamp) -> Timestamp {
+        let counts_from = self.outages.iter().fold(had, |counts_from, outage| {
+            let overlaps = outage.from < counts_from + NOTIFIED_AFTER && counts_from < outage.to;
             if overlaps {
                 outage.to
             } else {
-                since
+                counts_from
             }
         });
-        since + TOLD_AFTER
+        counts_from + NOTIFIED_AFTER
     }
 }
--- a/crates/testbed/src/scale/real/report.rs
+++ b/crates/testbed/src/scale/real/report.rs
@@ -1,35 +1,35 @@
-//! What the real nodes of a scale run came to.
+//! The report of the real nodes of a scale run.
 
 use crate::judge::{Verdict, Violation};
 use serde::Serialize;
 
-/// How often each rule was broken.
+/// The number of violations of each rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RulesBroken {
-    /// A request got no final answer in time, or two, or what was made for another.
+    /// A request had no final answer in time, or two, or the response to another request.
     pub lost: u64,
-    /// A request ran again where that is not safe, or was refused although it ran.
+    /// A request was repeated where that is not safe, or was rejected although it was executed.
     pub repeated_effect: u64,
-    /// Something new was sent to a cache server after a node was told that it drains or is gone.
+    /// A node sent a new request to a cache server after it was notified that the server drains or is removed.
     pub after_drain: u64,
-    /// A cold cache server was pushed over.
+    /// A warming cache server was overloaded.
     pub cold_server_fell: u64,
 }
 
 impl RulesBroken {
-    /// How often any rule was.
+    /// The number of violations of any rule.
     pub fn all(&self) -> u64 {
         self.lost + self.repeated_effect + self.after_drain + self.cold_server_fell
     }
 
-    /// As the ledger counts them.
+    /// The counts of a verdict.
     pub fn of(verdict: &Verdict) -> Self {
         let [lost, repeated_effect, after_drain, cold_server_fell] = verdict.violation_counts;
         Self { lost, repeated_effect, after_drain, cold_server_fell }
     }
 }
 
-/// How long served requests took, from their sending to the last byte of their answers; zero where none was served.
+/// The latency of served requests, from their sending to the last byte of the answer; zero if none was served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Latency {
     /// The median, in microseconds.
@@ -39,7 +39,7 @@
 }
 
 impl Latency {
-    /// Of these times in microseconds, by nearest rank.
+    /// The percentiles of these times in microseconds, by nearest rank.
     pub fn of(mut all: Vec<u32>) -> Self {
         all.sort_unstable();
         let rank = |part: f64| (all.len() as f64 * part).ceil() as usize;
@@ -48,50 +48,50 @@
     }
 }
 
-/// What a node used.
+/// The resource usage of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct NodeUsage {
     /// Its name.
     pub name: String,
     /// Whether it runs.
     pub running: bool,
-    /// Processor time of all its processes, in microseconds.
+    /// The processor time of all its processes, in microseconds.
     pub processor_us: u64,
-    /// Memory of its process, or of the last one as it was killed, in bytes (RssAnon).
+    /// The memory (RssAnon) of its process, or of the last one when it was killed, in bytes.
     pub rss_anon: u64,
 }
 
-/// What the real nodes of a scale run came to.
+/// The report of the real nodes of a scale run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RealReport {
-    /// Requests that nodes took: the sum of the four counts that follow.
+    /// Requests that nodes accepted: the sum of the four counts that follow.
     pub requests: u64,
-    /// Answered with what was made for them.
+    /// Requests that were served.
     pub served: u64,
-    /// Refused.
+    /// Requests that were rejected.
     pub refused: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// Without an answer of these: lost, as `rules_broken` has it, or out at a node that was killed.
+    /// Requests without such an answer: lost, as `rules_broken` counts them, or in flight at a node that was killed.
     pub unanswered: u64,
-    /// Requests that were not made, since too many were out at their node or it was not there.
+    /// Requests that were not sent because too many were in flight at their node, or it did not run.
     pub held_back: u64,
-    /// The most requests of a run were made, and nodes had no load from then on.
+    /// The maximum number of requests of a run was sent, and nodes had no load afterwards.
     pub load_ran_out: bool,
-    /// A client came so late with a request at the most, in microseconds. Where that is no small part of the 50 ms that the
-    /// rules allow for, the machine was too busy, and a breach by less than this may be the rig's.
+    /// The longest delay of a request at its client, in microseconds. If that is not small against the 50 ms of tolerance, the
+    /// machine was too busy, and a violation by less than this may be due to the testbed.
     pub latest_us: u64,
     /// Attempts that reached cache servers.
     pub attempts: u64,
-    /// Connections that cache servers closed at once, since they held as many as they may.
+    /// Connections that cache servers closed at once because they had as many as they may.
     pub turned_away: u64,
     /// Lines that nodes logged after their starts.
     pub log_lines: u64,
-    /// Rules that were broken.
+    /// The violations of each rule.
     pub rules_broken: RulesBroken,
-    /// The first breaches in words.
+    /// The first violations.
     pub breaches: Vec<Violation>,
-    /// How long requests took.
+    /// The latency of served requests.
     pub latency: Latency,
     /// By node.
     pub nodes: Vec<NodeUsage>,
--- a/crates/testbed/src/scale/real/settings.rs
+++ b/crates/testbed/src/scale/real/settings.rs
@@ -1,4 +1,4 @@
-//! What real nodes are, and what they are asked.
+//! The settings of real nodes and their load.
 
 use super::RealError;
 use crate::scale::messages::ReplicaCapacity;
@@ -8,37 +8,37 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// More real nodes than this are not started; each is a process.
-pub const MOST_NODES: u32 = 64;
-/// Requests a second over all nodes.
-pub(super) const MOST_RATE: f64 = 10_000.0;
+/// The most real nodes; each is a process.
+pub const MAX_NODES: u32 = 64;
+/// The most requests per second, over all nodes.
+pub(super) const MAX_RATE: f64 = 10_000.0;
 
-/// What real nodes are, and what they are asked.
+/// The settings of real nodes and their load.
 #[derive(Clone, Debug)]
 pub struct RealSettings {
     /// The program, `cache-balancer`.
     pub program: PathBuf,
-    /// How many real nodes, from 1 to [`MOST_NODES`].
+    /// The number of real nodes, from 1 to [`MAX_NODES`].
     pub count: u32,
-    /// How many nodes the whole fleet has, the hollow ones too: what nodes are told.
+    /// The number of nodes of the whole fleet, with hollow ones, as nodes are configured.
     pub fleet: u32,
     /// Zones of the nodes, dealt in turn by their numbers.
     pub zones: Vec<String>,
     /// Addresses of discovery.
     pub replicas: Vec<SocketAddr>,
-    /// What a replica can do, if nodes are told it.
+    /// The capacity of a replica, if nodes are configured with it.
     pub capacity: Option<ReplicaCapacity>,
-    /// Requests a second over all real nodes; 0 for none.
+    /// Requests per second, over all real nodes; 0 for none.
     pub rate: f64,
-    /// What they ask for; [`classes`] will do.
+    /// The classes of requests, such as [`classes`].
     pub classes: Vec<Class>,
-    /// Decides every draw.
+    /// The seed of all random values.
     pub seed: u64,
 }
 
 impl RealSettings {
     pub(super) fn check(&self) -> Result<(), RealError> {
-        if !(1..=MOST_NODES).contains(&self.count) {
+        if !(1..=MAX_NODES).contains(&self.count) {
             return Err(RealError::Nodes { found: self.count });
         }
         if self.zones.is_empty() {
@@ -47,7 +47,7 @@
         if self.replicas.is_empty() {
             return Err(RealError::Replicas);
         }
-        if !(0.0..=MOST_RATE).contains(&self.rate) {
+        if !(0.0..=MAX_RATE).contains(&self.rate) {
             return Err(RealError::Rate { found: self.rate });
         }
         if self.classes.is_empty()
@@ -59,8 +59,8 @@
     }
 }
 
-/// Reads of a safe class, and writes of a keyed and of an unsafe one, with little work each. Their deadline is long:
-/// a rig that is short of processor time must not be what loses a request.
+/// Reads of an idempotent class, and writes of a class with idempotency keys and of one that is not idempotent, with little
+/// work each. Their deadline is long, so that a test machine that is short of processor time does not lose a request.
 pub fn classes() -> Vec<Class> {
     let class = |name: &str, share, idempotency, write| Class {
         name: name.into(),
--- a/crates/testbed/tests/scale_real.rs
+++ b/crates/testbed/tests/scale_real.rs
@@ -7,10 +7,12 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use testbed::judge::{FinalAnswer, Observation, Verdict, TOLERANCE};
 use testbed::scale::messages::ListedServer;
-use testbed::scale::real::notification_judge::{NotificationJudge, Wanted, DRAIN_GRACE, TOLD_AFTER};
+use testbed::scale::real::notification_judge::{
+    Availability, NotificationJudge, DRAIN_GRACE, NOTIFIED_AFTER,
+};
 use testbed::scale::real::{
     classes, CacheServers, Latency, RealError, RealNodes, RealSettings, RulesBroken, ServerSettings,
-    MOST_SERVERS,
+    MAX_SERVERS,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -82,8 +84,8 @@
         self.judge.record(at(ms), Observation::NodeStarted { node });
     }
 
-    fn changed(&mut self, ms: u64, server: usize, wanted: Wanted) {
-        self.judge.changed(server, at(ms), wanted);
+    fn changed(&mut self, ms: u64, server: usize, availability: Availability) {
+        self.judge.record_change(server, at(ms), availability);
     }
 
     fn verdict(self) -> Verdict {
@@ -109,12 +111,12 @@
 
 #[test]
 fn the_term_is_that_of_operators_and_of_the_protocol() {
-    assert_eq!(TOLD_AFTER + DRAIN_GRACE + TOLERANCE, Duration::from_millis(6_550));
+    assert_eq!(NOTIFIED_AFTER + DRAIN_GRACE + TOLERANCE, Duration::from_millis(6_550));
 }
 
 #[test]
 fn a_drained_server_may_be_sent_to_until_its_term_is_over() {
-    let drained = |books: &mut Books| books.changed(1_000, 0, Wanted::Nothing);
+    let drained = |books: &mut Books| books.changed(1_000, 0, Availability::Unavailable);
     for (after, broken) in
         [(0, KEPT), (6_400, KEPT), (6_550, KEPT), (6_551, AFTER_DRAIN), (6_600, AFTER_DRAIN)]
     {
@@ -122,7 +124,7 @@
     }
     // The other server is not meant.
     let mut books = Books::new();
-    books.changed(1_000, 1, Wanted::Nothing);
+    books.changed(1_000, 1, Availability::Unavailable);
     books.read(60_000, 0, 0);
     assert_eq!(books.broken(), KEPT);
 }
@@ -130,8 +132,8 @@
 #[test]
 fn a_server_that_drains_and_is_then_gone_counts_from_its_drain() {
     let stopped = |books: &mut Books| {
-        books.changed(1_000, 0, Wanted::Nothing);
-        books.changed(5_000, 0, Wanted::Nothing);
+        books.changed(1_000, 0, Availability::Unavailable);
+        books.changed(5_000, 0, Availability::Unavailable);
     };
     assert_eq!(read_at(7_500, stopped), KEPT);
     assert_eq!(read_at(7_600, stopped), AFTER_DRAIN);
@@ -140,17 +142,17 @@
 #[test]
 fn a_server_that_is_back_may_be_sent_to_at_once() {
     let back = |books: &mut Books| {
-        books.changed(1_000, 0, Wanted::Nothing);
-        books.changed(20_000, 0, Wanted::Requests);
+        books.changed(1_000, 0, Availability::Unavailable);
+        books.changed(20_000, 0, Availability::Available);
     };
     assert_eq!(read_at(19_999, back), AFTER_DRAIN);
     assert_eq!(read_at(20_000, back), KEPT);
     assert_eq!(read_at(60_000, back), KEPT);
     // And one that was back before its term was over was never told of, until it stops again.
     let soon = |books: &mut Books| {
-        books.changed(1_000, 0, Wanted::Nothing);
-        books.changed(6_000, 0, Wanted::Requests);
-        books.changed(8_000, 0, Wanted::Nothing);
+        books.changed(1_000, 0, Availability::Unavailable);
+        books.changed(6_000, 0, Availability::Available);
+        books.changed(8_000, 0, Availability::Unavailable);
     };
     assert_eq!(read_at(14_500, soon), KEPT);
     assert_eq!(read_at(14_600, soon), AFTER_DRAIN);
@@ -160,8 +162,8 @@
 fn an_outage_of_discovery_moves_the_term_and_one_that_comes_too_late_does_not() {
     let outage = |from: u64, to: u64| {
         move |books: &mut Books| {
-            books.judge.discovery_away(at(from), at(to));
-            books.changed(1_000, 0, Wanted::Nothing);
+            books.judge.record_outage(at(from), at(to));
+            books.changed(1_000, 0, Availability::Unavailable);
         }
     };
     // Counted anew from its end.
@@ -173,10 +175,10 @@
     assert_eq!(read_at(7_600, outage(0, 1_000)), AFTER_DRAIN);
     // One upon another, whatever the order in which they are reported, also after the fact.
     let several = |books: &mut Books| {
-        books.changed(1_000, 0, Wanted::Nothing);
-        books.judge.discovery_away(at(8_000), at(9_000));
-        books.judge.discovery_away(at(2_000), at(3_000));
-        books.judge.discovery_away(at(30_000), at(40_000));
+        books.changed(1_000, 0, Availability::Unavailable);
+        books.judge.record_outage(at(8_000), at(9_000));
+        books.judge.record_outage(at(2_000), at(3_000));
+        books.judge.record_outage(at(30_000), at(40_000));
     };
     assert_eq!(read_at(15_500, several), KEPT);
     assert_eq!(read_at(15_600, several), AFTER_DRAIN);
@@ -185,7 +187,7 @@
 #[test]
 fn a_node_that_starts_anew_has_its_term_from_there() {
     let restarted = |books: &mut Books| {
-        books.changed(1_000, 0, Wanted::Nothing);
+        books.changed(1_000, 0, Availability::Unavailable);
         books.started(10_000, 0);
     };
     assert_eq!(read_at(9_000, restarted), AFTER_DRAIN);
@@ -278,16 +280,20 @@
 /// What happens in the step that it names, in the order of the list.
 #[derive(Clone, Copy, Debug)]
 enum Happens {
-    Changed { server: usize, wanted: Wanted },
+    Changed { server: usize, availability: Availability },
     Started { node: usize },
     Away { steps: u64 },
     Sent { node: usize, server: usize },
 }
 
 fn happens() -> impl Strategy<Value = Happens> {
-    let wanted = prop_oneof![Just(Wanted::Requests), Just(Wanted::Nothing), Just(Wanted::Nothing)];
+    let availability = prop_oneof![
+        Just(Availability::Available),
+        Just(Availability::Unavailable),
+        Just(Availability::Unavailable)
+    ];
     prop_oneof![
-        3 => (0usize..2, wanted).prop_map(|(server, wanted)| Happens::Changed { server, wanted }),
+        3 => (0usize..2, availability).prop_map(|(server, availability)| Happens::Changed { server, availability }),
         1 => (0usize..2).prop_map(|node| Happens::Started { node }),
         1 => (1u64..30).prop_map(|steps| Happens::Away { steps }),
         8 => (0usize..2, 0usize..2).prop_map(|(node, server)| Happens::Sent { node, server }),
@@ -307,9 +313,9 @@
     for &(step, happens) in sequence {
         let ms = step * STEP_MS;
         match happens {
-            Happens::Changed { server, wanted } => books.changed(ms, server, wanted),
+            Happens::Changed { server, availability } => books.changed(ms, server, availability),
             Happens::Started { node } => books.started(ms, node),
-            Happens::Away { steps } => books.judge.discovery_away(at(ms), at(ms + steps * STEP_MS)),
+            Happens::Away { steps } => books.judge.record_outage(at(ms), at(ms + steps * STEP_MS)),
             Happens::Sent { .. } => {}
         }
     }
@@ -340,8 +346,8 @@
     for step in 0..STEPS {
         for &(_, happens) in sequence.iter().filter(|(at, _)| *at == step) {
             match happens {
-                Happens::Changed { server, wanted } => {
-                    stops[server] = wanted == Wanted::Nothing;
+                Happens::Changed { server, availability } => {
+                    stops[server] = availability == Availability::Unavailable;
                     if !stops[server] {
                         heard.iter_mut().for_each(|heard| heard[server] = 0);
                     }
@@ -412,7 +418,7 @@
 
 #[tokio::test]
 async fn as_many_servers_as_one_process_may_have_listen_at_addresses_of_their_own() {
-    let servers = servers(MOST_SERVERS).await;
+    let servers = servers(MAX_SERVERS).await;
     let listed = servers.servers();
     assert_eq!(listed.len(), 1_100);
     let addresses: BTreeSet<_> = listed.iter().map(|server| server.dial.ip()).collect();
@@ -422,13 +428,13 @@
     assert!(listed.iter().all(|server| server.health == "ready" && server.born_ms == 0));
     let in_first = listed.iter().filter(|server| server.site == "a").count();
     assert_eq!(in_first, 367, "every third");
-    assert!(servers.most_descriptors() <= 1_100 + 12_000);
+    assert!(servers.max_descriptors() <= 1_100 + 12_000);
     assert_eq!(servers.connections(), 0);
 }
 
 #[tokio::test]
 async fn counts_and_zones_out_of_range_are_named() {
-    for count in [0, MOST_SERVERS + 1] {
+    for count in [0, MAX_SERVERS + 1] {
         let error = CacheServers::start(ServerSettings { count, zones: zones() }).await.unwrap_err();
         assert_eq!(
             error.to_string(),
