--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use testbed::scale::messages::ListedServer;
-use testbed::scale::real::notification_judge::{DRAIN_GRACE, TOLD_AFTER};
+use testbed::scale::real::notification_judge::{DRAIN_GRACE, NOTIFIED_AFTER};
 use testbed::scale::real::{
     classes, CacheServers, RealError, RealNodes, RealReport, RealSettings, RulesBroken, ServerSettings,
 };
@@ -62,8 +62,8 @@
 
     /// Waits until this number of further requests were made.
     async fn wait_for_requests(&self, requests: u64) {
-        let (start, enough) = (Instant::now(), self.nodes.asked() + requests);
-        while self.nodes.asked() < enough {
+        let (start, enough) = (Instant::now(), self.nodes.requests() + requests);
+        while self.nodes.requests() < enough {
             assert!(start.elapsed() < PATIENCE, "waited in vain for {requests} requests");
             sleep(Duration::from_millis(5)).await;
         }
@@ -115,7 +115,7 @@
     run.change(0..4, health("gone"));
     run.send_list();
     // From then on the judge counts requests to draining servers.
-    let term = TOLD_AFTER + DRAIN_GRACE * 2;
+    let term = NOTIFIED_AFTER + DRAIN_GRACE * 2;
     sleep(term.saturating_sub(drained.elapsed())).await;
     run.wait_for_requests(100).await;
     run.change(0..2, |server| {
@@ -125,7 +125,7 @@
     });
     run.send_list();
     run.wait_for_requests(100).await;
-    let asked = run.nodes.asked();
+    let asked = run.nodes.requests();
     let usage = run.nodes.usage();
     let names: Vec<_> = usage.iter().map(|node| (node.name.as_str(), node.running)).collect();
     assert_eq!(names, [("real-0", true), ("real-1", true), ("real-2", true)]);
@@ -146,7 +146,7 @@
     run.wait_for_requests(50).await;
     // Discovery does not send it: nodes go on sending requests there.
     run.change(0..SERVERS as usize / 2, health("draining"));
-    sleep(TOLD_AFTER + DRAIN_GRACE * 2).await;
+    sleep(NOTIFIED_AFTER + DRAIN_GRACE * 2).await;
     run.wait_for_requests(100).await;
     let report = run.nodes.finish().await;
     let RulesBroken { lost, repeated_effect, after_drain, cold_server_fell } = report.rules_broken;
@@ -161,9 +161,9 @@
     run.wait_for_requests(50).await;
     let from = now_us();
     run.change(0..SERVERS as usize / 2, health("draining"));
-    sleep(TOLD_AFTER + DRAIN_GRACE * 2).await;
+    sleep(NOTIFIED_AFTER + DRAIN_GRACE * 2).await;
     run.wait_for_requests(100).await;
-    let asked = run.nodes.asked();
+    let asked = run.nodes.requests();
     run.nodes.discovery_away(from, now_us());
     let report = run.nodes.finish().await;
     assert_accounted(&report, asked + MAX_IN_FLIGHT * u64::from(NODES));
