--- a/crates/cache-balancer/src/scenario/mod.rs
+++ b/crates/cache-balancer/src/scenario/mod.rs
@@ -72,7 +72,7 @@
     /// Lists the scenarios that ship with the program
     List,
     /// Plays scripts again and again, and shows how far their figures lie apart
-    Variance(SpreadArguments),
+    Spread(SpreadArguments),
     /// Says what is wrong with a script, and plays nothing
     Check {
         /// The script's file
@@ -84,7 +84,7 @@
 pub fn run(arguments: Arguments) -> ExitCode {
     match arguments.command {
         Some(Command::List) => list(),
-        Some(Command::Variance(arguments)) => spread::run(&arguments),
+        Some(Command::Spread(arguments)) => spread::run(&arguments),
         Some(Command::Check { file }) => check(&file),
         Some(Command::Run(arguments)) => run::run(&arguments),
         None => run::run(&arguments.run),
