--- a/crates/testbed/src/discovery_call.rs
+++ b/crates/testbed/src/discovery_call.rs
@@ -1,27 +1,29 @@
-//! How a call to discovery is worded: `GET /v1/servers` for the whole list, with `?after=41&wait_ms=20000` for a watch.
+//! Calls to discovery: `GET /v1/servers` for the whole list, with `?after=41&wait_ms=20000` for a watch.
 
 use std::time::Duration;
 
 /// The path of all calls.
 pub const PATH: &str = "/v1/servers";
-/// The longest that a watch may wait.
-pub const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// A call continues a watch, and costs less, if it comes within this time of the answer to the last one.
+pub const WATCH_CONTINUED_WITHIN: Duration = Duration::from_millis(200);
+/// The longest wait of a watch.
+pub const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// What a call asks for.
+/// The parameters of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryCall {
-    /// What is newer than this version; `None` for the whole list.
+    /// The caller wants what is newer than this version; `None` for the whole list.
     pub after: Option<u64>,
-    /// How long a watch waits for news; [`LONGEST_WAIT`] at most.
+    /// How long a watch waits for a change, at most [`MAX_WAIT`].
     pub wait: Duration,
 }
 
 impl DiscoveryCall {
-    /// Reads the part of a target behind its `?`; `None` where there is none.
+    /// Reads the query of a request target; `None` if it has none.
     pub fn read(query: Option<&str>) -> Self {
         let query = query.unwrap_or("");
         let wait = Duration::from_millis(number(query, "wait_ms").unwrap_or(0));
-        Self { after: number(query, "after"), wait: wait.min(LONGEST_WAIT) }
+        Self { after: number(query, "after"), wait: wait.min(MAX_WAIT) }
     }
 }
 
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -1,4 +1,4 @@
-//! Lays lines through the figures of runs at several sizes, by least squares, and predicts those of another size.
+//! Fits lines to the figures of runs at several sizes by least squares, and predicts the figures of another size.
 
 use super::report::{bordered, ScaleReport, WindowFigures};
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 use std::fmt::Write;
 use thiserror::Error;
 
-/// A slope needs so many sizes at least.
-pub const LEAST_SIZES: usize = 3;
+/// The minimum number of sizes for a slope.
+pub const MIN_SIZES: usize = 3;
 
-/// What a figure is laid over.
+/// The independent variable of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Over {
@@ -21,82 +21,82 @@
     Servers,
 }
 
-/// A line through the points of one figure.
+/// A line fitted to the points of one figure.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
     /// The figure's name and unit.
     pub figure: String,
-    /// What it is laid over.
+    /// The independent variable.
     pub over: Over,
     /// Size and measured figure, in the order of the results.
     pub points: Vec<(f64, f64)>,
-    /// Growth of the figure for each unit of the size.
+    /// The slope.
     pub slope: f64,
     /// The figure at size 0.
     pub intercept: f64,
-    /// Root of the mean square of what points lie off the line, in the figure's unit.
+    /// The root mean square of the residuals, in the figure's unit.
     pub residual_rms: f64,
-    /// The largest part of its own value by which a point lies off the line.
+    /// The largest residual as a fraction of the value of its point.
     pub residual_largest: f64,
-    /// Of another size, where one was given.
+    /// The prediction of another size, if one was given.
     pub prediction: Option<Prediction>,
 }
 
-/// A figure of a size that the line was not laid through.
+/// A predicted figure of a size that the line was not fitted to.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Prediction {
     /// The size.
     pub size: f64,
-    /// By the line.
+    /// The predicted figure.
     pub predicted: f64,
-    /// By the run.
+    /// The measured figure.
     pub measured: f64,
-    /// By what part of the measured figure the predicted one is off; above 0, more was predicted.
+    /// The difference as a fraction of the measured figure; positive if more was predicted.
     pub miss: f64,
 }
 
-/// All lines.
+/// The lines of all figures.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
     /// The script of all results.
     pub name: String,
     /// Nodes and servers of each result.
     pub sizes: Vec<(u32, u32)>,
-    /// Those of the result that was predicted.
+    /// Nodes and servers of the predicted result.
     pub predicted_size: Option<(u32, u32)>,
     /// The lines.
     pub lines: Vec<Line>,
 }
 
-/// Why no line can be laid.
+/// Why no line can be fitted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FitError {
-    /// Too few sizes.
-    #[error("a slope needs results of {LEAST_SIZES} sizes at least, found {found}")]
+    /// There are too few sizes.
+    #[error("a slope needs results of {MIN_SIZES} sizes at least, found {found}")]
     TooFewSizes {
-        /// How many there are.
+        /// The number of sizes.
         found: usize,
     },
-    /// The results are not of one kind.
+    /// The results are of several kinds.
     #[error(
         "all results have to be of one script, replicas and mechanism: expected {expected}, found {found}"
     )]
     Mixed {
-        /// What the first one is of.
+        /// The kind of the first result.
         expected: String,
-        /// What another one is of.
+        /// The kind of another one.
         found: String,
     },
 }
 
-/// One figure of a result; `None` where it has none.
+/// The name of a figure, its independent variable, and its value in a result, if it has one.
 type Figure = (&'static str, Over, fn(&ScaleReport) -> Option<f64>);
 
 fn active(report: &ScaleReport, of: impl Fn(&WindowFigures) -> f64) -> Option<f64> {
     report.active.as_ref().map(of)
 }
 
-/// All figures that lines are laid through.
+/// All figures that lines are fitted to.
 const FIGURES: &[Figure] = &[
     ("hollow nodes' processor at rest, s/s", Over::Nodes, |report| {
         Some(report.rest.hollow_processor_s / report.rest.seconds)
@@ -153,14 +153,14 @@
     }),
 ];
 
-/// Lays lines through the results, and predicts another one by them.
+/// Fits lines to the results, and predicts another result.
 ///
 /// # Errors
-/// With fewer than [`LEAST_SIZES`] sizes, or results of several kinds.
+/// If there are fewer than [`MIN_SIZES`] sizes, or results of several kinds.
 pub fn fit(results: &[ScaleReport], predicted: Option<&ScaleReport>) -> Result<Fit, FitError> {
     let size = |report: &ScaleReport| (report.nodes, report.servers);
     let sizes: BTreeSet<_> = results.iter().map(size).collect();
-    if sizes.len() < LEAST_SIZES {
+    if sizes.len() < MIN_SIZES {
         return Err(FitError::TooFewSizes { found: sizes.len() });
     }
     let expected = kind(&results[0]);
@@ -181,7 +181,7 @@
     format!("{} with {} replicas, mechanism {mechanism}", report.name, report.replicas)
 }
 
-/// `None` where a result lacks the figure, or all sizes are one.
+/// `None` if a result lacks the figure, or there are too few sizes.
 fn line_of(figure: &Figure, results: &[ScaleReport], predicted: Option<&ScaleReport>) -> Option<Line> {
     let &(name, over, of) = figure;
     let point = |report: &ScaleReport| Some((over.of(report), of(report)?));
@@ -206,7 +206,7 @@
         }
     }
 
-    /// In words.
+    /// The name of the variable.
     pub fn words(self) -> &'static str {
         match self {
             Over::Nodes => "nodes",
@@ -217,11 +217,10 @@
 }
 
 impl Line {
-    /// The line that lies closest to these points, by the squares of what they lie off it in the figure. `None` where
-    /// the sizes of fewer than three differ.
+    /// Fits a line to points by least squares. Returns `None` if there are fewer than [`MIN_SIZES`] different sizes.
     pub fn through(points: Vec<(f64, f64)>) -> Option<Self> {
         let different: BTreeSet<_> = points.iter().map(|(size, _)| size.to_bits()).collect();
-        if different.len() < LEAST_SIZES {
+        if different.len() < MIN_SIZES {
             return None;
         }
         let count = points.len() as f64;
@@ -247,13 +246,13 @@
         })
     }
 
-    /// The figure at a size.
+    /// The figure of the line at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
 
-/// A part of a value; nothing of nothing is nothing.
+/// The ratio of two values; 0 if the first one is 0.
 fn relative(part: f64, of: f64) -> f64 {
     if part == 0.0 {
         0.0
@@ -302,7 +301,7 @@
     }
 }
 
-/// Four significant digits.
+/// A number with four or five significant digits.
 fn number(value: f64) -> String {
     if value == 0.0 || (0.01..1e6).contains(&value.abs()) {
         let whole_digits = value.abs().max(1.0).log10().floor() as usize + 1;
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -1,4 +1,4 @@
-//! What processes cost, by the files of `/proc`.
+//! The cost of processes, from the files of `/proc`.
 
 use super::real::Usage;
 use std::fs;
@@ -6,12 +6,12 @@
 use std::iter::Sum;
 use std::time::Duration;
 
-/// What one process, or all of a role, has cost so far.
+/// What a process, or all processes of a role, have cost so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cost {
     /// Processor time, of user and system.
     pub processor: Duration,
-    /// Resident anonymous memory (`RssAnon`), in bytes: what the process itself has filled, its program's text apart.
+    /// Resident anonymous memory (`RssAnon`), in bytes: without the text of the program.
     pub resident_bytes: u64,
 }
 
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -1,23 +1,23 @@
-//! What the processes of a scale run say to each other: one JSON value a line, commands on standard input, events on
+//! The messages between the processes of a scale run: one JSON value per line, commands on standard input and events on
 //! standard output. Times are microseconds of Unix time; all processes share one machine's clock.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What one replica of discovery can do, as the script states it and as nodes may be told it.
+/// The capacity of a replica of discovery, as the script states it and as nodes may be configured with it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaCapacity {
-    /// Lines a second: one for each entry that is sent, and those that a call costs.
+    /// Lines per second: one for each entry that is sent, and those that a call costs.
     pub lines_per_second: f64,
-    /// Lines that a call costs which opens a watch or asks for the whole list.
+    /// Lines that a call costs that opens a watch or wants the whole list.
     pub call_lines: f64,
-    /// Lines that a call costs which continues a watch: it comes within 200 ms of the last answer.
+    /// Lines that a call costs that continues a watch: it comes within 200 ms of the last answer.
     pub continued_call_lines: f64,
-    /// A call whose answer would begin later than this is refused with 503.
+    /// A call whose answer would begin later than this is rejected with status 503.
     pub queue_limit_ms: u64,
 }
 
-/// One cache server in the list, in the words of discovery's protocol.
+/// A cache server as discovery's protocol lists it: id, address, zone, kind, cell, state, weight and start time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedServer {
     /// Its name.
@@ -42,61 +42,61 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answering {
-    /// As it should.
+    /// It answers.
     Up,
-    /// Connections are reset, and new ones refused.
+    /// It resets its connections and refuses new ones.
     Away,
-    /// Connections are accepted, and nothing is said on them.
+    /// It accepts connections and does not answer.
     Silent,
 }
 
-/// What a run tells a replica.
+/// A command for a replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "snake_case")]
 pub enum ReplicaCommand {
-    /// The first line: begin with this list.
+    /// Start with this list. This is the first command.
     Start {
-        /// Where to listen; the system picks the port where it is 0.
+        /// Where to listen; the system chooses the port if it is 0.
         listen: SocketAddr,
-        /// What it can do.
+        /// The capacity.
         capacity: ReplicaCapacity,
         /// The version of the list.
         version: u64,
         /// The list.
         servers: Vec<ListedServer>,
     },
-    /// A server's entry is new; the version is its own.
+    /// The entry of a server changes.
     Change {
-        /// The list's version from here on.
+        /// The version of the list from now on.
         version: u64,
-        /// The entry.
+        /// The new entry.
         server: ListedServer,
     },
-    /// Answers like this from here on.
+    /// Answer in this way from now on.
     Answer {
         /// How.
         answering: Answering,
     },
-    /// Loses all entries, or its count of versions: for faults.
+    /// Replace the list: a fault.
     Reset {
-        /// The list's version from here on.
+        /// The version of the list from now on.
         version: u64,
-        /// The list from here on.
+        /// The list from now on.
         servers: Vec<ListedServer>,
     },
-    /// A [`ReplicaEvent::Report`] is wanted.
+    /// Send a [`ReplicaEvent::Report`].
     Report,
-    /// Ends.
+    /// End.
     Stop,
 }
 
-/// What a replica tells the run.
+/// An event of a replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum ReplicaEvent {
-    /// It listens.
+    /// The replica listens.
     Listening {
-        /// Where.
+        /// Its address.
         address: SocketAddr,
     },
     /// What it has done since its start.
@@ -108,9 +108,9 @@
 pub struct ReplicaReport {
     /// Calls of all kinds.
     pub calls: u64,
-    /// Calls that were refused.
+    /// Calls that were rejected.
     pub refused: u64,
-    /// Whole lists sent.
+    /// Snapshots sent.
     pub whole_lists: u64,
     /// Lines charged: entries sent, and those of calls.
     pub lines: f64,
@@ -122,80 +122,80 @@
     pub longest_queue_ms: u64,
 }
 
-/// What a run tells a process of hollow nodes.
+/// A command for a process of hollow nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "snake_case")]
 pub enum HollowCommand {
-    /// The first line: begin.
+    /// Start the nodes. This is the first command.
     Start {
         /// The number of the first node here; its name is `h` and that number.
         first: u32,
-        /// How many are here.
+        /// The number of nodes in this process.
         count: u32,
-        /// How many the whole fleet has.
+        /// The number of nodes of the whole fleet.
         fleet: u32,
         /// The replicas of discovery; one address is discovery without replicas.
         replicas: Vec<SocketAddr>,
-        /// What a replica can do, if nodes are told it.
+        /// The capacity of a replica, if nodes are configured with it.
         capacity: Option<ReplicaCapacity>,
-        /// The version of the list that nodes start from; none where they start without a list.
+        /// The version of the list that nodes start with; `None` if they start without a list.
         version: Option<u64>,
         /// That list.
         servers: Vec<ListedServer>,
-        /// For random numbers.
+        /// The seed of random values.
         seed: u64,
         /// Zones of the nodes, dealt in turn by their numbers.
         zones: Vec<String>,
     },
-    /// These nodes are killed: their connections close, and all that they know is lost.
+    /// Kill these nodes: their connections are closed, and their state is lost.
     Kill {
         /// Their numbers.
         nodes: Vec<u32>,
     },
-    /// These nodes start anew, without a list.
+    /// Start these nodes again, without a list.
     Launch {
         /// Their numbers.
         nodes: Vec<u32>,
     },
-    /// The replicas are others from here on, as after SIGHUP.
+    /// Use other replicas from now on, as after SIGHUP.
     Replicas {
-        /// They.
+        /// The addresses of the replicas.
         replicas: Vec<SocketAddr>,
     },
-    /// A [`HollowEvent::Report`] is wanted; what was reported is not reported again.
+    /// Send a [`HollowEvent::Report`] of what has not been reported yet.
     Report,
-    /// Ends.
+    /// End.
     Stop,
 }
 
-/// What a process of hollow nodes tells the run.
+/// An event of a process of hollow nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum HollowEvent {
-    /// All nodes of this process have begun.
+    /// All nodes of this process have started.
     Started,
-    /// What they have done since the last report.
+    /// What the nodes have done since the last report.
     Report(HollowReport),
 }
 
 /// What the hollow nodes of one process have done since the last report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HollowReport {
-    /// Lists that nodes took and acted on.
+    /// Lists that nodes have applied.
     pub applied: Vec<Applied>,
     /// Calls that failed.
     pub failed_calls: u64,
 }
 
-/// A node acted on a list.
+/// A node has applied a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Applied {
     /// The node's number.
     pub node: u32,
-    /// The version that it holds from then on.
+    /// The version of the list.
     pub version: u64,
     /// When its decisions had it.
     pub at_us: u64,
-    /// The whole list came.
+    /// Whether it was a snapshot.
     pub whole: bool,
 }
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -15,6 +15,7 @@
 
 pub mod child_processes;
 pub mod fit;
+pub mod line_queue;
 pub mod measure;
 pub mod messages;
 pub mod plot;
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -1,5 +1,5 @@
-//! What the processes of a scale run have in common: commands come in as lines on standard input, events go out as lines on
-//! standard output, and each process raises its own limit of descriptors.
+//! What the child processes of a scale run have in common: commands on standard input, events on standard output, and a raised
+//! limit of descriptors.
 
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use serde::de::DeserializeOwned;
@@ -10,15 +10,15 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Commands that are read ahead of the one that is being carried out.
+/// The number of commands that are read ahead of the one that is being executed.
 const READ_AHEAD: usize = 64;
-/// Descriptors that a process of a scale run asks for at the most.
-const MOST_DESCRIPTORS: u64 = 20_000;
+/// The most descriptors that a process asks for.
+const MAX_DESCRIPTORS: u64 = 20_000;
 
 /// Why a process of a scale run ended.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// A line on standard input is no command.
+    /// A line on standard input is not a command.
     #[error("line {line} of the commands: {error}")]
     Unreadable {
         /// Its number, from 1.
@@ -26,13 +26,13 @@
         /// What is wrong with it.
         error: serde_json::Error,
     },
-    /// Something else came first.
+    /// The first command is not to start.
     #[error("line 1 of the commands: expected the command start")]
     NotStarted,
-    /// It came again.
+    /// The command to start was repeated.
     #[error("expected the command start once, found it again")]
     StartedTwice,
-    /// A version went back.
+    /// The version of a change is not above that of the list.
     #[error("change of {host}: expected a version above {held}, found {version}")]
     OldVersion {
         /// The server whose entry changed.
@@ -42,7 +42,7 @@
         /// The version of the list.
         held: u64,
     },
-    /// A command names a node that another process has.
+    /// A command names a node of another process.
     #[error("node {node}: expected one from {first} to {last}")]
     ForeignNode {
         /// Its number.
@@ -52,13 +52,13 @@
         /// The last one here.
         last: u32,
     },
-    /// Nodes have to ask somebody.
+    /// There is no replica for the nodes.
     #[error("replicas: expected one address or more, found none")]
     NoReplica,
-    /// Something of the system failed.
+    /// A system call failed.
     #[error("{what}: {error}")]
     System {
-        /// What was done.
+        /// What was tried.
         what: &'static str,
         /// How it failed.
         error: io::Error,
@@ -66,14 +66,14 @@
 }
 
 impl ProcessError {
-    /// For `map_err`: what was done when the system failed.
+    /// For `map_err`: what was tried when the system call failed.
     pub fn system(what: &'static str) -> impl Fn(io::Error) -> Self {
         move |error| Self::System { what, error }
     }
 }
 
-/// The commands on standard input, in their order; it ends with the input. A thread reads them, since a read that waits for
-/// a line cannot be given up.
+/// The commands on standard input, in their order; the channel ends with the input. A thread reads them, since a blocking read
+/// cannot be cancelled.
 pub fn commands<T: DeserializeOwned + Send + 'static>() -> mpsc::Receiver<Result<T, ProcessError>> {
     let (sender, commands) = mpsc::channel(READ_AHEAD);
     thread::spawn(move || {
@@ -83,7 +83,7 @@
                     .map_err(|error| ProcessError::Unreadable { line: number + 1, error }),
                 Err(error) => Err(ProcessError::System { what: "standard input", error }),
             };
-            // Nobody reads them any more once the process ends.
+            // The receiver is gone when the process ends.
             if sender.blocking_send(command).is_err() {
                 return;
             }
@@ -92,14 +92,14 @@
     commands
 }
 
-/// Writes events to standard output, from a thread of its own: a reader that is slow holds nothing else up.
+/// Writes events to standard output in a thread of its own, so that a slow reader does not block the process.
 pub struct Events<T> {
     sender: blocking::Sender<T>,
     writer: JoinHandle<io::Result<()>>,
 }
 
 impl<T: Serialize + Send + 'static> Events<T> {
-    /// Begins with nothing written.
+    /// Starts the thread.
     pub fn start() -> Self {
         let (sender, events) = blocking::channel::<T>();
         let writer = thread::spawn(move || {
@@ -115,9 +115,9 @@
         Self { sender, writer }
     }
 
-    /// Writes this one after those before it.
+    /// Writes an event after all earlier ones.
     pub fn send(&self, event: T) {
-        // A writer that failed says so at the end.
+        // `finish` reports the error of a writer that has failed.
         let _ = self.sender.send(event);
     }
 
@@ -129,10 +129,10 @@
     }
 }
 
-/// Raises this process's own limit of descriptors as far as it may, up to 20,000.
+/// Raises the soft limit of descriptors of this process to the hard limit, but not above 20,000.
 pub fn raise_descriptors() -> Result<(), ProcessError> {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
-    let wanted = maximum.map_or(MOST_DESCRIPTORS, |maximum| maximum.min(MOST_DESCRIPTORS));
+    let wanted = maximum.map_or(MAX_DESCRIPTORS, |maximum| maximum.min(MAX_DESCRIPTORS));
     if current.is_none_or(|current| current >= wanted) {
         return Ok(());
     }
--- a/crates/testbed/src/scale/replica/address.rs
+++ b/crates/testbed/src/scale/replica/address.rs
@@ -1,14 +1,14 @@
-//! The address of a replica, which stays its own while nothing listens there.
+//! The address of a replica, which stays reserved while nothing listens there.
 
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that may wait to be accepted; the system has a limit of its own below.
+/// The backlog of the listening socket; the system may have a lower limit.
 const BACKLOG: u32 = 16_384;
 
-/// An address that is held by a socket which is bound and does not listen: connections are refused, and the system gives
-/// the port to no other socket meanwhile, which on a machine with thousands of connections it would soon do.
+/// An address that is reserved by a socket that is bound and does not listen: connections are refused, and the system does not
+/// give the port to another socket, which it would soon do on a machine with thousands of connections.
 #[derive(Debug)]
 pub struct HeldAddress {
     address: SocketAddr,
@@ -16,7 +16,7 @@
 }
 
 impl HeldAddress {
-    /// Holds this address; the system picks the port where it is 0.
+    /// Reserves an address; the system chooses the port if it is 0.
     pub fn hold(wanted: SocketAddr) -> io::Result<Self> {
         let holder = bind(wanted)?;
         Ok(Self { address: holder.local_addr()?, _holder: holder })
--- a/crates/testbed/src/scale/replica/connection.rs
+++ b/crates/testbed/src/scale/replica/connection.rs
@@ -1,4 +1,4 @@
-//! A node's connection, with its bytes counted both ways.
+//! A connection that counts its bytes in both directions.
 
 use std::cell::Cell;
 use std::io;
@@ -25,14 +25,14 @@
 }
 
 impl CountedStream {
-    /// Counts what passes on this connection from here on.
+    /// Counts the bytes of this connection from now on.
     pub fn new(stream: TcpStream, bytes: Rc<Bytes>) -> Self {
         Self { stream, bytes }
     }
 
-    /// Ends the connection with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
-        // One that has ended already needs none.
+        // This fails only if the connection has ended already.
         let _ = self.stream.set_zero_linger();
     }
 
--- a/crates/testbed/src/scale/replica/list.rs
+++ b/crates/testbed/src/scale/replica/list.rs
@@ -1,4 +1,4 @@
-//! The list of a replica with its versions, and how answers are worded.
+//! The versioned list of a replica, and its answers.
 
 use crate::scale::messages::ListedServer;
 use bytes::Bytes;
@@ -6,25 +6,25 @@
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Servers whose last change is remembered. Whoever holds a list from before is told the whole one.
+/// The number of servers whose last change is remembered. A node with an older list gets a snapshot.
 pub const CHANGES_KEPT: usize = 4_096;
-/// Worded answers that are kept: most nodes ask for what is newer than the same few versions.
-const ANSWERS_KEPT: usize = 64;
-/// What discovery says of a server that was removed.
+/// The number of cached answers: most nodes have one of the same few versions.
+const MAX_CACHED_ANSWERS: usize = 64;
+/// The health of a removed server.
 const GONE: &str = "gone";
 
-/// One answer, worded.
+/// An answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// What is sent.
+    /// Its body.
     pub body: Bytes,
-    /// Entries in it.
+    /// The number of entries in it.
     pub entries: usize,
-    /// The whole list.
+    /// Whether it is a snapshot.
     pub whole: bool,
 }
 
-/// As discovery words it.
+/// The JSON of an answer.
 #[derive(Serialize)]
 struct Body<'a> {
     seq: u64,
@@ -32,7 +32,7 @@
     hosts: Vec<&'a ListedServer>,
 }
 
-/// A list whose every change has a version.
+/// A list in which every change has a version.
 #[derive(Debug, Default)]
 pub struct VersionedList {
     version: u64,
@@ -40,13 +40,13 @@
     /// The last change of each server, by version.
     changes: BTreeMap<u64, ListedServer>,
     changed_at: HashMap<String, u64>,
-    /// All changes after this version are known.
+    /// All changes after this version are remembered.
     known_after: u64,
     answers: HashMap<Option<u64>, Answer>,
 }
 
 impl VersionedList {
-    /// A list of this version. Nothing is known of earlier ones.
+    /// Creates a list of this version, without changes.
     pub fn new(version: u64, servers: Vec<ListedServer>) -> Self {
         let present = servers.into_iter().filter(|server| server.health != GONE);
         let servers = present.map(|server| (server.host.clone(), server)).collect();
@@ -58,7 +58,7 @@
         self.version
     }
 
-    /// Takes in a server's new entry, whose version must be above the last one's.
+    /// Changes the entry of a server. The version must be above the last one.
     pub fn change(&mut self, version: u64, server: ListedServer) {
         self.version = version;
         self.answers.clear();
@@ -77,13 +77,13 @@
         }
     }
 
-    /// What somebody is told who holds the list of that version; the whole list where nothing is held.
+    /// The answer for a node that has this version: a delta, or a snapshot if it has none or one that is too old.
     pub fn answer(&mut self, after: Option<u64>) -> Answer {
         if let Some(answer) = self.answers.get(&after) {
             return answer.clone();
         }
-        let answer = self.worded(after);
-        if self.answers.len() >= ANSWERS_KEPT {
+        let answer = self.build_answer(after);
+        if self.answers.len() >= MAX_CACHED_ANSWERS {
             self.answers.clear();
         }
         self.answers.insert(after, answer.clone());
@@ -97,7 +97,7 @@
         }
     }
 
-    fn worded(&self, after: Option<u64>) -> Answer {
+    fn build_answer(&self, after: Option<u64>) -> Answer {
         let known = after.filter(|after| *after >= self.known_after);
         let hosts: Vec<_> = match known {
             Some(after) => {
@@ -107,7 +107,7 @@
         };
         let (entries, whole) = (hosts.len(), known.is_none());
         let body = Body { seq: self.version, whole, hosts };
-        // Only maps with keys that are no text can fail, and there are none.
+        // Serialization fails only for maps whose keys are not strings, and there are none.
         let body = serde_json::to_vec(&body).unwrap_or_default();
         Answer { body: body.into(), entries, whole }
     }
--- a/crates/testbed/src/scale/replica/mod.rs
+++ b/crates/testbed/src/scale/replica/mod.rs
@@ -1,10 +1,9 @@
-//! One replica of the stand-in discovery, as a process: it answers whole lists and watches over HTTP/1.1 with a stated
-//! capacity, and does what its [`ReplicaCommand`]s say.
+//! A replica of the stand-in discovery, as a process: it answers calls for the whole list and watches over HTTP/1.1 with a
+//! fixed capacity, and executes [`ReplicaCommand`]s.
 
 mod address;
 mod connection;
 mod list;
-mod queue;
 mod service;
 
 pub use list::CHANGES_KEPT;
@@ -18,14 +17,14 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
-/// What a replica is told, in its order; it ends with the channel.
+/// The commands for a replica, in their order. The replica ends with the channel.
 pub type Commands = Receiver<Result<ReplicaCommand, ProcessError>>;
 
 /// Reads [`ReplicaCommand`]s from standard input and writes [`ReplicaEvent`]s to standard output. It ends with the command
 /// to stop, or with its input.
 ///
 /// # Errors
-/// When a command cannot be read or carried out, or the system fails it.
+/// If a command cannot be read or executed, or a system call fails.
 pub fn run() -> Result<(), ProcessError> {
     raise_descriptors()?;
     let events = Events::start();
@@ -33,17 +32,17 @@
     events.finish().and(served)
 }
 
-/// The same with these commands, on this thread.
+/// Runs a replica on this thread; `emit` is called with its events.
 ///
 /// # Errors
-/// When a command cannot be carried out, or the system fails it.
-pub fn serve(commands: Commands, say: impl Fn(ReplicaEvent)) -> Result<(), ProcessError> {
+/// If a command cannot be executed, or a system call fails.
+pub fn serve(commands: Commands, emit: impl Fn(ReplicaEvent)) -> Result<(), ProcessError> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(ProcessError::system("the runtime"))?;
-    LocalSet::new().block_on(&runtime, carry_out(commands, say))
+    LocalSet::new().block_on(&runtime, execute(commands, emit))
 }
 
-async fn carry_out(mut commands: Commands, say: impl Fn(ReplicaEvent)) -> Result<(), ProcessError> {
+async fn execute(mut commands: Commands, emit: impl Fn(ReplicaEvent)) -> Result<(), ProcessError> {
     let mut replica = match commands.recv().await.transpose()? {
         Some(ReplicaCommand::Start { listen, capacity, version, servers }) => {
             let address = HeldAddress::hold(listen).map_err(ProcessError::system("the address"))?;
@@ -52,25 +51,25 @@
         Some(ReplicaCommand::Stop) | None => return Ok(()),
         Some(_) => return Err(ProcessError::NotStarted),
     };
-    say(ReplicaEvent::Listening { address: replica.address.address() });
+    emit(ReplicaEvent::Listening { address: replica.address.address() });
     while let Some(command) = commands.recv().await.transpose()? {
         match command {
             ReplicaCommand::Start { .. } => return Err(ProcessError::StartedTwice),
             ReplicaCommand::Change { version, server } => replica.service.change(version, server)?,
-            ReplicaCommand::Answer { answering } => replica.answer_like(answering).await?,
+            ReplicaCommand::Answer { answering } => replica.set_answering(answering).await?,
             ReplicaCommand::Reset { version, servers } => replica.service.reset(version, servers),
-            ReplicaCommand::Report => say(ReplicaEvent::Report(replica.service.report())),
+            ReplicaCommand::Report => emit(ReplicaEvent::Report(replica.service.report())),
             ReplicaCommand::Stop => return Ok(()),
         }
     }
     Ok(())
 }
 
-/// A replica that has begun.
+/// A running replica.
 struct Replica {
     address: HeldAddress,
     service: Rc<Service>,
-    /// What accepts connections; `None` while it is away.
+    /// The task that accepts connections; `None` while the replica is away.
     accepting: Option<JoinHandle<()>>,
 }
 
@@ -81,17 +80,17 @@
         Ok(replica)
     }
 
-    async fn answer_like(&mut self, answering: Answering) -> Result<(), ProcessError> {
+    async fn set_answering(&mut self, answering: Answering) -> Result<(), ProcessError> {
         if answering == Answering::Away {
             self.stop_listening().await;
         } else {
             self.listen()?;
         }
-        self.service.answer_like(answering);
+        self.service.set_answering(answering);
         Ok(())
     }
 
-    /// Listens, unless it does already.
+    /// Listens, unless it already does.
     fn listen(&mut self) -> Result<(), ProcessError> {
         if self.accepting.is_none() {
             let listener = self.address.listen().map_err(ProcessError::system("listening"))?;
@@ -100,11 +99,11 @@
         Ok(())
     }
 
-    /// Gives the listening socket up; it is closed by the time that this ends.
+    /// Closes the listening socket.
     async fn stop_listening(&mut self) {
         if let Some(accepting) = self.accepting.take() {
             accepting.abort();
-            // It was aborted: there is nothing to be told.
+            // The error only says that the task was aborted.
             let _ = accepting.await;
         }
     }
--- a/crates/testbed/src/scale/replica/service.rs
+++ b/crates/testbed/src/scale/replica/service.rs
@@ -1,9 +1,9 @@
-//! How a replica answers: whole lists and watches, each in its turn.
+//! The HTTP service of a replica: snapshots and watches, through one queue.
 
 use super::connection::{Bytes, CountedStream};
 use super::list::{Answer, VersionedList};
-use super::queue::{LineQueue, QueueFull};
-use crate::discovery_call::{self, DiscoveryCall};
+use crate::discovery_call::{self, DiscoveryCall, WATCH_CONTINUED_WITHIN};
+use crate::scale::line_queue::{LineQueue, QueueFull};
 use crate::scale::messages::{Answering, ListedServer, ReplicaCapacity, ReplicaReport};
 use crate::scale::process::ProcessError;
 use http_body_util::Full;
@@ -21,12 +21,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-/// A watch goes on if the next call comes within this time of the last answer. Of the protocol.
-const CONTINUED_WITHIN: Duration = Duration::from_millis(200);
-/// The longest head of a request: one without end costs no more than this.
-const LARGEST_HEAD: usize = 16 << 10;
-/// Before the next connection is accepted where the last one could not be, as for want of descriptors.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(10);
+/// The longest head of a request, in bytes; it bounds the memory of a connection.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// The pause after a failure to accept, such as a lack of descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 type HttpAnswer = Response<Full<bytes::Bytes>>;
 
@@ -34,11 +32,13 @@
 pub struct Service {
     capacity: ReplicaCapacity,
     list: RefCell<VersionedList>,
-    /// The list's version, for those who wait for news.
+    /// The version of the list, for watches.
     version: watch::Sender<u64>,
+    /// Times of the queue count from here.
+    started_at: Instant,
     queue: RefCell<LineQueue>,
     answering: watch::Sender<Answering>,
-    /// How often all connections were reset.
+    /// Counts the resets of all connections.
     resets: watch::Sender<u64>,
     bytes: Rc<Bytes>,
     calls: Cell<u64>,
@@ -47,12 +47,13 @@
 }
 
 impl Service {
-    /// Answers with this list, as it should.
+    /// Starts with this list.
     pub fn new(capacity: ReplicaCapacity, version: u64, servers: Vec<ListedServer>) -> Self {
         Self {
             capacity,
             list: RefCell::new(VersionedList::new(version, servers)),
             version: watch::Sender::new(version),
+            started_at: Instant::now(),
             queue: RefCell::new(LineQueue::new(&capacity)),
             answering: watch::Sender::new(Answering::Up),
             resets: watch::Sender::new(0),
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Takes in a server's new entry.
+    /// Changes the entry of a server.
     pub fn change(&self, version: u64, server: ListedServer) -> Result<(), ProcessError> {
         let held = self.list.borrow().version();
         if version <= held {
@@ -74,21 +75,21 @@
         Ok(())
     }
 
-    /// Goes over to another list, whose version may be any.
+    /// Replaces the list. Its version may be lower than the last one.
     pub fn reset(&self, version: u64, servers: Vec<ListedServer>) {
         self.list.replace(VersionedList::new(version, servers));
         self.version.send_replace(version);
     }
 
-    /// Answers like this from here on.
-    pub fn answer_like(&self, answering: Answering) {
+    /// Sets how calls are answered from now on.
+    pub fn set_answering(&self, answering: Answering) {
         if answering == Answering::Away {
             self.resets.send_modify(|resets| *resets += 1);
         }
         self.answering.send_replace(answering);
     }
 
-    /// What was done so far.
+    /// What the replica has done so far.
     pub fn report(&self) -> ReplicaReport {
         let queue = self.queue.borrow();
         ReplicaReport {
@@ -107,14 +108,14 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => drop(spawn_local(self.clone().serve(stream, self.resets.subscribe()))),
-                Err(_) => sleep(ACCEPT_AGAIN).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
     /// Serves one connection, until either end closes it or all are reset.
     async fn serve(self: Rc<Self>, stream: TcpStream, mut resets: watch::Receiver<u64>) {
-        // Answers are whole: there is nothing to wait for, and one that cannot be sent at once is sent all the same.
+        // Without it, answers are sent later but still arrive.
         let _ = stream.set_nodelay(true);
         let stream = CountedStream::new(stream, self.bytes.clone());
         let last_answer = Cell::new(None);
@@ -122,16 +123,17 @@
             let (service, last_answer) = (&self, &last_answer);
             async move { Ok::<_, Infallible>(service.respond(request, last_answer).await) }
         });
-        let mut connection =
-            http1::Builder::new().max_buf_size(LARGEST_HEAD).serve_connection(TokioIo::new(stream), service);
+        let mut connection = http1::Builder::new()
+            .max_buf_size(MAX_HEAD_BYTES)
+            .serve_connection(TokioIo::new(stream), service);
         tokio::select! {
-            // A node that hangs up ends its call with it.
+            // A node that closes the connection ends its call.
             _ = &mut connection => {}
             _ = resets.changed() => connection.into_parts().io.into_inner().reset(),
         }
     }
 
-    /// Answers a call. `last_answer` is when the last watch on this connection had its answer.
+    /// Answers a call. `last_answer` is when the last watch on this connection was answered.
     async fn respond(&self, request: Request<Incoming>, last_answer: &Cell<Option<Instant>>) -> HttpAnswer {
         self.calls.set(self.calls.get() + 1);
         if request.method() != Method::GET || request.uri().path() != discovery_call::PATH {
@@ -139,7 +141,7 @@
         }
         let call = DiscoveryCall::read(request.uri().query());
         let continued = call.after.is_some()
-            && last_answer.take().is_some_and(|answered| answered.elapsed() <= CONTINUED_WITHIN);
+            && last_answer.take().is_some_and(|answered| answered.elapsed() <= WATCH_CONTINUED_WITHIN);
         self.wait_while_silent().await;
         let Ok(answer) = self.answer(call, continued).await else {
             self.refused.set(self.refused.get() + 1);
@@ -151,40 +153,44 @@
         Response::new(Full::new(answer.body))
     }
 
-    /// The answer to a call, once its turn is over.
+    /// The answer to a call, after its turn.
     async fn answer(&self, call: DiscoveryCall, continued: bool) -> Result<Answer, QueueFull> {
         let cost = if continued { self.capacity.continued_call_lines } else { self.capacity.call_lines };
         let Some(after) = call.after else {
             return self.send_in_turn(None, cost).await;
         };
         let came = Instant::now();
-        let handled = self.queue.borrow_mut().charge(came, cost)?;
-        sleep_until(handled).await;
-        // Of its wait, what it has queued is over.
-        self.wait_for_news(after, came + call.wait).await;
+        sleep_until(self.charge(came, cost)?).await;
+        // The time in the queue is part of its wait.
+        self.wait_for_change(after, came + call.wait).await;
         self.wait_while_silent().await;
         self.send_in_turn(Some(after), 0.0).await
     }
 
-    /// Waits until there is something newer than this version, or that time has come.
-    async fn wait_for_news(&self, after: u64, until: Instant) {
+    /// Charges lines and returns the time at which they are worked through.
+    fn charge(&self, now: Instant, lines: f64) -> Result<Instant, QueueFull> {
+        let ends = self.queue.borrow_mut().charge(now - self.started_at, lines)?;
+        self.started_at.checked_add(ends).ok_or(QueueFull)
+    }
+
+    /// Waits until there is a newer version, but no longer than until this time.
+    async fn wait_for_change(&self, after: u64, until: Instant) {
         let mut versions = self.version.subscribe();
-        // The sender lives as long as this; a wait that is over has no news.
+        // The sender lives as long as `self`. A watch that times out is answered without a change.
         let _ = timeout_at(until, versions.wait_for(|version| *version > after)).await;
     }
 
-    /// Charges what is newer than this version as it is by now, and gives it when its turn is over.
+    /// Charges the answer with what is newer than this version by now, and returns it after its turn.
     async fn send_in_turn(&self, after: Option<u64>, more_lines: f64) -> Result<Answer, QueueFull> {
         let answer = self.list.borrow_mut().answer(after);
         let lines = answer.entries as f64 + more_lines;
-        let sent = self.queue.borrow_mut().charge(Instant::now(), lines)?;
-        sleep_until(sent).await;
+        sleep_until(self.charge(Instant::now(), lines)?).await;
         Ok(answer)
     }
 
     async fn wait_while_silent(&self) {
         let mut answering = self.answering.subscribe();
-        // The sender lives as long as this.
+        // The sender lives as long as `self`.
         let _ = answering.wait_for(|answering| *answering != Answering::Silent).await;
     }
 }
--- a/crates/testbed/src/scale/replica_set.rs
+++ b/crates/testbed/src/scale/replica_set.rs
@@ -1,85 +1,85 @@
-//! What each replica of discovery is told: changes at once, late, or not at all while it has lost what it knew.
+//! Replication of the list to the replicas of discovery: at once, with a lag, or not at all while a replica has lost its state.
 
 use super::messages::{ListedServer, ReplicaCommand};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The version of a list whose count has begun anew.
+/// The version that a replica starts again with when it has lost its own.
 const FIRST_VERSION: u64 = 1;
 
-/// The list that discovery has, and what each replica knows of it.
+/// The list of discovery, and the replication to each replica.
 #[derive(Debug)]
 pub struct ReplicaSet {
     version: u64,
     servers: BTreeMap<String, ListedServer>,
-    replicas: Vec<Knowledge>,
+    replicas: Vec<Replication>,
 }
 
 #[derive(Debug, Default)]
-struct Knowledge {
+struct Replication {
     lag: Duration,
-    /// It learns nothing until it is restored.
+    /// It has lost its state, and learns nothing until it is restored.
     lost: bool,
-    /// Changes that it learns later, in the order of time.
-    later: VecDeque<(Instant, ReplicaCommand)>,
+    /// Changes that it learns with a lag, in the order of time.
+    pending: VecDeque<(Instant, ReplicaCommand)>,
 }
 
-/// A command for a replica.
-pub type Told = (usize, ReplicaCommand);
+/// A command, and the number of the replica that it is for.
+pub type AddressedCommand = (usize, ReplicaCommand);
 
 impl ReplicaSet {
-    /// So many replicas that know the same list.
+    /// Creates replicas that all have the same list.
     pub fn new(replicas: u32, version: u64, servers: &[ListedServer]) -> Self {
         let servers = servers.iter().map(|server| (server.host.clone(), server.clone())).collect();
-        Self { version, servers, replicas: (0..replicas).map(|_| Knowledge::default()).collect() }
+        Self { version, servers, replicas: (0..replicas).map(|_| Replication::default()).collect() }
     }
 
-    /// The list's version.
+    /// The version of the list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// How many entries the list has.
+    /// The number of entries of the list.
     pub fn listed(&self) -> usize {
         self.servers.len()
     }
 
-    /// A server's entry is new: what to tell which replica now.
-    pub fn change(&mut self, server: ListedServer, now: Instant) -> Vec<Told> {
+    /// Changes the entry of a server. Returns the commands that are due now.
+    pub fn change(&mut self, server: ListedServer, now: Instant) -> Vec<AddressedCommand> {
         self.version += 1;
         if server.health == "gone" {
             self.servers.remove(&server.host);
         } else {
             self.servers.insert(server.host.clone(), server.clone());
         }
-        let mut told = Vec::new();
+        let mut commands = Vec::new();
         for (number, replica) in self.replicas.iter_mut().enumerate().filter(|(_, replica)| !replica.lost) {
             let command = ReplicaCommand::Change { version: self.version, server: server.clone() };
             if replica.lag.is_zero() {
-                told.push((number, command));
+                commands.push((number, command));
             } else {
-                replica.later.push_back((now + replica.lag, command));
+                replica.pending.push_back((now + replica.lag, command));
             }
         }
-        told
+        commands
     }
 
-    /// A replica learns of changes later by this from now on: what to tell it now.
-    pub fn lag(&mut self, number: usize, by: Duration) -> Vec<Told> {
+    /// Sets the lag of a replica. Returns the commands that are due now.
+    pub fn lag(&mut self, number: usize, by: Duration) -> Vec<AddressedCommand> {
         let Some(replica) = self.replicas.get_mut(number) else { return Vec::new() };
         replica.lag = by;
         if !by.is_zero() {
             return Vec::new();
         }
-        replica.later.drain(..).map(|(_, command)| (number, command)).collect()
+        replica.pending.drain(..).map(|(_, command)| (number, command)).collect()
     }
 
-    /// A replica loses all entries, or its count of versions: what to tell it.
-    pub fn lose(&mut self, number: usize, versions: bool) -> Vec<Told> {
+    /// Makes a replica lose its entries or its version. Returns the command for it.
+    pub fn lose(&mut self, number: usize, versions: bool) -> Vec<AddressedCommand> {
         let Some(replica) = self.replicas.get_mut(number) else { return Vec::new() };
         replica.lost = true;
-        replica.later.clear();
+        replica.pending.clear();
         let command = if versions {
             ReplicaCommand::Reset {
                 version: FIRST_VERSION,
@@ -91,26 +91,26 @@
         vec![(number, command)]
     }
 
-    /// A replica has the list again: what to tell it.
-    pub fn restore(&mut self, number: usize) -> Vec<Told> {
+    /// Restores the list of a replica. Returns the command for it.
+    pub fn restore(&mut self, number: usize) -> Vec<AddressedCommand> {
         let Some(replica) = self.replicas.get_mut(number) else { return Vec::new() };
         replica.lost = false;
         let servers = self.servers.values().cloned().collect();
         vec![(number, ReplicaCommand::Reset { version: self.version, servers })]
     }
 
-    /// When the next replica that lags learns of a change.
+    /// When the next lagging replica learns of a change.
     pub fn next_due(&self) -> Option<Instant> {
-        self.replicas.iter().filter_map(|replica| replica.later.front()).map(|(due, _)| *due).min()
+        self.replicas.iter().filter_map(|replica| replica.pending.front()).map(|(due, _)| *due).min()
     }
 
-    /// What replicas that lag learn by now.
-    pub fn due(&mut self, now: Instant) -> Vec<Told> {
-        let mut told = Vec::new();
+    /// The commands for lagging replicas that are due by now.
+    pub fn due(&mut self, now: Instant) -> Vec<AddressedCommand> {
+        let mut commands = Vec::new();
         for (number, replica) in self.replicas.iter_mut().enumerate() {
-            let ripe = replica.later.partition_point(|(due, _)| *due <= now);
-            told.extend(replica.later.drain(..ripe).map(|(_, command)| (number, command)));
+            let due = replica.pending.partition_point(|(due, _)| *due <= now);
+            commands.extend(replica.pending.drain(..due).map(|(_, command)| (number, command)));
         }
-        told
+        commands
     }
 }
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What a scale run came to: as a table, and as one line of JSON that `fit` reads again.
+//! The report of a scale run: as a table, and as one line of JSON that `fit` reads.
 
 use super::messages::{ReplicaCapacity, ReplicaReport};
 use super::propagation::{LatencyFigures, PropagationFigures, ReadinessFigures};
@@ -8,39 +8,39 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
-/// The version of the format of results.
+/// The version of the JSON format.
 pub const VERSION: u32 = 1;
 
-/// The result of a run.
+/// The report of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScaleReport {
     /// [`VERSION`].
     pub version: u32,
-    /// The script's name.
+    /// The name of the script.
     pub name: String,
-    /// What was drawn by.
+    /// The seed.
     pub seed: u64,
-    /// Hollow nodes.
+    /// The number of hollow nodes.
     pub nodes: u32,
-    /// Real nodes beside them.
+    /// The number of real nodes.
     pub real_nodes: u32,
-    /// Servers on the list at the start.
+    /// The number of servers on the list at the start.
     pub servers: u32,
-    /// Processes that shared the hollow nodes.
+    /// The number of processes of hollow nodes.
     pub hollow_processes: u32,
-    /// Replicas that ran.
+    /// The number of replicas.
     pub replicas: u32,
-    /// Nodes knew all replicas and what each can do.
+    /// Whether nodes knew all replicas and their capacity.
     pub mechanism: bool,
-    /// What one replica could do.
+    /// The capacity of a replica.
     pub capacity: ReplicaCapacity,
     /// The longest delay of a step of the run: beyond a few hundred milliseconds, the machine was too busy for meaningful
     /// times.
     #[serde(rename = "most_late_ms")]
     pub longest_step_delay_ms: f64,
-    /// Nothing happens.
+    /// The figures before the first event.
     pub rest: WindowFigures,
-    /// From the first event until all have caught up; none where nothing happens.
+    /// The figures from the first event until all nodes have caught up; `None` without events.
     pub active: Option<WindowFigures>,
     /// From a change of the list to the nodes that apply it.
     #[serde(rename = "acts")]
@@ -48,25 +48,25 @@
     /// From the start of a node without a list to its first list.
     #[serde(rename = "ready")]
     pub readiness: ReadinessFigures,
-    /// Processor time of a node for a change that it acts on, above that at rest, in microseconds; none where whole lists
-    /// were taken as well, since the two can't be told apart.
+    /// Processor time of a node for each delta that it applies, above that at rest, in microseconds; `None` if snapshots were
+    /// applied as well, since the two can't be distinguished.
     pub node_change_us: Option<f64>,
-    /// Processor time of a node for a whole list, above that at rest, in microseconds; none where most lists were changes.
+    /// Processor time of a node for each snapshot, above that at rest, in microseconds; `None` if most lists were deltas.
     pub node_whole_list_us: Option<f64>,
-    /// What each replica did, from the beginning of the measurement to its end.
+    /// What each replica did during the measurement.
     pub replica_loads: Vec<ReplicaReport>,
-    /// The largest calls over the mean of all replicas.
+    /// The largest number of calls of a replica over the mean of all replicas.
     pub calls_largest_over_mean: f64,
-    /// The largest lines over the mean of all replicas.
+    /// The largest number of lines of a replica over the mean of all replicas.
     pub lines_largest_over_mean: f64,
-    /// Real nodes beside the hollow ones.
+    /// The figures of the real nodes, if there are any.
     pub real: Option<RealFigures>,
 }
 
-/// What a time of the run cost, by role.
+/// What a part of the run cost, by role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WindowFigures {
-    /// How long it was.
+    /// Its duration, in seconds.
     pub seconds: f64,
     /// Processor time of all processes of hollow nodes, in seconds.
     pub hollow_processor_s: f64,
@@ -112,7 +112,7 @@
     pub node_messages_per_s: f64,
 }
 
-/// What the real nodes came to, by the judge of the four rules.
+/// The figures of the real nodes, as the judge has them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RealFigures {
     /// Processes.
@@ -144,7 +144,7 @@
 }
 
 impl WindowFigures {
-    /// Of a time with so many hollow and real nodes, and servers.
+    /// The figures of a window with so many hollow nodes, real nodes and servers.
     pub fn new(window: &Window, nodes: u32, real_nodes: u32, servers: u32) -> Self {
         let seconds = window.seconds.max(f64::MIN_POSITIVE);
         let node_seconds = f64::from(nodes) * seconds;
@@ -181,8 +181,8 @@
 }
 
 impl ScaleReport {
-    /// Whether every node that lived acted on every change, every node that was started got a list, nothing came later
-    /// than the script expects, and the real nodes broke no rule.
+    /// Whether every running node applied every change, every started node got a list, nothing was later than the script
+    /// expects, and the real nodes violated no rule.
     pub fn all_met(&self) -> bool {
         let rules_held = self.real.as_ref().is_none_or(|real| real.rules_broken == [0; 4]);
         self.propagation.never == 0 && self.propagation.late == 0 && self.readiness.never == 0 && rules_held
@@ -191,7 +191,7 @@
     /// One line of JSON.
     ///
     /// # Errors
-    /// When a figure can't be written.
+    /// If a figure can't be represented.
     pub fn json(&self) -> Result<String, serde_json::Error> {
         serde_json::to_string(self)
     }
@@ -199,7 +199,7 @@
     /// Reads what [`Self::json`] wrote.
     ///
     /// # Errors
-    /// When it is no result of this version.
+    /// If it is not a report of this version.
     pub fn parse(text: &str) -> Result<Self, serde_json::Error> {
         let report: Self = serde_json::from_str(text)?;
         if report.version == VERSION {
@@ -327,7 +327,7 @@
     }
 }
 
-/// A table with these headers, figures to the right.
+/// A table with these headers and right-aligned figures.
 pub(super) fn bordered<const N: usize>(headers: [&str; N]) -> Table {
     let mut table = Table::new();
     table.load_preset(UTF8_BORDERS_ONLY).set_header(headers);
@@ -348,7 +348,7 @@
     counts.join(", ")
 }
 
-/// The largest over the mean; 0 where there is nothing.
+/// The largest value over the mean; 0 if there are no values.
 pub fn largest_over_mean(values: impl Iterator<Item = f64>) -> f64 {
     let (count, sum, largest) = values.fold((0.0, 0.0, 0.0_f64), |(count, sum, largest), value| {
         (count + 1.0, sum + value, largest.max(value))
--- a/crates/testbed/src/scale/run/executor.rs
+++ b/crates/testbed/src/scale/run/executor.rs
@@ -7,7 +7,7 @@
 };
 use crate::scale::propagation::Propagation;
 use crate::scale::real_fleet::RealFleet;
-use crate::scale::replica_set::{ReplicaSet, Told};
+use crate::scale::replica_set::{AddressedCommand, ReplicaSet};
 use crate::scale::report::RealFigures;
 use crate::scale::script::ScaleScript;
 use crate::scale::steps::Step;
@@ -235,7 +235,7 @@
         self.send_all(commands).await
     }
 
-    async fn send_all(&mut self, commands: Vec<Told>) -> Result<(), RunError> {
+    async fn send_all(&mut self, commands: Vec<AddressedCommand>) -> Result<(), RunError> {
         for (replica, command) in commands {
             self.processes.send_to_replica(replica, &command).await?;
         }
--- a/crates/testbed/src/scale/scenarios.rs
+++ b/crates/testbed/src/scale/scenarios.rs
@@ -8,7 +8,7 @@
     };
 }
 
-/// All of them.
+/// All scripts.
 pub const ALL: &[Scenario] = shipped![
     "quiet",
     "changes",
--- a/crates/testbed/src/scale/script.rs
+++ b/crates/testbed/src/scale/script.rs
@@ -1,4 +1,4 @@
-//! The script of a scale run: how many nodes, servers and replicas there are, what each replica can do, and what happens.
+//! The script of a scale run: the numbers of nodes, servers and replicas, the capacity of a replica, and the events.
 
 use super::messages::ReplicaCapacity;
 use checked_toml::{time_text, Document, Fault, Table};
@@ -7,111 +7,111 @@
 
 /// The version of the format that this program reads.
 pub const VERSION: u64 = 1;
-/// How many hollow nodes a run may have.
+/// The range of the number of hollow nodes.
 pub const NODES: RangeInclusive<u64> = 1..=20_000;
-/// How many servers the list may begin with.
+/// The range of the number of servers on the list at the start.
 pub const SERVERS: RangeInclusive<u64> = 1..=4_000;
-/// How many replicas of discovery there may be: as many as a node's configuration takes.
+/// The range of the number of replicas of discovery, which is that of a node's configuration.
 pub const REPLICAS: RangeInclusive<u64> = 1..=64;
-/// How many processes may hold the hollow nodes.
+/// The range of the number of processes of hollow nodes.
 pub const HOLLOW_PROCESSES: RangeInclusive<u64> = 1..=200;
-/// How many real nodes may run beside the hollow ones.
+/// The range of the number of real nodes.
 pub const REAL_NODES: RangeInclusive<u64> = 0..=20;
 
 const ZONES: RangeInclusive<u64> = 1..=64;
-const A_DAY: RangeInclusive<f64> = 1.0..=10_000_000.0;
+const PER_DAY: RangeInclusive<f64> = 1.0..=10_000_000.0;
 const LENGTH: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(3_600);
 const STEP: RangeInclusive<Duration> = Duration::from_millis(10)..=Duration::from_secs(600);
 
 /// A scale run. The fields are those of the file, in the same words.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScaleScript {
-    /// A word or a few, for lists and titles.
+    /// The name, for lists and titles.
     pub name: String,
-    /// What it shows.
+    /// What the run shows.
     pub about: String,
-    /// Decides every draw.
+    /// The seed of all random values.
     pub seed: u64,
-    /// From the start of all nodes until the measurement begins.
+    /// The time from the start of all nodes to the beginning of the measurement.
     pub settle: Duration,
-    /// How long is measured. Before the first event, nodes are at rest.
+    /// The duration of the measurement. Before the first event, nodes are at rest.
     pub length: Duration,
-    /// After `length`, nodes that are behind have so long to catch up.
+    /// How long nodes that are behind have to catch up after `length`.
     pub catch_up: Duration,
-    /// A change is expected to be in force at every node within this time.
+    /// Every node is expected to apply a change within this time.
     pub within: Option<Duration>,
-    /// Hollow nodes.
+    /// The number of hollow nodes.
     pub nodes: u32,
-    /// Servers on the list.
+    /// The number of servers on the list.
     pub servers: u32,
-    /// Processes that share the hollow nodes evenly.
+    /// The number of processes, which share the hollow nodes evenly.
     pub hollow_processes: u32,
-    /// Zones; nodes and servers are dealt out to them in turn.
+    /// The number of zones. Nodes and servers are dealt out to them in turn.
     pub zones: u32,
-    /// Regions; zones are dealt out to them in turn, and bear their names.
+    /// The number of regions. Zones are dealt out to them in turn, and have names that begin with theirs.
     pub regions: u32,
-    /// Replicas of discovery.
+    /// The number of replicas of discovery.
     pub replicas: u32,
-    /// Nodes know all replicas and what each can do; else all nodes know the first replica's address only.
+    /// Whether nodes know all replicas and their capacity; otherwise they know only the address of the first replica.
     pub mechanism: bool,
-    /// What one replica can do.
+    /// The capacity of a replica.
     pub capacity: ReplicaCapacity,
-    /// Real nodes under load beside the hollow ones.
+    /// The real nodes and their load.
     pub real: RealLoad,
-    /// What happens.
+    /// The events.
     pub events: Vec<Event>,
 }
 
-/// Real nodes beside the hollow ones, and what is asked of them.
+/// Real nodes and their load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RealLoad {
-    /// How many processes of the real program.
+    /// The number of real nodes, each a process of the daemon.
     pub nodes: u32,
-    /// Requests a second, over all of them.
+    /// Requests per second, over all of them.
     pub rate: f64,
 }
 
-/// Something that happens.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
     /// When it begins, from the beginning of the measurement.
     pub at: Duration,
-    /// How long it takes; none for what nothing ends.
+    /// How long it lasts; `None` if nothing ends it.
     pub over: Option<Duration>,
-    /// What it is.
+    /// The event.
     pub what: EventKind,
 }
 
-/// What can happen.
+/// A kind of event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EventKind {
-    /// Servers are replaced: one drains, is gone one `step` later, and its successor is ready after another.
+    /// Servers are replaced: one drains, is removed one `step` later, and its successor is ready after another `step`.
     Changes {
-        /// Changes of the list a day; each replacement makes three.
+        /// Changes of the list per day; each replacement makes three.
         per_day: f64,
         /// See above.
         step: Duration,
     },
-    /// Nodes and servers are restarted, drawn in proportion to their numbers. A node comes back without a list.
+    /// Nodes and servers restart, chosen at random in proportion to their numbers. A node comes back without a list.
     Restarts {
-        /// Restarts a day.
+        /// Restarts per day.
         per_day: f64,
-        /// Each is down for so long.
+        /// The downtime of each.
         down: Duration,
-        /// Nodes alone are restarted.
+        /// Whether only nodes restart.
         nodes_only: bool,
     },
-    /// A zone's nodes are killed and its servers gone; at the end all are back.
+    /// The nodes of a zone are killed and its servers removed; at the end all are back.
     Zone {
-        /// Its number from 0; drawn where none is given.
+        /// Its number from 0; `None` for a random one.
         zone: Option<u32>,
     },
     /// A replica resets its connections and refuses new ones.
     ReplicaLost {
-        /// Its number from 0; drawn among those that nodes know where none is given.
+        /// Its number from 0; `None` for a random one of those that nodes know.
         replica: Option<u32>,
     },
-    /// A replica accepts connections and says nothing.
+    /// A replica accepts connections and does not answer.
     ReplicaSilent {
         /// As above.
         replica: Option<u32>,
@@ -120,35 +120,35 @@
     ReplicaLagging {
         /// As above.
         replica: Option<u32>,
-        /// By so much.
+        /// The lag.
         lag: Duration,
     },
-    /// A replica loses what it knows, and learns it again at the end.
+    /// A replica loses its entries or its version until the end.
     ReplicaReset {
         /// As above.
         replica: Option<u32>,
-        /// It loses its count of versions, which begins anew at 1; else all entries.
+        /// Whether it loses its version, which starts again from 1, instead of its entries.
         versions: bool,
     },
     /// All replicas are lost.
     DiscoveryAway,
-    /// Nodes are told to use the first so many replicas; nothing else happens at the end.
+    /// Nodes are configured to use only the first replicas. Nothing changes at the end.
     ReplicaSet {
-        /// So many.
+        /// The number of replicas.
         replicas: u32,
     },
 }
 
 impl ScaleScript {
-    /// Reads a script's text. `file` is what faults call it.
+    /// Reads a script's text. `file` is the name that faults give it.
     ///
     /// # Errors
-    /// All faults, in the order of their lines.
+    /// All faults of the text, in the order of their lines.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
         Document::read(file, text, script)
     }
 
-    /// How many replicas nodes know at the start.
+    /// The number of replicas that nodes know at the start.
     pub fn known_replicas(&self) -> u32 {
         if self.mechanism {
             self.replicas
@@ -157,30 +157,30 @@
         }
     }
 
-    /// How many replicas have to run: those that nodes know at any time.
+    /// The number of replicas that run: the most that nodes know at any time.
     pub fn running_replicas(&self) -> u32 {
         if !self.mechanism {
             return 1;
         }
-        let told = self.events.iter().filter_map(|event| match event.what {
+        let configured = self.events.iter().filter_map(|event| match event.what {
             EventKind::ReplicaSet { replicas } => Some(replicas),
             _ => None,
         });
-        told.fold(self.replicas, u32::max)
+        configured.fold(self.replicas, u32::max)
     }
 
-    /// The name of a zone. It holds its region's.
+    /// The name of a zone, which begins with that of its region.
     pub fn zone_name(&self, zone: u32) -> String {
         format!("r{:02}-z{zone:02}", zone % self.regions)
     }
 
-    /// When the first event begins; the end of the measurement where there is none.
+    /// When the first event begins; the end of the measurement if there is none.
     pub fn first_event(&self) -> Duration {
         self.events.iter().map(|event| event.at).min().unwrap_or(self.length)
     }
 }
 
-fn named(text: &str) -> bool {
+fn is_name(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= 64
         && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b))
@@ -200,7 +200,7 @@
         top.fault("regions", format!("expected no more regions than the {zones} zones, found {regions}"));
     }
     ScaleScript {
-        name: top.need("name", top.text("name", "a name of up to 64 letters, digits, '-' and '_'", named)),
+        name: top.need("name", top.text("name", "a name of up to 64 letters, digits, '-' and '_'", is_name)),
         about: top.text("about", "text", |_| true).unwrap_or_default(),
         seed: top.count("seed", 0..=u64::MAX).unwrap_or(1),
         settle: top.time("settle", Duration::ZERO..=*LENGTH.end()).unwrap_or(Duration::from_secs(5)),
@@ -214,14 +214,16 @@
         regions,
         replicas,
         mechanism: top.flag("mechanism").unwrap_or(true),
-        capacity: top.need("capacity", top.table("capacity", |table| Some(capacity(table)))).unwrap_or(NONE),
+        capacity: top
+            .need("capacity", top.table("capacity", |table| Some(capacity(table))))
+            .unwrap_or(NO_CAPACITY),
         real: top.table("real", real).unwrap_or(RealLoad { nodes: 0, rate: 50.0 }),
         events: events(top, length, zones, replicas),
     }
 }
 
-/// Stands in for a capacity that is missing, which is a fault.
-const NONE: ReplicaCapacity =
+/// The capacity of a script that states none, which is a fault.
+const NO_CAPACITY: ReplicaCapacity =
     ReplicaCapacity { lines_per_second: 0.0, call_lines: 0.0, continued_call_lines: 0.0, queue_limit_ms: 0 };
 
 fn capacity(table: &Table) -> ReplicaCapacity {
@@ -282,7 +284,7 @@
 }
 
 fn event_kind(table: &Table, kind: &str, zones: u32, replicas: u32) -> EventKind {
-    let per_day = || table.need("per_day", table.number("per_day", A_DAY));
+    let per_day = || table.need("per_day", table.number("per_day", PER_DAY));
     let below = |name, count: u32| {
         let number = table.count(name, 0..=u64::from(count.saturating_sub(1)));
         number.map(|number| number as u32)
--- a/crates/testbed/src/scale/snapshot.rs
+++ b/crates/testbed/src/scale/snapshot.rs
@@ -1,21 +1,21 @@
-//! What all processes of a run have cost and done at one time, and the difference between two such times.
+//! Snapshots of what all processes of a run have cost and done, and the difference between two of them.
 
 use super::measure::Cost;
 use super::messages::ReplicaReport;
 use std::time::Instant;
 
-/// At one time, since the start of each process.
+/// What all processes have cost and done since their start.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// When.
+    /// When it was taken.
     pub at: Instant,
-    /// All processes of hollow nodes.
+    /// The cost of all processes of hollow nodes.
     pub hollow: Cost,
-    /// All replicas.
+    /// The cost of all replicas.
     pub replicas: Cost,
-    /// The run itself.
+    /// The cost of the run itself.
     pub run: Cost,
-    /// All real nodes.
+    /// The cost of all real nodes.
     pub real: Cost,
     /// What each replica has done.
     pub reports: Vec<ReplicaReport>,
@@ -23,18 +23,18 @@
     pub failed_calls: u64,
 }
 
-/// Between two times. Memory is that at the end.
+/// The difference between two snapshots. Memory is that of the later one.
 #[derive(Clone, Debug)]
 pub struct Window {
-    /// How long.
+    /// The time between them, in seconds.
     pub seconds: f64,
-    /// All processes of hollow nodes.
+    /// The cost of all processes of hollow nodes.
     pub hollow: Cost,
-    /// All replicas.
+    /// The cost of all replicas.
     pub replicas: Cost,
-    /// The run itself.
+    /// The cost of the run itself.
     pub run: Cost,
-    /// All real nodes.
+    /// The cost of all real nodes.
     pub real: Cost,
     /// What all replicas did together.
     pub calls: ReplicaReport,
@@ -43,7 +43,7 @@
 }
 
 impl Snapshot {
-    /// From an earlier time to this one.
+    /// The difference from an earlier snapshot to this one.
     pub fn since(&self, earlier: &Self) -> Window {
         Window {
             seconds: self.at.duration_since(earlier.at).as_secs_f64(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// What each replica did from an earlier time to this one. The longest queue is that of the whole run.
+    /// What each replica did between an earlier snapshot and this one. The longest queue is that of the whole run.
     pub fn loads_since(&self, earlier: &Self) -> Vec<ReplicaReport> {
         self.reports.iter().zip(&earlier.reports).map(|(now, before)| done(now, before)).collect()
     }
--- a/crates/testbed/src/scale/virtual_time/calls.rs
+++ b/crates/testbed/src/scale/virtual_time/calls.rs
@@ -6,11 +6,10 @@
 use super::nodes::{Call, CallResult, Connection};
 use super::replica::Answer;
 use super::simulation::{Simulation, LATENCY};
+use crate::discovery_call::WATCH_CONTINUED_WITHIN;
 use crate::scale::messages::Answering;
 use std::time::Duration;
 
-/// A call continues a watch if it comes within this time of the last answer. Defined by discovery's protocol.
-const WATCH_CONTINUED_WITHIN: Duration = Duration::from_millis(200);
 /// The round trips, in latencies, until a call on a new connection arrives.
 const NEW_CONNECTION_LATENCIES: u32 = 3;
 
--- a/crates/testbed/src/scale/virtual_time/client.rs
+++ b/crates/testbed/src/scale/virtual_time/client.rs
@@ -1,4 +1,4 @@
-//! What decides for a node which replica it asks, for what, for how long, and how soon again.
+//! The decisions of a discovery client: which replica it calls, for what, how long it waits, and when it calls again.
 
 use super::scene::Scene;
 use balancer_core::asking::{Call, End, Pace, Terms};
@@ -8,84 +8,86 @@
 use balancer_core::{EndpointState, Timestamp};
 use std::time::Duration;
 
-/// A connection that does not come up is given up after this time: to a discovery that has no replicas, and to one of several.
-const CONNECT: Duration = Duration::from_secs(2);
-const CONNECT_TO_REPLICA: Duration = Duration::from_secs(1);
-/// For how long a list is good, and how long a server may be sent to after it left it: as nodes are told on the platform.
-const ASK_WITHIN: Duration = Duration::from_secs(10);
+/// The connect timeout to a discovery without replicas.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// The connect timeout to one of several replicas.
+const REPLICA_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The maximum poll interval, as the platform configures nodes.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
+/// The drain grace, as the platform configures nodes.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
-/// A call that a node makes.
+/// The parameters of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NextCall {
     /// The replica, by number.
     pub replica: u32,
-    /// What is newer than this version is asked for; `None` for the whole list.
+    /// The node wants what is newer than this version; `None` for the whole list.
     pub after: Option<u64>,
-    /// Discovery is asked to wait for so long for news.
+    /// How long discovery waits for a change.
     pub wait: Duration,
-    /// The node gives the call up after this time.
+    /// The timeout of the call.
     pub limit: Duration,
-    /// And after this time, where no connection comes up.
+    /// The timeout of the connection.
     pub connect: Duration,
 }
 
-/// A list, or changes of one, as the client has read it.
+/// A snapshot or delta as the client has read it.
 #[derive(Clone, Debug)]
 pub struct Listing<'a> {
     /// Its version.
     pub version: u64,
-    /// It is the whole list.
+    /// Whether it is a snapshot.
     pub whole: bool,
     /// Its entries.
     pub entries: Vec<Listed<'a>>,
 }
 
-/// What came of a call.
+/// The end of a call.
 #[derive(Clone, Debug)]
 pub enum CallEnd<'a> {
-    /// A list came.
+    /// An answer arrived.
     Answered {
-        /// So long after the call.
+        /// The time since the call.
         took: Duration,
         /// The list.
         listing: Listing<'a>,
     },
-    /// The node gave it up.
+    /// The call timed out.
     Overdue,
-    /// No connection came up.
+    /// No connection was established.
     Unreached {
-        /// In this time.
+        /// The time since the call.
         took: Duration,
     },
-    /// The replica has too much to do, and said so.
+    /// The replica rejected it because its queue was full.
     Refused {
-        /// So long after the call.
+        /// The time since the call.
         took: Duration,
     },
-    /// Its connection was reset.
+    /// The connection was reset.
     Failed,
 }
 
-/// What follows from a call's end.
+/// What follows from the end of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Next {
-    /// The next call is made after this time.
+    /// The pause before the next call.
     pub pause: Duration,
-    /// The node acts on a list of this version from now on.
+    /// The version of the list that the node has applied; `None` if it applied none.
     pub applied: Option<u64>,
 }
 
-/// The decisions of one node's client. `random` gives random numbers from 0 to 1.
+/// The decisions of a node's discovery client. `random` returns uniform random values from 0 to 1.
 pub trait ClientDecisions {
     /// The next call.
     fn next_call(&mut self, now: Duration, random: &mut dyn FnMut() -> f64) -> NextCall;
 
-    /// Takes in how the last call ended.
+    /// Takes in the end of the last call.
     fn ended(&mut self, now: Duration, end: CallEnd, random: &mut dyn FnMut() -> f64) -> Next;
 }
 
-/// The real decisions: of a client that knows one address, or several replicas and what each can do.
+/// The real decisions, for one address or for several replicas of known capacity.
 pub struct ReplicasClient {
     terms: Terms,
     capacity: Option<Capacity>,
@@ -96,7 +98,7 @@
 }
 
 impl ReplicasClient {
-    /// Of a node that has not called yet.
+    /// Creates the decisions of a node that has not called yet.
     pub fn new(start: &ClientStart) -> Self {
         let script = &start.scene.script;
         let names: Vec<_> = (0..script.known_replicas()).map(replica_name).collect();
@@ -126,8 +128,8 @@
         Pace::of(self.terms, self.client.replicas().serving(), self.capacity, list_lines)
     }
 
-    /// Whether a list is taken.
-    fn takes(&mut self, listing: &Listing) -> bool {
+    /// Whether a list is accepted.
+    fn accepts(&mut self, listing: &Listing) -> bool {
         let place = self.client.replicas().current();
         let replica = self.names.get(place).map_or("", String::as_str);
         let teller = Teller { replica, replicas: self.names.len() };
@@ -137,7 +139,7 @@
     fn end(&mut self, end: CallEnd) -> (EndOfCall, Option<u64>) {
         let other = EndOfCall::Other;
         match end {
-            CallEnd::Answered { took, listing } if self.takes(&listing) => {
+            CallEnd::Answered { took, listing } if self.accepts(&listing) => {
                 let news = !listing.entries.is_empty();
                 (other(End::Answered { took, news }), Some(listing.version))
             }
@@ -158,7 +160,7 @@
             after: self.membership.asks_after(),
             wait,
             limit,
-            connect: if self.names.len() > 1 { CONNECT_TO_REPLICA } else { CONNECT },
+            connect: if self.names.len() > 1 { REPLICA_CONNECT_TIMEOUT } else { CONNECT_TIMEOUT },
         }
     }
 
@@ -172,24 +174,24 @@
     }
 }
 
-/// What nodes call a replica.
+/// The name by which nodes know a replica.
 fn replica_name(replica: u32) -> String {
     format!("10.0.0.{}:7100", replica + 1)
 }
 
-/// An entry as the client reads it: every server of a scene has an address.
+/// An entry as the client reads it. Every server of a scene has an address.
 pub fn listed(name: &str, state: EndpointState) -> Listed<'_> {
     Listed { name, state, has_address: true }
 }
 
-/// A node whose decisions are to be made.
+/// A node that starts.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientStart<'a> {
     /// The scene.
     pub scene: &'a Scene,
     /// Its number.
     pub node: u32,
-    /// The version of the list that it begins with, and the servers on it; `None` where it begins without one.
+    /// The version and the servers of the list that it starts with; `None` if it starts without one.
     pub list: Option<(u64, &'a [String])>,
 }
 
@@ -199,10 +201,10 @@
         format!("h{}", self.node)
     }
 
-    /// What it knows of asking.
+    /// Its polling parameters.
     pub fn terms(&self) -> Terms {
         let nodes = self.scene.script.nodes;
-        Terms { nodes, within: ASK_WITHIN, grace: DRAIN_GRACE, asked: true }
+        Terms { nodes, within: MAX_POLL_INTERVAL, grace: DRAIN_GRACE, asked: true }
     }
 
     /// The real decisions.
--- a/crates/testbed/src/scale/virtual_time/measure.rs
+++ b/crates/testbed/src/scale/virtual_time/measure.rs
@@ -1,25 +1,25 @@
-//! What came of a play: how long changes took, and what replicas did.
+//! The outcome of a run: how long changes took, and what the replicas did.
 
 use serde::ser::SerializeStruct;
 use serde::{Serialize, Serializer};
 use std::fmt;
 use std::time::Duration;
 
-/// A call, without a body: its line and the name of the host.
+/// The bytes of a call, which has no body.
 const CALL_BYTES: u64 = 75;
-/// An answer, without entries: its head, and what holds the entries.
+/// The bytes of an answer without entries.
 const ANSWER_BYTES: u64 = 111;
 
-/// Times, counted by the millisecond.
+/// A histogram of times by the millisecond.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Latencies {
-    /// How many there are of each whole millisecond.
+    /// The number of times of each whole millisecond.
     by_millisecond: Vec<u64>,
     count: u64,
 }
 
 impl Latencies {
-    /// One more.
+    /// Adds a time.
     pub fn add(&mut self, time: Duration) {
         let place = time.as_millis() as usize;
         if place >= self.by_millisecond.len() {
@@ -29,12 +29,12 @@
         self.count += 1;
     }
 
-    /// How many there are.
+    /// The number of times.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// The time that this part of all come to or less, in whole milliseconds; `None` where there are none.
+    /// The quantile of this fraction, in whole milliseconds; `None` if there are no times.
     pub fn quantile(&self, part: f64) -> Option<Duration> {
         let wanted = ((self.count as f64 * part).ceil() as u64).clamp(1, self.count.max(1));
         let mut seen = 0;
@@ -71,9 +71,9 @@
 pub struct ReplicaOutcome {
     /// Calls that reached it.
     pub calls: u64,
-    /// Calls that it refused.
+    /// Calls that it rejected.
     pub refused: u64,
-    /// Answers that it wrote.
+    /// Answers that it sent.
     pub answers: u64,
     /// Of these, whole lists.
     pub whole_lists: u64,
@@ -81,12 +81,12 @@
     pub lines: f64,
     /// Bytes of entries in its answers.
     pub entry_bytes: u64,
-    /// The longest time that a call waited for its turn, over the whole play.
+    /// The longest time that a call waited for its turn, over the whole run.
     pub longest_queue: Duration,
 }
 
 impl ReplicaOutcome {
-    /// Bytes of calls and answers in both directions: of heads that always take the same, and of entries.
+    /// The bytes of calls and answers: heads of a fixed size, and entries.
     pub fn bytes(&self) -> u64 {
         self.calls * CALL_BYTES + (self.answers + self.refused) * ANSWER_BYTES + self.entry_bytes
     }
@@ -104,44 +104,44 @@
     }
 }
 
-/// Lines that a replica worked through.
+/// Lines that a replica sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
     /// The replica.
     pub replica: u32,
-    /// When the last of them was done.
+    /// When the last of them was sent.
     pub at: Duration,
-    /// How many.
+    /// The number of lines.
     pub lines: f64,
 }
 
-/// What came of a play.
+/// The outcome of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Outcome {
     /// Nodes of the scene.
     pub nodes: u32,
-    /// From the beginning of the measurement to the end of the play.
+    /// The time from the beginning of the measurement to the end of the run.
     pub measured: Duration,
     /// Changes of the list.
     pub changes: u64,
-    /// From a change at discovery until a node acts on it, for each change and each node that ran at that time and did not
-    /// end before it had it.
+    /// The time from a change at discovery until a node applies it, for each change and each node that ran at that time and
+    /// did not end before.
     pub latencies: Latencies,
-    /// Pairs of a change and such a node that has not got it by the end.
+    /// Pairs of a change and such a node that has not applied it by the end.
     pub never: u64,
     /// Nodes launched without a list.
     pub launches: u64,
-    /// From each launch until the node holds a list, of those that were not killed before.
+    /// The time from each launch until the node has a list, of nodes that were not killed before.
     pub lists: Latencies,
-    /// Nodes that run at the end and hold no list.
+    /// Nodes that run at the end and have no list.
     pub without_list: u64,
-    /// What it takes the replicas that nodes know to send as many whole lists as there were launches.
+    /// The time that the replicas that nodes know take to send as many whole lists as there were launches.
     pub sending_takes: Duration,
-    /// Calls that nodes gave up.
+    /// Calls that timed out.
     pub overdue: u64,
     /// Calls that did not reach a replica.
     pub unreached: u64,
-    /// How often a node went from a version to an earlier one.
+    /// The number of times that a node went back to an earlier version.
     pub went_back: u64,
     /// What each replica did.
     pub replicas: Vec<ReplicaOutcome>,
--- a/crates/testbed/src/scale/virtual_time/mod.rs
+++ b/crates/testbed/src/scale/virtual_time/mod.rs
@@ -1,13 +1,12 @@
-//! The control plane in virtual time: clients of discovery with the real decisions, against replicas of discovery that have
-//! one queue each. No sockets and no wall clock: the same scene and seed give the same bytes.
+//! The control plane in virtual time: discovery clients with the real decisions, against replicas of discovery with one queue
+//! each. There are no sockets and no wall clock: the same scene and seed give the same bytes.
 //!
-//! What is played is what a node does beside serving: it asks, waits, takes lists, fails and asks again. Connections cost
-//! nothing but their way; messages are whole.
+//! What a node does beside its discovery client is left out. Connections cost nothing but latency; messages arrive whole.
 //!
-//! - [`Scene`] says what the world is and what happens; [`scenes`] makes those that are played by name.
-//! - [`client`] holds the decisions of one node.
-//! - [`simulation`] runs one; [`replica`] is the queue, the list and the watches of one replica.
-//! - [`Outcome`] is what came of it; [`table`] shows several side by side.
+//! - [`Scene`] has a script and what happens; [`scenes`] are those with a name.
+//! - [`client`] has the decisions of one node.
+//! - [`simulation`] runs a scene; [`replica`] is the queue, the list and the watches of one replica.
+//! - [`Outcome`] is the result; [`table`] compares several.
 
 mod calls;
 pub mod client;
--- a/crates/testbed/src/scale/virtual_time/replica.rs
+++ b/crates/testbed/src/scale/virtual_time/replica.rs
@@ -1,73 +1,16 @@
-//! One replica of discovery: a queue that works through lines at a stated rate, a list that is known up to some version,
-//! and watches that wait for news.
+//! A replica of discovery: a queue of bounded rate, a list that is known up to some version, and watches.
 
 use super::event_queue::CallId;
 use super::versions::{ServerNumber, Versions, FIRST_VERSION};
+use crate::scale::line_queue::LineQueue;
 use crate::scale::messages::{Answering, ReplicaCapacity};
+use crate::scale::replica::CHANGES_KEPT;
 use balancer_core::EndpointState;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
-use thiserror::Error;
 
-/// Changes that are remembered; whoever holds an older list is told the whole one.
-const CHANGES_KEPT: u64 = 4_096;
-
-/// The queue is too long for one more call or answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the queue is full")]
-pub struct QueueFull;
-
-/// Works through what is charged, in turn.
-#[derive(Clone, Debug)]
-pub struct LineQueue {
-    lines_per_second: f64,
-    limit: Duration,
-    free_at: Duration,
-    lines: f64,
-    longest_wait: Duration,
-}
-
-impl LineQueue {
-    /// An empty one.
-    pub fn new(capacity: &ReplicaCapacity) -> Self {
-        Self {
-            lines_per_second: capacity.lines_per_second,
-            limit: Duration::from_millis(capacity.queue_limit_ms),
-            free_at: Duration::ZERO,
-            lines: 0.0,
-            longest_wait: Duration::ZERO,
-        }
-    }
-
-    /// Charges so many lines and gives the time at which they are worked through.
-    ///
-    /// # Errors
-    /// Nothing is charged where their turn would begin later than the limit.
-    pub fn charge(&mut self, now: Duration, lines: f64) -> Result<Duration, QueueFull> {
-        let begins = self.free_at.max(now);
-        let wait = begins - now;
-        if wait > self.limit {
-            return Err(QueueFull);
-        }
-        self.free_at = begins + Duration::from_secs_f64(lines / self.lines_per_second);
-        self.lines += lines;
-        self.longest_wait = self.longest_wait.max(wait);
-        Ok(self.free_at)
-    }
-
-    /// Lines charged so far.
-    pub fn lines(&self) -> f64 {
-        self.lines
-    }
-
-    /// The longest wait for a turn so far.
-    pub fn longest_wait(&self) -> Duration {
-        self.longest_wait
-    }
-}
-
-/// What a call is answered with.
+/// The answer to a call.
 #[derive(Debug)]
 pub(super) struct Answer {
     pub(super) version: u64,
@@ -75,21 +18,21 @@
     pub(super) entries: Vec<(ServerNumber, EndpointState)>,
 }
 
-/// See the module's page.
+/// The state of a replica.
 #[derive(Debug)]
 pub(super) struct Replica {
     pub(super) answering: Answering,
     pub(super) queue: LineQueue,
-    /// It learns of each change later by this.
+    /// How much later than others it learns of changes.
     pub(super) lag: Duration,
     version: u64,
     servers: BTreeMap<ServerNumber, EndpointState>,
     answers: HashMap<Option<u64>, Rc<Answer>>,
-    /// Watches by the order in which they began to wait, and the version that each holds.
+    /// Watches in the order in which they began, and the version that each has.
     watches: BTreeMap<(u64, CallId), u64>,
     watch_order: BTreeMap<CallId, u64>,
     order: u64,
-    /// Calls that came, and answers that were due, while it said nothing.
+    /// Calls that arrived, and answers that were due, while it was silent.
     pub(super) held_calls: Vec<CallId>,
     pub(super) held_answers: Vec<CallId>,
 }
@@ -111,7 +54,7 @@
         }
     }
 
-    /// Takes in all versions up to this one.
+    /// Learns of all versions up to this one.
     pub(super) fn learn(&mut self, versions: &Versions, upto: u64) {
         for version in self.version + 1..=upto {
             let Some(change) = versions.made(version) else { break };
@@ -125,17 +68,17 @@
         }
     }
 
-    /// Whether there is something newer than this version.
+    /// Whether it has a newer version.
     pub(super) fn has_news(&self, after: u64) -> bool {
         self.version > after
     }
 
-    /// What somebody is told who holds the list of this version; the whole list where nothing is held, or too old a one.
+    /// The answer for a node that has this version of the list: a delta, or a snapshot if it has none or one that is too old.
     pub(super) fn answer(&mut self, versions: &Versions, after: Option<u64>) -> Rc<Answer> {
         if let Some(answer) = self.answers.get(&after) {
             return answer.clone();
         }
-        let known = after.filter(|after| self.version.saturating_sub(*after) <= CHANGES_KEPT);
+        let known = after.filter(|after| self.version.saturating_sub(*after) <= CHANGES_KEPT as u64);
         let entries = match known {
             Some(after) => self.changed(versions, after),
             None => self.servers.iter().map(|(server, state)| (*server, *state)).collect(),
@@ -158,20 +101,20 @@
         entries
     }
 
-    /// A call waits for something newer than this version.
+    /// A call waits for a newer version.
     pub(super) fn watch(&mut self, call: CallId, after: u64) {
         self.order += 1;
         self.watches.insert((self.order, call), after);
         self.watch_order.insert(call, self.order);
     }
 
-    /// A call waits no more; whether it did.
+    /// A call no longer waits. Returns whether it did.
     pub(super) fn unwatch(&mut self, call: CallId) -> bool {
         let order = self.watch_order.remove(&call);
         order.is_some_and(|order| self.watches.remove(&(order, call)).is_some())
     }
 
-    /// Takes out the watches that have news, in the order in which they began.
+    /// Removes and returns the watches for which there is a newer version, in the order in which they began.
     pub(super) fn take_watches_with_news(&mut self) -> Vec<CallId> {
         let version = self.version;
         let due = self.watches.iter().filter(|(_, after)| version > **after);
@@ -182,7 +125,7 @@
         due
     }
 
-    /// Forgets all watches and all that was held back.
+    /// Removes all watches, and all that was held back.
     pub(super) fn drop_calls(&mut self) {
         self.watches.clear();
         self.watch_order.clear();
--- a/crates/testbed/src/scale/virtual_time/report.rs
+++ b/crates/testbed/src/scale/virtual_time/report.rs
@@ -1,4 +1,4 @@
-//! Outcomes side by side, as a table.
+//! Compares outcomes in a table.
 
 use super::measure::{Latencies, Outcome};
 use comfy_table::presets::ASCII_MARKDOWN;
@@ -22,8 +22,8 @@
     "bytes a node a second",
 ];
 
-/// A row for each outcome, in Markdown. Times are from a change at discovery until a node acts on it; `last list` is from a
-/// launch until the node holds a list, and `over sending` that time over what sending all these lists takes.
+/// A Markdown table with a row for each outcome. Times are from a change at discovery until a node applies it; `last list` is
+/// from a launch until the node has a list, and `over sending` that time over what sending all these lists takes.
 pub fn table<'a>(rows: impl IntoIterator<Item = (&'a str, &'a Outcome)>) -> String {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN);
--- a/crates/testbed/src/scale/virtual_time/scene.rs
+++ b/crates/testbed/src/scale/virtual_time/scene.rs
@@ -1,66 +1,66 @@
-//! A scene: the world of a scale run's script, and what happens in it.
+//! A scene: the script of a scale run, and what happens in it.
 
 use crate::scale::script::ScaleScript;
 use crate::scale::steps::{plan, servers_at_start, Step};
 use std::time::Duration;
 use thiserror::Error;
 
-/// What happens at one time.
+/// Something that happens.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Occurrence {
-    /// What happens on sockets, too.
+    /// A step that runs on sockets have, too.
     Step(Step),
-    /// Nothing passes between this region and the others.
+    /// Nothing passes between a region and the others.
     CutOff {
         /// Its number from 0.
         region: u32,
     },
-    /// It passes again.
+    /// Messages pass again.
     Reconnect {
         /// Its number from 0.
         region: u32,
     },
 }
 
-/// Why a script can't be played in virtual time.
+/// Why a script can't be run in virtual time.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SceneError {
-    /// There is none of this name.
+    /// There is no scene of this name.
     #[error("{name}: expected the name of a scene or a script's file")]
     Unknown {
-        /// What was asked for.
+        /// The name.
         name: String,
     },
-    /// Its script is faulty.
+    /// The script has faults.
     #[error("{faults}")]
     Script {
         /// All faults.
         faults: String,
     },
-    /// It has an event that the player doesn't know.
+    /// The script has an event that the simulation does not support.
     #[error("event {kind}: expected one that can be played in virtual time: any but replica-reset and replica-set")]
     NotPlayed {
-        /// The event's kind, as the script calls it.
+        /// The kind of the event in the script.
         kind: &'static str,
     },
 }
 
-/// See the module's page.
+/// A scene.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scene {
-    /// Sizes, capacity, lengths and seed; its events are in `occurrences` already.
+    /// Sizes, capacity, durations and seed. Its events are in `occurrences`.
     pub script: ScaleScript,
     /// What happens, from the beginning of the measurement, in the order of time.
     pub occurrences: Vec<(Duration, Occurrence)>,
-    /// Nodes run, and hold the list, from the beginning; else each waits until it is launched.
+    /// Whether nodes run, and have the list, from the beginning; otherwise each waits until it is launched.
     pub nodes_run: bool,
 }
 
 impl Scene {
-    /// Of a script.
+    /// The scene of a script.
     ///
     /// # Errors
-    /// Names the first event that can't be played.
+    /// If the script has an event that the simulation does not support.
     pub fn of_script(script: ScaleScript) -> Result<Self, SceneError> {
         let planned =
             plan(&script, &servers_at_start(&script)).into_iter().map(|planned| match &planned.step {
@@ -74,7 +74,7 @@
         Ok(Self { script, occurrences, nodes_run: true })
     }
 
-    /// Adds what happens besides.
+    /// Adds occurrences.
     pub fn with(mut self, more: impl IntoIterator<Item = (Duration, Occurrence)>) -> Self {
         self.occurrences.extend(more);
         self.occurrences.sort_by_key(|(at, _)| *at);
--- a/crates/testbed/src/scale/virtual_time/scenes.rs
+++ b/crates/testbed/src/scale/virtual_time/scenes.rs
@@ -1,5 +1,5 @@
-//! The scenes that are played by name: all scripts of scale runs that ship with the program, and some that sockets can't
-//! play: a rack that is lost, a region that is cut off, all nodes started at once without a list.
+//! The scenes with a name: the scripts of scale runs that ship with the program, and scenes that sockets do not support: a
+//! rack that is lost, a region that is cut off, and all nodes started at once without a list.
 
 use super::scene::{Occurrence, Scene, SceneError};
 use crate::scale::messages::{ListedServer, ReplicaCapacity};
@@ -8,7 +8,7 @@
 use crate::scale::steps::{servers_at_start, Step};
 use std::time::Duration;
 
-/// Scenes that only virtual time plays.
+/// The names and descriptions of scenes that only virtual time supports.
 pub const VIRTUAL_ONLY: [(&str, &str); 3] = [
     (
         "rack-lost",
@@ -18,38 +18,39 @@
     ("all-start", "All nodes start at once, without a list"),
 ];
 
-/// Nodes that are at rest have spread their calls by then.
-const SETTLE: Duration = Duration::from_secs(120);
-const CATCH_UP: Duration = Duration::from_secs(60);
-const CHANGES_A_DAY: f64 = 12_000.0;
-/// Of a zone's nodes and servers, one in so many is in the rack.
-const RACKS_A_ZONE: u32 = 4;
+/// The minimum time before the measurement, in which the calls of nodes spread out.
+const MIN_SETTLE: Duration = Duration::from_secs(120);
+/// The minimum time for nodes to catch up.
+const MIN_CATCH_UP: Duration = Duration::from_secs(60);
+const CHANGES_PER_DAY: f64 = 12_000.0;
+/// The number of racks of a zone, which share its nodes and servers evenly.
+const RACKS_PER_ZONE: u32 = 4;
 const RACK_LOST_FOR: Duration = Duration::from_secs(60);
 const CUT_OFF_FOR: Duration = Duration::from_secs(3_600);
-/// Before and after an event.
+/// The time before and after an event.
 const MARGIN: Duration = Duration::from_secs(30);
-/// What a few replicas take to send all lists may be most of this.
-const ALL_START: Duration = Duration::from_secs(3_600);
+/// The length of `all-start`: a few replicas may take most of it to send all lists.
+const ALL_START_LENGTH: Duration = Duration::from_secs(3_600);
 
-/// How large the world is, and what a replica can do.
+/// The size of a scene.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Size {
-    /// Nodes.
+    /// The number of nodes.
     pub nodes: u32,
-    /// Servers on the list.
+    /// The number of servers on the list.
     pub servers: u32,
-    /// Replicas of discovery.
+    /// The number of replicas of discovery.
     pub replicas: u32,
-    /// Nodes know all replicas; else the first one only.
+    /// Whether nodes know all replicas; otherwise they know only the first one.
     pub mechanism: bool,
-    /// What one replica can do.
+    /// The capacity of a replica.
     pub capacity: ReplicaCapacity,
-    /// Decides every draw.
+    /// The seed of all random values.
     pub seed: u64,
 }
 
 impl Size {
-    /// That of a script.
+    /// The size of a script.
     pub fn of(script: &ScaleScript) -> Self {
         Self {
             nodes: script.nodes,
@@ -71,7 +72,7 @@
 /// The scene of this name, at this size.
 ///
 /// # Errors
-/// Where there is none of this name, or its script is faulty or can't be played.
+/// If there is none of this name, or its script has faults or an event that the simulation does not support.
 pub fn named(name: &str, size: &Size) -> Result<Scene, SceneError> {
     match name {
         "rack-lost" => rack_lost(size),
@@ -81,11 +82,11 @@
     }
 }
 
-/// A script of a scale run, with the pauses before and after that virtual time can afford.
+/// The scene of a script, with longer times to settle and catch up than on sockets.
 pub fn of_script(script: ScaleScript) -> Result<Scene, SceneError> {
     Scene::of_script(ScaleScript {
-        settle: script.settle.max(SETTLE),
-        catch_up: script.catch_up.max(CATCH_UP),
+        settle: script.settle.max(MIN_SETTLE),
+        catch_up: script.catch_up.max(MIN_CATCH_UP),
         ..script
     })
 }
@@ -112,14 +113,14 @@
     }
 }
 
-/// Nothing happens for this long.
+/// A script without events.
 fn quiet(name: &str, length: Duration, size: &Size) -> Result<ScaleScript, SceneError> {
     let scene = shipped(scenarios::DEFAULT, size)?;
     Ok(ScaleScript { name: name.into(), length, events: Vec::new(), ..scene.script })
 }
 
 fn changes(length: Duration) -> Event {
-    let what = EventKind::Changes { per_day: CHANGES_A_DAY, step: Duration::from_secs(2) };
+    let what = EventKind::Changes { per_day: CHANGES_PER_DAY, step: Duration::from_secs(2) };
     Event { at: Duration::ZERO, over: Some(length), what }
 }
 
@@ -128,7 +129,7 @@
     let (lost, back) = (MARGIN, MARGIN + RACK_LOST_FOR);
     let zones = script.zones;
     let in_rack =
-        move |number: u32| number.is_multiple_of(zones) && (number / zones).is_multiple_of(RACKS_A_ZONE);
+        move |number: u32| number.is_multiple_of(zones) && (number / zones).is_multiple_of(RACKS_PER_ZONE);
     let nodes: Vec<_> = (0..script.nodes).filter(|node| in_rack(*node)).collect();
     let numbered = (0u32..).zip(servers_at_start(&script));
     let servers: Vec<_> = numbered.filter(|(number, _)| in_rack(*number)).map(|(_, server)| server).collect();
@@ -160,7 +161,7 @@
     let script = ScaleScript {
         settle: Duration::ZERO,
         catch_up: Duration::ZERO,
-        ..quiet("all-start", ALL_START, size)?
+        ..quiet("all-start", ALL_START_LENGTH, size)?
     };
     let all = (0..script.nodes).collect();
     let launch = (Duration::ZERO, Occurrence::Step(Step::Launch(all)));
--- a/crates/testbed/src/scale/virtual_time/versions.rs
+++ b/crates/testbed/src/scale/virtual_time/versions.rs
@@ -1,14 +1,14 @@
-//! All versions of the list in a scene: what each changed, and when. Replicas know it up to some version.
+//! The versions of the list in a scene: what each changed, and when.
 
 use crate::scale::messages::ListedServer;
 use balancer_core::EndpointState;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The version of the list that a scene begins with.
+/// The version of the list at the start of a scene.
 pub(super) const FIRST_VERSION: u64 = 1;
 
-/// A server, by its place in the order in which they were first listed.
+/// The index of a server in the order in which servers were first listed.
 pub(super) type ServerNumber = u32;
 
 /// One change.
@@ -20,18 +20,18 @@
     pub(super) at: Duration,
 }
 
-/// See the module's page.
+/// All versions of the list.
 #[derive(Debug, Default)]
 pub(super) struct Versions {
     names: Vec<String>,
-    /// What an entry of each server takes in an answer.
+    /// The bytes of the entry of each server in an answer.
     bytes: Vec<usize>,
     numbers: HashMap<String, ServerNumber>,
     changes: Vec<VersionedChange>,
 }
 
 impl Versions {
-    /// A list that nothing has changed yet.
+    /// Creates the first version.
     pub(super) fn new(servers: &[ListedServer]) -> Self {
         let mut versions = Self::default();
         servers.iter().for_each(|server| {
@@ -45,7 +45,7 @@
         FIRST_VERSION + self.changes.len() as u64
     }
 
-    /// Makes a new version.
+    /// Adds a version.
     pub(super) fn change(&mut self, server: &ListedServer, at: Duration) -> u64 {
         let number = self.number(server);
         let state = state(server);
@@ -53,7 +53,7 @@
         self.latest()
     }
 
-    /// What made this version; `None` for the first one and for those that are not there.
+    /// The change that made a version; `None` for the first one and for those that do not exist.
     pub(super) fn made(&self, version: u64) -> Option<VersionedChange> {
         let place = version.checked_sub(FIRST_VERSION + 1)?;
         self.changes.get(place as usize).copied()
@@ -73,7 +73,7 @@
         }
         let number = self.names.len() as ServerNumber;
         self.names.push(server.host.clone());
-        // An entry is followed by a comma or a bracket. Only maps with keys that are no text can't be written.
+        // An entry is followed by a comma or a bracket. Serialization fails only for maps whose keys are not strings.
         self.bytes.push(serde_json::to_vec(server).map_or(0, |text| text.len() + 1));
         self.numbers.insert(server.host.clone(), number);
         number
--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -3,10 +3,10 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
+use testbed::scale::line_queue::{LineQueue, QueueFull};
 use testbed::scale::messages::ReplicaCapacity;
 use testbed::scale::script::{Event, EventKind, ScaleScript};
 use testbed::scale::virtual_time::client::{CallEnd, ClientDecisions, Next, NextCall};
-use testbed::scale::virtual_time::replica::{LineQueue, QueueFull};
 use testbed::scale::virtual_time::scenes::{named, names, Size, VIRTUAL_ONLY};
 use testbed::scale::virtual_time::{run, run_traced, run_with, Occurrence, Outcome, Scene, SceneError, Sent};
 
@@ -157,7 +157,7 @@
     }
 }
 
-// Guards against a count of versions that went back which never counts any.
+/// The count of versions that went back must count: a client that accepts older lists raises it, and the real one does not.
 #[test]
 fn a_client_that_takes_older_lists_is_seen_to_go_back_and_the_real_one_does_not() {
     let two = Size { replicas: 2, mechanism: true, ..size(5) };
@@ -169,7 +169,7 @@
     assert_all_have_all(&run(&scene));
 }
 
-// Guards against a count of changes that were never told which never counts any.
+/// The count of changes that never arrived must count: an outage without end raises it.
 #[test]
 fn a_discovery_that_does_not_come_back_leaves_changes_that_are_never_told() {
     let changes = event(20, 60, EventKind::Changes { per_day: 20_000.0, step: SECOND });
--- a/crates/testbed/tests/fault_schedule.rs
+++ b/crates/testbed/tests/fault_schedule.rs
@@ -28,9 +28,10 @@
     assert!(all.windows(2).all(|pair| pair[0].0 <= pair[1].0));
 }
 
-// Guards against a script in which one more incident changes which servers the others strike.
+/// If incidents shared one random sequence, one more incident in a script would change which servers the others strike, and two
+/// runs could not be compared.
 #[test]
-fn an_incident_strikes_the_same_seats_whatever_stands_behind_it() {
+fn an_incident_strikes_the_same_servers_whatever_incidents_follow() {
     let crash = || incident(5, 10, Fault::Crash { share: 0.25 });
     let alone = changes(&script(vec![crash()]));
     let both = changes(&script(vec![crash(), incident(5, 3, Fault::Pause { share: 0.5 })]));
@@ -68,7 +69,8 @@
     all.iter().map(|(at, words)| (*at, (*words).to_owned())).collect()
 }
 
-// Guards against an incident whose end lifts what another, which lasts, still does to the same box.
+/// The end of an incident must not restore the ordinary condition of a server while another incident still strikes it: a server
+/// that is cut off by two faults would be reachable again at the end of the first.
 #[test]
 fn the_end_of_one_incident_does_not_lift_another_on_the_same_server() {
     let errors = |rate| Fault::Errors { share: 1.0, rate };
@@ -131,7 +133,8 @@
     assert_eq!(crashed, words(&[(1, "drain"), (5, "stop"), (6, "stop")]), "nobody to revive");
 }
 
-// Guards against a second deploy that ends the successor of the first, which nobody has drained.
+/// A second deploy that overlaps the first must not end the successor of the first, which nobody has drained: requests in
+/// flight there would be lost.
 #[test]
 fn a_server_that_is_being_replaced_is_neither_replaced_again_nor_revived() {
     let drain = Duration::from_secs(4);
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -193,8 +193,8 @@
     assert_eq!(Watch::run(&script).count(AttemptStatus::Reset), 0);
 }
 
-/// Servers once counted connections that they had closed long before. With a low bound of connections, new ones were then
-/// refused for ever.
+/// A server that counts connections that it closed long before as open refuses new ones. With a low bound of connections, nodes
+/// would then see connect errors without any fault.
 #[test]
 fn connections_closed_after_the_idle_timeout_do_not_count_as_open() {
     let mut script = small(vec![]);
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -149,7 +149,7 @@
     Incident { at: Duration::from_secs(at), duration: Duration::from_secs(over), zone: None, fault }
 }
 
-/// Rules broken, from 1 to 4, and the words of the breaches.
+/// Whether each rule was violated, from 1 to 4, and the descriptions of the violations.
 fn broken(script: &Script, breaks: Breaks) -> ([bool; 4], String) {
     let verdict = judged(script, breaks);
     let words: Vec<_> = verdict.violations.iter().map(|violation| violation.description.as_str()).collect();
@@ -164,7 +164,7 @@
     only[rule - 1] = true;
     assert_eq!(rules, only, "{breaks:?}: {said}");
     assert!(said.contains(words), "{breaks:?}: {said}");
-    assert_eq!(broken(script, Breaks::Nothing), ([false; 4], String::new()), "the same play without it");
+    assert_eq!(broken(script, Breaks::Nothing), ([false; 4], String::new()), "the same run without it");
 }
 
 #[test]
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_second_run_of_an_unsafe_request_breaks_rule_2_and_of_a_safe_one_does_not() {
+fn only_a_repeat_of_a_request_that_is_not_idempotent_breaks_rule_2() {
     must_break(&small(Idempotency::NotIdempotent, vec![]), Breaks::RunsTwice, 2, "unsafe to repeat");
     let verdict = judged(&small(Idempotency::Idempotent, vec![]), Breaks::RunsTwice);
     assert_eq!(verdict.violation_counts, [0; 4], "{:?}", verdict.violations);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_second_run_of_a_keyed_request_breaks_rule_2_outside_its_scope_or_its_time() {
+fn a_repeat_with_an_idempotency_key_breaks_rule_2_out_of_scope_or_window() {
     let window = Duration::from_secs(5);
     let keyed = |scope, window| small(Idempotency::WithKey { scope, window }, vec![]);
     // The first two servers stand in two zones and in one cell.
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_refusal_of_what_ran_breaks_rule_2() {
+fn a_rejection_of_an_executed_request_breaks_rule_2() {
     let errors = vec![incident(2, 5, Fault::Errors { share: 1.0, rate: 0.5 })];
     must_break(
         &small(Idempotency::NotIdempotent, errors),
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_cold_server_that_gets_everything_falls_and_breaks_rule_4() {
+fn an_overloaded_cold_server_breaks_rule_4() {
     let drain = Duration::from_secs(1);
     let deploy = Fault::Deploy { share: 0.1, batch: 0.2, drain, same_address: false };
     let mut script = small(Idempotency::Idempotent, vec![incident(1, 1, deploy)]);
@@ -257,9 +257,9 @@
     must_break(&script, Breaks::SendsAllToTheYoungest, 4, "pushed over");
 }
 
-// Guards against decisions that keep the rules on calm days only: all effects, through everything at once.
+/// The decisions must keep the rules not only without faults: each kind of idempotency runs under many faults at once.
 #[test]
-fn the_real_decisions_keep_the_rules_for_every_effect_while_everything_goes_wrong() {
+fn the_decisions_keep_the_rules_for_each_idempotency_under_many_faults() {
     let window = Duration::from_secs(3);
     let effects = [
         Idempotency::Idempotent,
@@ -293,9 +293,10 @@
     }
 }
 
-// Guards against a judge that forgives what was lost long before for a death that came after.
+/// The kill of a node excuses the requests that it could still have answered. A judge that excused all unanswered ones would
+/// forgive a request that was lost long before.
 #[test]
-fn a_death_excuses_what_the_node_still_had_time_for_and_nothing_else() {
+fn a_kill_excuses_only_requests_that_had_time_left() {
     let script = small(Idempotency::Idempotent, vec![]);
     let at = |ms: u64| Timestamp::from_micros(ms * 1_000);
     let mut judge = Judge::new(&script);
@@ -333,10 +334,10 @@
     assert!(verdict.violations[0].description.contains("made for another"), "{:?}", verdict.violations);
 }
 
-// A client that asks again at once while its first try is open: each try is owed its own answer, and what the client gets
-// is counted once.
+/// A client that retries at once has two requests of one operation in flight: each is owed its own answer, and the service
+/// counts the operation once.
 #[test]
-fn a_try_that_overlaps_the_one_before_is_owed_an_answer_of_its_own() {
+fn a_retry_that_overlaps_its_predecessor_is_owed_its_own_answer() {
     let script = small(Idempotency::Idempotent, vec![]);
     let at = |ms: u64| Timestamp::from_micros(ms * 1_000);
     let overlapping = |answers: &[(u64, u64)]| {
--- a/crates/testbed/tests/placement.rs
+++ b/crates/testbed/tests/placement.rs
@@ -1,5 +1,5 @@
-//! What cache servers hold at the start: drawn as a number, it comes to the same as listed one by one, and costs nothing
-//! in proportion to the keys.
+//! The entries of cache servers at the start: as a random number they have the same effect as listed one by one, at a cost that
+//! does not depend on the number of keys.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn servers_hold_as_many_entries_as_when_they_are_listed_one_by_one() {
+fn servers_have_as_many_entries_as_when_they_are_listed_one_by_one() {
     let script = Script::default();
     let list = list(&script);
     let placement = Placement::new(&script, list.clone());
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_entry_lies_where_it_lies_in_whatever_order_places_are_looked_up() {
+fn the_server_of_an_entry_does_not_depend_on_the_order_of_lookups() {
     let script = Script::default();
     let list = list(&script);
     let (mut up, mut down) = (Placement::new(&script, list.clone()), Placement::new(&script, list));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn as_many_requests_find_their_entry_whether_memory_is_short_or_not() {
+fn hit_rates_equal_those_of_listed_entries_for_any_cache_size() {
     for seed in 1..=3 {
         let script = Script { seed, length: Duration::from_secs(200), ..Script::default() };
         for memory in [20_000, 1_000, 300] {
@@ -131,13 +131,13 @@
 }
 
 #[test]
-fn where_memory_holds_all_of_them_the_same_requests_find_their_entry() {
+fn in_a_large_cache_the_same_requests_are_hits() {
     let script = Script::default();
     assert_eq!(hits(&script, 20_000, true), hits(&script, 20_000, false));
 }
 
 #[test]
-fn evictions_take_the_least_asked_for_and_leave_none_in_the_end() {
+fn evictions_take_the_least_popular_entries_until_none_is_left() {
     let mut initial = InitialEntries::new(100_000, 0.01, 500, RandomSource::new(1));
     assert_eq!(initial.count(), 500);
     assert!(
@@ -152,9 +152,10 @@
     assert_eq!((initial.count(), initial.reaches(0)), (0, false));
 }
 
-// Guards against a start that finds the place of every key: four million decisions before 1,100 servers.
+/// If the server of every key were looked up at the start, four million keys would take four million decisions over 1,100
+/// servers before the first event. The number of lookups must not depend on the number of keys.
 #[test]
-fn places_are_looked_up_for_what_is_asked_for_and_for_nothing_else() {
+fn only_requested_keys_are_looked_up() {
     let mut script = Script { nodes: 2, length: Duration::from_secs(2), ..Script::default() };
     script.server_kinds[0].count = 700;
     script.server_kinds[1].count = 400;
--- a/crates/testbed/tests/scale_real.rs
+++ b/crates/testbed/tests/scale_real.rs
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn an_outage_of_discovery_moves_the_term_and_one_that_comes_too_late_does_not() {
+fn only_an_outage_before_the_notification_postpones_it() {
     let outage = |from: u64, to: u64| {
         move |books: &mut Books| {
             books.judge.record_outage(at(from), at(to));
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn what_is_out_at_a_node_that_is_killed_is_excused_and_what_another_owes_is_not() {
+fn a_kill_excuses_the_requests_of_that_node_only() {
     let killed = |node: usize| {
         let mut books = Books::new();
         books.taken(0, READ);
@@ -514,7 +514,7 @@
 }
 
 #[tokio::test]
-async fn one_that_is_gone_leaves_the_list_and_ends_its_connections_and_its_successor_is_listed() {
+async fn a_removed_server_closes_its_connections_and_its_successor_is_listed() {
     let servers = servers(2).await;
     let first = servers.servers()[0].clone();
     let mut kept = TcpStream::connect(first.dial).await.unwrap();
--- a/crates/testbed/tests/scale_replica_set.rs
+++ b/crates/testbed/tests/scale_replica_set.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use testbed::scale::messages::{ListedServer, ReplicaCommand};
-use testbed::scale::replica_set::{ReplicaSet, Told};
+use testbed::scale::replica_set::{AddressedCommand, ReplicaSet};
 use testbed::scale::steps::servers_at_start;
 use testbed::scale::{scenarios, ScaleScript};
 use tokio::time::Instant;
@@ -20,8 +20,8 @@
 }
 
 /// The replicas that are told of a change, and the change's version.
-fn changes(told: &[Told]) -> Vec<(usize, u64)> {
-    let change = |(replica, command): &Told| match command {
+fn changes(told: &[AddressedCommand]) -> Vec<(usize, u64)> {
+    let change = |(replica, command): &AddressedCommand| match command {
         ReplicaCommand::Change { version, .. } => (*replica, *version),
         other => panic!("{other:?}"),
     };
@@ -29,7 +29,7 @@
 }
 
 /// The one replica that is reset, to which version and how many entries.
-fn reset(told: &[Told]) -> (usize, u64, usize) {
+fn reset(told: &[AddressedCommand]) -> (usize, u64, usize) {
     match told {
         [(replica, ReplicaCommand::Reset { version, servers })] => (*replica, *version, servers.len()),
         other => panic!("{other:?}"),
--- a/crates/testbed/tests/scale_requirements.rs
+++ b/crates/testbed/tests/scale_requirements.rs
@@ -1,12 +1,12 @@
 //! What a scale run needs of its machine.
 
-use testbed::scale::requirements::{Limits, Requirements, MOST_DESCRIPTORS, MOST_PROCESSES};
+use testbed::scale::requirements::{Limits, Requirements, MAX_DESCRIPTORS, MAX_PROCESSES};
 use testbed::scale::script::RealLoad;
 use testbed::scale::{scenarios, ScaleScript};
 
 const GIB: u64 = 1 << 30;
 const ROOMY: Limits =
-    Limits { descriptors: MOST_DESCRIPTORS, memory_bytes: 64 * GIB, processes: MOST_PROCESSES };
+    Limits { descriptors: MAX_DESCRIPTORS, memory_bytes: 64 * GIB, processes: MAX_PROCESSES };
 
 fn script() -> ScaleScript {
     let scenario = scenarios::named("quiet").unwrap();
@@ -75,6 +75,6 @@
 #[test]
 fn this_machine_tells_its_limits() {
     let limits = Limits::of_this_machine().unwrap();
-    assert!(limits.descriptors > 0 && limits.descriptors <= MOST_DESCRIPTORS);
+    assert!(limits.descriptors > 0 && limits.descriptors <= MAX_DESCRIPTORS);
     assert!(limits.memory_bytes > 0);
 }
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The player on sockets, where nothing can be played.
+//! Errors of runs on sockets.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,13 +6,13 @@
 use testbed::sockets::{run, SocketRunError};
 use testbed::Script;
 
-fn played(program: &str) -> Result<testbed::sockets::SocketRun, SocketRunError> {
+fn run_program(program: &str) -> Result<testbed::sockets::SocketRun, SocketRunError> {
     let nobody = |_: Duration, _: &Sample| ();
     run(&Script::default(), Path::new(program), nobody, std::future::pending())
 }
 
 #[test]
-fn more_nodes_than_one_machine_can_stand_in_for_are_refused_before_anything_starts() {
+fn too_many_nodes_are_refused_before_anything_starts() {
     let script = Script { nodes: 2_001, ..Script::default() };
     let nobody = |_: Duration, _: &Sample| ();
     let refused = run(&script, Path::new("/no/such/program"), nobody, std::future::pending());
@@ -22,13 +22,13 @@
     assert_eq!(text, expected);
 }
 
-// Guards against a play that waits for a node that is dead, or that blames something else.
+/// A run must neither wait for a node whose process has ended nor name another cause.
 #[test]
-fn a_program_that_is_no_node_is_named_and_nothing_is_played() {
-    match played("/bin/false") {
+fn a_program_that_is_not_a_node_is_named() {
+    match run_program("/bin/false") {
         Err(SocketRunError::Node { node: 0, .. }) => {}
         other => panic!("{other:?}"),
     }
-    let missing = played("/no/such/program").expect_err("no program");
+    let missing = run_program("/no/such/program").expect_err("no program");
     assert!(missing.to_string().starts_with("/no/such/program: "), "{missing}");
 }
