--- a/crates/checked-toml/src/lib.rs
+++ b/crates/checked-toml/src/lib.rs
@@ -1,5 +1,12 @@
-//! Reads TOML with its places: every fault names file, line, field and what was expected, and one reading finds all of
-//! them. A getter that meets a fault notes it and gives a stand-in, so that the reading goes on.
+//! Reads TOML and reports all faults of a file at once, each with file, line, field and what was expected.
+//!
+//! [`Document::read`] parses a text and passes the top [`Table`] to a function, which reads the fields. A getter that finds a
+//! fault records it and returns `None`, so that the function continues and the other faults are found, too. Keys that no getter
+//! has asked for are faults.
+
+mod time;
+
+pub use time::{parse_time, time_text};
 
 use std::cell::RefCell;
 use std::collections::{btree_map::Entry, BTreeMap, BTreeSet};
@@ -11,21 +18,21 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// What is wrong with a file, and where.
+/// A fault of a file, and its place.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{file}:{line}: {field}: {problem}")]
 pub struct Fault {
-    /// The file, as it was named.
+    /// The name of the file.
     pub file: String,
     /// The line, from 1.
     pub line: usize,
-    /// The field, with the tables that it is in.
+    /// The path of the field, such as `box[0].name`.
     pub field: String,
-    /// What was found and what was expected.
+    /// What was expected, and what was found.
     pub problem: String,
 }
 
-/// A file that is being read.
+/// A document that is being read.
 #[derive(Debug)]
 pub struct Document<'a> {
     file: &'a str,
@@ -34,7 +41,10 @@
 }
 
 impl<'a> Document<'a> {
-    /// Reads `text` by `reading`, which takes the top table; all faults, in the order of their lines, or what it gives.
+    /// Parses `text` and reads it with `reading`, which gets the top table. `file` is the name that faults give it.
+    ///
+    /// # Errors
+    /// All faults, in the order of their lines.
     pub fn read<T>(file: &'a str, text: &'a str, reading: impl FnOnce(&Table) -> T) -> Result<T, Vec<Fault>> {
         let document = Document { file, text, faults: RefCell::default() };
         let parsed = DeTable::parse(text).map_err(|error| {
@@ -66,11 +76,12 @@
     }
 }
 
-/// One table of a document. Every field that is asked for is known, and the end of the reading notes the others.
+/// A table of a document. Fields that a getter asks for are known; all others are faults at the end of the reading.
 #[derive(Debug)]
 pub struct Table<'d> {
     document: &'d Document<'d>,
     path: String,
+    /// The offset of the table in the text.
     at: usize,
     table: &'d DeTable<'d>,
     known: RefCell<BTreeSet<&'static str>>,
@@ -85,8 +96,8 @@
         }
     }
 
-    fn path_of_item(&self, name: &str, place: usize) -> String {
-        format!("{}[{place}]", self.path_of(name))
+    fn path_of_item(&self, name: &str, index: usize) -> String {
+        format!("{}[{index}]", self.path_of(name))
     }
 
     fn get(&self, name: &'static str) -> Option<&'d Spanned<DeValue<'d>>> {
@@ -94,13 +105,13 @@
         self.table.get(name)
     }
 
-    /// Notes a fault of a field of this table.
+    /// Records a fault of a field of this table.
     pub fn fault(&self, name: &str, problem: impl Into<String>) {
         let at = self.table.get(name).map_or(self.at, |value| value.span().start);
         self.document.fault(at, &self.path_of(name), problem.into());
     }
 
-    /// The value that `parse` makes of a field; `None` where it is missing, or is none and so a fault.
+    /// Parses the value of a field. Returns `None` if the field is missing, or if `parse` does: the latter is a fault.
     fn parsed<T>(
         &self,
         name: &'static str,
@@ -115,45 +126,45 @@
         parsed
     }
 
-    /// Text that `accept` takes.
+    /// Reads a text that satisfies `accept`. `expected` describes it in faults.
     pub fn text(&self, name: &'static str, expected: &str, accept: impl Fn(&str) -> bool) -> Option<String> {
         self.parsed(name, &expected, |value| value.as_str().filter(|text| accept(text)).map(str::to_owned))
     }
 
-    /// What a text is read as.
+    /// Reads a text and parses it. `expected` describes it in faults.
     pub fn parse<T: FromStr>(&self, name: &'static str, expected: &str) -> Option<T> {
         self.parsed(name, &expected, |value| value.as_str()?.parse().ok())
     }
 
-    /// Whether there is such a field, of use or not.
+    /// Whether there is a field of this name, valid or not.
     pub fn has(&self, name: &str) -> bool {
         self.table.contains_key(name)
     }
 
-    /// One of these words, by its place among them.
+    /// Reads one of these words and returns its index.
     pub fn word(&self, name: &'static str, words: &[&str]) -> Option<usize> {
         let expected = format!("one of {}", words.join(", "));
         self.parsed(name, &expected, |value| words.iter().position(|word| value.as_str() == Some(word)))
     }
 
-    /// `true` or `false`.
+    /// Reads `true` or `false`.
     pub fn flag(&self, name: &'static str) -> Option<bool> {
         self.parsed(name, &"true or false", |value| value.as_bool())
     }
 
-    /// A number in this range.
+    /// Reads a number in this range.
     pub fn number(&self, name: &'static str, range: RangeInclusive<f64>) -> Option<f64> {
         let expected = format!("a number from {} to {}", range.start(), range.end());
         self.parsed(name, &expected, |value| number(value).filter(|number| range.contains(number)))
     }
 
-    /// A whole number in this range.
+    /// Reads a whole number in this range.
     pub fn count(&self, name: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
         let expected = format!("a whole number from {} to {}", range.start(), range.end());
         self.parsed(name, &expected, |value| whole(value).filter(|count| range.contains(count)))
     }
 
-    /// A time in this range, such as `"1.5s"`.
+    /// Reads a time in this range, such as `"1.5s"`.
     pub fn time(&self, name: &'static str, range: RangeInclusive<Duration>) -> Option<Duration> {
         let expected =
             format!("a time from \"{}\" to \"{}\"", time_text(*range.start()), time_text(*range.end()));
@@ -162,7 +173,7 @@
         })
     }
 
-    /// A list of texts that `accept` takes.
+    /// Reads a list of texts that satisfy `accept`. `expected` describes it in faults.
     pub fn texts(
         &self,
         name: &'static str,
@@ -175,7 +186,7 @@
         })
     }
 
-    /// What one text is read as, or what each text of a list is, each once: one at least and `most` at the most.
+    /// Reads a text, or a list of 1 to `most` different texts, and parses each. `expected` describes a text in faults.
     pub fn parse_set<T: FromStr + Ord>(
         &self,
         name: &'static str,
@@ -191,13 +202,23 @@
             self.fault(name, format!("expected {one_or_more}, found a list of {}", items.len()));
             return None;
         }
-        let mut first_places = BTreeMap::new();
-        for (place, item) in items.iter().enumerate() {
-            let read = item.get_ref().as_str().and_then(|text| text.parse::<T>().ok());
-            let problem = match read.map(|value| first_places.entry(value)) {
+        self.distinct_items(name, expected, items)
+    }
+
+    /// Parses the texts of a list, which must all be different.
+    fn distinct_items<T: FromStr + Ord>(
+        &self,
+        name: &'static str,
+        expected: &str,
+        items: &[Spanned<DeValue>],
+    ) -> Option<Vec<T>> {
+        let mut first_indices = BTreeMap::new();
+        for (index, item) in items.iter().enumerate() {
+            let parsed = item.get_ref().as_str().and_then(|text| text.parse::<T>().ok());
+            let problem = match parsed.map(|value| first_indices.entry(value)) {
                 None => format!("expected {expected}, found {}", shown(item.get_ref())),
                 Some(Entry::Vacant(entry)) => {
-                    entry.insert(place);
+                    entry.insert(index);
                     continue;
                 }
                 Some(Entry::Occupied(first)) => {
@@ -206,26 +227,26 @@
                     format!("expected each once, found {again} again, which stands at {first}")
                 }
             };
-            self.document.fault(item.span().start, &self.path_of_item(name, place), problem);
+            self.document.fault(item.span().start, &self.path_of_item(name, index), problem);
         }
-        if first_places.len() < items.len() {
+        if first_indices.len() < items.len() {
             return None;
         }
-        let mut values: Vec<_> = first_places.into_iter().collect();
-        values.sort_unstable_by_key(|(_, place)| *place);
+        let mut values: Vec<_> = first_indices.into_iter().collect();
+        values.sort_unstable_by_key(|(_, index)| *index);
         Some(values.into_iter().map(|(value, _)| value).collect())
     }
 
-    /// What `value` holds, which must be there.
+    /// Returns the value of a required field, which a getter has read. A missing field is a fault.
     pub fn need<T: Default>(&self, name: &'static str, value: Option<T>) -> T {
-        // One that is there and of no use is a fault already.
+        // The getter has recorded the fault of an invalid value.
         if value.is_none() && !self.table.contains_key(name) {
             self.document.fault(self.at, &self.path_of(name), "is missing".into());
         }
         value.unwrap_or_default()
     }
 
-    /// Reads a table below this one; `None` where there is none.
+    /// Reads a table within this one. Returns `None` if it is missing.
     pub fn table<T>(&self, name: &'static str, reading: impl FnOnce(&Table) -> T) -> Option<T> {
         let value = self.get(name)?;
         match value.get_ref() {
@@ -237,7 +258,7 @@
         }
     }
 
-    /// Reads each table of an array below this one; none where there is no such array.
+    /// Reads each table of an array within this one.
     pub fn tables<T>(&self, name: &'static str, mut reading: impl FnMut(&Table) -> T) -> Vec<T> {
         let Some(value) = self.get(name) else { return Vec::new() };
         let Some(items) = value.get_ref().as_array() else {
@@ -265,6 +286,7 @@
         value
     }
 
+    /// Records the unknown keys.
     fn finish(&self) {
         let known = self.known.borrow();
         for name in self.table.keys() {
@@ -279,6 +301,7 @@
     }
 }
 
+/// A value as faults show it.
 fn shown(value: &DeValue) -> String {
     match value {
         DeValue::String(text) => {
@@ -306,25 +329,3 @@
         _ => None,
     }
 }
-
-const UNITS: [(&str, f64); 4] = [("us", 1.0), ("ms", 1e3), ("s", 1e6), ("min", 60e6)];
-
-/// `"150us"`, `"20ms"`, `"1.5s"`, `"2min"`; `None` for anything else, or for more than a year.
-pub fn parse_time(text: &str) -> Option<Duration> {
-    let split = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
-    let (count, unit) = text.split_at(split);
-    let micros = count.parse::<f64>().ok()? * UNITS.iter().find(|(name, _)| *name == unit)?.1;
-    (micros < 365.0 * 86_400e6).then(|| Duration::from_micros(micros.round() as u64))
-}
-
-/// The shortest text that [`parse_time`] reads as this time, to the microsecond.
-pub fn time_text(time: Duration) -> String {
-    let micros = time.as_micros();
-    match micros {
-        0 => "0s".into(),
-        _ if micros.is_multiple_of(60_000_000) => format!("{}min", micros / 60_000_000),
-        _ if micros.is_multiple_of(1_000_000) => format!("{}s", micros / 1_000_000),
-        _ if micros.is_multiple_of(1_000) => format!("{}ms", micros / 1_000),
-        _ => format!("{micros}us"),
-    }
-}
--- a/crates/checked-toml/tests/sets.rs
+++ b/crates/checked-toml/tests/sets.rs
@@ -2,10 +2,10 @@
 
 use checked_toml::Document;
 
-/// No set here has more.
+/// The maximum size of a set in these tests.
 const MOST: usize = 4;
 
-/// What `set = …` is read as, or its faults.
+/// Reads `set = …`.
 fn read(value: &str) -> Result<Vec<u16>, Vec<String>> {
     let text = format!("# A comment\n[table]\nset = {value}\n");
     let read = Document::read("file.toml", &text, |top| {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn all_faults_of_a_list_come_in_one_reading() {
+fn all_faults_of_a_list_are_found_at_once() {
     let faults = read("[\"7\",\n\"x\",\n\"7\",\n7]").expect_err("three faults");
     let places: Vec<_> = faults.iter().filter_map(|fault| fault.split(": expected").next()).collect();
     assert_eq!(
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_set_at_fault_does_not_hide_the_faults_beside_it() {
+fn the_faults_of_a_set_do_not_hide_other_faults() {
     let text = "set = [\"x\"]\nodd = 1\n";
     let read = Document::read("file.toml", text, |top| top.parse_set::<u16>("set", "a port", MOST));
     let faults = read.expect_err("two faults");
--- a/fuzz/fuzz_targets/script.rs
+++ b/fuzz/fuzz_targets/script.rs
@@ -1,4 +1,4 @@
-//! The script reader: any text is read, or its faults have places in it.
+//! Fuzzes the reader of scenario scripts: any text is read, or each of its faults names one of its lines.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
