--- a/crates/testbed/src/script/defaults.rs
+++ b/crates/testbed/src/script/defaults.rs
@@ -1,6 +1,10 @@
 //! The ordinary fleet: the values of what a script leaves out.
 
-use super::*;
+use super::{
+    Class, Clients, Discovery, Expectations, Load, LoadReports, Network, Origin, Rules, Script, ServerKind,
+};
+use balancer_core::Idempotency;
+use std::time::Duration;
 
 const fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
--- a/crates/testbed/src/script/parse.rs
+++ b/crates/testbed/src/script/parse.rs
@@ -1,9 +1,14 @@
 //! Reads a script's file: TOML to [`Script`], with the accepted range of each value.
 
-use super::*;
+use super::{
+    Class, Clients, Discovery, Expectations, Fault, Incident, Load, LoadReports, Network, Origin, Rules,
+    Script, ServerKind, VERSION,
+};
 use balancer_core::DeduplicationScope;
+use balancer_core::Idempotency;
 use checked_toml::{time_text, Document, Fault as FileFault, Table};
 use std::ops::RangeInclusive;
+use std::time::Duration;
 
 /// A time that may be zero.
 const SHORT_TIME: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_secs(60);
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -9,10 +9,18 @@
     read.err().unwrap_or_default().iter().map(ToString::to_string).collect()
 }
 
+/// Checks that each of these lines gives one fault, which begins with the expected text.
+fn assert_faults(cases: &[(String, &str)]) {
+    for (lines, expected) in cases {
+        let found = faults(lines);
+        assert_eq!(found.len(), 1, "{lines}: {found:?}");
+        assert!(found[0].starts_with(expected), "{lines}\n{}\n{expected}", found[0]);
+    }
+}
+
 #[test]
 fn each_fault_is_one_line_with_its_place_and_what_was_expected() {
-    let crash = |rest: &str| format!("[[incident]]\nkind = \"crash\"\n{rest}");
-    let cases = [
+    assert_faults(&[
         ("speed = 3".into(), "bad.toml:3: speed: unknown key; known here: about, box, "),
         ("[load]\nrat = 3".into(), "bad.toml:4: load.rat: unknown key; known here: first_zone, keys, rate, "),
         ("nodes = -1".into(), "bad.toml:3: nodes: expected a whole number from 1 to 10000, found -1"),
@@ -59,6 +67,15 @@
                 .into(),
             "bad.toml:8: class[0].effect: expected one of safe, keyed, unsafe, found \"odd\"",
         ),
+        ("nodes = ".into(), "bad.toml:3: TOML: "),
+        ("nodes = 3\nnodes = 4".into(), "bad.toml:4: TOML: duplicate key"),
+    ]);
+}
+
+#[test]
+fn each_fault_of_an_incident_is_one_line_with_its_place_and_what_was_expected() {
+    let crash = |rest: &str| format!("[[incident]]\nkind = \"crash\"\n{rest}");
+    assert_faults(&[
         (
             crash("at = \"5s\"\nover = \"1s\"\nshare = 1.01"),
             "bad.toml:7: incident[0].share: expected a number from 0 to 1, found 1.01",
@@ -84,14 +101,7 @@
             ),
             "bad.toml:10: incident[1].at: expected a time no earlier than the incident before, \"5s\"",
         ),
-        ("nodes = ".into(), "bad.toml:3: TOML: "),
-        ("nodes = 3\nnodes = 4".into(), "bad.toml:4: TOML: duplicate key"),
-    ];
-    for (lines, expected) in cases {
-        let found = faults(&lines);
-        assert_eq!(found.len(), 1, "{lines}: {found:?}");
-        assert!(found[0].starts_with(expected), "{lines}\n{}\n{expected}", found[0]);
-    }
+    ]);
 }
 
 #[test]
