--- a/crates/testbed/benches/virtual_time.rs
+++ b/crates/testbed/benches/virtual_time.rs
@@ -1,4 +1,4 @@
-//! What a play in virtual time costs: the fleet of today and the one that is planned, 50 s each.
+//! The cost of a run in virtual time: the present fleet and the planned one, 50 s each.
 
 use criterion::Criterion;
 use std::time::Duration;
@@ -6,24 +6,24 @@
 use testbed::virtual_time::run;
 use testbed::Script;
 
-fn fleet(nodes: u32, boxes: u32, rate: f64) -> Script {
+fn fleet(nodes: u32, servers: u32, rate: f64) -> Script {
     let mut script = Script { nodes, ..Script::default() };
     (script.load.rate, script.load.keys) = (rate, (rate * 100.0) as u32);
     script.origin.slots = (rate / 20.0) as u32;
     let part = |share: f64, kind: &ServerKind| ServerKind {
-        count: (f64::from(boxes) * share).round() as u32,
+        count: (f64::from(servers) * share).round() as u32,
         ..kind.clone()
     };
     script.server_kinds = vec![part(0.7, &script.server_kinds[0]), part(0.3, &script.server_kinds[1])];
     script
 }
 
-fn plays(criterion: &mut Criterion) {
+fn runs(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("50 s in virtual time");
     group.sample_size(10).measurement_time(Duration::from_secs(10));
-    for (nodes, boxes, rate) in [(60, 20, 410.0), (450, 83, 2_000.0)] {
-        let script = fleet(nodes, boxes, rate);
-        group.bench_function(format!("{nodes} nodes, {boxes} boxes, {rate}/s"), |bencher| {
+    for (nodes, servers, rate) in [(60, 20, 410.0), (450, 83, 2_000.0)] {
+        let script = fleet(nodes, servers, rate);
+        group.bench_function(format!("{nodes} nodes, {servers} boxes, {rate}/s"), |bencher| {
             bencher.iter(|| run(&script))
         });
     }
@@ -31,6 +31,6 @@
 
 fn main() {
     let mut criterion = Criterion::default().configure_from_args();
-    plays(&mut criterion);
+    runs(&mut criterion);
     criterion.final_summary();
 }
--- a/crates/testbed/examples/control_plane.rs
+++ b/crates/testbed/examples/control_plane.rs
@@ -1,9 +1,9 @@
-//! Plays scenes of the control plane in virtual time and prints a table.
+//! Runs scenes of the control plane in virtual time and prints a table.
 //!
 //!     cargo run --release -p testbed --example control_plane -- off 200 0 [SCENE...]
 //!
 //! The first argument is `off` (all nodes know one replica) or `on`; then the lines a second of one replica and the lines of
-//! a call that continues a watch. All scenes are played where none is named.
+//! a call that continues a watch. All scenes run if none is named.
 
 use std::process::ExitCode;
 use testbed::scale::messages::ReplicaCapacity;
--- a/crates/testbed/tests/cache_server_model.rs
+++ b/crates/testbed/tests/cache_server_model.rs
@@ -131,7 +131,7 @@
         server.insert_entry(id);
         server.offer(at(1), job(id, id, 1_000));
     });
-    // Snapshots are taken at 0 and 120 ms and told 60 ms later.
+    // Snapshots are taken at 0 and 120 ms and reported 60 ms later.
     assert_eq!(server.load_report(at(100)).queued, 0);
     assert_eq!(server.load_report(at(179)).queued, 0);
     assert_eq!(server.load_report(at(180)).queued, 7);
--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -55,7 +55,7 @@
         let replica = outcome.replicas[0];
         assert_eq!((replica.refused, replica.whole_lists, outcome.overdue, outcome.unreached), (0, 0, 0, 0));
         assert_eq!(replica.lines, continued_call_lines * replica.calls as f64);
-        // Waits are drawn from 10 to 20 s.
+        // Waits are random between 10 and 20 s.
         let mean = outcome.measured.as_secs_f64() * 100.0 / replica.calls as f64;
         assert!((14.0..16.0).contains(&mean), "a call every {mean} s");
         assert_all_have_all(&outcome);
@@ -107,11 +107,11 @@
     let scene = quiet(&several, vec![changes]);
     let whole = run(&scene);
     assert!(whole.latencies.quantile(1.0) < Some(SECOND), "{whole:?}");
-    // Region 0 has a replica of its own and region 13 has none: both are told no change until it is over.
+    // Region 0 has a replica of its own and region 13 has none: both receive no change until it is over.
     for region in [0, 13] {
         let outcome = run(&scene.clone().with([cut(region, 10), back(region, 110)]));
         assert!(outcome.latencies.quantile(1.0) > Some(60 * SECOND), "region {region}: {outcome:?}");
-        assert!(outcome.latencies.quantile(0.5) < Some(SECOND), "the others are told as before");
+        assert!(outcome.latencies.quantile(0.5) < Some(SECOND), "the others receive changes as before");
         assert_all_have_all(&outcome);
         // Had it lasted to the end, they would never have been.
         let never = run(&scene.clone().with([cut(region, 10)]));
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -19,7 +19,7 @@
 
 type Log = Rc<RefCell<Vec<(Timestamp, Seen)>>>;
 
-/// The real decisions, with a log of what they were told.
+/// The real decisions, with a log of their events.
 struct Watched {
     real: Balancer,
     log: Log,
@@ -78,7 +78,7 @@
     at.since(Timestamp::default()).as_millis() as u64
 }
 
-/// Few nodes, few boxes, and nothing else that could go wrong.
+/// A small fleet, without any other faults.
 fn small(incidents: Vec<Incident>) -> Script {
     let mut script = Script { nodes: 2, length: Duration::from_secs(10), incidents, ..Script::default() };
     script.load.rate = 40.0;
@@ -201,10 +201,10 @@
     script.server_kinds[0].idle_timeout = Some(Duration::from_millis(300));
     (script.server_kinds[0].max_connections, script.nodes) = (8, 12);
     script.load.rate = 60.0;
-    let played = Watch::run(&script);
+    let watch = Watch::run(&script);
     let refused =
-        played.outcomes().filter(|(at, status, _)| *at > 3_000 && *status == AttemptStatus::ConnectError);
-    let (refused, served) = (refused.count(), played.count(AttemptStatus::Ok));
+        watch.outcomes().filter(|(at, status, _)| *at > 3_000 && *status == AttemptStatus::ConnectError);
+    let (refused, served) = (refused.count(), watch.count(AttemptStatus::Ok));
     assert!(refused * 20 < served, "{refused} of {served}");
 }
 
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -11,9 +11,9 @@
 use testbed::virtual_time::{run, run_with, Decisions, Safeguards};
 use testbed::Script;
 
-/// What a node does in place of, or beside, what the real decisions say.
+/// How a node deviates from the real decisions.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Breaks {
+enum Deviation {
     Nothing,
     AnswersTwice,
     AnswersLate,
@@ -26,10 +26,10 @@
     SendsAllToTheYoungest,
 }
 
-struct Spoilt {
+struct FaultyDecisions {
     real: Balancer,
-    breaks: Breaks,
-    /// All servers ever told of, and when each started.
+    deviation: Deviation,
+    /// All servers that the node was ever notified of, and when each started.
     servers: BTreeMap<ServerId, Option<Timestamp>>,
     drained: Option<ServerId>,
     late: Vec<(Timestamp, RequestId)>,
@@ -40,7 +40,7 @@
 const AGAIN: Duration = Duration::from_millis(250);
 const PATIENT: Duration = Duration::from_secs(1);
 
-impl Spoilt {
+impl FaultyDecisions {
     fn learn(&mut self, event: &Event) {
         let (Event::EndpointsRestored(list)
         | Event::EndpointsUpdated(EndpointUpdate::Snapshot(list) | EndpointUpdate::Delta(list))) = event
@@ -56,11 +56,11 @@
     }
 }
 
-impl Decisions for Spoilt {
+impl Decisions for FaultyDecisions {
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.learn(&event);
         let Event::Request(request) = &event else {
-            if let (Breaks::RefusesWhatRan, Event::AttemptEnded(outcome)) = (self.breaks, &event) {
+            if let (Deviation::RefusesWhatRan, Event::AttemptEnded(outcome)) = (self.deviation, &event) {
                 if !outcome.request_finished && !outcome.status.never_ran() {
                     return actions
                         .push(Action::Reject { id: outcome.id.clone(), retry_after: Duration::ZERO });
@@ -68,8 +68,8 @@
             }
             while self.late.first().is_some_and(|(at, _)| *at <= now) {
                 let id = self.late.remove(0).1;
-                actions.push(match (self.breaks, self.servers.keys().nth(1)) {
-                    (Breaks::RunsAgainLate, Some(server)) => Action::StartAttempt {
+                actions.push(match (self.deviation, self.servers.keys().nth(1)) {
+                    (Deviation::RunsAgainLate, Some(server)) => Action::StartAttempt {
                         id,
                         server: server.clone(),
                         timeout: PATIENT,
@@ -88,28 +88,30 @@
             start_within: None,
         };
         let any = self.servers.keys().next().cloned();
-        match self.breaks {
-            Breaks::AnswersLate => {
+        match self.deviation {
+            Deviation::AnswersLate => {
                 self.late.push((now + LATE, id));
                 actions.push(Action::SetTimer { after: LATE });
             }
-            Breaks::RunsAgainLate => {
+            Deviation::RunsAgainLate => {
                 self.late.push((now + AGAIN, id.clone()));
                 actions.push(Action::SetTimer { after: AGAIN });
                 actions.extend(any.iter().map(to));
             }
-            Breaks::Loses => {}
-            Breaks::RunsTwice => actions.extend(self.servers.keys().take(2).map(to)),
-            Breaks::SendsAfterItsAnswer => {
+            Deviation::Loses => {}
+            Deviation::RunsTwice => actions.extend(self.servers.keys().take(2).map(to)),
+            Deviation::SendsAfterItsAnswer => {
                 actions.push(Action::Reject { id: id.clone(), retry_after: Duration::ZERO });
                 actions.extend(any.iter().map(to));
             }
-            Breaks::SendsAfterDrain if self.drained.is_some() => actions.extend(self.drained.iter().map(to)),
-            Breaks::SendsAllToTheYoungest => {
+            Deviation::SendsAfterDrain if self.drained.is_some() => {
+                actions.extend(self.drained.iter().map(to))
+            }
+            Deviation::SendsAllToTheYoungest => {
                 let youngest = self.servers.iter().max_by_key(|(_, started)| **started).map(|(id, _)| id);
                 actions.extend(youngest.map(to));
             }
-            Breaks::AnswersTwice => {
+            Deviation::AnswersTwice => {
                 actions.push(Action::Reject { id: id.clone(), retry_after: Duration::ZERO });
                 actions.push(Action::Fail { id });
             }
@@ -118,14 +120,20 @@
     }
 }
 
-fn judged(script: &Script, breaks: Breaks) -> Verdict {
+fn judged(script: &Script, deviation: Deviation) -> Verdict {
     let mut make = |settings: Settings, seed| -> Box<dyn Decisions> {
         let real = Balancer::new(settings, seed);
-        Box::new(Spoilt { real, breaks, servers: BTreeMap::new(), drained: None, late: Vec::new() })
+        Box::new(FaultyDecisions {
+            real,
+            deviation,
+            servers: BTreeMap::new(),
+            drained: None,
+            late: Vec::new(),
+        })
     };
-    let guard = match breaks {
-        Breaks::Nothing => Safeguards::ALL,
-        Breaks::AnswersLate | Breaks::Loses => {
+    let guard = match deviation {
+        Deviation::Nothing => Safeguards::ALL,
+        Deviation::AnswersLate | Deviation::Loses => {
             Safeguards { answers_in_time: false, suppresses_late_sends: false }
         }
         _ => Safeguards { answers_in_time: true, suppresses_late_sends: false },
@@ -150,43 +158,48 @@
 }
 
 /// Whether each rule was violated, from 1 to 4, and the descriptions of the violations.
-fn broken(script: &Script, breaks: Breaks) -> ([bool; 4], String) {
-    let verdict = judged(script, breaks);
+fn broken(script: &Script, deviation: Deviation) -> ([bool; 4], String) {
+    let verdict = judged(script, deviation);
     let words: Vec<_> = verdict.violations.iter().map(|violation| violation.description.as_str()).collect();
     let words = words.join(", ");
     (verdict.violation_counts.map(|count| count > 0), words)
 }
 
 #[track_caller]
-fn must_break(script: &Script, breaks: Breaks, rule: usize, words: &str) {
-    let (rules, said) = broken(script, breaks);
+fn must_break(script: &Script, deviation: Deviation, rule: usize, words: &str) {
+    let (rules, said) = broken(script, deviation);
     let mut only = [false; 4];
     only[rule - 1] = true;
-    assert_eq!(rules, only, "{breaks:?}: {said}");
-    assert!(said.contains(words), "{breaks:?}: {said}");
-    assert_eq!(broken(script, Breaks::Nothing), ([false; 4], String::new()), "the same run without it");
+    assert_eq!(rules, only, "{deviation:?}: {said}");
+    assert!(said.contains(words), "{deviation:?}: {said}");
+    assert_eq!(broken(script, Deviation::Nothing), ([false; 4], String::new()), "the same run without it");
 }
 
 #[test]
 fn a_second_answer_breaks_rule_1() {
-    must_break(&small(Idempotency::Idempotent, vec![]), Breaks::AnswersTwice, 1, "answered twice");
+    must_break(&small(Idempotency::Idempotent, vec![]), Deviation::AnswersTwice, 1, "answered twice");
 }
 
 #[test]
 fn a_late_answer_breaks_rule_1() {
-    must_break(&small(Idempotency::Idempotent, vec![]), Breaks::AnswersLate, 1, "after its client gave up");
+    must_break(
+        &small(Idempotency::Idempotent, vec![]),
+        Deviation::AnswersLate,
+        1,
+        "after its client gave up",
+    );
 }
 
 #[test]
 fn a_lost_request_breaks_rule_1() {
-    must_break(&small(Idempotency::Idempotent, vec![]), Breaks::Loses, 1, "never answered");
+    must_break(&small(Idempotency::Idempotent, vec![]), Deviation::Loses, 1, "never answered");
 }
 
 #[test]
 fn a_send_after_the_final_answer_breaks_rule_1() {
     must_break(
         &small(Idempotency::Idempotent, vec![]),
-        Breaks::SendsAfterItsAnswer,
+        Deviation::SendsAfterItsAnswer,
         1,
         "after its final answer",
     );
@@ -194,8 +207,8 @@
 
 #[test]
 fn only_a_repeat_of_a_request_that_is_not_idempotent_breaks_rule_2() {
-    must_break(&small(Idempotency::NotIdempotent, vec![]), Breaks::RunsTwice, 2, "unsafe to repeat");
-    let verdict = judged(&small(Idempotency::Idempotent, vec![]), Breaks::RunsTwice);
+    must_break(&small(Idempotency::NotIdempotent, vec![]), Deviation::RunsTwice, 2, "unsafe to repeat");
+    let verdict = judged(&small(Idempotency::Idempotent, vec![]), Deviation::RunsTwice);
     assert_eq!(verdict.violation_counts, [0; 4], "{:?}", verdict.violations);
     assert!(verdict.repeats[0] > 0 && verdict.repeats[2] == 0);
 }
@@ -207,12 +220,12 @@
     // The first two servers stand in two zones and in one cell.
     must_break(
         &keyed(DeduplicationScope::Zone, window),
-        Breaks::RunsTwice,
+        Deviation::RunsTwice,
         2,
         "does not know of the first run",
     );
     for scope in [DeduplicationScope::All, DeduplicationScope::Cell] {
-        let verdict = judged(&keyed(scope, window), Breaks::RunsTwice);
+        let verdict = judged(&keyed(scope, window), Deviation::RunsTwice);
         assert_eq!(verdict.violation_counts, [0; 4], "{:?}", verdict.violations);
         assert!(verdict.repeats[1] > 0);
     }
@@ -220,10 +233,10 @@
     // The first run is done and has failed, and nobody has given up.
     short.classes[0].deadline = LATE;
     short.incidents = vec![incident(0, 20, Fault::Errors { share: 1.0, rate: 1.0 })];
-    must_break(&short, Breaks::RunsAgainLate, 2, "its first run is forgotten");
+    must_break(&short, Deviation::RunsAgainLate, 2, "its first run is forgotten");
     // A server that keeps what it was sent in time, and runs it late, is not the node's doing.
     short.load.rate = 200.0;
-    assert_eq!(judged(&short, Breaks::RunsTwice).violation_counts, [0; 4]);
+    assert_eq!(judged(&short, Deviation::RunsTwice).violation_counts, [0; 4]);
 }
 
 #[test]
@@ -231,7 +244,7 @@
     let errors = vec![incident(2, 5, Fault::Errors { share: 1.0, rate: 0.5 })];
     must_break(
         &small(Idempotency::NotIdempotent, errors),
-        Breaks::RefusesWhatRan,
+        Deviation::RefusesWhatRan,
         2,
         "was refused, and it ran",
     );
@@ -242,7 +255,7 @@
     let shrink = Fault::Shrink { share: 0.1, drain: Duration::from_secs(6) };
     must_break(
         &small(Idempotency::Idempotent, vec![incident(1, 1, shrink)]),
-        Breaks::SendsAfterDrain,
+        Deviation::SendsAfterDrain,
         3,
         "after it was told to stop",
     );
@@ -254,7 +267,7 @@
     let deploy = Fault::Deploy { share: 0.1, batch: 0.2, drain, same_address: false };
     let mut script = small(Idempotency::Idempotent, vec![incident(1, 1, deploy)]);
     script.load.rate = 250.0;
-    must_break(&script, Breaks::SendsAllToTheYoungest, 4, "pushed over");
+    must_break(&script, Deviation::SendsAllToTheYoungest, 4, "pushed over");
 }
 
 /// The decisions must keep the rules not only without faults: each kind of idempotency runs under many faults at once.
--- a/crates/testbed/tests/placement.rs
+++ b/crates/testbed/tests/placement.rs
@@ -41,17 +41,20 @@
         let deviation = (mean * (1.0 - share)).sqrt();
         let listed = listed[&entry.id];
         assert!((listed - mean).abs() < 5.0 * deviation, "{}: {listed} listed, {mean} expected", entry.id);
-        let drawn: Vec<_> = (0..400)
+        let random: Vec<_> = (0..400)
             .map(|seed| {
                 InitialEntries::new(ranks, share, u32::MAX, RandomSource::new(seed).derive(number as u64))
             })
             .map(|initial| initial.count() as f64)
             .collect();
-        let drawn_mean = drawn.iter().sum::<f64>() / drawn.len() as f64;
-        let squares = drawn.iter().map(|drawn| (drawn - drawn_mean).powi(2)).sum::<f64>();
-        let drawn_deviation = (squares / drawn.len() as f64).sqrt();
-        assert!((drawn_mean - mean).abs() < 5.0 * deviation / 20.0, "{drawn_mean} drawn, {mean} expected");
-        assert!((drawn_deviation / deviation - 1.0).abs() < 0.2, "{drawn_deviation}, {deviation} expected");
+        let random_mean = random.iter().sum::<f64>() / random.len() as f64;
+        let squares = random.iter().map(|random| (random - random_mean).powi(2)).sum::<f64>();
+        let random_deviation = (squares / random.len() as f64).sqrt();
+        assert!(
+            (random_mean - mean).abs() < 5.0 * deviation / 20.0,
+            "{random_mean} at random, {mean} expected"
+        );
+        assert!((random_deviation / deviation - 1.0).abs() < 0.2, "{random_deviation}, {deviation} expected");
     }
 }
 
@@ -121,11 +124,11 @@
     for seed in 1..=3 {
         let script = Script { seed, length: Duration::from_secs(200), ..Script::default() };
         for memory in [20_000, 1_000, 300] {
-            let ((listed, asked), (drawn, _)) = (hits(&script, memory, true), hits(&script, memory, false));
+            let ((listed, asked), (random, _)) = (hits(&script, memory, true), hits(&script, memory, false));
             let part = |hits: usize| hits as f64 / asked as f64;
             assert!(asked > 3_000 && listed < asked, "{listed} of {asked}");
-            let apart = (part(listed) - part(drawn)).abs();
-            assert!(apart < 0.01, "seed {seed}, memory {memory}: {listed} and {drawn} of {asked}");
+            let apart = (part(listed) - part(random)).abs();
+            assert!(apart < 0.01, "seed {seed}, memory {memory}: {listed} and {random} of {asked}");
         }
     }
 }
@@ -164,9 +167,9 @@
     for keys in [40_000, 400_000, 4_000_000] {
         script.load.keys = keys;
         let asked = Workload::new(&script).count();
-        let played = run(&script);
-        assert!(played.placement_lookups <= asked, "{} of {asked}", played.placement_lookups);
-        looked_up.push(played.placement_lookups);
+        let result = run(&script);
+        assert!(result.placement_lookups <= asked, "{} of {asked}", result.placement_lookups);
+        looked_up.push(result.placement_lookups);
     }
     assert!(looked_up.iter().all(|&count| count > 0), "{looked_up:?}");
 }
--- a/crates/testbed/tests/scale_propagation.rs
+++ b/crates/testbed/tests/scale_propagation.rs
@@ -60,7 +60,7 @@
     propagation.record_change(3, 12_000);
     propagation.record_applied(applied(0, 3, 13_000));
     let (figures, ready) = (propagation.propagation_figures(None), propagation.readiness_figures());
-    // The other one is never ready, which is told once.
+    // The other node is never ready, which is counted once.
     assert_eq!((figures.times.count, figures.never), (1, 0));
     assert_eq!((ready.launched, ready.times.count, ready.never, ready.largest_group), (2, 1, 1, 2));
     assert!((ready.largest_group_ms - 8.0).abs() < 1e-9 && (ready.largest_group_multiple - 2.0).abs() < 1e-9);
--- a/crates/testbed/tests/scale_real.rs
+++ b/crates/testbed/tests/scale_real.rs
@@ -148,7 +148,7 @@
     assert_eq!(read_at(19_999, back), AFTER_DRAIN);
     assert_eq!(read_at(20_000, back), KEPT);
     assert_eq!(read_at(60_000, back), KEPT);
-    // And one that was back before its term was over was never told of, until it stops again.
+    // Nodes are not notified of a server that was back before the term was over, until it is unavailable again.
     let soon = |books: &mut Books| {
         books.changed(1_000, 0, Availability::Unavailable);
         books.changed(6_000, 0, Availability::Available);
@@ -169,7 +169,7 @@
     // Counted anew from its end.
     assert_eq!(read_at(26_500, outage(6_999, 20_000)), KEPT);
     assert_eq!(read_at(26_600, outage(6_999, 20_000)), AFTER_DRAIN);
-    // Nodes were told when it came.
+    // Nodes were notified when it began.
     assert_eq!(read_at(7_600, outage(7_000, 20_000)), AFTER_DRAIN);
     // It was over when discovery had the change.
     assert_eq!(read_at(7_600, outage(0, 1_000)), AFTER_DRAIN);
@@ -274,7 +274,7 @@
 
 /// The length of a step.
 const STEP_MS: u64 = 250;
-/// So many steps are played.
+/// The number of steps.
 const STEPS: u64 = 160;
 
 /// What happens in the step that it names, in the order of the list.
@@ -364,7 +364,7 @@
         let away = away.iter().any(|span| span.contains(&step));
         for heard in &mut heard {
             for (heard, stops) in heard.iter_mut().zip(stops) {
-                // Once told it knows, whether discovery is there or not.
+                // Once notified, the node knows, whether discovery is available or not.
                 *heard = match (stops, *heard >= TERM, away) {
                     (false, ..) => 0,
                     (true, true, _) | (true, false, false) => *heard + 1,
--- a/crates/testbed/tests/scale_replica_set.rs
+++ b/crates/testbed/tests/scale_replica_set.rs
@@ -1,4 +1,4 @@
-//! What each replica of a scale run is told.
+//! The replication of the list to the replicas of a scale run.
 
 use std::time::Duration;
 use testbed::scale::messages::{ListedServer, ReplicaCommand};
@@ -19,18 +19,18 @@
     ListedServer { health: health.into(), ..server.clone() }
 }
 
-/// The replicas that are told of a change, and the change's version.
-fn changes(told: &[AddressedCommand]) -> Vec<(usize, u64)> {
+/// The replicas that a change is sent to, and its version.
+fn changes(commands: &[AddressedCommand]) -> Vec<(usize, u64)> {
     let change = |(replica, command): &AddressedCommand| match command {
         ReplicaCommand::Change { version, .. } => (*replica, *version),
         other => panic!("{other:?}"),
     };
-    told.iter().map(change).collect()
+    commands.iter().map(change).collect()
 }
 
 /// The one replica that is reset, to which version and how many entries.
-fn reset(told: &[AddressedCommand]) -> (usize, u64, usize) {
-    match told {
+fn reset(commands: &[AddressedCommand]) -> (usize, u64, usize) {
+    match commands {
         [(replica, ReplicaCommand::Reset { version, servers })] => (*replica, *version, servers.len()),
         other => panic!("{other:?}"),
     }
--- a/crates/testbed/tests/scale_requirements.rs
+++ b/crates/testbed/tests/scale_requirements.rs
@@ -28,17 +28,17 @@
     let limits = Limits { descriptors: 20_000, memory_bytes: GIB, processes: 200 };
     let needs = Requirements::of(&script);
     let faults = needs.fit(&limits).unwrap_err();
-    let told: Vec<_> = faults.iter().map(ToString::to_string).collect();
-    assert_eq!(faults.len(), 3, "{told:?}");
+    let texts: Vec<_> = faults.iter().map(ToString::to_string).collect();
+    assert_eq!(faults.len(), 3, "{texts:?}");
     assert_eq!(
-        told[0],
+        texts[0],
         "descriptors: the run needs 20084 in one process, 20000 are allowed (20,000, or the process's own limit)"
     );
     assert!(
-        told[1].starts_with("memory: the run needs ") && told[1].contains(" MiB, 1024 are allowed"),
-        "{told:?}"
+        texts[1].starts_with("memory: the run needs ") && texts[1].contains(" MiB, 1024 are allowed"),
+        "{texts:?}"
     );
-    assert_eq!(told[2], "processes: the run needs 285 in all, 200 are allowed (of a run)");
+    assert_eq!(texts[2], "processes: the run needs 285 in all, 200 are allowed (of a run)");
 }
 
 #[test]
--- a/crates/testbed/tests/scale_steps.rs
+++ b/crates/testbed/tests/scale_steps.rs
@@ -1,4 +1,4 @@
-//! The steps that a script's events are drawn to.
+//! The steps of a script's events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
