--- a/crates/cache-balancer/benches/fleet.rs
+++ b/crates/cache-balancer/benches/fleet.rs
@@ -4,7 +4,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{command, read, wait_for, CacheServer, Client, Folder, Message, Node};
+use common::{command, read_request, wait_for, CacheServer, Client, Message, Node, TempDir};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Stdio};
@@ -59,7 +59,7 @@
     runtime.block_on(serving);
 }
 
-fn file(folder: &Folder, name: &str, address: &str, server: &CacheServer, more: &str) -> std::path::PathBuf {
+fn file(folder: &TempDir, name: &str, address: &str, server: &CacheServer, more: &str) -> std::path::PathBuf {
     let text = format!(
         "version = 1\n[hand_over]\nsocket = \"{name}.sock\"\nprobation = \"100ms\"\n[[listener]]\nname = \"clients\"\naddress = \"{address}\"\n\
          [[pool]]\nname = \"p\"\n[[pool.server]]\nname = \"box\"\naddress = \"{}\"\n{CLASS}{more}",
@@ -91,7 +91,7 @@
 fn start_up(server: &CacheServer) {
     let (mut node, mut least) = (Vec::new(), Vec::new());
     for _ in 0..STARTS {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let path = file(&folder, "n", "127.0.0.1:0", server, "");
         let begun = Instant::now();
         let started = run(&path);
@@ -125,7 +125,7 @@
 }
 
 fn memory(server: &CacheServer) {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let path = file(&folder, "n", "127.0.0.1:0", server, "");
     let node = run(&path);
     wait_for("readiness", || answers(node.address));
@@ -146,8 +146,8 @@
 }
 
 /// What clients that ask all the time, on new connections, come to while every instance is replaced.
-fn replaced(server: &CacheServer, replace: impl Fn(&Folder, usize, Node) -> Node) -> (u64, u64) {
-    let folder = Folder::new();
+fn replaced(server: &CacheServer, replace: impl Fn(&TempDir, usize, Node) -> Node) -> (u64, u64) {
+    let folder = TempDir::new();
     let addresses: Vec<_> = (0..INSTANCES)
         .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
         .collect::<Vec<_>>()
@@ -171,7 +171,7 @@
                     key += 1;
                     let asked = || {
                         let mut stream = TcpStream::connect(address)?;
-                        stream.write_all(read("read", key, 5_000).as_bytes())?;
+                        stream.write_all(read_request("read", key, 5_000).as_bytes())?;
                         Message::read(&mut BufReader::new(stream))
                     };
                     let served =
@@ -191,12 +191,12 @@
 }
 
 fn upgrades(server: &CacheServer) {
-    let again = |folder: &Folder, instance: usize, old: &Node| {
+    let again = |folder: &TempDir, instance: usize, old: &Node| {
         file(folder, &format!("{instance}"), &old.address.to_string(), server, "")
     };
     let (served, lost) = replaced(server, |folder, instance, old| {
         let new = run(&again(folder, instance, &old));
-        assert!(old.exit().success());
+        assert!(old.exit_status().success());
         file(folder, &format!("{instance}"), &new.address.to_string(), server, "");
         new
     });
@@ -204,7 +204,7 @@
     let (served, lost) = replaced(server, |folder, instance, old| {
         let address = old.address;
         old.terminate();
-        assert!(old.exit().success());
+        assert!(old.exit_status().success());
         let new = run(&file(folder, &format!("{instance}"), &address.to_string(), server, ""));
         wait_for("readiness", || answers(new.address));
         new
@@ -226,7 +226,7 @@
 
 /// Kills the successor once, so long after it has taken over, with four clients that ask on new connections.
 fn death(server: &CacheServer, probation: &str, after: Duration, counts: &Deaths) {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let start = || {
         let path = file(&folder, "n", &address.to_string(), server, "");
@@ -254,7 +254,7 @@
                             counts.refused_later.fetch_add(since(SETTLED).into(), Ordering::SeqCst);
                         }
                         Ok(mut stream) => {
-                            let sent = stream.write_all(read("read", key, 5_000).as_bytes());
+                            let sent = stream.write_all(read_request("read", key, 5_000).as_bytes());
                             let answer = sent.and_then(|()| Message::read(&mut BufReader::new(stream)));
                             if !answer.is_ok_and(|answer| answer.is_some_and(|answer| answer.status() == 200))
                             {
@@ -268,7 +268,7 @@
             });
         }
         let mut new = start();
-        wait_for("the hand-over", || old.said("stands by") == 1);
+        wait_for("the hand-over", || old.logged("stands by") == 1);
         std::thread::sleep(after);
         new.child.kill().unwrap();
         // From its end on, not from the signal: until then it still takes requests.
@@ -308,7 +308,7 @@
 
 fn throughput(server: &CacheServer) {
     let served = |instances: usize| {
-        let folders: Vec<_> = (0..instances).map(|_| Folder::new()).collect();
+        let folders: Vec<_> = (0..instances).map(|_| TempDir::new()).collect();
         let nodes: Vec<_> =
             folders.iter().map(|folder| run(&file(folder, "n", "127.0.0.1:0", server, ""))).collect();
         nodes.iter().for_each(|node| wait_for("readiness", || answers(node.address)));
@@ -317,11 +317,11 @@
             .map(|number| {
                 let (over, count, address) = (over.clone(), count.clone(), nodes[number % instances].address);
                 std::thread::spawn(move || {
-                    let mut client = Client::to(address);
+                    let mut client = Client::connect(address);
                     let mut key = (number as u64) << 32;
                     while !over.load(Ordering::SeqCst) {
                         key += 1;
-                        if client.ask(&read("read", key, 5_000)).status() == 200 {
+                        if client.request(&read_request("read", key, 5_000)).status() == 200 {
                             count.fetch_add(1, Ordering::SeqCst);
                         }
                     }
--- a/crates/cache-balancer/tests/aggregate.rs
+++ b/crates/cache-balancer/tests/aggregate.rs
@@ -8,13 +8,13 @@
 
 /// The one row into which these logs are aggregated, the exit code and the complaints.
 fn aggregated(logs: &[&str]) -> (Value, i32, String) {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let mut command = command();
     command.args(["aggregate", "--json", "--every", "86400"]);
     for (i, log) in logs.iter().enumerate() {
         command.arg(folder.write(&format!("{i}.log"), log));
     }
-    let output = ended(command);
+    let output = output_before_timeout(command);
     let rows = String::from_utf8(output.stdout).unwrap();
     let rows: Vec<Value> = rows.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
     assert!(rows.len() <= 1, "a run over midnight: {rows:?}");
@@ -26,12 +26,12 @@
 fn the_logs_of_three_nodes_give_the_requests_and_attempts_of_all() {
     let good = CacheServer::serving("value");
     let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let discovery = Discovery::start(&[good.entry("s-1", "ready"), host("s-2", nobody, "ready")]);
+    let discovery = Discovery::start(&[good.entry("s-1", "ready"), endpoint("s-2", nobody, "ready")]);
     let nodes: Vec<Node> = (0..3)
         .map(|i| {
             let mut config = config(discovery.address);
             config["name"] = format!("n{i}").into();
-            Node::ready(&config)
+            Node::start_ready(&config)
         })
         .collect();
     for node in &nodes {
@@ -39,15 +39,15 @@
             assert_eq!(node.read("read", key).status(), 200);
         }
     }
-    discovery.tell(false, &[host("s-2", nobody, "gone")]);
+    discovery.notify(false, &[endpoint("s-2", nobody, "gone")]);
     wait_for("all nodes to be notified", || {
-        discovery.asked.lock().unwrap().iter().filter(|path| path.contains("after=2&")).count() == 3
+        discovery.received.lock().unwrap().iter().filter(|path| path.contains("after=2&")).count() == 3
     });
     assert!(nodes.iter().all(|node| node.read("read", 1).status() == 200));
     let logs: Vec<_> = nodes.iter().map(|node| node.log.clone()).collect();
     for node in nodes {
         node.terminate();
-        assert!(node.exit().success());
+        assert!(node.exit_status().success());
     }
     let text = |log: &std::sync::Mutex<Vec<String>>| log.lock().unwrap().join("\n") + "\n";
     // The line of the last second is written when the node ends.
@@ -58,7 +58,7 @@
     assert_eq!((code, complaints.as_str()), (0, ""));
     let of = |name: &str| row[name].as_u64().unwrap();
     assert_eq!((of("nodes"), of("served"), of("refused"), of("failed")), (3, 63, 0, 0));
-    assert_eq!(good.count(), 63);
+    assert_eq!(good.request_count(), 63);
     assert!(of("connect") >= 3, "each met the server that is not there: {row}");
     assert_eq!(of("repeats"), of("connect"), "{row}");
     assert!(of("trips") >= 3, "{row}");
@@ -76,7 +76,7 @@
     assert!(complaints.contains("0.log:2: no tally: missing field `node`"), "{complaints}");
     let mut command = command();
     command.args(["aggregate", "no-such.log"]);
-    let output = ended(command);
+    let output = output_before_timeout(command);
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8(output.stderr).unwrap().contains("no-such.log: "));
 }
@@ -84,7 +84,7 @@
 #[test]
 fn a_node_tallies_where_its_operators_file_says_so() {
     let server = CacheServer::serving("value");
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let file = |log: &str| {
         format!(
             "version = 1\nseed = 1\n{log}[[listener]]\nname = \"l\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"p\"\n\
@@ -92,13 +92,13 @@
             server.address
         )
     };
-    let node = run(&folder, &file(""));
+    let node = start_with_operator_file(&folder, &file(""));
     assert_eq!(node.read("read", 1).status(), 200);
     node.reconfigure(&file("[log]\ntally = true\n"));
-    assert_eq!(node.said("tally on"), 1);
+    assert_eq!(node.logged("tally on"), 1);
     wait_for("a tally line", || {
         assert_eq!(node.read("read", 1).status(), 200);
-        node.said("tally {") >= 1
+        node.logged("tally {") >= 1
     });
 }
 
--- a/crates/cache-balancer/tests/answers.rs
+++ b/crates/cache-balancer/tests/answers.rs
@@ -62,8 +62,8 @@
 fn outcome(class: &str, does: fn(usize, &mut TcpStream) -> bool) -> (u16, String, usize) {
     let servers = [scripted(does), scripted(does)];
     let [one, two] = servers.each_ref().map(|(address, ..)| *address);
-    let discovery = Discovery::start(&[host("s-1", one, "ready"), host("s-2", two, "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let discovery = Discovery::start(&[endpoint("s-1", one, "ready"), endpoint("s-2", two, "ready")]);
+    let node = Node::start_ready(&config(discovery.address));
     let answer = node.read(class, 1);
     let attempts = servers.iter().map(|(_, asked, _)| asked.lock().unwrap().len()).sum();
     (answer.status(), String::from_utf8(answer.body).unwrap(), attempts)
@@ -114,7 +114,7 @@
     let cases: [Then; 5] = [
         |stream| write(stream, "HTTP/1.1 2"),
         |stream| close_after(stream, "HTTP/1.1 2"),
-        |stream| write(stream, &answer("200 OK", "", "not yours")),
+        |stream| write(stream, &response("200 OK", "", "not yours")),
         |stream| write(stream, "\0\0\0") && reset(stream),
         |stream| reset(stream),
     ];
@@ -124,7 +124,7 @@
         let said = Gate::default();
         let (held, done) = (gate.clone(), said.clone());
         let (address, asked, ended) = scripted(move |number, stream| {
-            if !write(stream, &answer("200 OK", "", "value")) || number != 1 {
+            if !write(stream, &response("200 OK", "", "value")) || number != 1 {
                 return true;
             }
             held.wait();
@@ -134,8 +134,8 @@
             }
             goes_on
         });
-        let discovery = Discovery::start(&[host("s-1", address, "ready")]);
-        let node = Node::ready(&config(discovery.address));
+        let discovery = Discovery::start(&[endpoint("s-1", address, "ready")]);
+        let node = Node::start_ready(&config(discovery.address));
         assert_eq!(node.read("once", 1).body, b"value", "{case}");
         gate.open();
         if [0, 2].contains(&case) {
--- a/crates/cache-balancer/tests/clients.rs
+++ b/crates/cache-balancer/tests/clients.rs
@@ -9,21 +9,22 @@
 /// Only the client and the cache server may interpret path, body and idempotency key.
 #[test]
 fn a_request_and_its_response_are_forwarded_unchanged() {
-    let server =
-        CacheServer::start(|_| Does::Answer(answer("200 OK", "Srv-Load: queue=2\r\n", "the\r\n\r\nvalue")));
+    let server = CacheServer::start(|_| {
+        ServerBehavior::Respond(response("200 OK", "Srv-Load: queue=2\r\n", "the\r\n\r\nvalue"))
+    });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     let body = "v".repeat(64 << 10);
     let put = format!(
         "PUT /api/users/7f3a?x=1&y=%20z HTTP/1.1\r\nHost: s\r\nReq-Id: 9b1f03aa\r\nReq-Kind: keyed\r\n\
          Req-Deadline-Ms: 20000\r\nIdempotency-Key: k-1\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    let served = node.client().ask(&put);
+    let served = node.client().request(&put);
     assert_eq!((served.status(), &served.body[..]), (200, &b"the\r\n\r\nvalue"[..]));
-    let asked = server.asked.lock().unwrap();
+    let asked = server.received.lock().unwrap();
     assert_eq!(asked.len(), 1);
-    assert_eq!(asked[0].start, "PUT /api/users/7f3a?x=1&y=%20z HTTP/1.1");
+    assert_eq!(asked[0].start_line, "PUT /api/users/7f3a?x=1&y=%20z HTTP/1.1");
     assert_eq!(asked[0].header("req-id"), Some("9b1f03aa"));
     assert_eq!(asked[0].header("idempotency-key"), Some("k-1"));
     let left: u64 = asked[0].header("req-deadline-ms").unwrap().parse().unwrap();
@@ -36,7 +37,7 @@
 fn an_invalid_request_gets_its_status_and_reaches_no_cache_server() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     let id = "Req-Id: 1\r\n";
     let kind = "Req-Kind: read\r\n";
     let time = "Req-Deadline-Ms: 900\r\n";
@@ -59,14 +60,14 @@
     ];
     for (start, headers, status) in cases {
         let text = format!("{start} HTTP/1.1\r\nHost: s\r\n{headers}\r\n");
-        assert_eq!(node.client().ask(&text).status(), status, "{text}");
+        assert_eq!(node.client().request(&text).status(), status, "{text}");
     }
     let chunks = format!("10001\r\n{}\r\n0\r\n\r\n", "v".repeat(0x10001));
     let text = format!(
         "PUT /api/1 HTTP/1.1\r\nHost: s\r\n{id}{kind}{time}Transfer-Encoding: chunked\r\n\r\n{chunks}"
     );
-    assert_eq!(node.client().ask(&text).status(), 411, "a body of unstated length");
-    assert_eq!(server.count(), 0);
+    assert_eq!(node.client().request(&text).status(), 411, "a body of unstated length");
+    assert_eq!(server.request_count(), 0);
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
@@ -76,14 +77,14 @@
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "draining")]);
     let node = Node::start(&config(discovery.address));
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     assert_eq!(node.get("/healthz").status(), 503);
-    discovery.tell(false, &[server.entry("s-1", "ready")]);
+    discovery.notify(false, &[server.entry("s-1", "ready")]);
     wait_for("readiness", || node.get("/healthz").status() == 200);
 
     let mut known = config(discovery.address);
     known["known"] = json!({"seq": 2, "whole": true, "hosts": [server.entry("s-1", "ready")]});
-    let node = Node::ready(&known);
+    let node = Node::start_ready(&known);
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
@@ -93,16 +94,16 @@
 fn a_rejection_comes_at_once_and_has_a_retry_after() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
-    discovery.tell(false, &[server.entry("s-1", "draining")]);
-    discovery.wait_until_told(2);
+    let node = Node::start_ready(&config(discovery.address));
+    discovery.notify(false, &[server.entry("s-1", "draining")]);
+    discovery.wait_until_notified(2);
     let mut client = node.client();
     // The client would wait for an hour: any response was not held until its deadline.
-    let refused = client.ask(&read("read", 1, 3_600_000));
+    let refused = client.request(&read_request("read", 1, 3_600_000));
     assert_eq!(refused.status(), 503);
     let after: f64 = refused.header("retry-after").expect("Retry-After").parse().unwrap();
     assert!(after > 0.0 && after <= 2.0, "{after}");
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
 }
 
 /// A server that never responds must cost its request one failure, in time, and nothing of the next request:
@@ -110,16 +111,16 @@
 #[test]
 fn a_silent_server_ends_in_one_failure_before_the_client_gives_up() {
     let server = CacheServer::start(|asked| match asked.header("req-id") {
-        Some("1") => Does::Nothing,
-        _ => Does::Answer(answer("200 OK", "", "value")),
+        Some("1") => ServerBehavior::NoResponse,
+        _ => ServerBehavior::Respond(response("200 OK", "", "value")),
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     let mut client = node.client();
-    let failed = client.ask(&read("read", 1, 300));
+    let failed = client.request(&read_request("read", 1, 300));
     assert!(failed.status() >= 400, "{failed:?}");
     // The same connection stays open, and its next response belongs to the next request.
-    assert_eq!(client.ask(&read("read", 2, 20_000)).body, b"value");
+    assert_eq!(client.request(&read_request("read", 2, 20_000)).body, b"value");
     // The attempt was cancelled: its connection is closed.
     wait_for("the cancelled attempt's connection to close", || server.closed.load(Ordering::SeqCst) == 1);
 }
@@ -127,43 +128,43 @@
 /// Clients held idle connections, and all others were kept out of a full table.
 #[test]
 fn idle_connections_are_evicted_when_the_table_is_full() {
-    let (server, _discovery, node) = small_node(40);
+    let (server, _discovery, node) = node_with_descriptor_limit(40);
     let mut clients: Vec<_> = (0..30).map(|_| node.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
-        let text = read("read", i as u64, 20_000);
+        let text = read_request("read", i as u64, 20_000);
         // One that was closed before it was used: a client opens another and sends again.
-        let mut answered = client.try_ask(&text);
+        let mut answered = client.try_request(&text);
         if answered.is_none() {
             *client = node.client();
-            answered = client.try_ask(&text);
+            answered = client.try_request(&text);
         }
         assert_eq!(answered.expect("a response").status(), 200, "client {i}");
     }
-    assert_eq!(server.count(), 30);
+    assert_eq!(server.request_count(), 30);
 }
 
 /// An attempt breaks after its client has disconnected. A retry would be work for nobody.
 #[test]
 fn no_attempt_is_made_for_a_client_that_disconnected() {
     let gate = Gate::default();
-    let [one, two] = [(); 2].map(|()| CacheServer::breaking_the_first(&gate));
+    let [one, two] = [(); 2].map(|()| CacheServer::disconnecting_first_request(&gate));
     let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     let mut client = node.client();
-    client.send(&read("read", 1, 60_000));
-    wait_for("the attempt", || one.count() + two.count() == 1);
-    client.leave();
-    assert_eq!(client.answer(), None);
+    client.send(&read_request("read", 1, 60_000));
+    wait_for("the attempt", || one.request_count() + two.request_count() == 1);
+    client.close_sending_side();
+    assert_eq!(client.receive(), None);
     gate.open();
     for key in 2..12 {
         assert_eq!(node.read("read", key).status(), 200);
     }
-    assert_eq!(one.count() + two.count(), 11);
+    assert_eq!(one.request_count() + two.request_count(), 11);
 }
 
 /// A read with these header lines besides its own, and with this behind its head.
 fn odd(key: u64, headers: &str, rest: &str) -> String {
-    read("read", key, 20_000).replace("\r\n\r\n", &format!("\r\n{headers}\r\n{rest}"))
+    read_request("read", key, 20_000).replace("\r\n\r\n", &format!("\r\n{headers}\r\n{rest}"))
 }
 
 /// A request can hide in the body of another if the node and a parser before it read its length in different
@@ -172,8 +173,8 @@
 fn a_request_of_doubtful_framing_is_rejected_and_its_connection_closed() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
-    let hidden = read("read", 99, 20_000);
+    let node = Node::start_ready(&config(discovery.address));
+    let hidden = read_request("read", 99, 20_000);
     let length = format!("Content-Length: {}\r\n", hidden.len() + 5);
     let cases = [
         odd(1, &format!("{length}Transfer-Encoding: chunked\r\n"), &format!("0\r\n\r\n{hidden}")),
@@ -190,11 +191,11 @@
     ];
     for text in cases {
         let mut client = node.client();
-        let answered = client.ask(&text);
+        let answered = client.request(&text);
         assert!((400..500).contains(&answered.status()), "{} to {text}", answered.status());
-        assert_eq!(client.answer(), None, "still open after {text}");
+        assert_eq!(client.receive(), None, "still open after {text}");
     }
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
 }
 
 /// Forwarded, a second request of the same id passes for a copy of the first, and gets its response.
@@ -202,16 +203,16 @@
 fn an_id_in_flight_is_rejected_and_free_again_afterwards() {
     let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     let mut first = node.client();
-    first.send(&read("read", 1, 20_000));
-    wait_for("the attempt", || server.count() == 1);
+    first.send(&read_request("read", 1, 20_000));
+    wait_for("the attempt", || server.request_count() == 1);
     let answered = node.read("read", 1);
     assert!((400..500).contains(&answered.status()), "{}", answered.status());
     gate.open();
-    assert_eq!(first.answer().expect("a response").status(), 200);
+    assert_eq!(first.receive().expect("a response").status(), 200);
     assert_eq!(node.read("read", 1).status(), 200);
-    assert_eq!(server.count(), 2);
+    assert_eq!(server.request_count(), 2);
 }
 
 /// Clients that send nothing, half a head or half a body hold a connection each for as long as they like.
@@ -219,7 +220,7 @@
 fn an_incomplete_request_is_closed_within_its_time() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     let start = std::time::Instant::now();
     let texts = ["", "GET /api/1 HTTP/1.1\r\nHost:", &odd(1, "Content-Length: 10\r\n", "half")];
     let mut clients: Vec<_> = texts.iter().map(|_| node.client()).collect();
@@ -227,25 +228,25 @@
         client.send(text);
     }
     for (client, text) in clients.iter_mut().zip(texts) {
-        assert_eq!(client.answer(), None, "{text}");
+        assert_eq!(client.receive(), None, "{text}");
     }
     // A wide margin over 2 s, and well under the minute that nothing at all would take here.
-    assert!(start.elapsed() < PATIENCE / 2, "{:?}", start.elapsed());
-    assert_eq!(server.count(), 0);
+    assert!(start.elapsed() < TIMEOUT / 2, "{:?}", start.elapsed());
+    assert_eq!(server.request_count(), 0);
 }
 
 /// A flood of connections that send nothing fills the table. Usual clients must keep theirs, and a new one
 /// must be accepted and not be evicted before its first request.
 #[test]
 fn a_silent_flood_is_evicted_before_the_usual_clients() {
-    let (server, _discovery, node) = small_node(40);
+    let (server, _discovery, node) = node_with_descriptor_limit(40);
     let mut usual = node.client();
-    assert_eq!(usual.ask(&read("read", 1, 20_000)).status(), 200);
+    assert_eq!(usual.request(&read_request("read", 1, 20_000)).status(), 200);
     let _flood: Vec<_> = (0..24).map(|_| node.client()).collect();
     let mut new = node.client();
-    assert_eq!(new.ask(&read("read", 2, 20_000)).status(), 200);
-    assert_eq!(usual.ask(&read("read", 3, 20_000)).status(), 200);
-    assert_eq!(server.count(), 3);
+    assert_eq!(new.request(&read_request("read", 2, 20_000)).status(), 200);
+    assert_eq!(usual.request(&read_request("read", 3, 20_000)).status(), 200);
+    assert_eq!(server.request_count(), 3);
 }
 
 /// The largest number of connections that clients held together which came one after the other, sent one
@@ -254,7 +255,7 @@
     let (mut held, mut most) = (Vec::new(), 0);
     for key in 0..clients {
         let mut client = node.client();
-        let answered = client.ask(&read("read", key, 20_000));
+        let answered = client.request(&read_request("read", key, 20_000));
         assert_eq!(answered.status(), 200, "client {key}");
         if answered.header("connection") != Some("close") {
             held.push(client);
@@ -269,85 +270,86 @@
 /// close held all of these, and the next one was shut out.
 #[test]
 fn clients_that_never_close_keep_no_further_client_out() {
-    let (server, _discovery, node) = small_node(96);
+    let (server, _discovery, node) = node_with_descriptor_limit(96);
     let most = most_held(&node, 200);
     assert!((8..=16).contains(&most), "{most} of 32 connections held by clients that don't use them");
-    assert_eq!(server.count(), 200);
+    assert_eq!(server.request_count(), 200);
 }
 
 /// The same with a flood of connections that send nothing, which holds what is left of the table.
 #[test]
 fn clients_that_never_close_and_a_silent_flood_keep_no_client_out() {
-    let (server, _discovery, node) = small_node(96);
+    let (server, _discovery, node) = node_with_descriptor_limit(96);
     let _flood: Vec<_> = (0..100).map(|_| node.client()).collect();
     let most = most_held(&node, 100);
     assert!(most <= 16, "{most} of 32 connections held by clients that don't use them");
-    assert_eq!(server.count(), 100);
+    assert_eq!(server.request_count(), 100);
 }
 
 /// While connections are few, a client must not pay for a new one.
 #[test]
 fn a_client_that_sends_on_keeps_its_connection() {
-    let (server, _discovery, node) = small_node(96);
+    let (server, _discovery, node) = node_with_descriptor_limit(96);
     let mut clients: Vec<_> = (0..8).map(|_| node.client()).collect();
     for round in 0..20 {
         for (i, client) in clients.iter_mut().enumerate() {
-            let answered = client.ask(&read("read", round * 8 + i as u64, 20_000));
+            let answered = client.request(&read_request("read", round * 8 + i as u64, 20_000));
             assert_eq!((answered.status(), answered.header("connection")), (200, None));
         }
     }
-    assert_eq!(server.count(), 160);
+    assert_eq!(server.request_count(), 160);
 }
 
 /// A pipelined request has been accepted. It was lost with the connection that the response before it closed.
 #[test]
 fn a_pipelined_request_is_served_before_its_connection_closes() {
-    let (server, _discovery, node) = small_node(40);
+    let (server, _discovery, node) = node_with_descriptor_limit(40);
     let mut idle: Vec<_> = (0..4).map(|_| node.client()).collect();
     for (key, client) in idle.iter_mut().enumerate() {
-        assert_eq!(client.ask(&read("read", key as u64, 20_000)).header("connection"), None);
+        assert_eq!(client.request(&read_request("read", key as u64, 20_000)).header("connection"), None);
     }
     let mut client = node.client();
-    client.send(&(put(10, 20_000) + &read("read", 11, 20_000) + &put(12, 20_000)));
-    let answers: Vec<_> = (0..3).map(|_| client.answer().expect("a response")).collect();
+    client
+        .send(&(write_request(10, 20_000) + &read_request("read", 11, 20_000) + &write_request(12, 20_000)));
+    let answers: Vec<_> = (0..3).map(|_| client.receive().expect("a response")).collect();
     assert_eq!(answers.iter().map(Message::status).collect::<Vec<_>>(), [200; 3]);
     let closes: Vec<_> = answers.iter().map(|answer| answer.header("connection")).collect();
     assert_eq!(closes, [None, None, Some("close")]);
-    assert_eq!(client.answer(), None);
-    assert_eq!(server.count(), 7);
+    assert_eq!(client.receive(), None);
+    assert_eq!(server.request_count(), 7);
 }
 
 /// A connection that is closed with half a body unread is reset, and the reset can overtake the response.
 #[test]
 fn a_client_that_is_still_sending_at_its_response_is_not_reset() {
-    let (server, _discovery, node) = small_node(96);
+    let (server, _discovery, node) = node_with_descriptor_limit(96);
     let mut client = node.client();
     let length = 128 << 10;
     client.send(&odd(1, &format!("Content-Length: {length}\r\n"), "").replace("GET", "PUT"));
-    assert_eq!(client.answer().expect("a response").status(), 413);
-    assert_eq!(client.answer(), None);
+    assert_eq!(client.receive().expect("a response").status(), 413);
+    assert_eq!(client.receive(), None);
     for _ in 0..16 {
         client.send(&"v".repeat(length / 16));
         // Long enough for a reset to come back, far shorter than a connection lingers.
         std::thread::sleep(std::time::Duration::from_millis(2));
     }
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
 }
 
 /// Connections that nobody uses held all idle connections that are kept, against those of later clients.
 #[test]
 fn the_longest_idle_connection_is_closed_for_one_just_used() {
-    let (_server, _discovery, node) = small_node(42);
+    let (_server, _discovery, node) = node_with_descriptor_limit(42);
     // Nine connections: four may be idle, beside a request in flight or not.
     let mut keys = 0..;
     let mut ask = |client: &mut Client| {
-        let answered = client.ask(&read("read", keys.next().unwrap(), 20_000));
+        let answered = client.request(&read_request("read", keys.next().unwrap(), 20_000));
         answered.header("connection") != Some("close")
     };
     let mut idle: Vec<_> = (0..4).map(|_| node.client()).collect();
     assert!(idle.iter_mut().all(&mut ask));
     // Until the first of them has been idle for long enough, each further one is asked to close.
     wait_for("a place among the idle connections", || ask(&mut node.client()));
-    assert_eq!(idle[0].answer(), None);
+    assert_eq!(idle[0].receive(), None);
     assert!(idle[1..].iter().all(Client::is_open), "one is closed for one");
 }
--- a/crates/cache-balancer/tests/common/client.rs
+++ b/crates/cache-balancer/tests/common/client.rs
@@ -1,23 +1,23 @@
 //! A client on one connection.
 
 use super::http::Message;
-use super::wait::PATIENCE;
+use super::wait::TIMEOUT;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A client's connection.
+/// A client with one connection to a node.
 pub struct Client(pub BufReader<TcpStream>);
 
 impl From<TcpStream> for Client {
     fn from(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Self(BufReader::new(stream))
     }
 }
 
 impl Client {
-    /// A new connection to this address.
-    pub fn to(address: SocketAddr) -> Self {
+    /// Connects to this address.
+    pub fn connect(address: SocketAddr) -> Self {
         TcpStream::connect(address).unwrap().into()
     }
 
@@ -26,13 +26,13 @@
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Closes its sending side: the node sees that the client has disconnected.
-    pub fn leave(&self) {
+    /// Shuts down the sending direction: the node sees that the client has disconnected.
+    pub fn close_sending_side(&self) {
         self.0.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
     }
 
-    /// The next response, or `None` if the node closes the connection first.
-    pub fn answer(&mut self) -> Option<Message> {
+    /// Receives the next response, or `None` if the node closes the connection first.
+    pub fn receive(&mut self) -> Option<Message> {
         match Message::read(&mut self.0) {
             Ok(message) => message,
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => None,
@@ -49,15 +49,15 @@
         peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// The response to a request, or `None` if the node has closed the connection.
-    pub fn try_ask(&mut self, text: &str) -> Option<Message> {
+    /// Sends a request and returns its response, or `None` if the node has closed the connection.
+    pub fn try_request(&mut self, text: &str) -> Option<Message> {
         self.0.get_mut().write_all(text.as_bytes()).ok()?;
-        self.answer()
+        self.receive()
     }
 
-    /// The response to a request.
-    pub fn ask(&mut self, text: &str) -> Message {
+    /// Sends a request and returns its response. Panics if the node closes the connection first.
+    pub fn request(&mut self, text: &str) -> Message {
         self.send(text);
-        self.answer().expect("a response")
+        self.receive().expect("a response")
     }
 }
--- a/crates/cache-balancer/tests/common/discovery.rs
+++ b/crates/cache-balancer/tests/common/discovery.rs
@@ -1,90 +1,95 @@
-//! A discovery service that sends the endpoint lists of a test.
+//! A stand-in discovery service that sends the endpoint lists of the test.
 
-use super::http::{answer, Message};
-use super::wait::{wait_for, PATIENCE};
+use super::http::{response, Message};
+use super::wait::{wait_for, TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 
-/// The current response.
-struct Lists {
+/// The response to polls, and its version.
+struct CurrentResponse {
     seq: u64,
     body: String,
 }
 
-/// A discovery service.
+/// A stand-in discovery service on loopback that serves one endpoint list to all nodes.
 pub struct Discovery {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// The paths of the calls that it has received, in order.
-    pub asked: Arc<Mutex<Vec<String>>>,
-    lists: Arc<(Mutex<Lists>, Condvar)>,
+    /// The paths of the received requests, in order of arrival.
+    pub received: Arc<Mutex<Vec<String>>>,
+    current: Arc<(Mutex<CurrentResponse>, Condvar)>,
 }
 
 impl Discovery {
-    /// One with this list, as a snapshot of version 1.
-    pub fn start(hosts: &[Value]) -> Self {
-        Self::start_at((Ipv4Addr::LOCALHOST, 0).into(), hosts)
+    /// Starts a service with these endpoints, as a snapshot of version 1.
+    pub fn start(endpoints: &[Value]) -> Self {
+        Self::start_at((Ipv4Addr::LOCALHOST, 0).into(), endpoints)
     }
 
-    /// The same at this address.
-    pub fn start_at(address: SocketAddr, hosts: &[Value]) -> Self {
+    /// Like [`Discovery::start`], at this address.
+    pub fn start_at(address: SocketAddr, endpoints: &[Value]) -> Self {
         let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap();
-        let body = json!({"seq": 1, "whole": true, "hosts": hosts}).to_string();
-        let lists = Arc::new((Mutex::new(Lists { seq: 1, body }), Condvar::new()));
-        let asked: Arc<Mutex<Vec<String>>> = Arc::default();
-        let (all, log) = (lists.clone(), asked.clone());
+        let body = json!({"seq": 1, "whole": true, "hosts": endpoints}).to_string();
+        let current = Arc::new((Mutex::new(CurrentResponse { seq: 1, body }), Condvar::new()));
+        let received: Arc<Mutex<Vec<String>>> = Arc::default();
+        let (shared_response, received_paths) = (current.clone(), received.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (lists, asked) = (all.clone(), log.clone());
+                let (current, received) = (shared_response.clone(), received_paths.clone());
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     let mut stream = stream;
                     while let Ok(Some(message)) = Message::read(&mut reader) {
-                        let path = message.start.split(' ').nth(1).unwrap().to_owned();
+                        let path = message.start_line.split(' ').nth(1).unwrap().to_owned();
                         let after =
                             path.split_once("after=").map(|(_, rest)| rest.split('&').next().unwrap());
                         let after = after.map_or(0, |after| after.parse().unwrap());
-                        asked.lock().unwrap().push(path);
-                        let (list, changed) = &*lists;
-                        let list = changed
-                            .wait_timeout_while(list.lock().unwrap(), PATIENCE, |list| list.seq <= after)
+                        received.lock().unwrap().push(path);
+                        let (response_to_send, changed) = &*current;
+                        let response_to_send = changed
+                            .wait_timeout_while(response_to_send.lock().unwrap(), TIMEOUT, |response| {
+                                response.seq <= after
+                            })
                             .unwrap()
                             .0;
-                        if stream.write_all(answer("200 OK", "", &list.body).as_bytes()).is_err() {
+                        if stream
+                            .write_all(response("200 OK", "", &response_to_send.body).as_bytes())
+                            .is_err()
+                        {
                             return;
                         }
                     }
                 });
             }
         });
-        Self { address, asked, lists }
+        Self { address, received, current }
     }
 
-    /// Sends a snapshot (`whole`) or a delta, with the next version.
-    pub fn tell(&self, whole: bool, hosts: &[Value]) {
-        let seq = self.lists.0.lock().unwrap().seq + 1;
-        self.tell_text(json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string());
+    /// Sends a snapshot (if `whole`) or a delta with the next version to all watches.
+    pub fn notify(&self, whole: bool, endpoints: &[Value]) {
+        let seq = self.current.0.lock().unwrap().seq + 1;
+        self.notify_text(json!({"seq": seq, "whole": whole, "hosts": endpoints}).to_string());
     }
 
-    /// Responds to the calls that wait, and to those that come until the next list, with this text.
-    pub fn tell_text(&self, body: String) {
-        let mut lists = self.lists.0.lock().unwrap();
-        *lists = Lists { seq: lists.seq + 1, body };
-        self.lists.1.notify_all();
+    /// Responds with this text to pending polls, and to later ones until the next update.
+    pub fn notify_text(&self, body: String) {
+        let mut current = self.current.0.lock().unwrap();
+        *current = CurrentResponse { seq: current.seq + 1, body };
+        self.current.1.notify_all();
     }
 
-    /// The number of calls that it has received.
-    pub fn calls(&self) -> usize {
-        self.asked.lock().unwrap().len()
+    /// The number of received requests.
+    pub fn request_count(&self) -> usize {
+        self.received.lock().unwrap().len()
     }
 
     /// Waits until the node has applied the list of this version: it then polls for the next one.
-    pub fn wait_until_told(&self, seq: u64) {
+    pub fn wait_until_notified(&self, seq: u64) {
         let next = format!("after={seq}&");
-        wait_for("the next watch", || self.asked.lock().unwrap().iter().any(|path| path.contains(&next)));
+        wait_for("the next watch", || self.received.lock().unwrap().iter().any(|path| path.contains(&next)));
     }
 }
--- a/crates/cache-balancer/tests/common/files.rs
+++ b/crates/cache-balancer/tests/common/files.rs
@@ -1,16 +1,16 @@
-//! Files and addresses that belong to one test.
+//! Files and addresses that are unique to one test.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Makes names and addresses of one test process differ.
+/// Distinguishes the names and addresses that one test process creates.
 static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// A folder of a test's own, which is removed when this is dropped.
-pub struct Folder(pub std::path::PathBuf);
+/// A temporary directory, removed when this is dropped.
+pub struct TempDir(pub std::path::PathBuf);
 
-impl Folder {
-    /// Creates one.
+impl TempDir {
+    /// Creates an empty directory.
     pub fn new() -> Self {
         let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         let path = std::env::temp_dir().join(format!("cache-balancer-{}-{number}", std::process::id()));
@@ -26,13 +26,13 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Writes a configuration file of a test's own and returns its path.
+/// Writes a configuration file under a unique name and returns its path.
 pub fn write_config(text: &str) -> std::path::PathBuf {
     let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
     let path = std::env::temp_dir().join(format!("cache-balancer-{}-{number}.json", std::process::id()));
@@ -40,12 +40,12 @@
     path
 }
 
-/// An address on loopback that no other test uses, with a port on which nobody listens.
+/// A loopback address that no other test uses, with a port on which nothing listens.
 ///
 /// A port that a listener has found free and released is not safe to use: a process that another test is just
 /// starting may still hold it (its file descriptors are copied, and closed only when the program begins), and
 /// on 127.0.0.1 another test's connection may take it meanwhile.
-pub fn own_address() -> SocketAddr {
+pub fn unique_address() -> SocketAddr {
     let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst) % 250;
     let [.., high, low] = std::process::id().to_be_bytes();
     (Ipv4Addr::new(127, 2 + number as u8, high, low.max(1)), 7070).into()
--- a/crates/cache-balancer/tests/common/http.rs
+++ b/crates/cache-balancer/tests/common/http.rs
@@ -7,11 +7,11 @@
 /// An HTTP message as it was received.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Message {
-    /// Its first line.
-    pub start: String,
-    /// Its headers, by lower-case name.
+    /// The start line: of a request or of a response.
+    pub start_line: String,
+    /// The headers, by lower-case name.
     pub headers: HashMap<String, String>,
-    /// Its body.
+    /// The body, as long as `Content-Length` says.
     pub body: Vec<u8>,
 }
 
@@ -26,7 +26,7 @@
             }
             match line.trim_end() {
                 "" => break,
-                line if message.start.is_empty() => message.start = line.to_owned(),
+                line if message.start_line.is_empty() => message.start_line = line.to_owned(),
                 line => {
                     let (name, value) = line.split_once(':').unwrap();
                     message.headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
@@ -46,26 +46,26 @@
 
     /// The status of a response.
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).unwrap().parse().unwrap()
+        self.start_line.split(' ').nth(1).unwrap().parse().unwrap()
     }
 }
 
-/// A response with this status, these header lines and this body.
-pub fn answer(status: &str, headers: &str, body: &str) -> String {
+/// A response with this status, these header lines (each ended by CRLF) and this body.
+pub fn response(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A read of a key, with the key as the request's id.
-pub fn read(class: &str, key: u64, deadline_ms: u64) -> String {
+/// A read of `key` by a request class, with the key as request id and a deadline in milliseconds.
+pub fn read_request(class: &str, key: u64, deadline_ms: u64) -> String {
     format!(
         "GET /api/{key:016x} HTTP/1.1\r\nHost: s\r\nReq-Id: {key:x}\r\nReq-Kind: {class}\r\n\
          Req-Deadline-Ms: {deadline_ms}\r\n\r\n"
     )
 }
 
-/// A write of a key by class `keyed`, with an idempotency key.
-pub fn put(key: u64, deadline_ms: u64) -> String {
-    read("keyed", key, deadline_ms)
+/// A write of `key` by class `keyed`, with an idempotency key and a deadline in milliseconds.
+pub fn write_request(key: u64, deadline_ms: u64) -> String {
+    read_request("keyed", key, deadline_ms)
         .replace("GET", "PUT")
         .replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\nContent-Length: 3\r\n\r\nnew")
 }
--- a/crates/cache-balancer/tests/common/manager.rs
+++ b/crates/cache-balancer/tests/common/manager.rs
@@ -1,11 +1,11 @@
-//! The service manager's end of a node's notifications.
+//! The service manager's end of the notification socket of a node.
 
 use std::io::ErrorKind;
 use std::os::unix::net::UnixDatagram;
 
-/// The next notification of a node to its service manager. It reads again after a signal (also one that stops
+/// Receives the next notification of a node to its service manager. It reads again after a signal (also one that stops
 /// and continues the whole test), since the system does not resume a read with a time limit.
-pub fn word(manager: &UnixDatagram) -> String {
+pub fn receive_notification(manager: &UnixDatagram) -> String {
     let mut bytes = [0; 4096];
     let length = loop {
         match manager.recv(&mut bytes) {
--- a/crates/cache-balancer/tests/common/mod.rs
+++ b/crates/cache-balancer/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What a node needs around it, on loopback: cache servers and discovery whose behaviour a test sets, and
-//! clients.
+//! Test fixtures on loopback: node processes, and stand-ins for cache servers, discovery, clients and the service
+//! manager.
 
 // Each test file is a program of its own and uses a part of this.
 #![allow(
--- a/crates/cache-balancer/tests/common/node.rs
+++ b/crates/cache-balancer/tests/common/node.rs
@@ -3,8 +3,8 @@
 use super::cache_server::CacheServer;
 use super::client::Client;
 use super::discovery::Discovery;
-use super::files::{write_config, Folder};
-use super::http::{read, Message};
+use super::files::{write_config, TempDir};
+use super::http::{read_request, Message};
 use super::program::command;
 use super::wait::wait_for;
 use serde_json::{json, Value};
@@ -14,15 +14,15 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A running node, which is killed when this is dropped.
+/// A running node process, killed when this is dropped.
 pub struct Node {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Its process.
+    /// The process.
     pub child: Child,
-    /// Its log up to the line with its address.
-    pub first: String,
-    /// The lines of its log after that.
+    /// The log before the line with the listening address.
+    pub startup_log: String,
+    /// The log lines after that line, as they arrive.
     pub log: Arc<Mutex<Vec<String>>>,
     config: std::path::PathBuf,
 }
@@ -38,87 +38,90 @@
         Self::spawn(command, path)
     }
 
-    /// Starts a node by this command, which has it serve from this file, and waits until it listens.
+    /// Starts a node by this command and waits until it listens. `config` is the file that the command names; it is
+    /// removed when this is dropped.
     pub fn spawn(mut command: Command, config: std::path::PathBuf) -> Self {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         // The lines before it listens.
-        let mut first = String::new();
+        let mut startup_log = String::new();
         let address = loop {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).unwrap() > 0, "it ended before it listened: {first}");
+            assert!(log.read_line(&mut line).unwrap() > 0, "it ended before it listened: {startup_log}");
             if let Some((_, address)) = line.trim_end().split_once(" listens on ") {
                 break address.parse().unwrap();
             }
-            first += &line;
+            startup_log += &line;
         };
         // The rest of its log must not fill the pipe.
         let lines: Arc<Mutex<Vec<String>>> = Arc::default();
-        let kept = lines.clone();
-        thread::spawn(move || log.lines().map_while(Result::ok).for_each(|l| kept.lock().unwrap().push(l)));
-        Self { address, child, first, log: lines, config }
+        let collected = lines.clone();
+        thread::spawn(move || {
+            log.lines().map_while(Result::ok).for_each(|line| collected.lock().unwrap().push(line))
+        });
+        Self { address, child, startup_log, log: lines, config }
     }
 
     /// Starts a node and waits until it is ready for clients.
-    pub fn ready(config: &Value) -> Self {
+    pub fn start_ready(config: &Value) -> Self {
         let node = Self::start(config);
         wait_for("the node's readiness", || node.get("/healthz").status() == 200);
         node
     }
 
-    /// Its configuration file.
+    /// The path of the configuration file.
     pub fn config(&self) -> &std::path::Path {
         &self.config
     }
 
-    /// A new connection to it.
+    /// Opens a client connection to the node.
     pub fn client(&self) -> Client {
-        Client::to(self.address)
+        Client::connect(self.address)
     }
 
-    /// The response to a GET of this path.
+    /// Sends a GET of this path on a new connection and returns the response.
     pub fn get(&self, path: &str) -> Message {
-        self.client().ask(&format!("GET {path} HTTP/1.1\r\nHost: s\r\n\r\n"))
+        self.client().request(&format!("GET {path} HTTP/1.1\r\nHost: s\r\n\r\n"))
     }
 
-    /// The response to a read on a connection of its own.
+    /// Sends a read of `key` on a new connection, with a deadline of 20 s, and returns the response.
     pub fn read(&self, class: &str, key: u64) -> Message {
-        self.client().ask(&read(class, key, 20_000))
+        self.client().request(&read_request(class, key, 20_000))
     }
 
-    /// Asks it to shut down.
+    /// Sends SIGTERM, which begins a graceful shutdown.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Sends it a signal, as `kill` names it.
+    /// Sends a signal, given as the option of `kill`, for example `-HUP`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
         assert!(sent.success());
     }
 
-    /// Replaces its configuration and signals a reload.
+    /// Replaces the configuration file and signals a reload.
     pub fn reload(&self, text: &str) {
         let new = write_config(text);
         std::fs::rename(new, &self.config).unwrap();
         self.signal("-HUP");
     }
 
-    /// The number of lines of its log that contain this text.
-    pub fn said(&self, words: &str) -> usize {
-        self.log.lock().unwrap().iter().filter(|line| line.contains(words)).count()
+    /// The number of log lines that contain this text.
+    pub fn logged(&self, text: &str) -> usize {
+        self.log.lock().unwrap().iter().filter(|line| line.contains(text)).count()
     }
 
-    /// Replaces its configuration and waits until it has read it.
+    /// Replaces the configuration file and waits until the node has accepted or rejected it.
     pub fn reconfigure(&self, text: &str) {
-        let read = || self.said("configuration read again: ") + self.said("configuration not taken: ");
+        let read = || self.logged("configuration read again: ") + self.logged("configuration not taken: ");
         let before = read();
         self.reload(text);
         wait_for("the reload's log line", || read() > before);
     }
 
-    /// Waits until it has ended.
-    pub fn exit(mut self) -> ExitStatus {
+    /// Waits until the process has exited and returns its exit status.
+    pub fn exit_status(mut self) -> ExitStatus {
         let mut status = None;
         wait_for("the node's exit", || {
             status = self.child.try_wait().unwrap();
@@ -137,7 +140,7 @@
     }
 }
 
-/// The platform's configuration of a node that knows nothing but discovery.
+/// The platform's configuration of a node with an empty endpoint list and this discovery service.
 pub fn config(discovery: SocketAddr) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "dedup_scope": "all", "promise_us": 5_000_000,
@@ -157,8 +160,8 @@
     })
 }
 
-/// A node that serves by an operator's file of this text, once it is ready.
-pub fn run(folder: &Folder, text: &str) -> Node {
+/// Starts a node with an operator's file of this text and waits until it is ready.
+pub fn start_with_operator_file(folder: &TempDir, text: &str) -> Node {
     let path = folder.write("cache-balancer.toml", text);
     let mut command = command();
     command.arg("run").arg("--config").arg(&path);
@@ -167,12 +170,12 @@
     node
 }
 
-/// A node that may hold this number of descriptors, with one server that serves everything.
-pub fn small_node(descriptors: usize) -> (CacheServer, Discovery, Node) {
+/// Starts a node with this limit of file descriptors, and one server that responds to every request.
+pub fn node_with_descriptor_limit(descriptors: usize) -> (CacheServer, Discovery, Node) {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut small = config(discovery.address);
     small["limits"]["sockets"] = json!(descriptors);
-    let node = Node::ready(&small);
+    let node = Node::start_ready(&small);
     (server, discovery, node)
 }
--- a/crates/cache-balancer/tests/common/program.rs
+++ b/crates/cache-balancer/tests/common/program.rs
@@ -1,11 +1,11 @@
-//! The program as a command.
+//! Runs of the program as a command.
 
-use super::wait::PATIENCE;
+use super::wait::TIMEOUT;
 use std::process::{Command, Output, Stdio};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The program, without the variables by which the platform configures it.
+/// A command that runs the program, without the environment variables by which the platform configures it.
 pub fn command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cache-balancer"));
     for variable in ["LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
@@ -14,26 +14,27 @@
     command
 }
 
-/// The output of a command that must end by itself and prints little. One that serves instead fails the test.
-pub fn ended(mut command: Command) -> Output {
+/// Runs a command that must exit by itself, and returns its output. Panics if it is still running after
+/// [`TIMEOUT`]. The output must fit into a pipe, since it is read after the exit.
+pub fn output_before_timeout(mut command: Command) -> Output {
     let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
     let start = Instant::now();
     while child.try_wait().unwrap().is_none() {
-        if start.elapsed() > PATIENCE {
+        if start.elapsed() > TIMEOUT {
             let _ = child.kill();
-            panic!("the command did not end by itself: {:?}", child.wait_with_output());
+            panic!("the command did not exit by itself: {:?}", child.wait_with_output());
         }
         thread::sleep(Duration::from_millis(5));
     }
     child.wait_with_output().unwrap()
 }
 
-/// The output of the program with these arguments.
+/// Runs the program with these arguments and returns its output.
 pub fn run_program(arguments: &[&str]) -> Output {
     command().args(arguments).output().unwrap()
 }
 
-/// Output as text.
+/// Output as text; panics if it is not UTF-8.
 pub fn utf8(bytes: &[u8]) -> &str {
     std::str::from_utf8(bytes).unwrap()
 }
--- a/crates/cache-balancer/tests/common/wait.rs
+++ b/crates/cache-balancer/tests/common/wait.rs
@@ -3,14 +3,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far longer than anything here takes: a wait that reaches it has failed.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// The time after which a wait fails. Far longer than anything that the tests wait for.
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until `done` holds.
-pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
+/// Polls `condition` until it holds; panics with `what` after [`TIMEOUT`].
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !done() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain for: {what}");
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/cache-balancer/tests/descriptors.rs
+++ b/crates/cache-balancer/tests/descriptors.rs
@@ -38,7 +38,7 @@
 /// Waits until the node has the list of `discovery`, moves discovery by a reload to one with a second server,
 /// and has the node serve from that.
 fn move_discovery(node: &Node, discovery: Discovery, second: &CacheServer, before: usize) {
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     assert!(descriptors(node) <= DESCRIPTORS);
     // A new configuration is read besides, and moves discovery.
     let moved = Discovery::start(&[second.entry("s-2", "ready")]);
@@ -46,11 +46,11 @@
     let mut config: serde_json::Value = serde_json::from_str(&text).unwrap();
     config["discovery"] = json!(moved.address.to_string());
     node.reconfigure(&config.to_string());
-    assert_eq!(node.said("configuration not taken: "), 0);
-    moved.wait_until_told(1);
+    assert_eq!(node.logged("configuration not taken: "), 0);
+    moved.wait_until_notified(1);
     assert_eq!(node.get("/healthz").status(), 200);
     assert_eq!(node.read("read", 0xffff).status(), 200);
-    assert_eq!(second.count(), before + 1);
+    assert_eq!(second.request_count(), before + 1);
     let failed = node.log.lock().unwrap().iter().filter(|line| line.contains("os error 24")).count();
     assert_eq!(failed, 0, "a descriptor was needed and there was none");
 }
@@ -59,14 +59,14 @@
 #[test]
 fn idle_clients_leave_the_node_the_descriptors_that_it_needs() {
     let (first, second) = (CacheServer::serving("value"), CacheServer::serving("value"));
-    let away = own_address();
+    let away = unique_address();
     let node = bounded(away, &[first]);
     // More than are accepted: some wait in the system's queue. Some have sent one request, the others
     // nothing.
     let mut rest = Vec::new();
     for key in 1..=CONNECTIONS as u64 {
         let mut client = node.client();
-        assert_eq!(client.ask(&read("read", key, 20_000)).status(), 200);
+        assert_eq!(client.request(&read_request("read", key, 20_000)).status(), 200);
         rest.push(client);
         rest.push(node.client());
         rest.push(node.client());
@@ -86,31 +86,31 @@
             let held = gate.clone();
             CacheServer::start(move |_| {
                 held.wait();
-                Does::Answer(answer("200 OK", "", "value"))
+                ServerBehavior::Respond(response("200 OK", "", "value"))
             })
         })
         .collect();
     let second = CacheServer::serving("value");
-    let away = own_address();
+    let away = unique_address();
     let node = bounded(away, &servers);
     let mut waiting: Vec<_> = (0..3 * CONNECTIONS).map(|_| node.client()).collect();
     for (key, client) in (1..).zip(&mut waiting) {
-        client.send(&read("read", key, 60_000));
+        client.send(&read_request("read", key, 60_000));
     }
-    let asked = || servers.iter().map(CacheServer::count).sum::<usize>();
+    let asked = || servers.iter().map(CacheServer::request_count).sum::<usize>();
     wait_for("an attempt for every connection", || asked() >= CONNECTIONS);
     let discovery = Discovery::start_at(away, &[second.entry("s-2", "ready")]);
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     assert!(descriptors(&node) <= DESCRIPTORS);
     assert_eq!(asked(), CONNECTIONS, "the other requests wait in the system's queue");
     gate.open();
     // Those that waited in the queue may be rejected: all come at once to the one server that is left.
     let answers: Vec<_> =
-        waiting.iter_mut().map(|client| client.answer().expect("a response").status()).collect();
+        waiting.iter_mut().map(|client| client.receive().expect("a response").status()).collect();
     assert_eq!(answers[..CONNECTIONS], [200; CONNECTIONS]);
     assert!(answers[CONNECTIONS..].iter().all(|status| [200, 503].contains(status)), "{answers:?}");
     drop(waiting);
     // Requests after the list went to its server.
-    let before = second.count();
+    let before = second.request_count();
     move_discovery(&node, discovery, &second, before);
 }
--- a/crates/cache-balancer/tests/fleet.rs
+++ b/crates/cache-balancer/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{command, own_address, read, wait_for, CacheServer, Client, Folder, PATIENCE};
+use common::{command, read_request, unique_address, wait_for, CacheServer, Client, TempDir, TIMEOUT};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, ChildStdin, Command, Stdio};
@@ -19,7 +19,7 @@
     shown: Arc<Mutex<Vec<String>>>,
     log: Arc<Mutex<Vec<String>>>,
     first: SocketAddr,
-    folder: Folder,
+    folder: TempDir,
     text: String,
 }
 
@@ -34,7 +34,7 @@
 
 impl Fleet {
     fn start(server: &CacheServer, instances: u16) -> Self {
-        let (folder, first) = (Folder::new(), own_address());
+        let (folder, first) = (TempDir::new(), unique_address());
         let text = format!(
             "version = 1\nname = \"n\"\n[hand_over]\nsocket = \"any\"\nprobation = \"100ms\"\n[[listener]]\nname = \"clients\"\naddress = \"{first}\"\n[[pool]]\nname = \"p\"\n\
              [[pool.server]]\nname = \"box\"\naddress = \"{}\"\n{CLASS}",
@@ -67,7 +67,7 @@
     }
 
     fn read(&self, instance: u16, class: &str) -> u16 {
-        Client::to(self.address(instance)).ask(&read(class, 1, 20_000)).status()
+        Client::connect(self.address(instance)).request(&read_request(class, 1, 20_000)).status()
     }
 
     /// The row of each instance: state, process, failures, upgrades.
@@ -88,7 +88,7 @@
             if found.len() == 3 {
                 return found;
             }
-            assert!(start.elapsed() < PATIENCE, "{found:?}");
+            assert!(start.elapsed() < TIMEOUT, "{found:?}");
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
     }
@@ -151,8 +151,11 @@
             std::thread::spawn(move || {
                 let mut answers = 0;
                 while !over.load(Ordering::SeqCst) {
-                    let answer =
-                        Client::to(address).ask(&read("read", (u64::from(instance) << 32) + answers, 20_000));
+                    let answer = Client::connect(address).request(&read_request(
+                        "read",
+                        (u64::from(instance) << 32) + answers,
+                        20_000,
+                    ));
                     assert_eq!(answer.status(), 200);
                     answers += 1;
                     // Each connection holds a port for a while after its end.
@@ -168,7 +171,7 @@
     }
     over.store(true, Ordering::SeqCst);
     let answers: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    assert_eq!(server.count() as u64, answers);
+    assert_eq!(server.request_count() as u64, answers);
     let upgrades: Vec<_> =
         fleet.state().into_iter().map(|[.., failures, upgrades]| (failures, upgrades)).collect();
     assert_eq!(upgrades, vec![("0".to_owned(), "2".to_owned()); 3]);
@@ -211,7 +214,7 @@
 
 #[test]
 fn a_file_that_makes_no_fleet_is_named_and_starts_nothing() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let rest = format!("[[pool]]\nname = \"p\"\ndiscovery = \"127.0.0.1:1\"\n{CLASS}");
     let listener =
         |name: &str, port: u16| format!("[[listener]]\nname = \"{name}\"\naddress = \"127.0.0.1:{port}\"\n");
@@ -226,7 +229,7 @@
         let config = folder.write("cache-balancer.toml", &format!("version = 1\n{listeners}{rest}"));
         let mut command = command();
         command.args(["fleet", "--instances", "3", "--config"]).arg(config).stdin(Stdio::null());
-        let ended = common::ended(command);
+        let ended = common::output_before_timeout(command);
         let said = String::from_utf8(ended.stderr).unwrap();
         assert!(ended.status.code() == Some(2) && said.contains(why), "{why}: {said}");
         assert!(!said.contains("started"), "{said}");
--- a/crates/cache-balancer/tests/handover.rs
+++ b/crates/cache-balancer/tests/handover.rs
@@ -3,30 +3,30 @@
 mod common;
 mod handover_support;
 
-use common::{command, read, wait_for, CacheServer, Discovery, Gate, PATIENCE};
+use common::{command, read_request, wait_for, CacheServer, Discovery, Gate, TIMEOUT};
 use handover_support::scripted::{CANCEL, OFFER, PROCEED, READY};
-use handover_support::{fixed, Clients, Fixture, HAND_OVER};
+use handover_support::{static_pool, Clients, Fixture, HANDOVER_SETTINGS};
 use std::os::unix::net::{UnixDatagram, UnixStream};
 use std::process::Stdio;
 
 #[test]
 fn repeated_upgrades_under_load_send_and_answer_each_request_once() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
-    let mut node = fixture.ready();
+    let fixture = Fixture::new(&static_pool(&server), "20s");
+    let mut node = fixture.start_ready();
     let clients = Clients::start(&fixture, 4);
     for _ in 0..4 {
-        let seen = server.count();
-        wait_for("some requests", || server.count() > seen + 20);
+        let seen = server.request_count();
+        wait_for("some requests", || server.request_count() > seen + 20);
         let next = fixture.start();
-        assert!(node.exit().success());
+        assert!(node.exit_status().success());
         node = next;
     }
-    let answers = clients.answers();
-    assert_eq!(server.count() as u64, answers);
-    assert_eq!(node.said("has handed over"), 0);
+    let answers = clients.stop();
+    assert_eq!(server.request_count() as u64, answers);
+    assert_eq!(node.logged("has handed over"), 0);
     node.terminate();
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 #[test]
@@ -37,44 +37,44 @@
         if asked.header("req-id") == Some("ff") {
             held.wait();
         }
-        common::Does::Answer(common::answer("200 OK", "", "good"))
+        common::ServerBehavior::Respond(common::response("200 OK", "", "good"))
     });
-    let broken = CacheServer::start(|_| common::Does::Close(String::new()));
+    let broken = CacheServer::start(|_| common::ServerBehavior::RespondAndClose(String::new()));
     let discovery = Discovery::start(&[good.entry("good", "ready"), broken.entry("broken", "ready")]);
     let fixture = Fixture::new(&format!("discovery = \"{}\"\n", discovery.address), "20s");
-    let predecessor = fixture.ready();
+    let predecessor = fixture.start_ready();
     for key in 0..60 {
         assert_eq!(fixture.read(key), b"good");
     }
-    let tripped = broken.count();
-    assert_eq!(predecessor.said("breaker of broken tripped"), 1);
-    discovery.tell(false, &[]);
-    discovery.wait_until_told(2);
+    let tripped = broken.request_count();
+    assert_eq!(predecessor.logged("breaker of broken tripped"), 1);
+    discovery.notify(false, &[]);
+    discovery.wait_until_notified(2);
     // The request 0xff is in flight, and another client is idle.
     let (mut out, mut idle) = (predecessor.client(), predecessor.client());
-    assert_eq!(idle.ask(&read("read", 0x100, 20_000)).body, b"good");
-    out.send(&read("read", 0xff, 20_000));
+    assert_eq!(idle.request(&read_request("read", 0x100, 20_000)).body, b"good");
+    out.send(&read_request("read", 0xff, 20_000));
     wait_for("the request", || {
-        good.asked.lock().unwrap().iter().any(|asked| asked.header("req-id") == Some("ff"))
+        good.received.lock().unwrap().iter().any(|asked| asked.header("req-id") == Some("ff"))
     });
     let successor = fixture.start();
-    wait_for("the hand-over", || predecessor.said("stands by: its successor serves, on probation") == 1);
+    wait_for("the hand-over", || predecessor.logged("stands by: its successor serves, on probation") == 1);
     for key in 0..60 {
         assert_eq!(fixture.read(0x200 + key), b"good");
     }
-    assert_eq!(broken.count(), tripped, "the breaker is open at the successor too");
+    assert_eq!(broken.request_count(), tripped, "the breaker is open at the successor too");
     // The watch goes on from the version handed over: no snapshot is requested.
-    discovery.wait_until_told(2);
-    let lists = discovery.asked.lock().unwrap().iter().filter(|path| *path == "/v1/servers").count();
+    discovery.wait_until_notified(2);
+    let lists = discovery.received.lock().unwrap().iter().filter(|path| *path == "/v1/servers").count();
     assert_eq!(lists, 1);
     // The predecessor still answers on its own connections, and asks for another connection.
-    let answer = idle.ask(&read("read", 0x101, 20_000));
+    let answer = idle.request(&read_request("read", 0x101, 20_000));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     gate.open();
-    let answer = out.answer().unwrap();
+    let answer = out.receive().unwrap();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     drop((out, idle));
-    assert!(predecessor.exit().success());
+    assert!(predecessor.exit_status().success());
     assert_eq!(fixture.read(0x300), b"good");
     drop(successor);
 }
@@ -84,24 +84,24 @@
 #[test]
 fn a_successor_that_is_not_ready_leaves_the_predecessor_serving() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
-    let predecessor = fixture.ready();
+    let fixture = Fixture::new(&static_pool(&server), "20s");
+    let predecessor = fixture.start_ready();
     // The discovery service of the next version has no list yet.
     let discovery = Discovery::start(&[]);
     let text = &fixture.text;
-    let text = text.replace(&fixed(&server), &format!("discovery = \"{}\"\n", discovery.address));
+    let text = text.replace(&static_pool(&server), &format!("discovery = \"{}\"\n", discovery.address));
     let text = text.replace("name = \"p\"", "name = \"other\"");
     fixture.folder.write("next.toml", &text);
     let mut next = command();
     next.arg("run").arg("--config").arg(fixture.folder.0.join("next.toml")).stderr(Stdio::null());
     let mut next = next.spawn().unwrap();
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     for key in 0..20 {
         assert_eq!(fixture.read(key), b"a");
     }
-    assert_eq!(predecessor.said("has handed over"), 0);
-    discovery.tell(true, &[server.entry("box", "ready")]);
-    assert!(predecessor.exit().success());
+    assert_eq!(predecessor.logged("has handed over"), 0);
+    discovery.notify(true, &[server.entry("box", "ready")]);
+    assert!(predecessor.exit_status().success());
     assert_eq!(fixture.read(99), b"a");
     next.kill().unwrap();
     next.wait().unwrap();
@@ -110,8 +110,8 @@
 #[test]
 fn a_reload_waits_for_the_end_of_a_hand_over_and_a_stop_does_not() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
-    let predecessor = fixture.ready();
+    let fixture = Fixture::new(&static_pool(&server), "20s");
+    let predecessor = fixture.start_ready();
     let text = &fixture.text;
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
@@ -119,32 +119,32 @@
     for key in 0..20 {
         assert_eq!(fixture.read(key), b"a");
     }
-    assert_eq!(predecessor.said("configuration read again"), 0);
+    assert_eq!(predecessor.logged("configuration read again"), 0);
     drop(peer);
-    wait_for("the reload", || predecessor.said("configuration read again: class new added") == 1);
+    wait_for("the reload", || predecessor.logged("configuration read again: class new added") == 1);
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
     predecessor.terminate();
     assert_eq!(peer.expect(CANCEL)["why"], "it is told to stop");
-    assert!(predecessor.exit().success());
+    assert!(predecessor.exit_status().success());
     // Told to stop while neither accepts, it leaves the clients to the successor.
-    let predecessor = fixture.ready();
+    let predecessor = fixture.start_ready();
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
     peer.send(READY);
     peer.expect(PROCEED);
     predecessor.terminate();
     assert!(peer.receive().is_none());
-    assert!(predecessor.exit().success());
+    assert!(predecessor.exit_status().success());
 }
 
 #[test]
 fn sigusr2_starts_a_successor_and_the_manager_learns_the_main_process() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
+    let fixture = Fixture::new(&static_pool(&server), "20s");
     let socket = UnixDatagram::bind(fixture.folder.0.join("notify")).unwrap();
-    socket.set_read_timeout(Some(PATIENCE)).unwrap();
-    let notification = || common::word(&socket);
+    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let notification = || common::receive_notification(&socket);
     let mut command = fixture.command();
     command.env("NOTIFY_SOCKET", fixture.folder.0.join("notify")).env("WATCHDOG_USEC", "60000000");
     let predecessor = fixture.spawn(command);
@@ -159,7 +159,7 @@
         }
     };
     assert_ne!(process, predecessor.child.id() as i32);
-    assert!(predecessor.exit().success());
+    assert!(predecessor.exit_status().success());
     assert_eq!(fixture.read(1), b"a");
     let process = rustix::process::Pid::from_raw(process).unwrap();
     rustix::process::kill_process(process, rustix::process::Signal::TERM).unwrap();
@@ -171,16 +171,16 @@
 #[test]
 fn a_reload_moves_or_removes_the_hand_over_socket() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
+    let fixture = Fixture::new(&static_pool(&server), "20s");
     let good = &fixture.text;
-    let predecessor = fixture.ready();
-    let without: String = good.replace(&format!("{HAND_OVER}within = \"20s\"\n"), "");
+    let predecessor = fixture.start_ready();
+    let without: String = good.replace(&format!("{HANDOVER_SETTINGS}within = \"20s\"\n"), "");
     predecessor.reconfigure(&without);
-    assert_eq!(predecessor.said("configuration read again: hand-over changed"), 1);
+    assert_eq!(predecessor.logged("configuration read again: hand-over changed"), 1);
     wait_for("the socket's end", || UnixStream::connect(fixture.socket()).is_err());
     predecessor.signal("-USR2");
     wait_for("a line in the log", || {
-        predecessor.said("hand-over: the configuration has no [hand_over]") == 1
+        predecessor.logged("hand-over: the configuration has no [hand_over]") == 1
     });
     predecessor.reconfigure(&good.replace("n.sock", "m.sock"));
     assert!(UnixStream::connect(fixture.folder.0.join("m.sock")).is_ok());
@@ -196,9 +196,9 @@
 #[test]
 fn a_file_that_names_the_port_the_system_picked_means_the_same_listener() {
     let server = CacheServer::serving("a");
-    let mut fixture = Fixture::new(&fixed(&server), "20s");
+    let mut fixture = Fixture::new(&static_pool(&server), "20s");
     fixture.text = fixture.text.replace(&fixture.address.to_string(), "127.0.0.1:0");
-    let predecessor = fixture.ready();
+    let predecessor = fixture.start_ready();
     fixture.text = fixture.text.replace("127.0.0.1:0", &predecessor.address.to_string());
     let successor = fixture.take_over(&predecessor);
     assert_eq!(successor.address, predecessor.address);
@@ -208,10 +208,10 @@
 #[test]
 fn after_the_probation_the_predecessor_departs_and_does_not_roll_back() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
-    let predecessor = fixture.ready();
+    let fixture = Fixture::new(&static_pool(&server), "20s");
+    let predecessor = fixture.start_ready();
     let successor = fixture.start();
-    assert!(predecessor.exit().success());
+    assert!(predecessor.exit_status().success());
     drop(successor);
     assert!(std::net::TcpStream::connect(fixture.address).is_err());
 }
--- a/crates/cache-balancer/tests/handover_predecessor.rs
+++ b/crates/cache-balancer/tests/handover_predecessor.rs
@@ -3,17 +3,17 @@
 mod common;
 mod handover_support;
 
-use common::{read, wait_for, CacheServer, Client};
+use common::{read_request, wait_for, CacheServer, Client};
 use handover_support::scripted::{frame, ACCEPTING, CANCEL, OFFER, PROCEED, READY};
-use handover_support::{fixed, Fixture};
+use handover_support::{static_pool, Fixture};
 use std::io::Write;
 use std::os::unix::net::UnixStream;
 
 #[test]
 fn a_successor_that_dies_at_any_step_leaves_the_predecessor_serving() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
-    let predecessor = fixture.ready();
+    let fixture = Fixture::new(&static_pool(&server), "20s");
+    let predecessor = fixture.start_ready();
     // It connects and sends nothing, or what is no frame.
     drop(UnixStream::connect(fixture.socket()).unwrap());
     UnixStream::connect(fixture.socket()).unwrap().write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
@@ -25,7 +25,7 @@
             peer.expect(OFFER);
         }
         drop(peer);
-        wait_for("the node to see it", || predecessor.said("has died") == before + 1);
+        wait_for("the node to see it", || predecessor.logged("has died") == before + 1);
         assert_eq!(fixture.read(2), b"a");
     }
     // It dies while neither accepts: the predecessor serves the clients that came meanwhile.
@@ -33,12 +33,12 @@
     peer.expect(OFFER);
     peer.send(READY);
     peer.expect(PROCEED);
-    let mut waiting = Client::to(fixture.address);
-    waiting.send(&read("read", 3, 20_000));
+    let mut waiting = Client::connect(fixture.address);
+    waiting.send(&read_request("read", 3, 20_000));
     drop(peer);
-    assert_eq!(waiting.answer().unwrap().body, b"a");
+    assert_eq!(waiting.receive().unwrap().body, b"a");
     let successor = fixture.start();
-    assert!(predecessor.exit().success());
+    assert!(predecessor.exit_status().success());
     assert_eq!(fixture.read(4), b"a");
     drop(successor);
 }
@@ -48,27 +48,27 @@
 #[test]
 fn clients_that_come_after_the_pause_are_the_successors() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
-    let predecessor = fixture.ready();
+    let fixture = Fixture::new(&static_pool(&server), "20s");
+    let predecessor = fixture.start_ready();
     let mut peer = fixture.request_hand_over();
     let (_, socket) = peer.receive_with_socket();
     peer.send(READY);
     peer.expect(PROCEED);
-    let clients: Vec<_> = (0..20).map(|_| Client::to(fixture.address)).collect();
+    let clients: Vec<_> = (0..20).map(|_| Client::connect(fixture.address)).collect();
     socket.set_nonblocking(true).unwrap();
     for _ in &clients {
         wait_for("each of them at the successor", || socket.accept().is_ok());
     }
     peer.send(ACCEPTING);
     assert!(peer.receive().is_none());
-    assert!(predecessor.exit().success());
+    assert!(predecessor.exit_status().success());
 }
 
 #[test]
 fn a_successor_that_hangs_or_is_out_of_order_is_cancelled() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "200ms");
-    let predecessor = fixture.ready();
+    let fixture = Fixture::new(&static_pool(&server), "200ms");
+    let predecessor = fixture.start_ready();
     let in_time = "the successor was not done in time";
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
@@ -78,10 +78,10 @@
     peer.expect(OFFER);
     peer.send(READY);
     peer.expect(PROCEED);
-    let mut waiting = Client::to(fixture.address);
-    waiting.send(&read("read", 1, 20_000));
+    let mut waiting = Client::connect(fixture.address);
+    waiting.send(&read_request("read", 1, 20_000));
     assert_eq!(peer.expect(CANCEL)["why"], in_time);
-    assert_eq!(waiting.answer().unwrap().body, b"a");
+    assert_eq!(waiting.receive().unwrap().body, b"a");
     // It resumes too late.
     assert!(peer.0.write_all(&frame(ACCEPTING.0, ACCEPTING.1)).is_err() || peer.receive().is_none());
     // A successor that sends a message out of order is not trusted with clients.
@@ -90,5 +90,5 @@
     peer.send(ACCEPTING);
     assert_eq!(peer.expect(CANCEL)["why"], "the successor's words came out of their order");
     assert_eq!(fixture.read(2), b"a");
-    assert_eq!(predecessor.said("has handed over"), 0);
+    assert_eq!(predecessor.logged("has handed over"), 0);
 }
--- a/crates/cache-balancer/tests/handover_probation.rs
+++ b/crates/cache-balancer/tests/handover_probation.rs
@@ -3,7 +3,7 @@
 mod common;
 mod handover_support;
 
-use common::{ended, read, wait_for, CacheServer, Client, Node, PATIENCE};
+use common::{output_before_timeout, read_request, wait_for, CacheServer, Client, Node, TIMEOUT};
 use handover_support::scripted::{Peer, ACCEPTING, COMMIT, OFFER, PROCEED, READY, REQUEST_WITH_PROBATION};
 use handover_support::Fixture;
 use std::os::unix::net::{UnixDatagram, UnixStream};
@@ -72,7 +72,7 @@
         }
     }
     std::fs::write(variable("DONE"), "").unwrap();
-    std::thread::sleep(PATIENCE);
+    std::thread::sleep(TIMEOUT);
 }
 
 /// A successor that a node has started, and that outlives it. It is killed with the test.
@@ -100,43 +100,43 @@
     let (server, gate) = CacheServer::gated("a");
     let fixture = Fixture::with_long_probation(&server);
     let notify = UnixDatagram::bind(fixture.folder.0.join("notify")).unwrap();
-    notify.set_read_timeout(Some(PATIENCE)).unwrap();
+    notify.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut command = fixture.command();
     command.env("NOTIFY_SOCKET", fixture.folder.0.join("notify"));
     let predecessor = fixture.spawn(command);
     wait_for("the socket", || fixture.socket().exists());
     let mut accepted_by_predecessor = predecessor.client();
-    accepted_by_predecessor.send(&read("read", 1, 20_000));
-    wait_for("the request", || server.count() == 1);
+    accepted_by_predecessor.send(&read_request("read", 1, 20_000));
+    wait_for("the request", || server.request_count() == 1);
     let mut successor = fixture.take_over(&predecessor);
-    let mut accepted_by_successor = Client::to(fixture.address);
-    accepted_by_successor.send(&read("read", 2, 20_000));
-    wait_for("the request", || server.count() == 2);
+    let mut accepted_by_successor = Client::connect(fixture.address);
+    accepted_by_successor.send(&read_request("read", 2, 20_000));
+    wait_for("the request", || server.request_count() == 2);
     // A client that comes while no process accepts waits, and is served.
     rustix::process::kill_process(
         rustix::process::Pid::from_child(&successor.child),
         rustix::process::Signal::STOP,
     )
     .unwrap();
-    let mut waiting = Client::to(fixture.address);
-    waiting.send(&read("read", 3, 20_000));
+    let mut waiting = Client::connect(fixture.address);
+    waiting.send(&read_request("read", 3, 20_000));
     successor.child.kill().unwrap();
-    wait_for("the rollback", || predecessor.said("has rolled back and serves again") == 1);
-    wait_for("the request", || server.count() == 3);
+    wait_for("the rollback", || predecessor.logged("has rolled back and serves again") == 1);
+    wait_for("the request", || server.request_count() == 3);
     gate.open();
-    assert_eq!(waiting.answer().unwrap().body, b"a");
-    assert_eq!(accepted_by_predecessor.answer().unwrap().body, b"a");
-    assert!(accepted_by_successor.answer().is_none(), "lost with the process that had accepted it");
+    assert_eq!(waiting.receive().unwrap().body, b"a");
+    assert_eq!(accepted_by_predecessor.receive().unwrap().body, b"a");
+    assert!(accepted_by_successor.receive().is_none(), "lost with the process that had accepted it");
     for key in 4..20 {
         assert_eq!(fixture.read(key), b"a");
     }
     // New connections are kept open again.
-    let mut kept = Client::to(fixture.address);
-    assert_eq!(kept.ask(&read("read", 21, 20_000)).header("connection"), None);
+    let mut kept = Client::connect(fixture.address);
+    assert_eq!(kept.request(&read_request("read", 21, 20_000)).header("connection"), None);
     let mut said = Vec::new();
     let main = format!("MAINPID={}", predecessor.child.id());
     while !said.ends_with(&["READY=1".to_owned()]) || !said.contains(&main) {
-        said.push(common::word(&notify));
+        said.push(common::receive_notification(&notify));
     }
     let status = "STATUS=serving: the successor has died, and its clients were taken back";
     assert!(said.iter().any(|word| word == status), "{said:?}");
@@ -151,18 +151,18 @@
 fn two_deaths_on_probation_reject_the_next_successor_until_the_backoff_ends() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::with_long_probation(&server);
-    let predecessor = fixture.ready();
+    let predecessor = fixture.start_ready();
     for turn in 1..=2 {
         // It is killed on probation.
         drop(fixture.take_over(&predecessor));
-        wait_for("the rollback", || predecessor.said("has rolled back") == turn);
+        wait_for("the rollback", || predecessor.logged("has rolled back") == turn);
     }
-    assert_eq!(predecessor.said("further ones are rejected for 1s"), 1);
+    assert_eq!(predecessor.logged("further ones are rejected for 1s"), 1);
     predecessor.signal("-USR2");
     wait_for("a line in the log", || {
-        predecessor.said("no successor is started: two died while they served") == 1
+        predecessor.logged("no successor is started: two died while they served") == 1
     });
-    let output = ended(fixture.command());
+    let output = output_before_timeout(fixture.command());
     let said = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(1));
     assert!(
@@ -181,22 +181,22 @@
 fn a_stop_on_probation_is_no_death_on_either_side() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::with_long_probation(&server);
-    let predecessor = fixture.ready();
+    let predecessor = fixture.start_ready();
     let successor = fixture.take_over(&predecessor);
     successor.terminate();
-    assert!(successor.exit().success());
-    assert_eq!(predecessor.said("has rolled back"), 0);
-    assert!(predecessor.exit().success());
-    let predecessor = fixture.ready();
+    assert!(successor.exit_status().success());
+    assert_eq!(predecessor.logged("has rolled back"), 0);
+    assert!(predecessor.exit_status().success());
+    let predecessor = fixture.start_ready();
     let successor = fixture.take_over(&predecessor);
     predecessor.terminate();
-    assert!(predecessor.exit().success());
+    assert!(predecessor.exit_status().success());
     assert_eq!(fixture.read(1), b"a");
     // It has a socket of its own by now, and no process on standby behind it.
     let next = fixture.take_over(&successor);
     assert_eq!(fixture.read(2), b"a");
     drop(next);
-    wait_for("the rollback", || successor.said("has rolled back") == 1);
+    wait_for("the rollback", || successor.logged("has rolled back") == 1);
     assert_eq!(fixture.read(3), b"a");
 }
 
@@ -204,19 +204,19 @@
 fn an_upgrade_on_probation_releases_the_first_and_signals_are_forwarded() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::with_long_probation(&server);
-    let first = fixture.ready();
+    let first = fixture.start_ready();
     let second = fixture.take_over(&first);
     let text = format!("{}[[class]]\nname = \"new\"\neffect = \"safe\"\n", fixture.text);
     first.reload(&text);
-    wait_for("the reload", || second.said("configuration read again: class new added") == 1);
-    assert_eq!(first.said("configuration read again"), 0);
+    wait_for("the reload", || second.logged("configuration read again: class new added") == 1);
+    assert_eq!(first.logged("configuration read again"), 0);
     first.signal("-USR2");
-    wait_for("the third process", || second.said("stands by") == 1);
+    wait_for("the third process", || second.logged("stands by") == 1);
     let third = Spawned::by(&second);
-    assert!(first.exit().success());
-    assert_eq!(Client::to(fixture.address).ask(&read("new", 1, 20_000)).body, b"a");
+    assert!(first.exit_status().success());
+    assert_eq!(Client::connect(fixture.address).request(&read_request("new", 1, 20_000)).body, b"a");
     second.terminate();
-    assert!(second.exit().success());
+    assert!(second.exit_status().success());
     assert_eq!(fixture.read(2), b"a");
     drop(third);
 }
@@ -225,21 +225,21 @@
 fn a_cut_off_successor_is_fenced_before_it_serves_and_left_alone_after() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::with_long_probation(&server);
-    let predecessor = fixture.ready();
+    let predecessor = fixture.start_ready();
     let mut fenced = SuccessorProcess::done(&fixture, "request offer ready proceed close");
     assert_eq!(fenced.ended_by(), Some(15));
     assert_eq!(fixture.read(1), b"a");
-    assert_eq!(predecessor.said("has lost its link, and lives"), 1);
+    assert_eq!(predecessor.logged("has lost its link, and lives"), 1);
     // It may serve: only its death has an effect.
     let mut serving = SuccessorProcess::done(&fixture, "request offer ready proceed accepting commit close");
-    wait_for("the lost link", || predecessor.said("has lost its link, and lives") == 2);
-    let mut waiting = Client::to(fixture.address);
-    waiting.send(&read("read", 2, 20_000));
-    assert_eq!(predecessor.said("has rolled back"), 0);
+    wait_for("the lost link", || predecessor.logged("has lost its link, and lives") == 2);
+    let mut waiting = Client::connect(fixture.address);
+    waiting.send(&read_request("read", 2, 20_000));
+    assert_eq!(predecessor.logged("has rolled back"), 0);
     assert_eq!(serving.process.try_wait().unwrap(), None);
     serving.process.kill().unwrap();
-    assert_eq!(waiting.answer().unwrap().body, b"a");
-    assert_eq!(predecessor.said("has rolled back"), 1);
+    assert_eq!(waiting.receive().unwrap().body, b"a");
+    assert_eq!(predecessor.logged("has rolled back"), 1);
 }
 
 #[test]
@@ -254,7 +254,7 @@
     // A directory takes the fixture of its socket.
     fixture.block_socket();
     drop(successor);
-    wait_for("the rollback", || predecessor.said("has rolled back") == 1);
+    wait_for("the rollback", || predecessor.logged("has rolled back") == 1);
     assert_eq!(fixture.read(1), b"a");
-    assert_eq!(predecessor.said("hand-over: no successor can connect: "), 1);
+    assert_eq!(predecessor.logged("hand-over: no successor can connect: "), 1);
 }
--- a/crates/cache-balancer/tests/handover_replicas.rs
+++ b/crates/cache-balancer/tests/handover_replicas.rs
@@ -28,13 +28,13 @@
 ) -> (Fixture, Node) {
     fixture.text = fixture.text.replace(&list_from(before), &list_from(after));
     let new = fixture.start();
-    wait_for("the hand-over", || old.said("stands by: its successor serves, on probation") == 1);
+    wait_for("the hand-over", || old.logged("stands by: its successor serves, on probation") == 1);
     (fixture, new)
 }
 
 fn count_polls(replicas: &[&Discovery], path: impl Fn(&str) -> bool) -> usize {
     let polls = |replica: &&Discovery| {
-        replica.asked.lock().unwrap().iter().filter(|asked| path(asked.as_str())).count()
+        replica.received.lock().unwrap().iter().filter(|asked| path(asked.as_str())).count()
     };
     replicas.iter().map(polls).sum()
 }
@@ -59,8 +59,8 @@
     let server = CacheServer::serving("a");
     let [one, other] = service(&server);
     let fixture = fixture(&[&one]);
-    let old = fixture.ready();
-    one.wait_until_told(1);
+    let old = fixture.start_ready();
+    one.wait_until_notified(1);
     let (_fixture, new) = take_over(fixture, &old, &[&one], &[&one, &other]);
     wait_for("the new process's watch", || watches(&[&one, &other]) == 2);
     assert_eq!(snapshots(&[&one, &other]), 1);
@@ -72,7 +72,7 @@
     let server = CacheServer::serving("a");
     let ([one, other], [elsewhere, beside]) = (service(&server), service(&server));
     let fixture = fixture(&[&one, &other]);
-    let old = fixture.ready();
+    let old = fixture.start_ready();
     wait_for("the old process's watch", || watches(&[&one, &other]) == 1);
     let (_fixture, new) = take_over(fixture, &old, &[&one, &other], &[&elsewhere, &beside]);
     wait_for("the new process's watch", || watches(&[&elsewhere, &beside]) == 1);
--- a/crates/cache-balancer/tests/handover_successor.rs
+++ b/crates/cache-balancer/tests/handover_successor.rs
@@ -3,11 +3,11 @@
 mod common;
 mod handover_support;
 
-use common::{ended, read, wait_for, CacheServer, Client, Discovery, Node, PATIENCE};
+use common::{output_before_timeout, read_request, wait_for, CacheServer, Client, Discovery, Node, TIMEOUT};
 use handover_support::scripted::{
     empty_state, frame, ScriptedPredecessor, ACCEPTING, CANCEL, OFFER, PROCEED, READY,
 };
-use handover_support::{fixed, Fixture};
+use handover_support::{static_pool, Fixture};
 use serde_json::json;
 use std::io::Write;
 use std::os::unix::net::UnixDatagram;
@@ -21,7 +21,7 @@
         (json!({"version": 1, "pools": 7}), "expected a state of version 1: invalid type: integer `7`"),
         (json!(null), "expected a state of version 1: invalid type: null"),
     ] {
-        let fixture = Fixture::new(&fixed(&server), "20s");
+        let fixture = Fixture::new(&static_pool(&server), "20s");
         let scripted = ScriptedPredecessor::at(&fixture);
         let starting = std::thread::scope(|scope| {
             let node = scope.spawn(|| fixture.start());
@@ -35,7 +35,7 @@
         });
         // The same socket, on which no other process accepts.
         assert_eq!(fixture.read(1), b"a");
-        assert!(starting.first.contains(why), "{}", starting.first);
+        assert!(starting.startup_log.contains(why), "{}", starting.startup_log);
         drop(scripted);
         assert_eq!(fixture.read(2), b"a");
     }
@@ -44,10 +44,10 @@
 #[test]
 fn a_successor_takes_over_from_a_predecessor_that_dies_before_it_proceeds() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
+    let fixture = Fixture::new(&static_pool(&server), "20s");
     let scripted = ScriptedPredecessor::at(&fixture);
-    let mut waiting = Client::to(fixture.address);
-    waiting.send(&read("read", 1, 20_000));
+    let mut waiting = Client::connect(fixture.address);
+    waiting.send(&read_request("read", 1, 20_000));
     let node = std::thread::scope(|scope| {
         let node = scope.spawn(|| fixture.start());
         let mut peer = scripted.accept_request();
@@ -57,17 +57,17 @@
         drop(scripted);
         node.join().unwrap()
     });
-    assert_eq!(waiting.answer().unwrap().body, b"a");
+    assert_eq!(waiting.receive().unwrap().body, b"a");
     drop(node);
 }
 
 #[test]
 fn a_cancelled_successor_exits_and_accepts_no_client() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
+    let fixture = Fixture::new(&static_pool(&server), "20s");
     let scripted = ScriptedPredecessor::at(&fixture);
     let output = std::thread::scope(|scope| {
-        let node = scope.spawn(|| ended(fixture.command()));
+        let node = scope.spawn(|| output_before_timeout(fixture.command()));
         let mut peer = scripted.accept_request();
         scripted.offer(&fixture, &peer, &empty_state());
         peer.expect(READY.0);
@@ -86,7 +86,7 @@
         (Vec::new(), "disconnected before it handed over"),
     ] {
         let output = std::thread::scope(|scope| {
-            let node = scope.spawn(|| ended(fixture.command()));
+            let node = scope.spawn(|| output_before_timeout(fixture.command()));
             let mut peer = scripted.accept_request();
             peer.0.write_all(&bytes).unwrap();
             drop(peer);
@@ -101,7 +101,7 @@
 #[test]
 fn a_successor_cancelled_while_it_accepts_finishes_its_requests() {
     let (server, gate) = CacheServer::gated("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
+    let fixture = Fixture::new(&static_pool(&server), "20s");
     let scripted = ScriptedPredecessor::at(&fixture);
     let (node, mut client) = std::thread::scope(|scope| {
         let node = scope.spawn(|| fixture.start());
@@ -110,14 +110,14 @@
         peer.expect(READY.0);
         peer.send((PROCEED, &json!({"state": empty_state()}).to_string()));
         peer.expect(ACCEPTING.0);
-        let mut client = Client::to(fixture.address);
-        client.send(&read("read", 1, 20_000));
-        wait_for("the request", || server.count() == 1);
+        let mut client = Client::connect(fixture.address);
+        client.send(&read_request("read", 1, 20_000));
+        wait_for("the request", || server.request_count() == 1);
         peer.send((CANCEL, "{\"why\":\"too late\"}"));
         let node = node.join().unwrap();
         // It accepts no more: new clients wait for the predecessor.
         wait_for("the listener's end", || {
-            let probe = Client::to(fixture.address);
+            let probe = Client::connect(fixture.address);
             scripted.clients.set_nonblocking(true).unwrap();
             let accepted = scripted.clients.accept().is_ok();
             drop(probe);
@@ -126,9 +126,9 @@
         (node, client)
     });
     gate.open();
-    assert_eq!(client.answer().unwrap().body, b"a");
+    assert_eq!(client.receive().unwrap().body, b"a");
     drop(client);
-    assert_eq!(node.exit().code(), Some(1));
+    assert_eq!(node.exit_status().code(), Some(1));
 }
 
 #[test]
@@ -138,17 +138,19 @@
     let fixture = Fixture::new(&format!("discovery = \"{}\"\n", discovery.address), "20s");
     let mut predecessor = fixture.start();
     wait_for("the socket", || fixture.socket().exists());
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     // Neither has had a server yet: the successor cannot become ready.
     let node = std::thread::scope(|scope| {
         let node = scope.spawn(|| fixture.start());
-        wait_for("the request of a hand-over", || predecessor.said("requested by version") == 1);
-        let calls = discovery.calls();
-        wait_for("the successor's watch", || discovery.calls() > calls || discovery.calls() >= 3);
+        wait_for("the request of a hand-over", || predecessor.logged("requested by version") == 1);
+        let calls = discovery.request_count();
+        wait_for("the successor's watch", || {
+            discovery.request_count() > calls || discovery.request_count() >= 3
+        });
         predecessor.child.kill().unwrap();
         node.join().unwrap()
     });
-    discovery.tell(true, &[server.entry("box", "ready")]);
+    discovery.notify(true, &[server.entry("box", "ready")]);
     wait_for("the node's readiness", || node.get("/healthz").status() == 200);
     assert_eq!(fixture.read(1), b"a");
 }
@@ -158,10 +160,10 @@
 #[test]
 fn a_successor_without_a_socket_serves_and_one_stopped_early_is_silent() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
+    let fixture = Fixture::new(&static_pool(&server), "20s");
     let scripted = ScriptedPredecessor::at(&fixture);
     let notify = UnixDatagram::bind(fixture.folder.0.join("notify")).unwrap();
-    notify.set_read_timeout(Some(PATIENCE)).unwrap();
+    notify.set_read_timeout(Some(TIMEOUT)).unwrap();
     let start = || {
         let mut command = fixture.command();
         command.env("NOTIFY_SOCKET", fixture.folder.0.join("notify")).stderr(Stdio::piped());
@@ -185,7 +187,7 @@
         drop(peer);
         node.join().unwrap()
     });
-    wait_for("the failure in the log", || node.said("hand-over: no successor can connect: ") == 1);
+    wait_for("the failure in the log", || node.logged("hand-over: no successor can connect: ") == 1);
     drop(scripted);
     assert_eq!(fixture.read(1), b"a");
 }
--- a/crates/cache-balancer/tests/handover_support/mod.rs
+++ b/crates/cache-balancer/tests/handover_support/mod.rs
@@ -1,11 +1,12 @@
-//! What the tests of the hand-over share: nodes that can be taken over from, clients under load, and scripted peers.
-// Each test file uses a part of it.
+//! Fixtures of the hand-over tests: nodes with a hand-over socket, clients that create load, and scripted peers.
 #![allow(dead_code, reason = "each test file compiles this module for itself and uses a part of it")]
 
 pub mod recorded;
 pub mod scripted;
 
-use super::common::{command, own_address, read, wait_for, CacheServer, Client, Folder, Node, PATIENCE};
+use super::common::{
+    command, read_request, unique_address, wait_for, CacheServer, Client, Node, TempDir, TIMEOUT,
+};
 use scripted::{Peer, REQUEST};
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
@@ -15,35 +16,42 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
+/// A request class of an operator's file.
 const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
-pub const HAND_OVER: &str = "[hand_over]\nsocket = \"n.sock\"\nprobation = \"100ms\"\nbar = \"1s\"\n";
+/// Settings of a hand-over, for the begin of an operator's file.
+pub const HANDOVER_SETTINGS: &str = "[hand_over]\nsocket = \"n.sock\"\nprobation = \"100ms\"\nbar = \"1s\"\n";
 
-/// A folder with the file of nodes that hand over to each other, at an address that the test knows.
+/// The operator's file and the directory of nodes that hand over to each other, with a fixed listening address.
 pub struct Fixture {
-    pub folder: Folder,
+    /// The directory of the operator's file and of the hand-over socket.
+    pub folder: TempDir,
+    /// The operator's file; a test may change it before it starts a node.
     pub text: String,
+    /// The address on which the nodes listen for clients.
     pub address: SocketAddr,
 }
 
 impl Fixture {
-    /// `pool` is the source of the pool's list in the file, and `within` the time limit of each step.
+    /// Creates a fixture. `pool` is the source of the pool's endpoint list in the operator's file, and `within` the
+    /// timeout of each step, for example `20s`.
     pub fn new(pool: &str, within: &str) -> Self {
-        let address = own_address();
-        let folder = Folder::new();
+        let address = unique_address();
+        let folder = TempDir::new();
         let text = format!(
-            "version = 1\n{HAND_OVER}within = \"{within}\"\n[[listener]]\nname = \"clients\"\n\
+            "version = 1\n{HANDOVER_SETTINGS}within = \"{within}\"\n[[listener]]\nname = \"clients\"\n\
              address = \"{address}\"\n[[pool]]\nname = \"p\"\n{pool}{CLASS}"
         );
         Self { folder, text, address }
     }
 
-    /// Successors are on probation for longer than any test takes.
+    /// Creates a fixture in which the probation of a successor (10 min) does not expire during a test.
     pub fn with_long_probation(server: &CacheServer) -> Self {
-        let mut fixture = Self::new(&fixed(server), "20s");
+        let mut fixture = Self::new(&static_pool(server), "20s");
         fixture.text = fixture.text.replace("probation = \"100ms\"", "probation = \"10min\"");
         fixture
     }
 
+    /// Writes the operator's file, and returns a command that runs a node with it.
     pub fn command(&self) -> Command {
         // An earlier node removed the file.
         let path = self.folder.write("cache-balancer.toml", &self.text);
@@ -52,17 +60,18 @@
         command
     }
 
-    /// Starts a process that listens on the address itself, or takes over. Returns once it listens.
+    /// Starts a node that binds the address or takes it over from a predecessor. Returns once it listens.
     pub fn start(&self) -> Node {
         self.spawn(self.command())
     }
 
+    /// Starts a node by this command, and returns once it listens.
     pub fn spawn(&self, command: Command) -> Node {
         Node::spawn(command, self.folder.0.join("cache-balancer.toml"))
     }
 
     /// Starts the first process, and returns once it serves and can be taken over from.
-    pub fn ready(&self) -> Node {
+    pub fn start_ready(&self) -> Node {
         let node = self.start();
         wait_for("the node's readiness", || node.get("/healthz").status() == 200);
         wait_for("the socket", || self.socket().exists());
@@ -71,12 +80,13 @@
 
     /// Starts a successor, and returns once `predecessor` stands by.
     pub fn take_over(&self, predecessor: &Node) -> Node {
-        let before = predecessor.said("stands by");
+        let before = predecessor.logged("stands by");
         let successor = self.start();
-        wait_for("the hand-over", || predecessor.said("stands by") == before + 1);
+        wait_for("the hand-over", || predecessor.logged("stands by") == before + 1);
         successor
     }
 
+    /// The path of the hand-over socket.
     pub fn socket(&self) -> PathBuf {
         self.folder.0.join("n.sock")
     }
@@ -87,9 +97,9 @@
         std::fs::create_dir_all(self.socket().join("full")).unwrap();
     }
 
-    /// One read on a connection of its own.
+    /// Sends a read of `key` on a new connection and returns the body of the response.
     pub fn read(&self, key: u64) -> Vec<u8> {
-        Client::to(self.address).ask(&read("read", key, 20_000)).body
+        Client::connect(self.address).request(&read_request("read", key, 20_000)).body
     }
 
     /// Connects to the node as a scripted successor, and requests a hand-over.
@@ -102,49 +112,50 @@
     /// Connects to the node as a scripted successor.
     pub fn connect(&self) -> Peer {
         let stream = UnixStream::connect(self.socket()).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Peer(stream)
     }
 }
 
-/// A pool with this server alone.
-pub fn fixed(server: &CacheServer) -> String {
+/// A pool of an operator's file with this server as its only, static endpoint.
+pub fn static_pool(server: &CacheServer) -> String {
     format!("[[pool.server]]\nname = \"box\"\naddress = \"{}\"\n", server.address)
 }
 
-/// Clients that send one request after the other until the test ends them, half of them on a connection that they keep
-/// while they may. Any answer but 200 fails.
+/// Clients that send one request after the other until they are stopped. Half of them reuse a connection until the
+/// node closes it. Any status but 200 fails the test.
 pub struct Clients {
-    over: Arc<AtomicBool>,
+    stopping: Arc<AtomicBool>,
     threads: Vec<JoinHandle<u64>>,
 }
 
 impl Clients {
+    /// Starts this number of clients, a thread each.
     pub fn start(fixture: &Fixture, count: u64) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
+        let stopping = Arc::new(AtomicBool::new(false));
         let start = |number| {
-            let (over, address) = (over.clone(), fixture.address);
+            let (stopping, address) = (stopping.clone(), fixture.address);
             std::thread::spawn(move || {
-                let (mut client, mut answers) = (Client::to(address), 0);
-                while !over.load(Ordering::SeqCst) {
-                    let answer = client.ask(&read("read", (number << 32) + answers, 20_000));
-                    assert_eq!(answer.status(), 200);
-                    answers += 1;
+                let (mut client, mut responses) = (Client::connect(address), 0);
+                while !stopping.load(Ordering::SeqCst) {
+                    let response = client.request(&read_request("read", (number << 32) + responses, 20_000));
+                    assert_eq!(response.status(), 200);
+                    responses += 1;
                     // The other half uses a new connection each time.
-                    if answer.header("connection") == Some("close") || number % 2 == 0 {
-                        client = Client::to(address);
+                    if response.header("connection") == Some("close") || number % 2 == 0 {
+                        client = Client::connect(address);
                     }
                 }
-                answers
+                responses
             })
         };
         let threads = (1..=count).map(start).collect();
-        Self { over, threads }
+        Self { stopping, threads }
     }
 
-    /// Ends the clients, and returns the number of answers.
-    pub fn answers(self) -> u64 {
-        self.over.store(true, Ordering::SeqCst);
+    /// Stops the clients, and returns the number of responses.
+    pub fn stop(self) -> u64 {
+        self.stopping.store(true, Ordering::SeqCst);
         self.threads.into_iter().map(|thread| thread.join().unwrap()).sum()
     }
 }
--- a/crates/cache-balancer/tests/handover_support/recorded.rs
+++ b/crates/cache-balancer/tests/handover_support/recorded.rs
@@ -3,15 +3,18 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
+/// Lines of `session sender header text`, and of `address name address`.
 const RECORDING: &str = include_str!("../data/handover_before.txt");
+/// The magic number and version (6 bytes), kind (2) and text length (4).
 const HEADER_BYTES: usize = 12;
+/// The offset of the text length in a header.
 const LENGTH_OFFSET: usize = 8;
 
 /// The recording, with addresses of the recording replaced by others.
 pub struct Recording(Vec<(String, SocketAddr)>);
 
 impl Recording {
-    /// `addresses` has for names of the recording the addresses that replace them.
+    /// Loads the recording. `addresses` maps names of the recording to the addresses that replace them.
     pub fn with_addresses(addresses: &[(&str, SocketAddr)]) -> Self {
         let replace = |(name, address): &(&str, SocketAddr)| (recorded_address(name).to_owned(), *address);
         Self(addresses.iter().map(replace).collect())
--- a/crates/cache-balancer/tests/handover_support/scripted.rs
+++ b/crates/cache-balancer/tests/handover_support/scripted.rs
@@ -1,7 +1,7 @@
-//! Scripted ends of a hand-over: they send and expect frames as a test says.
+//! Scripted predecessors and successors, which send and expect frames as the test determines.
 
 use super::Fixture;
-use crate::common::PATIENCE;
+use crate::common::TIMEOUT;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -13,19 +13,27 @@
 use std::os::fd::AsFd;
 use std::os::unix::net::{UnixListener, UnixStream};
 
-/// From a version without probation.
+/// A request of a version without probation: kind and text.
 pub const REQUEST: (u16, &str) = (1, "{\"program\":\"a test\"}");
-/// From this version.
+/// A request of this version: kind and text.
 pub const REQUEST_WITH_PROBATION: (u16, &str) = (1, "{\"program\":\"a test\",\"probation\":true}");
+/// The kind of an offer, which carries the listening sockets and the state.
 pub const OFFER: u16 = 2;
+/// The message of a successor that has taken over the state: kind and text.
 pub const READY: (u16, &str) = (3, "null");
+/// The kind of the message by which the predecessor lets the successor accept connections.
 pub const PROCEED: u16 = 4;
+/// The message of a successor that accepts connections: kind and text.
 pub const ACCEPTING: (u16, &str) = (5, "null");
+/// The kind of a cancellation.
 pub const CANCEL: u16 = 6;
+/// The kind of the message that completes a hand-over.
 pub const COMMIT: u16 = 7;
 
+/// The magic number and version (6 bytes), kind (2) and text length (4).
 const HEADER_BYTES: usize = 12;
 
+/// A frame of this kind and text.
 pub fn frame(kind: u16, text: &str) -> Vec<u8> {
     let mut frame = b"PHHO\0\x01".to_vec();
     frame.extend(kind.to_be_bytes());
@@ -34,14 +42,16 @@
     frame
 }
 
+/// A state to hand over, without learned state of any pool.
 pub fn empty_state() -> Value {
     json!({"version": 1, "pools": []})
 }
 
-/// One end of a link.
+/// One end of a hand-over link.
 pub struct Peer(pub UnixStream);
 
 impl Peer {
+    /// Sends a frame of this kind and text.
     pub fn send(&mut self, (kind, text): (u16, &str)) {
         self.0.write_all(&frame(kind, text)).unwrap();
     }
@@ -111,13 +121,15 @@
     }
 }
 
-/// A scripted process that serves: it listens for a successor, and has the socket of the clients.
+/// A scripted predecessor: it listens for a successor and for clients.
 pub struct ScriptedPredecessor {
+    /// The listening socket of the clients, which it hands over.
     pub clients: TcpListener,
     socket: UnixListener,
 }
 
 impl ScriptedPredecessor {
+    /// Listens at the addresses of this fixture.
     pub fn at(fixture: &Fixture) -> Self {
         Self {
             clients: TcpListener::bind(fixture.address).unwrap(),
@@ -128,7 +140,7 @@
     /// Accepts the connection of a successor.
     pub fn accept(&self) -> Peer {
         let (stream, _) = self.socket.accept().unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Peer(stream)
     }
 
@@ -140,6 +152,7 @@
         peer
     }
 
+    /// Sends an offer with this state and the listening socket.
     pub fn offer(&self, fixture: &Fixture, peer: &Peer, state: &Value) {
         let listener = json!({"name": "clients", "address": fixture.address});
         let offer = frame(OFFER, &json!({"listeners": [listener], "state": state}).to_string());
--- a/crates/cache-balancer/tests/handover_versions.rs
+++ b/crates/cache-balancer/tests/handover_versions.rs
@@ -4,10 +4,10 @@
 mod common;
 mod handover_support;
 
-use common::{answer, ended, wait_for, CacheServer, Discovery, Does, Message};
+use common::{output_before_timeout, response, wait_for, CacheServer, Discovery, Message, ServerBehavior};
 use handover_support::recorded::{form, kind, text, Recording};
 use handover_support::scripted::{Peer, ScriptedPredecessor, OFFER, PROCEED};
-use handover_support::{fixed, Clients, Fixture};
+use handover_support::{static_pool, Clients, Fixture};
 use serde_json::Value;
 use std::io::{BufReader, Write};
 use std::net::{TcpListener, TcpStream};
@@ -28,7 +28,7 @@
 impl World {
     fn new() -> Self {
         let good = CacheServer::serving("good");
-        let broken = CacheServer::start(|_| Does::Close(String::new()));
+        let broken = CacheServer::start(|_| ServerBehavior::RespondAndClose(String::new()));
         let discovery = Discovery::start(&[good.entry("good", "ready"), broken.entry("broken", "ready")]);
         let fixture = Fixture::new(&format!("discovery = \"{}\"\n", discovery.address), "20s");
         Self { good, broken, discovery, fixture }
@@ -62,7 +62,7 @@
 #[test]
 fn this_version_takes_over_from_the_version_before_with_its_state() {
     let world = World::new();
-    world.discovery.tell(false, &[]);
+    world.discovery.notify(false, &[]);
     let World { good, fixture, discovery, .. } = &world;
     let recording = world.recording();
     let sent = recording.frames("handover", PREDECESSOR);
@@ -84,17 +84,17 @@
         peer.0.write_all(commit).unwrap();
         (node.join().unwrap(), peer)
     });
-    wait_for("requests", || good.count() > 50);
-    let answers = clients.answers();
-    assert_eq!(good.count() as u64, answers, "each request is answered, and sent to `good` once");
+    wait_for("requests", || good.request_count() > 50);
+    let answers = clients.stop();
+    assert_eq!(good.request_count() as u64, answers, "each request is answered, and sent to `good` once");
     // The watch goes on from the version handed over: no snapshot is requested.
-    discovery.wait_until_told(2);
-    assert!(!discovery.asked.lock().unwrap().iter().any(|path| path == "/v1/servers"));
+    discovery.wait_until_notified(2);
+    assert!(!discovery.received.lock().unwrap().iter().any(|path| path == "/v1/servers"));
     peer.0.write_all(departed).unwrap();
     drop(peer);
     assert_state_was_restored(fixture, &text(proceed)["state"]);
     node.terminate();
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 /// The state that the node offers next has what the recorded one had.
@@ -127,13 +127,13 @@
     let [offer, proceed, commit, _] = &expected[..] else { panic!("{} frames", expected.len()) };
     let sent = recording.frames("handover", SUCCESSOR);
     let [request, ready, accepting] = &sent[..] else { panic!("{} frames", sent.len()) };
-    let node = fixture.ready();
-    discovery.wait_until_told(1);
+    let node = fixture.start_ready();
+    discovery.wait_until_notified(1);
     let clients = Clients::start(fixture, 4);
-    wait_for("an open breaker", || node.said("breaker of broken tripped") > 0);
-    wait_for("requests", || good.count() > 60);
-    discovery.tell(false, &[]);
-    discovery.wait_until_told(2);
+    wait_for("an open breaker", || node.logged("breaker of broken tripped") > 0);
+    wait_for("requests", || good.request_count() > 60);
+    discovery.notify(false, &[]);
+    discovery.wait_until_notified(2);
     let mut peer = fixture.connect();
     peer.0.write_all(request).unwrap();
     let (found, socket) = peer.receive_with_socket();
@@ -145,16 +145,20 @@
     let state = &text(&found)["state"];
     assert_eq!(state["pools"][0]["listing"], text(proceed)["state"]["pools"][0]["listing"]);
     assert!(server(state, "broken")["breaker"]["open_left"].is_u64(), "{state}");
-    assert!(broken.count() > 0);
+    assert!(broken.request_count() > 0);
     let served = serve(socket);
     peer.0.write_all(accepting).unwrap();
     assert_eq!(peer.receive_bytes().as_ref(), Some(commit));
     wait_for("requests at the successor", || served.load(Ordering::SeqCst) > 50);
     peer.0.write_all(&recording.frame_of("release", SUCCESSOR)).unwrap();
     drop(peer);
-    let answers = clients.answers();
-    assert!(node.exit().success());
-    assert_eq!(good.count() as u64 + served.load(Ordering::SeqCst), answers, "each request is answered");
+    let answers = clients.stop();
+    assert!(node.exit_status().success());
+    assert_eq!(
+        good.request_count() as u64 + served.load(Ordering::SeqCst),
+        answers,
+        "each request is answered"
+    );
 }
 
 fn assert_same_form(found: &[u8], recorded: &[u8], expected_kind: u16) {
@@ -181,7 +185,7 @@
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while let Ok(Some(_)) = Message::read(&mut reader) {
         count.fetch_add(1, Ordering::SeqCst);
-        if stream.write_all(answer("200 OK", "", "successor").as_bytes()).is_err() {
+        if stream.write_all(response("200 OK", "", "successor").as_bytes()).is_err() {
             return;
         }
     }
@@ -190,15 +194,15 @@
 #[test]
 fn a_declining_successor_of_the_version_before_leaves_this_one_serving() {
     let server = CacheServer::serving("a");
-    let fixture = Fixture::new(&fixed(&server), "20s");
+    let fixture = Fixture::new(&static_pool(&server), "20s");
     let recording = Recording::with_addresses(&[]);
-    let node = fixture.ready();
+    let node = fixture.start_ready();
     let mut peer = fixture.connect();
     peer.0.write_all(&recording.frames("handover", SUCCESSOR)[0]).unwrap();
     peer.expect(OFFER);
     peer.0.write_all(&recording.frame_of("decline", SUCCESSOR)).unwrap();
     drop(peer);
-    wait_for("the end of the hand-over", || node.said("declines") == 1);
+    wait_for("the end of the hand-over", || node.logged("declines") == 1);
     assert_eq!(fixture.read(1), b"a");
 }
 
@@ -207,14 +211,14 @@
     let server = CacheServer::serving("a");
     let recording = Recording::with_addresses(&[]);
     // A predecessor cancels, and departs.
-    let fixture = Fixture::new(&fixed(&server), "200ms");
-    let node = fixture.ready();
+    let fixture = Fixture::new(&static_pool(&server), "200ms");
+    let node = fixture.start_ready();
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
     assert_eq!(peer.receive_bytes().unwrap(), recording.frame_of("cancel", PREDECESSOR));
     drop((peer, node));
-    let fixture = Fixture::new(&fixed(&server), "20s");
-    let node = fixture.ready();
+    let fixture = Fixture::new(&static_pool(&server), "20s");
+    let node = fixture.start_ready();
     let frames = recording.frames("handover", SUCCESSOR);
     let expected = recording.frames("handover", PREDECESSOR);
     let mut peer = fixture.connect();
@@ -225,7 +229,7 @@
     peer.0.write_all(&frames[2]).unwrap();
     assert_eq!(peer.receive_bytes().as_ref(), Some(&expected[2]));
     assert_eq!(peer.receive_bytes().as_ref(), Some(&expected[3]), "after the probation");
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 #[test]
@@ -243,7 +247,7 @@
     wait_for("its socket", || std::os::unix::net::UnixStream::connect(fixture.socket()).is_ok());
     node.terminate();
     assert_eq!(peer.receive_bytes().unwrap(), recording.frame_of("release", SUCCESSOR));
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 #[test]
@@ -253,7 +257,7 @@
     let offer = &recording.frames("handover", PREDECESSOR)[0];
     let predecessor = ScriptedPredecessor::at(fixture);
     let output = std::thread::scope(|scope| {
-        let node = scope.spawn(|| ended(fixture.command()));
+        let node = scope.spawn(|| output_before_timeout(fixture.command()));
         let mut peer = play_offer(&predecessor, offer);
         peer.0.write_all(&recording.frame_of("cancel", PREDECESSOR)).unwrap();
         node.join().unwrap()
--- a/crates/cache-balancer/tests/hollow.rs
+++ b/crates/cache-balancer/tests/hollow.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{command, wait_for, PATIENCE};
+use common::{command, wait_for, TIMEOUT};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::cell::RefCell;
@@ -67,7 +67,7 @@
     }
 
     fn event(&self) -> E {
-        self.events.recv_timeout(PATIENCE).expect("an event")
+        self.events.recv_timeout(TIMEOUT).expect("an event")
     }
 
     /// Ends its input and waits for its end. Returns whether it succeeded, and its standard error.
--- a/crates/cache-balancer/tests/lifecycle.rs
+++ b/crates/cache-balancer/tests/lifecycle.rs
@@ -14,26 +14,26 @@
     let server = CacheServer::start(move |asked| {
         if asked.header("req-id") == Some("1") {
             let open = held.0.lock().unwrap();
-            drop(held.1.wait_timeout_while(open, PATIENCE, |open| !*open).unwrap());
+            drop(held.1.wait_timeout_while(open, TIMEOUT, |open| !*open).unwrap());
         }
-        Does::Answer(answer("200 OK", "", "value"))
+        ServerBehavior::Respond(response("200 OK", "", "value"))
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     let (mut waiting, mut idle) = (node.client(), node.client());
-    waiting.send(&read("read", 1, 60_000));
-    wait_for("the first request", || server.count() == 1);
-    let served = idle.ask(&read("read", 2, 20_000));
+    waiting.send(&read_request("read", 1, 60_000));
+    wait_for("the first request", || server.request_count() == 1);
+    let served = idle.request(&read_request("read", 2, 20_000));
     assert_eq!((served.status(), served.header("connection")), (200, None));
     node.terminate();
     // An idle connection ends when the node has stopped accepting; the accepted request is still in flight.
-    assert_eq!(idle.answer(), None);
+    assert_eq!(idle.receive(), None);
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
-    let served = waiting.answer().expect("the answer to an accepted request");
+    let served = waiting.receive().expect("the answer to an accepted request");
     assert_eq!((served.status(), &served.body[..]), (200, &b"value"[..]));
     assert_eq!(served.header("connection"), Some("close"));
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 /// Idle clients could keep a node from its exit.
@@ -41,13 +41,13 @@
 fn a_terminated_node_does_not_wait_for_idle_clients() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     let (mut used, mut fresh) = (node.client(), node.client());
-    assert_eq!(used.ask(&read("read", 1, 20_000)).status(), 200);
+    assert_eq!(used.request(&read_request("read", 1, 20_000)).status(), 200);
     node.terminate();
-    assert_eq!(used.answer(), None);
-    assert_eq!(fresh.answer(), None);
-    assert!(node.exit().success());
+    assert_eq!(used.receive(), None);
+    assert_eq!(fresh.receive(), None);
+    assert!(node.exit_status().success());
 }
 
 /// A node could start with half a configuration, or exit with the many lines of a panic.
@@ -112,7 +112,7 @@
         }
         let mut command = command();
         command.env("LB_CONFIG", write_config(&broken.to_string()));
-        let ended = ended(command);
+        let ended = output_before_timeout(command);
         let error = String::from_utf8(ended.stderr).unwrap();
         assert!(!ended.status.success(), "{path}");
         assert_eq!(error, format!("cache-balancer: {words}\n"));
@@ -121,10 +121,10 @@
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let good = config(discovery.address);
-    let node = Node::ready(&good);
+    let node = Node::start_ready(&good);
     node.reconfigure(&good.to_string().replace("\"effect\":\"keyed\"", "\"effect\":\"harmless\""));
     let words = "configuration not taken: settings.lanes.2.effect: expected one of safe, keyed, unsafe";
-    assert_eq!(node.said(words), 1);
+    assert_eq!(node.logged(words), 1);
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
@@ -134,22 +134,22 @@
 fn a_reload_moves_the_watch_to_the_new_discovery_from_a_snapshot_on() {
     let servers = [CacheServer::serving("0"), CacheServer::serving("1"), CacheServer::serving("2")];
     let lists = servers.each_ref().map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
-    let node = Node::ready(&config(lists[0].address));
-    lists[0].wait_until_told(1);
+    let node = Node::start_ready(&config(lists[0].address));
+    lists[0].wait_until_notified(1);
     let mut client = node.client();
     for (i, list) in lists.iter().enumerate().skip(1) {
-        assert_eq!(client.ask(&read("read", 1, 20_000)).body, (i - 1).to_string().as_bytes());
+        assert_eq!(client.request(&read_request("read", 1, 20_000)).body, (i - 1).to_string().as_bytes());
         node.reload(&config(list.address).to_string());
-        list.wait_until_told(1);
-        assert_eq!(list.asked.lock().unwrap()[0], "/v1/servers");
-        assert_eq!(client.ask(&read("read", 1, 20_000)).body, i.to_string().as_bytes());
+        list.wait_until_notified(1);
+        assert_eq!(list.received.lock().unwrap()[0], "/v1/servers");
+        assert_eq!(client.request(&read_request("read", 1, 20_000)).body, i.to_string().as_bytes());
     }
     // The old discovery services have no effect any more.
-    lists[0].tell(true, &[servers[0].entry("s-1", "ready")]);
-    lists[2].tell(false, &[]);
-    lists[2].wait_until_told(2);
-    assert_eq!(client.ask(&read("read", 1, 20_000)).body, b"2");
-    assert_eq!(lists.each_ref().map(|list| list.calls()), [2, 2, 3]);
+    lists[0].notify(true, &[servers[0].entry("s-1", "ready")]);
+    lists[2].notify(false, &[]);
+    lists[2].wait_until_notified(2);
+    assert_eq!(client.request(&read_request("read", 1, 20_000)).body, b"2");
+    assert_eq!(lists.each_ref().map(|list| list.request_count()), [2, 2, 3]);
 }
 
 /// A reload could end the node or leave it without a list: it serves with the old one while the new discovery is silent.
@@ -158,8 +158,8 @@
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let good = config(discovery.address);
-    let node = Node::ready(&good);
-    discovery.wait_until_told(1);
+    let node = Node::start_ready(&good);
+    discovery.wait_until_notified(1);
     for (i, text) in
         ["", "{\"name\":", "{}", &good.to_string().replace("8c1f30d27a5be964", "-")].iter().enumerate()
     {
@@ -172,17 +172,17 @@
         assert_eq!(node.read("read", 1).status(), 200);
     }
     // The old watch goes on.
-    discovery.tell(false, &[]);
-    discovery.wait_until_told(2);
+    discovery.notify(false, &[]);
+    discovery.wait_until_notified(2);
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     node.reload(&config(silent.local_addr().unwrap()).to_string());
     let _call = silent.accept().unwrap();
     assert_eq!(node.read("read", 1).status(), 200);
     // A discovery service that never answers can be left again.
-    let calls = discovery.calls();
+    let calls = discovery.request_count();
     node.reload(&good.to_string());
-    wait_for("a call", || discovery.calls() > calls);
-    assert_eq!(discovery.asked.lock().unwrap()[calls], "/v1/servers");
+    wait_for("a call", || discovery.request_count() > calls);
+    assert_eq!(discovery.received.lock().unwrap()[calls], "/v1/servers");
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
@@ -193,22 +193,22 @@
     let held = gate.clone();
     let server = CacheServer::start(move |_| {
         let open = held.0.lock().unwrap();
-        drop(held.1.wait_timeout_while(open, PATIENCE, |open| !*open).unwrap());
-        Does::Answer(answer("200 OK", "", "value"))
+        drop(held.1.wait_timeout_while(open, TIMEOUT, |open| !*open).unwrap());
+        ServerBehavior::Respond(response("200 OK", "", "value"))
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut small = config(discovery.address);
     small["limits"]["sockets"] = json!(40);
-    let node = Node::ready(&small);
+    let node = Node::start_ready(&small);
     // Capacity for eight requests, all of which is used.
     let mut clients: Vec<_> = (0..8).map(|_| node.client()).collect();
     for (key, client) in clients.iter_mut().enumerate() {
-        client.send(&read("read", key as u64, 60_000));
+        client.send(&read_request("read", key as u64, 60_000));
     }
-    wait_for("attempts", || server.count() == 8);
+    wait_for("attempts", || server.request_count() == 8);
     let mut waiting: Vec<_> = (0..3).map(|_| node.client()).collect();
     for (key, client) in waiting.iter_mut().enumerate() {
-        client.send(&read("read", 8 + key as u64, 60_000));
+        client.send(&read_request("read", 8 + key as u64, 60_000));
     }
     node.terminate();
     let closing = || node.log.lock().unwrap().iter().any(|line| line == "no further clients are accepted");
@@ -216,10 +216,10 @@
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
     for client in clients.iter_mut().chain(&mut waiting) {
-        let served = client.answer().expect("the answer to an accepted request");
+        let served = client.receive().expect("the answer to an accepted request");
         assert_eq!((served.status(), served.header("connection")), (200, Some("close")));
-        assert_eq!(client.answer(), None);
+        assert_eq!(client.receive(), None);
     }
-    assert!(node.exit().success());
-    assert_eq!(server.count(), 11);
+    assert!(node.exit_status().success());
+    assert_eq!(server.request_count(), 11);
 }
--- a/crates/cache-balancer/tests/lists.rs
+++ b/crates/cache-balancer/tests/lists.rs
@@ -13,16 +13,16 @@
 fn rejects(text: &str, message: &str, seq: u64) {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
-    discovery.wait_until_told(1);
-    discovery.tell_text(text.replace("OLD", &old.entry("s-1", "ready").to_string()));
-    wait_for(&format!("{message}, of {text}"), || node.said(message) >= 1);
+    let node = Node::start_ready(&config(discovery.address));
+    discovery.wait_until_notified(1);
+    discovery.notify_text(text.replace("OLD", &old.entry("s-1", "ready").to_string()));
+    wait_for(&format!("{message}, of {text}"), || node.logged(message) >= 1);
     for key in 0..5 {
         assert_eq!(node.read("read", key).body, b"old", "{text}");
     }
     let good = json!({"seq": seq, "whole": true, "hosts": [new.entry("s-2", "ready")]});
-    discovery.tell_text(good.to_string());
-    discovery.wait_until_told(seq);
+    discovery.notify_text(good.to_string());
+    discovery.wait_until_notified(seq);
     for key in 0..5 {
         assert_eq!(node.read("read", key).body, b"new", "{text}");
     }
@@ -54,13 +54,13 @@
 fn an_older_version_is_rejected_and_a_snapshot_requested() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
-    discovery.wait_until_told(1);
-    discovery.tell_text(r#"{"seq":0,"whole":false,"hosts":[]}"#.into());
-    wait_for("the rejection", || node.said("seq: 0, older than 1, which is held") >= 1);
-    let before = discovery.asked.lock().unwrap().iter().filter(|path| !path.contains("after")).count();
+    let node = Node::start_ready(&config(discovery.address));
+    discovery.wait_until_notified(1);
+    discovery.notify_text(r#"{"seq":0,"whole":false,"hosts":[]}"#.into());
+    wait_for("the rejection", || node.logged("seq: 0, older than 1, which is held") >= 1);
+    let before = discovery.received.lock().unwrap().iter().filter(|path| !path.contains("after")).count();
     wait_for("a request for a snapshot", || {
-        discovery.asked.lock().unwrap().iter().filter(|path| !path.contains("after")).count() > before
+        discovery.received.lock().unwrap().iter().filter(|path| !path.contains("after")).count() > before
     });
     assert_eq!(node.read("read", 1).body, b"value");
 }
@@ -71,28 +71,31 @@
 fn a_discovery_that_lost_its_versions_is_accepted_the_third_time() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
-    discovery.wait_until_told(1);
-    discovery.tell_text(snapshot(0, &[new.entry("s-2", "ready")]));
-    wait_for("its list to be accepted", || node.said("accepted, since it came 3 times in a row") == 1);
-    assert_eq!(node.said("list rejected: seq: 0, older than 1"), 2);
+    let node = Node::start_ready(&config(discovery.address));
+    discovery.wait_until_notified(1);
+    discovery.notify_text(snapshot(0, &[new.entry("s-2", "ready")]));
+    wait_for("its list to be accepted", || node.logged("accepted, since it came 3 times in a row") == 1);
+    assert_eq!(node.logged("list rejected: seq: 0, older than 1"), 2);
     wait_for("its server to be used", || node.read("read", 1).body == b"new");
 }
 
 /// A discovery that answers the first request with a snapshot in which two servers are ready, and later ones as `then`
 /// returns, which is given their number from 1.
-fn scripted(hosts: [Value; 2], then: impl Fn(usize) -> Does + Send + Sync + 'static) -> CacheServer {
-    let first = answer("200 OK", "", &snapshot(1, &hosts));
+fn scripted(
+    hosts: [Value; 2],
+    then: impl Fn(usize) -> ServerBehavior + Send + Sync + 'static,
+) -> CacheServer {
+    let first = response("200 OK", "", &snapshot(1, &hosts));
     let calls = AtomicUsize::new(0);
     CacheServer::start(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
-        0 => Does::Answer(first.clone()),
+        0 => ServerBehavior::Respond(first.clone()),
         call => then(call),
     })
 }
 
 /// A node receives `text`, which is no list that it accepts and reports one of its two servers as leaving. Its discovery sends
 /// nothing after that. The node logs `message` and avoids the server. `end` makes the answer of the text.
-fn avoids_leaving(text: &str, end: fn(String) -> Does, message: &str) -> Node {
+fn avoids_leaving(text: &str, end: fn(String) -> ServerBehavior, message: &str) -> Node {
     let (leaving, staying) = (CacheServer::serving("leaving"), CacheServer::serving("staying"));
     let text = text.replace("LEAVING", &leaving.entry("s-1", "draining").to_string());
     let shown = text.clone();
@@ -101,7 +104,7 @@
     let may_answer = both_used.clone();
     let discovery = scripted(hosts, move |call| {
         if call > 1 {
-            return Does::Nothing;
+            return ServerBehavior::NoResponse;
         }
         // Both servers have had work before.
         while may_answer.load(Ordering::SeqCst) == 0 {
@@ -109,36 +112,36 @@
         }
         end(text.clone())
     });
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     wait_for("both servers to be used", || {
         (0..50).for_each(|key| drop(node.read("read", key)));
-        leaving.count() > 0 && staying.count() > 0
+        leaving.request_count() > 0 && staying.request_count() > 0
     });
     both_used.store(1, Ordering::SeqCst);
-    wait_for(&format!("{message}, of {shown}"), || node.said(message) >= 1);
-    let before = leaving.count();
+    wait_for(&format!("{message}, of {shown}"), || node.logged(message) >= 1);
+    let before = leaving.request_count();
     for key in 0..50 {
         assert_eq!(node.read("read", key).body, b"staying", "{shown}");
     }
-    assert_eq!(leaving.count(), before, "{shown}");
+    assert_eq!(leaving.request_count(), before, "{shown}");
     node
 }
 
 const AVOIDED: &str = "1 servers reported as leaving in an incomplete or rejected answer, avoided";
 
 /// The complete answer.
-fn complete(text: String) -> Does {
-    Does::Answer(answer("200 OK", "", &text))
+fn complete(text: String) -> ServerBehavior {
+    ServerBehavior::Respond(response("200 OK", "", &text))
 }
 
 /// Announces more than it sends, and closes.
-fn broken_off(text: String) -> Does {
-    Does::Close(format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{text}"))
+fn broken_off(text: String) -> ServerBehavior {
+    ServerBehavior::RespondAndClose(format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{text}"))
 }
 
 /// Announces more than it sends, and leaves the connection open.
-fn without_end(text: String) -> Does {
-    Does::Answer(format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{text}"))
+fn without_end(text: String) -> ServerBehavior {
+    ServerBehavior::Respond(format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{text}"))
 }
 
 /// What discovery has written counts as notified. If the node waited for the rest of an answer that breaks off or stalls, it
@@ -165,13 +168,13 @@
     let hosts = [one.entry("s-1", "ready"), two.entry("s-2", "ready")];
     let discovery = scripted(hosts, |call| match call {
         1 => without_end(r#"{"seq":2,"#.into()),
-        _ => Does::Nothing,
+        _ => ServerBehavior::NoResponse,
     });
-    let _node = Node::ready(&config(discovery.address));
-    wait_for("the watch", || discovery.count() >= 2);
+    let _node = Node::start_ready(&config(discovery.address));
+    wait_for("the watch", || discovery.request_count() >= 2);
     let began = Instant::now();
-    wait_for("the next poll", || discovery.count() >= 3);
-    let asked = discovery.asked.lock().unwrap()[1].start.clone();
+    wait_for("the next poll", || discovery.request_count() >= 3);
+    let asked = discovery.received.lock().unwrap()[1].start_line.clone();
     let wait = asked.split_once("wait_ms=").unwrap().1.split(' ').next().unwrap().parse().unwrap();
     assert!(began.elapsed() < Duration::from_millis(wait), "{asked}");
 }
@@ -194,16 +197,16 @@
     let again = snapshot(2, &hosts);
     let discovery = scripted(hosts.clone(), move |call| match call {
         1 => broken_off(damaged.clone()),
-        2 => Does::Answer(answer("200 OK", "", &again)),
-        _ => Does::Nothing,
+        2 => ServerBehavior::Respond(response("200 OK", "", &again)),
+        _ => ServerBehavior::NoResponse,
     });
-    let node = Node::ready(&config(discovery.address));
-    wait_for("the drain to be applied", || node.said(AVOIDED) == 1);
-    wait_for("the request for a snapshot and the watch after it", || discovery.count() >= 4);
-    assert!(!discovery.asked.lock().unwrap()[2].start.contains("after="), "a snapshot");
+    let node = Node::start_ready(&config(discovery.address));
+    wait_for("the drain to be applied", || node.logged(AVOIDED) == 1);
+    wait_for("the request for a snapshot and the watch after it", || discovery.request_count() >= 4);
+    assert!(!discovery.received.lock().unwrap()[2].start_line.contains("after="), "a snapshot");
     wait_for("the server to be used again", || {
         (0..50).for_each(|key| drop(node.read("read", key)));
-        one.count() > 0
+        one.request_count() > 0
     });
 }
 
@@ -216,14 +219,14 @@
     let drained = json!({"seq": 2, "whole": false, "hosts": [leaving.entry("s-1", "draining")]}).to_string();
     let agent = scripted(hosts, move |call| match call {
         // Silent, as it is while discovery is down, on every connection.
-        1..=5 => Does::Nothing,
-        6 => Does::Answer(answer("200 OK", "", &drained)),
-        _ => Does::Nothing,
+        1..=5 => ServerBehavior::NoResponse,
+        6 => ServerBehavior::Respond(response("200 OK", "", &drained)),
+        _ => ServerBehavior::NoResponse,
     });
     let mut config = config(agent.address);
     config["settings"]["membership_mode"] = json!("automatic");
-    let node = Node::ready(&config);
-    wait_for("the drain to be sent", || agent.count() >= 8);
+    let node = Node::start_ready(&config);
+    wait_for("the drain to be sent", || agent.request_count() >= 8);
     for key in 0..50 {
         assert_eq!(node.read("read", key).body, b"staying");
     }
@@ -235,14 +238,14 @@
     let server = CacheServer::serving("value");
     let hosts = [server.entry("s-1", "ready"), server.entry("s-2", "ready")];
     let nothing = json!({"seq": 1, "whole": false, "hosts": []}).to_string();
-    let discovery = scripted(hosts, move |_| Does::Answer(answer("200 OK", "", &nothing)));
-    let node = Node::ready(&config(discovery.address));
-    wait_for("watches", || discovery.count() >= 3);
-    let (before, mut client) = (discovery.count(), node.client());
+    let discovery = scripted(hosts, move |_| ServerBehavior::Respond(response("200 OK", "", &nothing)));
+    let node = Node::start_ready(&config(discovery.address));
+    wait_for("watches", || discovery.request_count() >= 3);
+    let (before, mut client) = (discovery.request_count(), node.client());
     for key in 0..1_000 {
-        assert_eq!(client.ask(&read("read", key, 20_000)).body, b"value");
+        assert_eq!(client.request(&read_request("read", key, 20_000)).body, b"value");
     }
     // Without a pause there would be as many as it can answer.
-    let calls = discovery.count() - before;
+    let calls = discovery.request_count() - before;
     assert!(calls < 200, "{calls} polls beside a thousand reads");
 }
--- a/crates/cache-balancer/tests/manager.rs
+++ b/crates/cache-balancer/tests/manager.rs
@@ -3,7 +3,10 @@
 
 mod common;
 
-use common::{command, ended, read, wait_for, CacheServer, Client, Discovery, Folder, Node, PATIENCE};
+use common::{
+    command, output_before_timeout, read_request, wait_for, CacheServer, Client, Discovery, Node, TempDir,
+    TIMEOUT,
+};
 use std::net::TcpListener;
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixDatagram;
@@ -12,21 +15,21 @@
 
 /// The manager's socket and the node's file.
 struct Manager {
-    folder: Folder,
+    folder: TempDir,
     socket: UnixDatagram,
 }
 
 impl Manager {
     fn start() -> Self {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let socket = UnixDatagram::bind(folder.0.join("notify")).unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         Self { folder, socket }
     }
 
     /// The next notification of the node.
     fn notification(&self) -> String {
-        common::word(&self.socket)
+        common::receive_notification(&self.socket)
     }
 
     /// Waits for this notification, and returns those before it.
@@ -65,15 +68,15 @@
     let (command, path) = manager.command(&discovered(&discovery));
     let node = Node::spawn(command, path);
     // The list has arrived and is empty: the node listens, and cannot serve.
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     assert_eq!(manager.notification(), "STATUS=waiting for cache servers of pool records");
     assert_eq!(node.get("/healthz").status(), 503);
-    discovery.tell(true, &[server.entry("box", "ready")]);
+    discovery.notify(true, &[server.entry("box", "ready")]);
     assert_eq!(manager.until("READY=1"), ["STATUS=serving"]);
     assert_eq!(node.read("read", 1).body, b"a");
     node.terminate();
     assert_eq!(manager.notification(), "STOPPING=1");
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 #[test]
@@ -89,7 +92,7 @@
     let _ = manager.until("READY=1");
     node.terminate();
     assert!(!manager.until("STOPPING=1").contains(&"WATCHDOG=1".to_owned()));
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 #[test]
@@ -114,7 +117,7 @@
     wait_for("the node's readiness", || node.get("/healthz").status() == 200);
     (0..50).for_each(|key| assert_eq!(node.read("read", key).body, b"a"));
     node.terminate();
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 /// A notification of readiness that was dropped from a full queue would leave the start unfinished forever.
@@ -128,9 +131,9 @@
     // So often that notifications of the watchdog would fill any queue.
     command.env("WATCHDOG_USEC", "200");
     let node = Node::spawn(command, path);
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     (0..200).for_each(|_| assert_eq!(node.get("/healthz").status(), 503));
-    discovery.tell(true, &[server.entry("box", "ready")]);
+    discovery.notify(true, &[server.entry("box", "ready")]);
     wait_for("the node's readiness", || node.get("/healthz").status() == 200);
     let before = manager.until("READY=1");
     assert!(
@@ -165,14 +168,14 @@
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = socket.local_addr().unwrap();
         // A client that came before the node: the kernel holds its connection.
-        let mut early = Client::to(address);
-        early.send(&read("read", 1, 20_000));
+        let mut early = Client::connect(address);
+        early.send(&read_request("read", 1, 20_000));
         let (command, path) = activated(&manager, &fixed(&server, listeners), socket, name);
         let node = Node::spawn(command, path);
-        assert_eq!(early.answer().expect("an answer").body, b"a", "{name}");
-        assert_eq!(Client::to(address).ask(&read("read", 2, 20_000)).body, b"a");
+        assert_eq!(early.receive().expect("an answer").body, b"a", "{name}");
+        assert_eq!(Client::connect(address).request(&read_request("read", 2, 20_000)).body, b"a");
         node.terminate();
-        assert!(node.exit().success());
+        assert!(node.exit_status().success());
     }
 }
 
@@ -186,7 +189,7 @@
     ] {
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
         let (command, _) = activated(&manager, &fixed(&server, &two), socket, names);
-        let ended = ended(command);
+        let ended = output_before_timeout(command);
         assert_eq!(ended.status.code(), Some(1));
         let said = String::from_utf8(ended.stderr).unwrap();
         assert!(said.contains(expected), "{said}");
--- a/crates/cache-balancer/tests/operator.rs
+++ b/crates/cache-balancer/tests/operator.rs
@@ -3,7 +3,8 @@
 mod common;
 
 use common::{
-    answer, command, ended, read, run, wait_for, CacheServer, Client, Discovery, Does, Folder, Node,
+    command, output_before_timeout, read_request, response, start_with_operator_file, wait_for, CacheServer,
+    Client, Discovery, Node, ServerBehavior, TempDir,
 };
 use std::path::Path;
 use std::process::Output;
@@ -43,7 +44,7 @@
         assert!(effective.lines().any(|other| other == line), "{line}\n{effective}");
     }
     // The effective configuration is a file that reads as the same.
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let again = check(&folder.write("effective.toml", effective));
     assert_eq!(text(&again.stdout), effective, "{}", text(&again.stderr));
 }
@@ -52,7 +53,7 @@
 /// configuration is written to another folder.
 #[test]
 fn the_shortest_file_has_the_defaults_of_the_example_and_keeps_its_paths() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pool = "[[pool]]\nname = \"p\"\nfile = \"boxes.toml\"\n";
     folder.write("short.toml", &format!("version = 1\n{pool}{CLASS}"));
     let checked = command().current_dir(&folder.0).args(["check", "short.toml"]).output().unwrap();
@@ -68,14 +69,14 @@
 #[test]
 fn the_systems_limit_on_descriptors_holds_and_too_few_fail_the_start() {
     let server = CacheServer::serving("a");
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pool = format!("[[pool]]\nname = \"p\"\n{}", server_table("box", &server));
     let listeners: String = (0..12).map(|number| listener(&format!("l{number}"))).collect();
     let few = format!("version = 1\n[limits]\ndescriptors = 40\n{listeners}{pool}{CLASS}");
     let path = folder.write("few.toml", &few);
     let mut few = command();
     few.arg("run").arg("--config").arg(&path);
-    let ended = ended(few);
+    let ended = output_before_timeout(few);
     assert_eq!(ended.status.code(), Some(1));
     let said = text(&ended.stderr);
     assert!(said.contains("40 descriptors leave no room to work beside 35 of the node's own"), "{said}");
@@ -121,7 +122,7 @@
 
 /// The faults of a file with these lines after its first.
 fn faults(lines: &str) -> Vec<String> {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let path = folder.write("bad.toml", &format!("version = 1\n{lines}"));
     let checked = check(&path);
     assert_eq!(checked.status.code(), Some(2), "{lines}");
@@ -192,11 +193,11 @@
     let expected =
         ["pool", "class", "nodes", "odd", "limits.max_attempts", "listener[0].name", "listener[0].address"];
     assert_eq!(fields, expected);
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let path = folder.write("bad.toml", &format!("version = 1\n{bad}"));
     let mut run = command();
     run.arg("run").arg("--config").arg(&path);
-    let run = ended(run);
+    let run = output_before_timeout(run);
     assert_eq!(run.status.code(), Some(1));
     assert!(text(&run.stderr).contains("bad.toml:3: odd: unknown key"), "{}", text(&run.stderr));
     let missing = check(&folder.0.join("none.toml"));
@@ -210,40 +211,42 @@
     let class = |name: &str, pool: &str| {
         format!("[[class]]\nname = \"{name}\"\npool = \"{pool}\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n")
     };
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pools = format!(
         "[[pool]]\nname = \"p\"\n{}[[pool]]\nname = \"q\"\n{}",
         server_table("box", &one),
         server_table("box", &other)
     );
     let listeners = format!("{}{}", listener("here"), listener("there"));
-    let node =
-        run(&folder, &format!("version = 1\n{listeners}{pools}{}{}", class("a", "p"), class("b", "q")));
+    let node = start_with_operator_file(
+        &folder,
+        &format!("version = 1\n{listeners}{pools}{}{}", class("a", "p"), class("b", "q")),
+    );
     let second = || node.log.lock().unwrap().iter().find_map(|line| line.rsplit(' ').next()?.parse().ok());
     wait_for("the second listener", || second().is_some());
-    for mut client in [node.client(), Client::to(second().unwrap())] {
-        assert_eq!(client.ask(&read("a", 1, 20_000)).body, b"one");
-        assert_eq!(client.ask(&read("b", 1, 20_000)).body, b"other");
+    for mut client in [node.client(), Client::connect(second().unwrap())] {
+        assert_eq!(client.request(&read_request("a", 1, 20_000)).body, b"one");
+        assert_eq!(client.request(&read_request("b", 1, 20_000)).body, b"other");
     }
-    assert_eq!((one.count(), other.count()), (2, 2));
+    assert_eq!((one.request_count(), other.request_count()), (2, 2));
     node.terminate();
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 #[test]
 fn a_pool_that_follows_discovery_is_not_ready_before_its_list_arrives() {
     let server = CacheServer::serving("a");
     let discovery = Discovery::start(&[]);
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pool = format!("[[pool]]\nname = \"p\"\ndiscovery = \"{}\"\n", discovery.address);
     let path =
         folder.write("cache-balancer.toml", &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
     let mut command = command();
     command.arg("run").arg("--config").arg(&path);
     let node = Node::spawn(command, path);
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     assert_eq!(node.get("/healthz").status(), 503);
-    discovery.tell(true, &[server.entry("box", "ready")]);
+    discovery.notify(true, &[server.entry("box", "ready")]);
     wait_for("the node's readiness", || node.get("/healthz").status() == 200);
     assert_eq!(node.read("read", 1).body, b"a");
 }
@@ -261,11 +264,12 @@
         });
         format!("version = 1\n{}", tables.collect::<String>())
     };
-    let folder = Folder::new();
+    let folder = TempDir::new();
     folder.write("boxes.toml", &list(&[("one", &one, "ready")]));
     // No slow start for a server that is added to the list.
     let pool = "[servers]\ncold_share = 1.0\n[[pool]]\nname = \"p\"\nfile = \"boxes.toml\"\n";
-    let node = run(&folder, &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
+    let node =
+        start_with_operator_file(&folder, &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
     assert_eq!(node.read("read", 1).body, b"one");
     let logged = |words: &str| node.log.lock().unwrap().iter().any(|line| line.contains(words));
     folder.write("boxes.toml", "version = 1\n[[server]]\nname = \"oth");
@@ -280,15 +284,15 @@
         logged("expected a list of 8388608 bytes at the most")
     });
     assert_eq!(node.read("read", 7).body, b"one");
-    let before = one.count();
+    let before = one.request_count();
     folder.write("boxes.toml", &list(&[("one", &one, "draining"), ("other", &other, "ready")]));
     wait_for("the new list", || node.read("read", 4).body == b"other");
     assert_eq!(node.read("read", 5).body, b"other");
     // The old list was in use until the new one was read.
-    let meanwhile = one.count() - before;
+    let meanwhile = one.request_count() - before;
     folder.write("boxes.toml", &list(&[("other", &other, "ready")]));
     assert_eq!(node.read("read", 6).body, b"other");
-    assert_eq!(one.count() - before, meanwhile);
+    assert_eq!(one.request_count() - before, meanwhile);
 }
 
 #[test]
@@ -297,17 +301,17 @@
     let receiver = std::sync::Mutex::new(receiver);
     let slow = CacheServer::start(move |_| {
         let _ = receiver.lock().unwrap().recv();
-        Does::Answer(answer("200 OK", "", "late"))
+        ServerBehavior::Respond(response("200 OK", "", "late"))
     });
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pool = format!("[[pool]]\nname = \"p\"\n{}", server_table("box", &slow));
     let listeners = format!("{}{}", listener("here"), listener("there"));
-    let node = run(&folder, &format!("version = 1\n{listeners}{pool}{CLASS}"));
+    let node = start_with_operator_file(&folder, &format!("version = 1\n{listeners}{pool}{CLASS}"));
     let second = || node.log.lock().unwrap().iter().find_map(|line| line.rsplit(' ').next()?.parse().ok());
     wait_for("the second listener", || second().is_some());
-    let mut client = Client::to(second().unwrap());
-    let request = std::thread::spawn(move || client.ask(&read("read", 1, 20_000)));
-    wait_for("the request", || slow.count() == 1);
+    let mut client = Client::connect(second().unwrap());
+    let request = std::thread::spawn(move || client.request(&read_request("read", 1, 20_000)));
+    wait_for("the request", || slow.request_count() == 1);
     node.terminate();
     let closing =
         || node.log.lock().unwrap().iter().filter(|line| line.contains("no further clients")).count();
@@ -315,5 +319,5 @@
     sender.send(()).unwrap();
     let answered = request.join().unwrap();
     assert_eq!((answered.status(), answered.body.as_slice()), (200, &b"late"[..]));
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
--- a/crates/cache-balancer/tests/operator_replicas.rs
+++ b/crates/cache-balancer/tests/operator_replicas.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{command, Folder};
+use common::{command, TempDir};
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -32,7 +32,7 @@
 }
 
 fn check_text(text: &str) -> Result<String, Vec<String>> {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let path = folder.write("bad.toml", text);
     let checked = command().arg("check").arg(&path).output().unwrap();
     if checked.status.success() {
--- a/crates/cache-balancer/tests/outage.rs
+++ b/crates/cache-balancer/tests/outage.rs
@@ -45,12 +45,12 @@
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Ok(Some(request)) = Message::read(&mut reader) {
-                        if request.start.contains("after=2&") {
+                        if request.start_line.contains("after=2&") {
                             // A watch without further events.
                             applied.store(true, Ordering::SeqCst);
                             continue;
                         }
-                        stream.write_all(answer("200 OK", "", &changes).as_bytes()).unwrap();
+                        stream.write_all(response("200 OK", "", &changes).as_bytes()).unwrap();
                         notified.lock().unwrap().get_or_insert_with(Instant::now);
                     }
                 });
@@ -78,7 +78,7 @@
             config["known"] = json!({"seq": 1, "whole": true, "hosts": list});
             // As one of three hundred.
             config["settings"]["balancers"] = json!(300);
-            Node::ready(&config)
+            Node::start_ready(&config)
         })
         .collect();
     wait_for("failed polls", || {
@@ -96,11 +96,11 @@
         all.iter().all(|discovery| discovery.applied.load(Ordering::SeqCst))
     });
     // No request goes to the draining server.
-    let before = leaves.count();
+    let before = leaves.request_count();
     for (key, node) in (1..).zip(&nodes) {
         for more in 0..8 {
             assert_eq!(node.read("read", key * 100 + more).status(), 200);
         }
     }
-    assert_eq!(leaves.count(), before);
+    assert_eq!(leaves.request_count(), before);
 }
--- a/crates/cache-balancer/tests/reload.rs
+++ b/crates/cache-balancer/tests/reload.rs
@@ -3,7 +3,8 @@
 mod common;
 
 use common::{
-    answer, command, read, run, wait_for, CacheServer, Client, Discovery, Does, Folder, Gate, Node, PATIENCE,
+    command, read_request, response, start_with_operator_file, wait_for, CacheServer, Client, Discovery,
+    Gate, Node, ServerBehavior, TempDir, TIMEOUT,
 };
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixDatagram;
@@ -39,9 +40,9 @@
 
 /// Sends a request on a connection of its own. The thread returns the answer.
 fn spawn_request(node: &Node, class: &str, key: u64) -> std::thread::JoinHandle<(u16, Vec<u8>)> {
-    let (mut client, text) = (node.client(), read(class, key, 20_000));
+    let (mut client, text) = (node.client(), read_request(class, key, 20_000));
     std::thread::spawn(move || {
-        let answer = client.ask(&text);
+        let answer = client.request(&text);
         (answer.status(), answer.body)
     })
 }
@@ -49,14 +50,14 @@
 #[test]
 fn a_request_in_flight_keeps_its_class_and_later_ones_get_the_new_one() {
     let (server, gate) = CacheServer::gated("a");
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pool = pool("p", &[&server]);
-    let node = run(&folder, &file(&[&pool, &safe("read"), &safe("gone")]));
+    let node = start_with_operator_file(&folder, &file(&[&pool, &safe("read"), &safe("gone")]));
     let in_flight = [spawn_request(&node, "read", 1), spawn_request(&node, "gone", 2)];
-    wait_for("both requests", || server.count() == 2);
+    wait_for("both requests", || server.request_count() == 2);
     // Another class has the index of the removed one now.
     node.reconfigure(&file(&[&pool, &class("read", ""), &safe("new")]));
-    assert_eq!(node.said("class read changed, class new added, class gone removed"), 1);
+    assert_eq!(node.logged("class read changed, class new added, class gone removed"), 1);
     assert_eq!(node.read("gone", 3).status(), 400);
     gate.open();
     for request in in_flight {
@@ -69,10 +70,10 @@
 #[test]
 fn a_request_whose_body_arrives_after_a_reload_goes_by_the_new_file() {
     let (one, other) = (CacheServer::serving("one"), CacheServer::serving("other"));
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pools = format!("{}{}", pool("p", &[&one]), pool("q", &[&other]));
     let to = |pool: &str| class("write", &format!("effect = \"safe\"\npool = \"{pool}\"\n"));
-    let node = run(&folder, &file(&[&pools, &to("p")]));
+    let node = start_with_operator_file(&folder, &file(&[&pools, &to("p")]));
     let header = "PUT /api/1 HTTP/1.1\r\nHost: s\r\nReq-Id: 1\r\nReq-Kind: write\r\nReq-Deadline-Ms: 20000\r\nContent-Length: 4\r\n\r\n";
     let (mut moved, mut removed) = (node.client(), node.client());
     moved.send(&format!("{header}bo"));
@@ -80,25 +81,25 @@
     assert_eq!(node.read("write", 9).body, b"one");
     node.reconfigure(&file(&[&pools, &to("q")]));
     moved.send("dy");
-    assert_eq!(moved.answer().unwrap().body, b"other");
-    assert_eq!((one.count(), other.count()), (1, 1));
+    assert_eq!(moved.receive().unwrap().body, b"other");
+    assert_eq!((one.request_count(), other.request_count()), (1, 1));
     removed.send(&format!("{header}bo"));
     assert_eq!(node.read("write", 8).body, b"other");
     node.reconfigure(&file(&[&pools, &class("else", "pool = \"p\"\n")]));
     removed.send("dy");
-    assert_eq!(removed.answer().unwrap().status(), 400);
-    assert_eq!((one.count(), other.count()), (1, 2));
+    assert_eq!(removed.receive().unwrap().status(), 400);
+    assert_eq!((one.request_count(), other.request_count()), (1, 2));
 }
 
 #[test]
 fn a_removed_pool_finishes_its_requests_and_an_added_one_serves() {
     let ((old, gate), new) = (CacheServer::gated("old"), CacheServer::serving("new"));
-    let folder = Folder::new();
+    let folder = TempDir::new();
     // No connection is closed for being idle.
     let idle = "[servers]\nidle = \"60min\"\n";
-    let node = run(&folder, &file(&[idle, &pool("p", &[&old]), &safe("read")]));
+    let node = start_with_operator_file(&folder, &file(&[idle, &pool("p", &[&old]), &safe("read")]));
     let in_flight = [1, 2].map(|key| spawn_request(&node, "read", key));
-    wait_for("both requests", || old.count() == 2);
+    wait_for("both requests", || old.request_count() == 2);
     node.reconfigure(&file(&[idle, &pool("q", &[&new]), &safe("read")]));
     assert_eq!(node.read("read", 3).body, b"new");
     gate.open();
@@ -106,7 +107,7 @@
         assert_eq!(request.join().unwrap(), (200, b"old".to_vec()));
     }
     wait_for("the old pool's connections to close", || old.closed.load(Ordering::SeqCst) == 2);
-    assert_eq!((old.count(), node.get("/healthz").status()), (2, 200));
+    assert_eq!((old.request_count(), node.get("/healthz").status()), (2, 200));
 }
 
 /// A pool that was started anew because the source of its list changed would lose its requests in flight.
@@ -118,13 +119,13 @@
         if asked.header("req-id") == Some("1") {
             held.wait();
         }
-        Does::Answer(answer("200 OK", "", "slow"))
+        ServerBehavior::Respond(response("200 OK", "", "slow"))
     });
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let from = |source: &str| file(&[&format!("[[pool]]\nname = \"p\"\n{source}"), &safe("read")]);
-    let node = run(&folder, &file(&[&pool("p", &[&slow]), &safe("read")]));
+    let node = start_with_operator_file(&folder, &file(&[&pool("p", &[&slow]), &safe("read")]));
     let in_flight = spawn_request(&node, "read", 1);
-    wait_for("the request", || slow.count() == 1);
+    wait_for("the request", || slow.request_count() == 1);
     // The old list stays in use until the file exists.
     node.reconfigure(&from("file = \"boxes.toml\"\n"));
     let list = format!("version = 1\n[[server]]\nname = \"box\"\naddress = \"{}\"\n", other.address);
@@ -132,12 +133,12 @@
     wait_for("the file's list", || node.read("read", 2).body == b"other");
     let discovery = Discovery::start(&[slow.entry("s", "draining"), other.entry("t", "ready")]);
     node.reconfigure(&from(&format!("discovery = \"{}\"\n", discovery.address)));
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     assert_eq!(node.read("read", 3).body, b"other");
     // Changes of the file have no effect any more, nor those of discovery once the configuration itself has the list.
     folder.write("boxes.toml", &list.replace("box", "tub"));
     node.reconfigure(&file(&[&pool("p", &[&other]), &safe("read")]));
-    discovery.tell(true, &[]);
+    discovery.notify(true, &[]);
     assert_eq!(node.read("read", 4).body, b"other");
     gate.open();
     assert_eq!(in_flight.join().unwrap(), (200, b"slow".to_vec()));
@@ -146,65 +147,65 @@
 /// A reload that lost the learned state would close breakers, and send requests to a broken server.
 #[test]
 fn a_reload_leaves_breakers_as_they_are() {
-    let broken = CacheServer::start(|_| Does::Close(String::new()));
+    let broken = CacheServer::start(|_| ServerBehavior::RespondAndClose(String::new()));
     let good = CacheServer::serving("good");
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let text = |nodes: u32| {
         format!("version = 1\nnodes = {nodes}\n{CLIENTS}{}{}", pool("p", &[&broken, &good]), safe("read"))
     };
-    let node = run(&folder, &text(1));
+    let node = start_with_operator_file(&folder, &text(1));
     for key in 0..60 {
         node.read("read", key);
     }
-    let tripped = broken.count();
-    assert!(node.said("breaker of box-0 tripped") == 1 && tripped > 0);
+    let tripped = broken.request_count();
+    assert!(node.logged("breaker of box-0 tripped") == 1 && tripped > 0);
     for nodes in 2..8 {
         node.reconfigure(&text(nodes));
         for key in 0..10 {
             assert_eq!(node.read("read", key).body, b"good");
         }
     }
-    assert_eq!(broken.count(), tripped);
+    assert_eq!(broken.request_count(), tripped);
 }
 
 #[test]
 fn a_removed_listener_finishes_its_requests_and_closes_until_it_is_back() {
     let (server, gate) = CacheServer::gated("a");
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let second = free_address();
     let listener = format!("[[listener]]\nname = \"second\"\naddress = \"{second}\"\n");
     let rest = format!("{}{}", pool("p", &[&server]), safe("read"));
     let (without, with) = (file(&[&rest]), file(&[&listener, &rest]));
-    let node = run(&folder, &without);
+    let node = start_with_operator_file(&folder, &without);
     node.reconfigure(&with);
-    let mut in_flight = Client::to(second);
-    let mut idle = Client::to(second);
-    assert_eq!(idle.ask("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
-    in_flight.send(&read("read", 1, 20_000));
-    wait_for("the request", || server.count() == 1);
+    let mut in_flight = Client::connect(second);
+    let mut idle = Client::connect(second);
+    assert_eq!(idle.request("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+    in_flight.send(&read_request("read", 1, 20_000));
+    wait_for("the request", || server.request_count() == 1);
     node.reconfigure(&without);
     wait_for("the listener's end", || std::net::TcpStream::connect(second).is_err());
     wait_for("the idle connection's end", || !idle.is_open());
     assert_eq!(node.get("/healthz").status(), 200);
     gate.open();
-    let answered = in_flight.answer().unwrap();
+    let answered = in_flight.receive().unwrap();
     assert_eq!((answered.status(), answered.header("connection")), (200, Some("close")));
     // Added again, and removed and added before it has closed.
     node.reconfigure(&with);
     node.reconfigure(&without);
     node.reconfigure(&with);
-    assert_eq!(Client::to(second).ask(&read("read", 2, 20_000)).body, b"a");
-    assert_eq!(node.said("configuration not taken"), 0);
+    assert_eq!(Client::connect(second).request(&read_request("read", 2, 20_000)).body, b"a");
+    assert_eq!(node.logged("configuration not taken"), 0);
 }
 
 /// A file with a fault could be applied in part.
 #[test]
 fn a_file_with_a_fault_changes_nothing_and_the_log_names_the_fault() {
     let (server, taken) = (CacheServer::serving("a"), TcpListener::bind("127.0.0.1:0").unwrap());
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pool = pool("p", &[&server]);
     let good = file(&[&pool, &safe("read")]);
-    let node = run(&folder, &good);
+    let node = start_with_operator_file(&folder, &good);
     let occupied = taken.local_addr().unwrap();
     let listener = format!("[[listener]]\nname = \"second\"\naddress = \"{occupied}\"\n");
     let cases = [
@@ -223,31 +224,31 @@
     ];
     for (number, (text, why)) in cases.iter().enumerate() {
         node.reconfigure(text);
-        assert_eq!(node.said("configuration not taken: "), number + 1, "{text}");
-        assert!(node.said(why) >= 1, "{why}: {:?}", node.log.lock().unwrap());
+        assert_eq!(node.logged("configuration not taken: "), number + 1, "{text}");
+        assert!(node.logged(why) >= 1, "{why}: {:?}", node.log.lock().unwrap());
         assert_eq!((node.read("read", 1).status(), node.read("new", 2).status()), (200, 400));
     }
     std::fs::remove_file(folder.0.join("cache-balancer.toml")).unwrap();
     node.signal("-HUP");
-    wait_for("the missing file in the log", || node.said("cache-balancer.toml: No such file") == 1);
+    wait_for("the missing file in the log", || node.logged("cache-balancer.toml: No such file") == 1);
     assert_eq!(node.read("read", 1).status(), 200);
-    assert_eq!(node.said("configuration read again"), 0);
+    assert_eq!(node.logged("configuration read again"), 0);
 }
 
 #[test]
 fn more_descriptors_are_used_at_once_and_fewer_end_no_request() {
     let (server, gate) = CacheServer::gated("a");
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let rest = format!("{CLIENTS}{}{}", pool("p", &[&server]), safe("read"));
     let with = |descriptors: u32| format!("version = 1\n[limits]\ndescriptors = {descriptors}\n{rest}");
     // Capacity for four requests.
-    let node = run(&folder, &with(32));
+    let node = start_with_operator_file(&folder, &with(32));
     let in_flight: Vec<_> = (0..6).map(|key| spawn_request(&node, "read", key)).collect();
-    wait_for("as many requests as there is capacity for", || server.count() == 4);
+    wait_for("as many requests as there is capacity for", || server.request_count() == 4);
     node.reconfigure(&with(200));
-    wait_for("the others", || server.count() == 6);
+    wait_for("the others", || server.request_count() == 6);
     node.reconfigure(&with(32));
-    assert_eq!(server.count(), 6);
+    assert_eq!(server.request_count(), 6);
     gate.open();
     for request in in_flight {
         assert_eq!(request.join().unwrap().0, 200);
@@ -258,12 +259,12 @@
 #[test]
 fn a_hundred_reloads_a_second_with_half_written_files_lose_no_answer() {
     let server = CacheServer::serving("a");
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let rest = |turn: u32| {
         let limits = format!("[limits]\nmax_attempts = {}\n", 1 + turn % 9);
         format!("version = 1\n{CLIENTS}{limits}{}{}", pool("p", &[&server]), safe("read"))
     };
-    let node = Arc::new(run(&folder, &rest(1)));
+    let node = Arc::new(start_with_operator_file(&folder, &rest(1)));
     let over = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..4_u64)
         .map(|number| {
@@ -272,7 +273,7 @@
                 let (mut client, mut key) = (node.client(), number << 32);
                 while !over.load(Ordering::SeqCst) {
                     key += 1;
-                    assert_eq!(client.ask(&read("read", key, 20_000)).status(), 200);
+                    assert_eq!(client.request(&read_request("read", key, 20_000)).status(), 200);
                 }
                 key - (number << 32)
             })
@@ -291,18 +292,23 @@
     over.store(true, Ordering::SeqCst);
     let answers: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
     // Each request was forwarded once, and that of the last class once.
-    let keys: std::collections::BTreeSet<_> =
-        server.asked.lock().unwrap().iter().map(|asked| asked.header("req-id").unwrap().to_owned()).collect();
-    assert_eq!((server.count() as u64, keys.len() as u64), (answers + 1, answers + 1));
-    assert!(node.said("configuration read again: ") > 0);
+    let keys: std::collections::BTreeSet<_> = server
+        .received
+        .lock()
+        .unwrap()
+        .iter()
+        .map(|asked| asked.header("req-id").unwrap().to_owned())
+        .collect();
+    assert_eq!((server.request_count() as u64, keys.len() as u64), (answers + 1, answers + 1));
+    assert!(node.logged("configuration read again: ") > 0);
 }
 
 /// A file whose read blocks could keep a node from serving, or from stopping.
 #[test]
 fn a_node_whose_file_blocks_serves_and_can_be_stopped() {
     let server = CacheServer::serving("a");
-    let folder = Folder::new();
-    let node = run(&folder, &file(&[&pool("p", &[&server]), &safe("read")]));
+    let folder = TempDir::new();
+    let node = start_with_operator_file(&folder, &file(&[&pool("p", &[&server]), &safe("read")]));
     let path = folder.0.join("cache-balancer.toml");
     std::fs::remove_file(&path).unwrap();
     // An open of it blocks until there is a writer.
@@ -312,7 +318,7 @@
     wait_for("the reader", || blocks_on_open(node.child.id()));
     assert_eq!(node.read("read", 1).status(), 200);
     node.terminate();
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 /// Whether a thread of this process blocks in the call that opens a file.
@@ -327,10 +333,10 @@
 
 #[test]
 fn the_manager_is_notified_of_the_start_the_end_and_the_failure_of_a_reload() {
-    let (server, folder) = (CacheServer::serving("a"), Folder::new());
+    let (server, folder) = (CacheServer::serving("a"), TempDir::new());
     let socket = UnixDatagram::bind(folder.0.join("notify")).unwrap();
-    socket.set_read_timeout(Some(PATIENCE)).unwrap();
-    let notification = || common::word(&socket);
+    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let notification = || common::receive_notification(&socket);
     let good = file(&[&pool("p", &[&server]), &safe("read")]);
     let path = folder.write("cache-balancer.toml", &good);
     let mut command = command();
--- a/crates/cache-balancer/tests/replicas.rs
+++ b/crates/cache-balancer/tests/replicas.rs
@@ -19,7 +19,7 @@
 
 /// How a replica answers.
 #[derive(Clone)]
-enum Behavior {
+enum ReplicaBehavior {
     /// With this snapshot; watches wait until the list changes.
     Lists { version: u64, hosts: Vec<Value> },
     /// With these bytes, whatever was requested.
@@ -41,18 +41,18 @@
 
 struct Replica {
     address: SocketAddr,
-    behavior: Arc<(Mutex<(u64, Behavior)>, Condvar)>,
+    behavior: Arc<(Mutex<(u64, ReplicaBehavior)>, Condvar)>,
 }
 
 impl Replica {
-    fn set(&self, next: Behavior) {
+    fn set(&self, next: ReplicaBehavior) {
         let mut behavior = self.behavior.0.lock().unwrap();
         *behavior = (behavior.0 + 1, next);
         self.behavior.1.notify_all();
     }
 
     fn lists(&self, version: u64, hosts: &[Value]) {
-        self.set(Behavior::Lists { version, hosts: hosts.to_vec() });
+        self.set(ReplicaBehavior::Lists { version, hosts: hosts.to_vec() });
     }
 }
 
@@ -64,7 +64,7 @@
 
 impl Service {
     /// Starts `count` replicas with this behavior, in the order of preference of this node.
-    fn start(count: usize, node: &str, behavior: &Behavior) -> Self {
+    fn start(count: usize, node: &str, behavior: &ReplicaBehavior) -> Self {
         let listeners: Vec<_> = (0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
         let addresses: Vec<_> = listeners.iter().map(|listener| listener.local_addr().unwrap()).collect();
         let order = ReplicaSelection::new(node, addresses.iter().map(ToString::to_string).collect());
@@ -106,7 +106,7 @@
     }
 }
 
-fn serve(listener: TcpListener, place: usize, behavior: Behavior, calls: &Calls) -> Replica {
+fn serve(listener: TcpListener, place: usize, behavior: ReplicaBehavior, calls: &Calls) -> Replica {
     let behavior = Arc::new((Mutex::new((0, behavior)), Condvar::new()));
     let replica = Replica { address: listener.local_addr().unwrap(), behavior: behavior.clone() };
     let calls = calls.clone();
@@ -116,7 +116,7 @@
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 while let Ok(Some(message)) = Message::read(&mut reader) {
-                    let path = message.start.split(' ').nth(1).unwrap().to_owned();
+                    let path = message.start_line.split(' ').nth(1).unwrap().to_owned();
                     calls.lock().unwrap().push((place, path.clone()));
                     if !answer_call(&stream, &path, &behavior) {
                         return;
@@ -129,7 +129,11 @@
 }
 
 /// Answers one poll by the current behavior. Returns whether the connection stays open.
-fn answer_call(mut stream: &TcpStream, path: &str, behavior: &(Mutex<(u64, Behavior)>, Condvar)) -> bool {
+fn answer_call(
+    mut stream: &TcpStream,
+    path: &str,
+    behavior: &(Mutex<(u64, ReplicaBehavior)>, Condvar),
+) -> bool {
     let number = |name: &str| {
         path.split_once(name).map(|(_, rest)| rest.split('&').next().unwrap().parse::<u64>().unwrap())
     };
@@ -137,7 +141,7 @@
     loop {
         let (change, current) = behavior.0.lock().unwrap().clone();
         let text = match current {
-            Behavior::Lists { version, .. } if after == Some(version) => {
+            ReplicaBehavior::Lists { version, .. } if after == Some(version) => {
                 let guard = behavior.0.lock().unwrap();
                 let (guard, waited) =
                     behavior.1.wait_timeout_while(guard, wait, |latest| latest.0 == change).unwrap();
@@ -147,27 +151,27 @@
                 }
                 json!({"seq": version, "whole": false, "hosts": []}).to_string()
             }
-            Behavior::Lists { version, hosts } => snapshot(version, &hosts),
-            Behavior::Sends(text) => text,
-            Behavior::SendsSlowly { list, takes } => {
+            ReplicaBehavior::Lists { version, hosts } => snapshot(version, &hosts),
+            ReplicaBehavior::Sends(text) => text,
+            ReplicaBehavior::SendsSlowly { list, takes } => {
                 thread::sleep(takes);
                 list
             }
-            Behavior::BreaksOff(text) => {
+            ReplicaBehavior::BreaksOff(text) => {
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len() + MISSING);
                 let _ = stream.write_all(format!("{head}{text}").as_bytes());
                 return false;
             }
-            Behavior::Overloaded => {
-                return stream.write_all(answer("503 Service Unavailable", "", "").as_bytes()).is_ok();
+            ReplicaBehavior::Overloaded => {
+                return stream.write_all(response("503 Service Unavailable", "", "").as_bytes()).is_ok();
             }
-            Behavior::Hangs => {
-                thread::sleep(2 * PATIENCE);
+            ReplicaBehavior::Hangs => {
+                thread::sleep(2 * TIMEOUT);
                 return false;
             }
-            Behavior::Closes => return false,
+            ReplicaBehavior::Closes => return false,
         };
-        return stream.write_all(answer("200 OK", "", &text).as_bytes()).is_ok();
+        return stream.write_all(response("200 OK", "", &text).as_bytes()).is_ok();
     }
 }
 
@@ -202,31 +206,31 @@
 
     /// Sends 40 requests. Returns how many of them the leaving server received.
     fn sent_to_leaving(&self, node: &Node, first_key: u64) -> usize {
-        let before = self.leaving.count();
+        let before = self.leaving.request_count();
         for key in first_key..first_key + 40 {
             assert_eq!(node.read("read", key).status(), 200);
         }
-        self.leaving.count() - before
+        self.leaving.request_count() - before
     }
 }
 
-fn lists(version: u64, hosts: &[Value]) -> Behavior {
-    Behavior::Lists { version, hosts: hosts.to_vec() }
+fn lists(version: u64, hosts: &[Value]) -> ReplicaBehavior {
+    ReplicaBehavior::Lists { version, hosts: hosts.to_vec() }
 }
 
 #[test]
 fn a_replica_that_hangs_after_accept_costs_one_poll() {
     let servers = Servers::start();
     let service = Service::start(3, "n0", &lists(1, &servers.both()));
-    service.replicas[0].set(Behavior::Hangs);
-    let folder = Folder::new();
-    let node = run(&folder, &service.file("n0"));
+    service.replicas[0].set(ReplicaBehavior::Hangs);
+    let folder = TempDir::new();
+    let node = start_with_operator_file(&folder, &service.file("n0"));
     service.wait_for_watch(1, 1);
     let places: Vec<_> = service.calls().into_iter().map(|(place, _)| place).collect();
     assert_eq!(places, [0, 1, 1], "the list, then the watch");
     // The watch at the neighbour is lost as well: the next replica sends what it missed.
     assert!(servers.sent_to_leaving(&node, 1_000) > 0);
-    service.replicas[1].set(Behavior::Hangs);
+    service.replicas[1].set(ReplicaBehavior::Hangs);
     service.replicas[2].lists(2, &servers.one_drains());
     service.wait_for_watch(2, 2);
     assert_eq!(servers.sent_to_leaving(&node, 2_000), 0);
@@ -236,8 +240,8 @@
 fn an_older_version_is_rejected_and_a_neighbour_polled_for_changes() {
     let servers = Servers::start();
     let service = Service::start(3, "n0", &lists(5, &servers.one_drains()));
-    let folder = Folder::new();
-    let node = run(&folder, &service.file("n0"));
+    let folder = TempDir::new();
+    let node = start_with_operator_file(&folder, &service.file("n0"));
     service.wait_for_watch(0, 5);
     // A replica that lags repeats itself: it is polled once.
     service.replicas[0].lists(3, &servers.both());
@@ -247,15 +251,15 @@
     let lists = calls.iter().filter(|(_, path)| path == "/v1/servers").count();
     assert_eq!(lists, 1, "the held list stays valid: {calls:?}");
     assert_eq!(service.calls_to(2).len(), 0);
-    assert_eq!(node.said(&format!("discovery at {}: list rejected", service.replicas[0].address)), 1);
+    assert_eq!(node.logged(&format!("discovery at {}: list rejected", service.replicas[0].address)), 1);
 }
 
 #[test]
 fn an_empty_list_is_accepted_from_three_replicas_and_not_from_one() {
     let servers = Servers::start();
     let service = Service::start(4, "n0", &lists(5, &servers.both()));
-    let folder = Folder::new();
-    let node = run(&folder, &service.file("n0"));
+    let folder = TempDir::new();
+    let node = start_with_operator_file(&folder, &service.file("n0"));
     service.wait_for_watch(0, 5);
     service.replicas[0].lists(6, &[]);
     service.wait_for_watch(1, 5);
@@ -267,7 +271,7 @@
             assert!(servers.sent_to_leaving(&node, 2_000) > 0, "two are not enough");
         }
     }
-    wait_for("the third to be accepted", || node.said("3 replicas sent it") == 1);
+    wait_for("the third to be accepted", || node.logged("3 replicas sent it") == 1);
     service.wait_for_watch(2, 6);
     let mut places: Vec<_> = service.calls().into_iter().map(|(place, _)| place).collect();
     places.dedup();
@@ -279,8 +283,8 @@
 fn a_service_that_lost_its_versions_is_accepted_from_all_replicas() {
     let servers = Servers::start();
     let service = Service::start(3, "n0", &lists(41, &servers.both()));
-    let folder = Folder::new();
-    let node = run(&folder, &service.file("n0"));
+    let folder = TempDir::new();
+    let node = start_with_operator_file(&folder, &service.file("n0"));
     service.wait_for_watch(0, 41);
     let restarted = [servers.staying.entry("s-1", "ready")];
     for place in [0, 1] {
@@ -289,7 +293,7 @@
         assert!(servers.sent_to_leaving(&node, 1_000 * (place as u64 + 1)) > 0, "{place}");
     }
     service.replicas[2].lists(1, &restarted);
-    wait_for("the last to be accepted", || node.said("3 replicas sent it") == 1);
+    wait_for("the last to be accepted", || node.logged("3 replicas sent it") == 1);
     service.wait_for_watch(2, 1);
     assert_eq!(servers.sent_to_leaving(&node, 5_000), 0);
     // Its changes are followed from then on.
@@ -304,9 +308,9 @@
 fn a_drain_from_a_lost_replica_holds_against_a_neighbour_that_lags() {
     let servers = Servers::start();
     let service = Service::start(2, "n0", &lists(41, &servers.both()));
-    service.replicas[0].set(Behavior::BreaksOff(beginning(43, &servers.one_drains())));
-    let folder = Folder::new();
-    let node = run(&folder, &service.file("n0"));
+    service.replicas[0].set(ReplicaBehavior::BreaksOff(beginning(43, &servers.one_drains())));
+    let folder = TempDir::new();
+    let node = start_with_operator_file(&folder, &service.file("n0"));
     service.wait_for_watch(1, 41);
     let calls = service.calls();
     assert_eq!(calls[..2], [(0, "/v1/servers".into()), (1, "/v1/servers".into())]);
@@ -326,12 +330,12 @@
 fn a_drain_from_a_broken_watch_holds_until_a_neighbour_caught_up() {
     let servers = Servers::start();
     let service = Service::start(2, "n0", &lists(41, &servers.both()));
-    let folder = Folder::new();
-    let node = run(&folder, &service.file("n0"));
+    let folder = TempDir::new();
+    let node = start_with_operator_file(&folder, &service.file("n0"));
     service.wait_for_watch(0, 41);
     assert!(servers.sent_to_leaving(&node, 1_000) > 0);
     let drain = beginning(43, &[servers.leaving.entry("s-2", "draining")]).replace("true", "false");
-    service.replicas[0].set(Behavior::BreaksOff(drain));
+    service.replicas[0].set(ReplicaBehavior::BreaksOff(drain));
     service.wait_for_watch(1, 41);
     assert_eq!(servers.sent_to_leaving(&node, 2_000), 0);
     service.replicas[1].lists(42, &servers.both());
@@ -351,8 +355,8 @@
 fn in_a_partition_replicas_that_lag_do_not_undo_a_drain() {
     let servers = Servers::start();
     let service = Service::start(4, "n0", &lists(1, &servers.both()));
-    let folder = Folder::new();
-    let node = run(&folder, &service.file("n0"));
+    let folder = TempDir::new();
+    let node = start_with_operator_file(&folder, &service.file("n0"));
     service.wait_for_watch(0, 1);
     for place in [0, 1] {
         service.replicas[place].lists(2, &servers.one_drains());
@@ -360,7 +364,7 @@
     service.wait_for_watch(0, 2);
     assert_eq!(servers.sent_to_leaving(&node, 1_000), 0);
     for place in [0, 1] {
-        service.replicas[place].set(Behavior::Closes);
+        service.replicas[place].set(ReplicaBehavior::Closes);
     }
     // Both that lag send their older list, round after round.
     wait_for("two rounds", || service.calls_to(3).len() >= 3);
@@ -382,9 +386,9 @@
     let service = Service::start(2, "n0", &lists(1, &servers.both()));
     // The error quotes the text, with a control character and of any length.
     let odd = format!("{{\"seq\":\"\\u001b[2J{}\"", "x".repeat(100_000));
-    service.replicas[0].set(Behavior::Sends(odd));
-    let folder = Folder::new();
-    let node = run(&folder, &service.file("n0"));
+    service.replicas[0].set(ReplicaBehavior::Sends(odd));
+    let folder = TempDir::new();
+    let node = start_with_operator_file(&folder, &service.file("n0"));
     service.wait_for_watch(1, 1);
     let message = format!("discovery at {}: not a list: ", service.replicas[0].address);
     let log = node.log.lock().unwrap().clone();
@@ -400,20 +404,23 @@
 fn a_slow_snapshot_is_waited_for_where_the_capacity_is_stated() {
     let servers = Servers::start();
     let service = Service::start(2, "n0", &lists(1, &servers.both()));
-    let sends = Behavior::SendsSlowly { list: snapshot(1, &servers.both()), takes: Duration::from_secs(5) };
+    let sends =
+        ReplicaBehavior::SendsSlowly { list: snapshot(1, &servers.both()), takes: Duration::from_secs(5) };
     service.replicas[0].set(sends);
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let capacity = "discovery_lines_per_second = 200\ndiscovery_call_lines = 10\n";
     let file = service.file("n0").replace("[[class]]", &format!("{capacity}[[class]]"));
-    let _node = run(&folder, &file);
+    let _node = start_with_operator_file(&folder, &file);
     service.wait_for_watch(0, 1);
     let places: Vec<_> = service.calls().into_iter().map(|(place, _)| place).collect();
     assert_eq!(places, [0, 0]);
     let plain = Service::start(2, "n0", &lists(1, &servers.both()));
-    plain.replicas[0]
-        .set(Behavior::SendsSlowly { list: snapshot(1, &servers.both()), takes: Duration::from_secs(5) });
-    let folder = Folder::new();
-    let _node = run(&folder, &plain.file("n0"));
+    plain.replicas[0].set(ReplicaBehavior::SendsSlowly {
+        list: snapshot(1, &servers.both()),
+        takes: Duration::from_secs(5),
+    });
+    let folder = TempDir::new();
+    let _node = start_with_operator_file(&folder, &plain.file("n0"));
     plain.wait_for_watch(1, 1);
     let places: Vec<_> = plain.calls().into_iter().map(|(place, _)| place).collect();
     assert_eq!(places, [0, 1, 1]);
@@ -423,9 +430,9 @@
 fn an_overloaded_replica_is_polled_twice_before_its_neighbour() {
     let servers = Servers::start();
     let service = Service::start(2, "n0", &lists(1, &servers.both()));
-    service.replicas[0].set(Behavior::Overloaded);
-    let folder = Folder::new();
-    let _node = run(&folder, &service.file("n0"));
+    service.replicas[0].set(ReplicaBehavior::Overloaded);
+    let folder = TempDir::new();
+    let _node = start_with_operator_file(&folder, &service.file("n0"));
     service.wait_for_watch(1, 1);
     let places: Vec<_> = service.calls().into_iter().map(|(place, _)| place).collect();
     assert_eq!(places, [0, 0, 1, 1]);
@@ -435,8 +442,8 @@
 fn a_reload_keeps_the_watch_at_a_remaining_replica_or_the_version() {
     let servers = Servers::start();
     let service = Service::start(4, "n0", &lists(7, &servers.both()));
-    let folder = Folder::new();
-    let node = run(&folder, &service.file_of("n0", &[0, 1]));
+    let folder = TempDir::new();
+    let node = start_with_operator_file(&folder, &service.file_of("n0", &[0, 1]));
     service.wait_for_watch(0, 7);
     // The current replica remains: its watch goes on and reports.
     node.reconfigure(&service.file_of("n0", &[0, 2]));
--- a/crates/cache-balancer/tests/scale.rs
+++ b/crates/cache-balancer/tests/scale.rs
@@ -11,7 +11,7 @@
 
 const NODES: u64 = 300;
 /// Far longer than anything here takes: a wait that reaches it has failed.
-const PATIENCE: Duration = Duration::from_secs(300);
+const TIMEOUT: Duration = Duration::from_secs(300);
 /// Processes of a run have a variable of this name in their environment, with a value of its own.
 const MARK: &str = "PINHEAD_SCALE_TEST";
 
@@ -112,7 +112,7 @@
 
     /// Waits until none of its processes runs, and looks for files other than the script.
     fn assert_nothing_left(&self) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         while !processes_with(&self.mark).is_empty() {
             assert!(Instant::now() < until, "processes run on: {:?}", processes_with(&self.mark));
             std::thread::sleep(Duration::from_millis(50));
--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 /// Far longer than anything here takes: a wait that reaches it has failed.
-const PATIENCE: Duration = Duration::from_secs(120);
+const TIMEOUT: Duration = Duration::from_secs(120);
 const NODES: u32 = 3;
 const SERVERS: u32 = 40;
 /// The largest number of requests that are in flight at one node.
@@ -64,7 +64,7 @@
     async fn wait_for_requests(&self, requests: u64) {
         let (start, enough) = (Instant::now(), self.nodes.requests() + requests);
         while self.nodes.requests() < enough {
-            assert!(start.elapsed() < PATIENCE, "waited in vain for {requests} requests");
+            assert!(start.elapsed() < TIMEOUT, "waited in vain for {requests} requests");
             sleep(Duration::from_millis(5)).await;
         }
     }
@@ -79,7 +79,7 @@
 
     /// Has discovery send the list.
     fn send_list(&self) {
-        self.discovery.tell(true, &entries(&self.listed));
+        self.discovery.notify(true, &entries(&self.listed));
     }
 }
 
@@ -199,7 +199,7 @@
     let discovery = Discovery::start(&entries(&servers.servers()));
     let idle = RealSettings { rate: 0.0, ..settings(&discovery) };
     let nodes = RealNodes::start(&servers, idle).await.unwrap();
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     let report = nodes.finish().await;
     assert_accounted(&report, 0);
     assert_eq!((report.attempts, report.held_back, report.rules_broken), (0, 0, RulesBroken::default()));
@@ -221,7 +221,7 @@
     // Killed and not waited for, they are gone once the runtime has reaped them.
     let start = Instant::now();
     while processes.iter().any(|id| runs(*id)) {
-        assert!(start.elapsed() < PATIENCE, "a node outlives its run");
+        assert!(start.elapsed() < TIMEOUT, "a node outlives its run");
         sleep(Duration::from_millis(5)).await;
     }
 }
