--- a/crates/cache-balancer/tests/scenario.rs
+++ b/crates/cache-balancer/tests/scenario.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{command, run_program, utf8, wait_for, Folder};
+use common::{command, run_program, utf8, wait_for, TempDir};
 use std::io::{BufReader, Read};
 use std::process::{Command, Output, Stdio};
 
@@ -15,7 +15,7 @@
 }
 
 /// Writes a script into a folder and returns its path.
-fn script_file(folder: &Folder, name: &str, text: &str) -> String {
+fn script_file(folder: &TempDir, name: &str, text: &str) -> String {
     folder.write(name, text).to_str().unwrap().to_owned()
 }
 
@@ -48,7 +48,7 @@
 /// A figure that cannot be had again from its script and seed explains nothing.
 #[test]
 fn a_script_in_a_file_runs_to_the_same_line_of_json_again() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let file = script_file(&folder, "short.toml", SHORT);
     let first = cache_balancer(&["scenario", &file, "--json"]);
     assert!(first.status.success());
@@ -61,7 +61,7 @@
 
 #[test]
 fn an_unusable_script_is_reported_in_one_line_with_code_2_and_not_run() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let bad = script_file(&folder, "bad.toml", &format!("{SHORT}speed = 3\n"));
     let fault = format!("{bad}:5: speed: unknown key; ");
     for arguments in [&["scenario", &bad][..], &["scenario", "check", &bad]] {
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_checked_script_is_described_and_a_missed_expectation_ends_with_code_1() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let incident =
         "[[incident]]\nkind = \"pause\"\nat = \"1s\"\nover = \"2s\"\nshare = 1.0\n[expect]\nservice = 1.0\n";
     let file = script_file(&folder, "missed.toml", &format!("{SHORT}{incident}"));
@@ -95,7 +95,7 @@
 
 #[test]
 fn the_page_fetches_nothing_and_shows_every_timeline() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let (file, page) = (script_file(&folder, "page.toml", SHORT), script_file(&folder, "page.html", ""));
     assert!(cache_balancer(&["scenario", &file, "--html", &page]).status.success());
     let html = std::fs::read_to_string(&page).unwrap();
@@ -106,7 +106,7 @@
 
 #[test]
 fn several_runs_of_a_script_stand_side_by_side_in_a_table() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let file = script_file(&folder, "spread.toml", SHORT);
     let spread = ["scenario", "spread", &file, "--plays", "3", "--seeds", "4"];
     let played = cache_balancer(&spread);
@@ -158,7 +158,7 @@
 }
 
 fn keeps_the_rules(name: &str, script: &str) {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let file = script_file(&folder, name, script);
     let arguments = ["scenario", &file, "--player=sockets", "--json"];
     let play = || run_program(&arguments);
@@ -181,7 +181,7 @@
 /// Processes outlived the run that started them, and a part of a run passed for the whole.
 #[test]
 fn an_interrupted_run_reports_it_and_leaves_no_process_behind() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let file = script_file(
         &folder,
         "long.toml",
--- a/crates/cache-balancer/tests/servers.rs
+++ b/crates/cache-balancer/tests/servers.rs
@@ -11,15 +11,15 @@
 fn a_draining_server_gets_no_request_and_its_idle_connections_close() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     assert_eq!(node.read("read", 1).body, b"old");
-    discovery.tell(false, &[old.entry("s-1", "draining"), new.entry("s-2", "ready")]);
-    discovery.wait_until_told(2);
+    discovery.notify(false, &[old.entry("s-1", "draining"), new.entry("s-2", "ready")]);
+    discovery.wait_until_notified(2);
     wait_for("the idle connection to close", || old.closed.load(Ordering::SeqCst) == 1);
     for key in 0..20 {
         assert_eq!(node.read("read", key).body, b"new");
     }
-    assert_eq!((old.count(), new.count()), (1, 20));
+    assert_eq!((old.request_count(), new.request_count()), (1, 20));
 }
 
 /// A snapshot names all servers: one that is not in it is removed.
@@ -27,27 +27,27 @@
 fn a_server_that_a_snapshot_lacks_gets_no_request() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     assert_eq!(node.read("read", 1).body, b"old");
-    discovery.tell(true, &[new.entry("s-2", "ready")]);
-    discovery.wait_until_told(2);
+    discovery.notify(true, &[new.entry("s-2", "ready")]);
+    discovery.wait_until_notified(2);
     wait_for("the idle connection to close", || old.closed.load(Ordering::SeqCst) == 1);
     assert_eq!(node.read("read", 1).body, b"new");
-    assert_eq!(old.count(), 1);
+    assert_eq!(old.request_count(), 1);
 }
 
 /// A request that is written to an idle connection which its server has closed meanwhile is reset.
 #[test]
 fn a_connection_that_its_server_closed_is_not_used_again() {
-    let server = CacheServer::start(|_| Does::Close(answer("200 OK", "", "value")));
+    let server = CacheServer::start(|_| ServerBehavior::RespondAndClose(response("200 OK", "", "value")));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     for key in 0..10 {
         // A reset would end an unsafe request as a failure: it may not be sent twice.
         assert_eq!(node.read("once", key).status(), 200);
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
-    assert_eq!((server.count(), server.connections.load(Ordering::SeqCst)), (10, 10));
+    assert_eq!((server.request_count(), server.connections.load(Ordering::SeqCst)), (10, 10));
 }
 
 /// A new connection for each request costs a handshake each time.
@@ -55,44 +55,44 @@
 fn a_connection_is_kept_for_the_next_request() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     for key in 0..10 {
         assert_eq!(node.read("read", key).status(), 200);
     }
-    assert_eq!((server.count(), server.connections.load(Ordering::SeqCst)), (10, 1));
+    assert_eq!((server.request_count(), server.connections.load(Ordering::SeqCst)), (10, 1));
 }
 
 /// The status and the number of attempts of a request of this class, where the first attempt meets `does` and
 /// all others are served.
-fn after_one(does: fn() -> Does, class: &str) -> (u16, usize) {
+fn after_one(does: fn() -> ServerBehavior, class: &str) -> (u16, usize) {
     let asked = Arc::new(AtomicU32::new(0));
     let server = || {
         let asked = asked.clone();
         CacheServer::start(move |_| match asked.fetch_add(1, Ordering::SeqCst) {
             0 => does(),
-            _ => Does::Answer(answer("200 OK", "", "value")),
+            _ => ServerBehavior::Respond(response("200 OK", "", "value")),
         })
     };
     let (one, two) = (server(), server());
     let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     let status = node.read(class, 1).status();
-    (status, one.count() + two.count())
+    (status, one.request_count() + two.request_count())
 }
 
 /// A result that is read wrong has a request run twice, or fail though it never ran.
 #[test]
 fn an_unsafe_request_is_retried_only_after_a_result_that_proves_it_never_ran() {
-    let declined = || Does::Answer(answer("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
+    let declined = || ServerBehavior::Respond(response("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
     assert_eq!(after_one(declined, "once"), (200, 2));
-    let over = || Does::Answer(answer("504 Gateway Timeout", "Srv-Declined: 1\r\n", ""));
+    let over = || ServerBehavior::Respond(response("504 Gateway Timeout", "Srv-Declined: 1\r\n", ""));
     assert_eq!(after_one(over, "once"), (200, 2));
-    let ends: [fn() -> Does; 5] = [
-        || Does::Answer(answer("500 Internal Server Error", "", "")),
-        || Does::Answer(answer("503 Service Unavailable", "", "")),
-        || Does::Close(String::new()),
-        || Does::Close("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
-        || Does::Close("no HTTP at all\r\n\r\n".to_owned()),
+    let ends: [fn() -> ServerBehavior; 5] = [
+        || ServerBehavior::Respond(response("500 Internal Server Error", "", "")),
+        || ServerBehavior::Respond(response("503 Service Unavailable", "", "")),
+        || ServerBehavior::RespondAndClose(String::new()),
+        || ServerBehavior::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
+        || ServerBehavior::RespondAndClose("no HTTP at all\r\n\r\n".to_owned()),
     ];
     for (i, end) in ends.into_iter().enumerate() {
         let (status, sent) = after_one(end, "once");
@@ -103,7 +103,8 @@
 /// Half a response must not be passed on as a whole one.
 #[test]
 fn an_idempotent_request_is_retried_after_a_response_that_broke_off() {
-    let half = || Does::Close("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned());
+    let half =
+        || ServerBehavior::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned());
     assert_eq!(after_one(half, "read"), (200, 2));
 }
 
@@ -112,12 +113,12 @@
 fn an_unsafe_request_is_retried_after_a_refused_connection() {
     let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[host("s-1", closed, "ready"), server.entry("s-2", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let discovery = Discovery::start(&[endpoint("s-1", closed, "ready"), server.entry("s-2", "ready")]);
+    let node = Node::start_ready(&config(discovery.address));
     for key in 0..6 {
         assert_eq!(node.read("once", key).status(), 200);
     }
-    assert_eq!(server.count(), 6);
+    assert_eq!(server.request_count(), 6);
 }
 
 /// A list that cannot be read leaves the node with the one it has, at its version, and it polls again.
@@ -125,17 +126,17 @@
 fn a_broken_list_is_a_failed_call_and_the_watch_goes_on() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
-    discovery.wait_until_told(1);
-    let calls = discovery.calls();
-    discovery.tell_text("{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":".to_owned());
-    wait_for("another call", || discovery.calls() > calls);
+    let node = Node::start_ready(&config(discovery.address));
+    discovery.wait_until_notified(1);
+    let calls = discovery.request_count();
+    discovery.notify_text("{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":".to_owned());
+    wait_for("another call", || discovery.request_count() > calls);
     assert_eq!(node.read("read", 1).status(), 200);
     // The version that the node has is the same.
-    assert!(discovery.asked.lock().unwrap()[calls..].iter().all(|path| path.contains("after=1&")));
+    assert!(discovery.received.lock().unwrap()[calls..].iter().all(|path| path.contains("after=1&")));
     let new = CacheServer::serving("new");
-    discovery.tell(true, &[new.entry("s-2", "ready")]);
-    discovery.wait_until_told(3);
+    discovery.notify(true, &[new.entry("s-2", "ready")]);
+    discovery.wait_until_notified(3);
     assert_eq!(node.read("read", 1).body, b"new");
 }
 
@@ -143,37 +144,39 @@
 #[test]
 fn bytes_behind_a_response_are_never_the_response_to_the_next_request() {
     let server = CacheServer::start(|asked| {
-        let own = answer("200 OK", "", asked.header("req-id").unwrap());
-        let extra = answer("200 OK", "", "a copy");
-        Does::Answer(own + &extra)
+        let own = response("200 OK", "", asked.header("req-id").unwrap());
+        let extra = response("200 OK", "", "a copy");
+        ServerBehavior::Respond(own + &extra)
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     let mut client = node.client();
     for key in 1..200_u64 {
-        let served = client.ask(&read("read", key, 20_000));
+        let served = client.request(&read_request("read", key, 20_000));
         assert_eq!((served.status(), served.body), (200, format!("{key:x}").into_bytes()));
     }
-    assert_eq!(server.count(), 199);
+    assert_eq!(server.request_count(), 199);
 }
 
 /// The time that is spent waiting for it is the retry's.
 #[test]
 fn a_response_of_an_announced_length_over_the_limit_ends_its_attempt_at_once() {
-    let huge = || Does::Answer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome".to_owned());
+    let huge =
+        || ServerBehavior::Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome".to_owned());
     assert_eq!(after_one(huge, "read"), (200, 2));
 }
 
 /// A head without end fills the memory; a 1xx response is not the final one.
 #[test]
 fn an_endless_head_fails_its_attempt_and_interim_responses_are_skipped() {
-    let endless = || Does::Answer(format!("HTTP/1.1 200 OK\r\n{}", "X-Noise: noise\r\n".repeat(2_000)));
+    let endless =
+        || ServerBehavior::Respond(format!("HTTP/1.1 200 OK\r\n{}", "X-Noise: noise\r\n".repeat(2_000)));
     assert_eq!(after_one(endless, "read"), (200, 2));
-    let switched = || Does::Answer("HTTP/1.1 101 Switching Protocols\r\n\r\n".to_owned());
+    let switched = || ServerBehavior::Respond("HTTP/1.1 101 Switching Protocols\r\n\r\n".to_owned());
     assert_eq!(after_one(switched, "read"), (200, 2));
     let interim = || {
         let ahead = "HTTP/1.1 103 Early Hints\r\nX: 1\r\n\r\n".repeat(2);
-        Does::Answer(ahead + &answer("200 OK", "", "value"))
+        ServerBehavior::Respond(ahead + &response("200 OK", "", "value"))
     };
     assert_eq!(after_one(interim, "read"), (200, 1));
 }
@@ -183,25 +186,33 @@
 #[test]
 fn a_class_that_a_server_rejects_leaves_the_keys_of_others_there() {
     let picky = CacheServer::start(|asked| match asked.header("idempotency-key") {
-        Some(_) => {
-            Does::Answer(answer("503 Service Unavailable", "Srv-Declined: 1\r\nSrv-Load: waiting=0\r\n", ""))
-        }
-        None => Does::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "picky")),
+        Some(_) => ServerBehavior::Respond(response(
+            "503 Service Unavailable",
+            "Srv-Declined: 1\r\nSrv-Load: waiting=0\r\n",
+            "",
+        )),
+        None => ServerBehavior::Respond(response("200 OK", "Srv-Load: waiting=0\r\n", "picky")),
+    });
+    let other = CacheServer::start(|_| {
+        ServerBehavior::Respond(response("200 OK", "Srv-Load: waiting=0\r\n", "other"))
     });
-    let other = CacheServer::start(|_| Does::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "other")));
     let discovery = Discovery::start(&[picky.entry("s-1", "ready"), other.entry("s-2", "ready")]);
-    let node = Node::ready(&config(discovery.address));
+    let node = Node::start_ready(&config(discovery.address));
     let own: Vec<u64> = (0..60).filter(|&key| node.read("read", key).body == b"picky").collect();
     assert!(own.len() >= 10, "{} of 60 keys", own.len());
     let mut client = node.client();
     let mut keyed = |key| {
-        let text = read("keyed", key, 20_000).replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\n\r\n");
-        assert_eq!(client.ask(&text).status(), 200);
+        let text = read_request("keyed", key, 20_000).replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\n\r\n");
+        assert_eq!(client.request(&text).status(), 200);
     };
     (0..2).for_each(|_| own.iter().for_each(|&key| keyed(key)));
-    let before = picky.count();
+    let before = picky.request_count();
     own.iter().for_each(|&key| keyed(key));
-    assert!(picky.count() - before <= 3, "{} more of that class went there", picky.count() - before);
+    assert!(
+        picky.request_count() - before <= 3,
+        "{} more of that class went there",
+        picky.request_count() - before
+    );
     for &key in &own {
         assert_eq!(node.read("read", key).body, b"picky", "key {key}");
     }
@@ -215,7 +226,7 @@
     let (sender, answers) = std::sync::mpsc::channel();
     for key in keys.clone() {
         let (mut client, sender) = (node.client(), sender.clone());
-        std::thread::spawn(move || sender.send(client.ask(&read("read", key, 20_000))).unwrap());
+        std::thread::spawn(move || sender.send(client.request(&read_request("read", key, 20_000))).unwrap());
     }
     let mut got = Vec::new();
     let mut reached = 0;
@@ -226,7 +237,7 @@
     });
     gate.hold(false);
     while got.len() < keys.clone().count() {
-        got.push(answers.recv_timeout(PATIENCE).expect("a response"));
+        got.push(answers.recv_timeout(TIMEOUT).expect("a response"));
     }
     (reached, got)
 }
@@ -248,7 +259,7 @@
     fn pass(&self) {
         self.reached.fetch_add(1, Ordering::SeqCst);
         let held = self.held.lock().unwrap();
-        drop(self.opened.wait_timeout_while(held, PATIENCE, |held| *held).unwrap());
+        drop(self.opened.wait_timeout_while(held, TIMEOUT, |held| *held).unwrap());
     }
 }
 
@@ -264,19 +275,19 @@
         CacheServer::start(move |asked| {
             let key = asked.header("req-id").and_then(|id| u64::from_str_radix(id, 16).ok());
             if key.is_some_and(|key| key < 1000) {
-                return Does::Answer(answer("200 OK", "", "held"));
+                return ServerBehavior::Respond(response("200 OK", "", "held"));
             }
             gate.pass();
-            Does::Answer(match down.load(Ordering::SeqCst) {
-                true => answer("500 Internal Server Error", "", ""),
-                false => answer("200 OK", "", "fetched"),
+            ServerBehavior::Respond(match down.load(Ordering::SeqCst) {
+                true => response("500 Internal Server Error", "", ""),
+                false => response("200 OK", "", "fetched"),
             })
         })
     };
     let servers = [server(), server(), server()];
     let names = ["s-1", "s-2", "s-3"];
     let hosts: Vec<_> = servers.iter().zip(names).map(|(server, name)| server.entry(name, "ready")).collect();
-    let node = Node::ready(&config(Discovery::start(&hosts).address));
+    let node = Node::start_ready(&config(Discovery::start(&hosts).address));
     (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"held"));
     let mut keys = (1..).map(|round| round * 1000..round * 1000 + 20);
     let mut ask = || at_once(&node, &gate, keys.next().unwrap());
--- a/crates/cache-balancer/tests/silence.rs
+++ b/crates/cache-balancer/tests/silence.rs
@@ -68,15 +68,15 @@
     fn serve(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Ok(Some(message)) = Message::read(&mut reader) {
-            let Some((_, wait)) = message.start.split_once("wait_ms=") else {
-                let _ = stream.write_all(answer("200 OK", "", &self.ready).as_bytes());
+            let Some((_, wait)) = message.start_line.split_once("wait_ms=") else {
+                let _ = stream.write_all(response("200 OK", "", &self.ready).as_bytes());
                 continue;
             };
             let wait = Duration::from_millis(wait.split(' ').next().unwrap().parse().unwrap());
             if !self.watches.lock().unwrap().contains_key(&self.node) {
                 self.watches.lock().unwrap().insert(self.node, (Instant::now(), wait));
                 // Lost: the connection stays open and nothing more is sent on it.
-                thread::sleep(2 * PATIENCE);
+                thread::sleep(2 * TIMEOUT);
                 return;
             }
             let lost = self.watches.lock().unwrap().len();
@@ -84,7 +84,7 @@
             if self.notified.lock().unwrap().contains(&self.node) {
                 thread::sleep(wait);
             }
-            let _ = stream.write_all(answer("200 OK", "", &self.draining).as_bytes());
+            let _ = stream.write_all(response("200 OK", "", &self.draining).as_bytes());
             self.notified.lock().unwrap().push(self.node);
         }
     }
@@ -102,7 +102,7 @@
     let leaving = CacheServer::start(move |message| {
         let node = usize::from_str_radix(&message.header("req-id").unwrap()[..2], 16).unwrap();
         recorded.lock().unwrap().push((node, Instant::now()));
-        Does::Answer(answer("200 OK", "", "leaving"))
+        ServerBehavior::Respond(response("200 OK", "", "leaving"))
     });
     let staying = CacheServer::serving("staying");
     let list = |version: u64, is_snapshot: bool, endpoints: &[serde_json::Value]| {
@@ -118,7 +118,7 @@
             let mut config = config(discovery.address);
             config["seed"] = json!(format!("8c1f30d27a5be9{i:02x}"));
             config["settings"]["balancers"] = json!(NODES);
-            Node::ready(&config)
+            Node::start_ready(&config)
         })
         .collect();
     let watches = discoveries[0].watches.clone();
@@ -136,9 +136,9 @@
                 while !stop.load(Ordering::SeqCst) {
                     // The first two digits are the node's.
                     let key = ((i as u64) << 32) + (1 << 31) + sent;
-                    let text = read("read", key, 20_000)
+                    let text = read_request("read", key, 20_000)
                         .replace(&format!("Req-Id: {key:x}"), &format!("Req-Id: {i:02x}{sent:08x}"));
-                    assert_eq!(client.ask(&text).status(), 200);
+                    assert_eq!(client.request(&text).status(), 200);
                     sent += 1;
                     thread::sleep(Duration::from_millis(50));
                 }
--- a/crates/cache-balancer/tests/sizes.rs
+++ b/crates/cache-balancer/tests/sizes.rs
@@ -37,7 +37,7 @@
                 let mut stream = stream;
                 while let Ok(Some(_)) = Message::read(&mut reader) {
                     met.lock().unwrap().insert(own);
-                    if stream.write_all(answer("200 OK", "", "value").as_bytes()).is_err() {
+                    if stream.write_all(response("200 OK", "", "value").as_bytes()).is_err() {
                         return;
                     }
                 }
@@ -48,12 +48,12 @@
 }
 
 fn entries(numbers: impl Iterator<Item = usize>, port: u16, health: &str) -> Vec<Value> {
-    numbers.map(|number| host(&format!("s-{number:05}"), dial(number, port), health)).collect()
+    numbers.map(|number| endpoint(&format!("s-{number:05}"), dial(number, port), health)).collect()
 }
 
 /// Writes a response in pieces.
 fn in_pieces(stream: &mut impl Write, body: &str) {
-    let text = answer("200 OK", "", body);
+    let text = response("200 OK", "", body);
     for piece in text.as_bytes().chunks(text.len() / 7 + 1) {
         stream.write_all(piece).unwrap();
         stream.flush().unwrap();
@@ -100,7 +100,7 @@
     wait_for("every server to get a request", || {
         for _ in 0..500 {
             key += 1;
-            assert_eq!(client.ask(&read("read", key, 20_000)).status(), 200);
+            assert_eq!(client.request(&read_request("read", key, 20_000)).status(), 200);
         }
         met.lock().unwrap().is_superset(wanted)
     });
@@ -128,7 +128,7 @@
     config["known"] = json!({"seq": 0, "whole": true, "hosts": entries(old.clone(), port, "ready")});
     config["settings"]["balancers"] = json!(NODES);
     config["seed"] = json!("8c1f30d27a5be964");
-    let node = Node::ready(&config);
+    let node = Node::start_ready(&config);
     *allowed.lock().unwrap() = 1;
     // The list that it starts with holds until another has come.
     wait_for("the snapshot", || {
@@ -154,7 +154,7 @@
     let mut hosts = entries(0..5_000, port, "draining");
     hosts[4_999] = entries(4_999..5_000, port, "ready").remove(0);
     let (address, _allowed) = discovery(vec![json!({"seq": 1, "whole": true, "hosts": hosts})]);
-    let node = Node::ready(&config(address));
+    let node = Node::start_ready(&config(address));
     assert_eq!(node.read("read", 1).status(), 200);
     assert_eq!(met.lock().unwrap().iter().collect::<Vec<_>>(), [&dial(4_999, port)]);
 }
@@ -175,7 +175,7 @@
         let (port, _) = self::servers();
         let list = json!({"seq": 1, "whole": true, "hosts": entries(0..servers, port, "ready")});
         let (address, _allowed) = discovery(vec![list]);
-        let node = Node::ready(&config(address));
+        let node = Node::start_ready(&config(address));
         assert_eq!(node.read("read", 1).status(), 200);
         let memory = own_memory(&node);
         println!("| {servers} | {memory} KiB |");
--- a/crates/cache-balancer/tests/stored_data.rs
+++ b/crates/cache-balancer/tests/stored_data.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{command, ended};
+use common::{command, output_before_timeout};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::Output;
@@ -23,7 +23,7 @@
 fn run(arguments: &[&str], samples: &[&str]) -> String {
     let mut command = command();
     command.args(arguments).args(samples.iter().map(|name| sample(name)));
-    let Output { status, stdout, stderr } = ended(command);
+    let Output { status, stdout, stderr } = output_before_timeout(command);
     let complaints = String::from_utf8(stderr).unwrap();
     assert!(status.success(), "{status}: {complaints}");
     String::from_utf8(stdout).unwrap()
--- a/crates/cache-balancer/tests/unreachable/mod.rs
+++ b/crates/cache-balancer/tests/unreachable/mod.rs
@@ -1,4 +1,4 @@
-//! A cache server to which connections come up only when a test allows it.
+//! A stand-in cache server to which connections are established only when the test allows it.
 #![allow(dead_code, reason = "each test file compiles this module for itself and uses a part of it")]
 
 use crate::common::*;
@@ -8,18 +8,21 @@
 use std::thread;
 use std::time::Duration;
 
-/// A cache server to which no connection comes up for now: its accept queue is full, so the system drops further SYN packets,
-/// which clients send again after a second.
+/// A server to which no connection is established: its accept queue is full, so the kernel drops further SYN packets, which
+/// clients retransmit after a second.
 pub struct Unreachable {
     listener: TcpListener,
+    /// The address on which it listens.
     pub address: SocketAddr,
+    /// The connections that fill the accept queue.
     fillers: Vec<Socket>,
 }
 
 impl Unreachable {
+    /// Listens, and fills the accept queue with connections of its own.
     pub fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&own_address().into()).unwrap();
+        socket.bind(&unique_address().into()).unwrap();
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
@@ -34,8 +37,8 @@
         }
     }
 
-    /// The number of connections that are being opened to it, as the system reports.
-    pub fn connecting(&self) -> usize {
+    /// The number of connections to it in state SYN_SENT, as the kernel reports.
+    pub fn connecting_count(&self) -> usize {
         let SocketAddr::V4(address) = self.address else { unreachable!() };
         let remote = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -47,31 +50,31 @@
         table.lines().filter(is_connecting).count()
     }
 
-    /// Lets all connections come up and returns the first that is not one of its own. None is accepted after that.
-    pub fn admit(self) -> TcpStream {
-        let own = self.own();
+    /// Accepts connections until the first that is not a filler, and returns that one. No connection is accepted after it.
+    pub fn accept_first(self) -> TcpStream {
+        let fillers = self.filler_addresses();
         loop {
             let (stream, from) = self.listener.accept().unwrap();
-            if !own.contains(&from) {
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
+            if !fillers.contains(&from) {
+                stream.set_read_timeout(Some(TIMEOUT)).unwrap();
                 return stream;
             }
         }
     }
 
-    /// Lets all connections come up, and answers each request on them with this body.
+    /// Accepts all connections, and responds to each request on them with this body.
     pub fn serve(self, body: &'static str) {
-        let own = self.own();
+        let fillers = self.filler_addresses();
         thread::spawn(move || {
             for stream in self.listener.incoming().map_while(Result::ok) {
-                if own.contains(&stream.peer_addr().unwrap()) {
+                if fillers.contains(&stream.peer_addr().unwrap()) {
                     continue;
                 }
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     let mut stream = stream;
                     while let Ok(Some(_)) = Message::read(&mut reader) {
-                        if stream.write_all(answer("200 OK", "", body).as_bytes()).is_err() {
+                        if stream.write_all(response("200 OK", "", body).as_bytes()).is_err() {
                             return;
                         }
                     }
@@ -80,8 +83,8 @@
         });
     }
 
-    /// The local addresses of the connections that fill its queue.
-    fn own(&self) -> Vec<SocketAddr> {
+    /// The local addresses of the connections that fill the accept queue.
+    fn filler_addresses(&self) -> Vec<SocketAddr> {
         self.fillers.iter().map(|filler| filler.local_addr().unwrap().as_socket().unwrap()).collect()
     }
 }
