--- a/crates/balancer-core/src/balance/attempt_results.rs
+++ b/crates/balancer-core/src/balance/attempt_results.rs
@@ -80,7 +80,7 @@
         self.dispatch(now, pending, actions);
     }
 
-    /// Marks the key of a request as held by the server that has served it.
+    /// Marks the key of a request as cached by the server that has served it.
     fn mark_cached(&mut self, server: Option<usize>, pending: &PendingRequest, outcome: &AttemptOutcome) {
         if let (Some(index), Some(key), AttemptStatus::Ok) = (server, pending.request.key, outcome.status) {
             self.cache_marks.insert(key, self.servers[index].incarnation());
--- a/crates/balancer-core/src/balance/fetch_limit.rs
+++ b/crates/balancer-core/src/balance/fetch_limit.rs
@@ -4,7 +4,7 @@
 //! Each fetch that an overloaded origin fails is sent again by its client and by the node, and nothing is
 //! cached. Without a limit the overload lasts, whatever began it: servers that start empty, keys that moved,
 //! an origin that slowed down. With it hits go on, and the origin recovers. The cost: where probable misses
-//! fail for a cause of their own, which more of them would not worsen, they are held back for nothing.
+//! fail for a cause of their own, which more of them would not worsen, the limit has no use.
 
 use super::circuit_breaker::MIN_CALLS;
 use super::{per_node, RATE_TIME_CONSTANT};
--- a/crates/balancer-core/src/discovery/list_validator.rs
+++ b/crates/balancer-core/src/discovery/list_validator.rs
@@ -1,7 +1,7 @@
 //! Whether a list that discovery sent is accepted, and which kind of list is requested next. A list that cannot be right is
-//! rejected: the held one stays in use, and the poll that brought it counts as failed.
+//! rejected: the current one stays in use, and the poll that brought it counts as failed.
 //!
-//! A list that is empty, or older than the held one, is suspicious rather than wrong: fleets are really shut down, and a
+//! A list that is empty, or older than the current one, is suspicious rather than wrong: fleets are really shut down, and a
 //! discovery may lose its versions and count from the start. Received several times in a row it is accepted. Envoy's panic
 //! threshold and Eureka's self-preservation do the same with a fraction of the fleet as the bound; here a list that shrinks
 //! the fleet to a few servers is accepted at once, since nothing new may go to a server that a list lacks.
@@ -61,13 +61,13 @@
         /// The number of ready servers known.
         known_ready: usize,
     },
-    /// The version is lower than the held one.
-    #[error("seq: {received}, older than {held}, which is held")]
+    /// The version is lower than the current one.
+    #[error("seq: {received}, older than {current}, which is held")]
     OlderVersion {
         /// The version of the rejected list.
         received: u64,
-        /// The version of the held list.
-        held: u64,
+        /// The version of the current list.
+        current: u64,
     },
     /// Changes came where a snapshot was requested.
     #[error("whole: false, where the whole list was asked for")]
@@ -125,12 +125,12 @@
     }
 }
 
-/// Validates lists against the held one. It knows the version of the held list and which servers are ready, not the list.
+/// Validates lists against the current one. It knows the version of the current list and which servers are ready, not the list.
 #[derive(Clone, Debug, Default)]
 pub struct ListValidator {
-    /// The version of the held list.
-    held: Option<u64>,
-    /// The next poll requests a snapshot, whatever is held.
+    /// The version of the current list.
+    current_version: Option<u64>,
+    /// The next poll requests a snapshot, whatever list is current.
     snapshot_needed: bool,
     ready: BTreeSet<String>,
     /// Suspicious snapshots since a list was accepted.
@@ -143,12 +143,12 @@
 impl ListValidator {
     /// Starts from a list of this version and these ready servers; `None` where the version cannot be compared with others.
     pub fn new(version: Option<u64>, ready: impl IntoIterator<Item = String>) -> Self {
-        Self { held: version, ready: ready.into_iter().collect(), ..Self::default() }
+        Self { current_version: version, ready: ready.into_iter().collect(), ..Self::default() }
     }
 
     /// The version after which the next poll requests changes; `None` for a snapshot.
     pub fn watch_from(&self) -> Option<u64> {
-        self.held.filter(|_| !self.snapshot_needed)
+        self.current_version.filter(|_| !self.snapshot_needed)
     }
 
     /// The kind of the next poll.
@@ -159,12 +159,12 @@
         }
     }
 
-    /// Another service is polled from here on: the held version means nothing there.
+    /// Another service is polled from here on: the current version means nothing there.
     pub fn service_replaced(&mut self) {
         *self = Self::new(None, std::mem::take(&mut self.ready));
     }
 
-    /// Other replicas of the same service are polled from here on: the held list stays valid, and suspicious lists so far no
+    /// Other replicas of the same service are polled from here on: the current list stays valid, and suspicious lists so far no
     /// longer count.
     pub fn replicas_replaced(&mut self) {
         self.suspicious_snapshots = 0;
@@ -182,7 +182,7 @@
             return;
         }
         self.ready.retain(|id| !ids.contains(id));
-        self.suppressed.add(ids, version, self.held);
+        self.suppressed.add(ids, version, self.current_version);
     }
 
     /// The servers that get no new work although the list accepted last may say that they are ready: a replica reported that
@@ -191,12 +191,12 @@
         self.suppressed.ids()
     }
 
-    /// Whether a list is held whose version is known.
+    /// Whether there is a current list of a known version.
     pub fn has_list(&self) -> bool {
-        self.held.is_some()
+        self.current_version.is_some()
     }
 
-    /// The number of ready servers of the held list.
+    /// The number of ready servers of the current list.
     pub fn ready_count(&self) -> usize {
         self.ready.len()
     }
@@ -206,7 +206,7 @@
         self.ready.contains(id)
     }
 
-    /// Accepts a list, which then is the held one, or returns why it is rejected. Of several changes to one server the last
+    /// Accepts a list, which then is the current one, or returns why it is rejected. Of several changes to one server the last
     /// counts: they are listed in order.
     pub fn validate(
         &mut self,
@@ -241,15 +241,15 @@
             return true;
         }
         // A snapshot settles it. A watch would not: a discovery that counts from the start has no changes to report until it
-        // passes the held version. Another replica may well have some.
+        // passes the current version. Another replica may well have some.
         self.snapshot_needed |= !source.has_neighbours() || enough_sources;
         false
     }
 
     fn accept(&mut self, list: &ReceivedList) {
         // A node without a list learns only now which versions are plausible.
-        self.suppressed.limit_version(self.held.or(Some(list.version)));
-        (self.held, self.suspicious_snapshots) = (Some(list.version), 0);
+        self.suppressed.limit_version(self.current_version.or(Some(list.version)));
+        (self.current_version, self.suspicious_snapshots) = (Some(list.version), 0);
         self.suspicious_sources.clear();
         if list.is_snapshot {
             self.ready.clear();
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Checks a list against itself and the held one.
+    /// Checks a list against itself and the current one.
     fn check(&self, list: &ReceivedList) -> Result<(), ListError> {
         if !list.is_snapshot && self.watch_from().is_none() {
             return Err(ListError::UnexpectedDelta);
@@ -273,8 +273,8 @@
         if list.is_snapshot {
             check_unique(list.entries)?;
         }
-        if let Some(held) = self.held.filter(|held| list.version < *held) {
-            return Err(ListError::OlderVersion { received: list.version, held });
+        if let Some(current) = self.current_version.filter(|current| list.version < *current) {
+            return Err(ListError::OlderVersion { received: list.version, current });
         }
         let known_ready = self.ready.len();
         if list.is_snapshot && list.entries.is_empty() && known_ready > 0 {
--- a/crates/balancer-core/src/discovery/poll_schedule.rs
+++ b/crates/balancer-core/src/discovery/poll_schedule.rs
@@ -13,7 +13,7 @@
 pub enum PollKind {
     /// The full list, without a wait.
     Snapshot,
-    /// Changes since the version held: a long poll.
+    /// Changes since the current version: a long poll.
     Watch,
 }
 
--- a/crates/balancer-core/src/discovery/suppressed_servers.rs
+++ b/crates/balancer-core/src/discovery/suppressed_servers.rs
@@ -7,7 +7,7 @@
 use super::list_validator::ReceivedList;
 use std::collections::BTreeSet;
 
-/// The version of a damaged answer is trusted no further ahead of the held one than this: 2 h at 12,000 changes a day. Any
+/// The version of a damaged answer is trusted no further ahead of the current one than this: 2 h at 12,000 changes a day. Any
 /// bytes may stand for a version, and a server must not stay suppressed for good.
 const MAX_VERSIONS_AHEAD: u64 = 1_000;
 
@@ -23,19 +23,19 @@
         &self.ids
     }
 
-    /// Adds servers that an answer of this version reported as leaving; `held` is the version of the list held.
-    pub(super) fn add(&mut self, ids: BTreeSet<String>, version: Option<u64>, held: Option<u64>) {
-        // An entry that is older than the list held, and differs from it, has changed since: the next list tells.
-        let next = held.map_or(0, |held| held.saturating_add(1));
+    /// Adds servers that an answer of this version reported as leaving; `current` is the version of the current list.
+    pub(super) fn add(&mut self, ids: BTreeSet<String>, version: Option<u64>, current: Option<u64>) {
+        // An entry that is older than the current list, and differs from it, has changed since: the next list tells.
+        let next = current.map_or(0, |current| current.saturating_add(1));
         self.version = self.version.max(version.unwrap_or(next));
-        self.limit_version(held);
+        self.limit_version(current);
         self.ids.extend(ids);
     }
 
-    /// Bounds the version by that of the list held.
-    pub(super) fn limit_version(&mut self, held: Option<u64>) {
-        if let Some(held) = held {
-            self.version = self.version.min(held.saturating_add(1 + MAX_VERSIONS_AHEAD));
+    /// Bounds the version by that of the current list.
+    pub(super) fn limit_version(&mut self, current: Option<u64>) {
+        if let Some(current) = current {
+            self.version = self.version.min(current.saturating_add(1 + MAX_VERSIONS_AHEAD));
         }
     }
 
--- a/crates/balancer-core/src/endpoints.rs
+++ b/crates/balancer-core/src/endpoints.rs
@@ -56,6 +56,6 @@
     Snapshot(Arc<[Endpoint]>),
     /// The endpoints that changed.
     Delta(Arc<[Endpoint]>),
-    /// Discovery could not be reached, or its watch broke. The list held so far stays in force.
+    /// Discovery could not be reached, or its watch broke. The current list stays in force.
     Unavailable,
 }
--- a/crates/balancer-core/src/events.rs
+++ b/crates/balancer-core/src/events.rs
@@ -11,7 +11,7 @@
 /// Something that happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The node starts with the endpoint list that it held last; the list may be stale.
+    /// The node starts with its last endpoint list, which may be stale.
     EndpointsRestored(Arc<[Endpoint]>),
     /// Discovery sent an update.
     EndpointsUpdated(EndpointUpdate),
--- a/crates/balancer-core/src/requests.rs
+++ b/crates/balancer-core/src/requests.rs
@@ -86,7 +86,7 @@
 /// How a cache server came by an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheResult {
-    /// It held the value.
+    /// The value was cached.
     Hit,
     /// It did not hold the value.
     Miss,
--- a/crates/balancer-core/src/supervisor/instance.rs
+++ b/crates/balancer-core/src/supervisor/instance.rs
@@ -46,7 +46,7 @@
     }
 
     pub fn holds(&self, process: ProcessId) -> bool {
-        self.processes().any(|held| held.id == process)
+        self.processes().any(|running| running.id == process)
     }
 
     pub fn is_successor(&self, process: ProcessId) -> bool {
--- a/crates/balancer-core/src/supervisor/mod.rs
+++ b/crates/balancer-core/src/supervisor/mod.rs
@@ -122,10 +122,10 @@
         actions: &mut Vec<Action>,
     ) {
         let deadline = now + self.limits.watchdog_timeout;
-        let held = &mut self.instances[instance];
-        held.upgrades += 1;
-        held.successor = None;
-        let before = held.current.replace(Process { id: process, ready_at: Some(now), deadline });
+        let state = &mut self.instances[instance];
+        state.upgrades += 1;
+        state.successor = None;
+        let before = state.current.replace(Process { id: process, ready_at: Some(now), deadline });
         if let Some(before) = before {
             self.leave(now, before.id, Some(instance));
         }
@@ -139,10 +139,10 @@
         };
         self.leaving.remove(&process);
         let deadline = now + self.limits.watchdog_timeout;
-        let held = &mut self.instances[instance];
-        held.start_at = None;
-        let successor = held.successor.take();
-        let replaced = held.current.replace(Process { id: process, ready_at: Some(now), deadline });
+        let state = &mut self.instances[instance];
+        state.start_at = None;
+        let successor = state.successor.take();
+        let replaced = state.current.replace(Process { id: process, ready_at: Some(now), deadline });
         for other in successor.into_iter().chain(replaced) {
             self.terminate(now, other.id, actions);
         }
@@ -173,19 +173,19 @@
         if self.instances[instance].is_successor(process) {
             return self.successor_failed(now, instance, process, actions);
         }
-        let held = &mut self.instances[instance];
-        let ready_at = held.current.take().and_then(|current| current.ready_at);
+        let state = &mut self.instances[instance];
+        let ready_at = state.current.take().and_then(|current| current.ready_at);
         if was_leaving {
             // It may have been started again meanwhile.
-            held.start_at = (!held.stopped).then_some(now);
+            state.start_at = (!state.stopped).then_some(now);
             return;
         }
         // With a successor, it may have handed over: the successor reports that once it serves, and an exit is reported
         // first if no request was left to finish.
-        if held.stopped || held.successor.is_some() {
+        if state.stopped || state.successor.is_some() {
             return;
         }
-        let backoff = held.record_failure(now, ready_at, &self.limits);
+        let backoff = state.record_failure(now, ready_at, &self.limits);
         actions.push(Action::Log(Notice::Restarting { instance, process, backoff }));
     }
 
@@ -199,28 +199,28 @@
     ) {
         self.upgrade_queue.clear();
         actions.push(Action::Log(Notice::UpgradeFailed { instance, process }));
-        let held = &mut self.instances[instance];
-        held.successor = None;
-        if held.current.is_none() && !held.stopped {
-            held.failures += 1;
-            held.start_at = Some(now + self.limits.restart_backoff);
+        let state = &mut self.instances[instance];
+        state.successor = None;
+        if state.current.is_none() && !state.stopped {
+            state.failures += 1;
+            state.start_at = Some(now + self.limits.restart_backoff);
         }
     }
 
     fn start_instance(&mut self, now: Timestamp, instance: InstanceId) {
-        let Some(held) = self.instances.get_mut(instance).filter(|held| held.stopped) else { return };
-        held.stopped = false;
-        held.consecutive_failures = 0;
-        held.start_at = Some(now);
+        let Some(state) = self.instances.get_mut(instance).filter(|state| state.stopped) else { return };
+        state.stopped = false;
+        state.consecutive_failures = 0;
+        state.start_at = Some(now);
         self.drain_queue.retain(|other| *other != instance);
     }
 
     fn stop_instance(&mut self, now: Timestamp, instance: InstanceId, actions: &mut Vec<Action>) {
-        let Some(held) = self.instances.get_mut(instance).filter(|held| !held.stopped) else { return };
-        held.stopped = true;
-        held.start_at = None;
-        let successor = held.successor.take();
-        let current = held.current;
+        let Some(state) = self.instances.get_mut(instance).filter(|state| !state.stopped) else { return };
+        state.stopped = true;
+        state.start_at = None;
+        let successor = state.successor.take();
+        let current = state.current;
         self.upgrade_queue.retain(|other| *other != instance);
         for process in successor.into_iter().chain(current) {
             self.terminate(now, process.id, actions);
@@ -274,13 +274,13 @@
     /// Starts the processes that are due. An instance that still drains holds the address, and waits.
     fn start_due(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         for instance in 0..self.instances.len() {
-            let held = &self.instances[instance];
-            let due = held.start_at.is_some_and(|at| at <= now);
-            if due && held.current.is_none() {
+            let state = &self.instances[instance];
+            let due = state.start_at.is_some_and(|at| at <= now);
+            if due && state.current.is_none() {
                 let process = self.start_process(now, instance, actions);
-                let held = &mut self.instances[instance];
-                held.start_at = None;
-                held.current = Some(process);
+                let state = &mut self.instances[instance];
+                state.start_at = None;
+                state.current = Some(process);
             }
         }
     }
--- a/crates/balancer-core/tests/balancer_admission.rs
+++ b/crates/balancer-core/tests/balancer_admission.rs
@@ -21,7 +21,7 @@
     Settings { nodes: 300, classes: vec![class("light", ms(50)), class("heavy", ms(200))], ..settings() }
 }
 
-/// One of 300 nodes, with so many servers that concurrency limits have no effect.
+/// One of 300 nodes, with enough servers for concurrency limits to have no effect.
 fn node(settings: Settings, seed: u64) -> Node {
     let mut node = Node::new(settings, seed);
     node.apply_snapshot((0..3_000).map(|i| Endpoint::new(&format!("s{i}"))).collect());
@@ -69,10 +69,10 @@
     node.actions.clear();
     rejected(&mut node);
     let next = ms(1_000 - node.now.as_micros() / 1_000 % 1_000);
-    let is_told =
+    let is_in_next_period =
         |action: &Action| matches!(action, Action::Reject { retry_after, .. } if *retry_after == next);
-    let told = node.actions.iter().filter(|action| is_told(action)).count();
-    assert!(told > 60, "{told} were told {next:?}");
+    let notified = node.actions.iter().filter(|action| is_in_next_period(action)).count();
+    assert!(notified > 60, "{notified} have a Retry-After of {next:?}");
     // In the next period other keys are rejected: none is rejected for good.
     let mut later = half_admitting(two_classes(), 1);
     later.advance(ms(1_000));
--- a/crates/balancer-core/tests/learned_state.rs
+++ b/crates/balancer-core/tests/learned_state.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// If what was learned of a server were held against the incarnation that has started since under its id,
+/// If what was learned of a server were applied to the incarnation that has started since under its id,
 /// that one would be ejected for the faults of the one before.
 #[test]
 fn a_restarted_server_is_not_held_to_what_was_learned_before() {
@@ -127,7 +127,7 @@
     assert_eq!(run(&mut before, 200), run(&mut successor, 200));
 }
 
-/// A damaged hand-over may hold numbers that nobody learned: a limit that is none, times beyond the end of
+/// A damaged hand-over may hold invalid numbers: a limit that is none, times beyond the end of
 /// any clock. The successor must still answer every request.
 #[test]
 fn every_request_is_answered_after_numbers_out_of_range() {
--- a/crates/balancer-core/tests/list_validator.rs
+++ b/crates/balancer-core/tests/list_validator.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn deltas_and_snapshots_that_follow_the_held_version_are_accepted() {
+fn deltas_and_snapshots_that_follow_the_current_version_are_accepted() {
     let mut validator = holding();
     assert_eq!(validate(&mut validator, 41, false, &[]), Ok(vec![]), "no changes");
     assert_eq!(
@@ -35,7 +35,7 @@
 #[test]
 fn an_older_version_is_rejected_and_a_snapshot_requested() {
     let mut validator = holding();
-    let older = Err(ListError::OlderVersion { received: 40, held: 41 });
+    let older = Err(ListError::OlderVersion { received: 40, current: 41 });
     assert_eq!(validate(&mut validator, 40, false, &[entry("a", Removed)]), older);
     assert_eq!(validator.watch_from(), None);
     // Changes are no answer to that, of whatever version.
@@ -47,7 +47,7 @@
 #[test]
 fn a_discovery_that_lost_its_versions_is_accepted_the_third_time() {
     let mut validator = holding();
-    let error = ListError::OlderVersion { received: 1, held: 41 };
+    let error = ListError::OlderVersion { received: 1, current: 41 };
     for _ in 0..2 {
         assert_eq!(validate(&mut validator, 1, true, &[entry("c", Ready)]), Err(error.clone()));
         assert_eq!(validator.watch_from(), None, "a watch would wait for version 42");
@@ -130,7 +130,7 @@
     #[test]
     fn no_single_list_takes_the_version_back_or_empties_the_fleet(lists in prop::collection::vec(any_list(), 1..60)) {
         let mut validator = holding();
-        let (mut held, mut suspicious) = (41, 0);
+        let (mut current, mut suspicious) = (41, 0);
         for (version, is_snapshot, entries) in lists {
             let entries: Vec<_> = entries
                 .into_iter()
@@ -139,10 +139,10 @@
             match validate(&mut validator, version, is_snapshot, &entries) {
                 Ok(warnings) => {
                     let repeated = warnings.iter().any(|warning| matches!(warning, ListWarning::AcceptedAfterRepeats(_)));
-                    prop_assert!(version >= held || repeated);
-                    prop_assert_eq!(repeated, suspicious == 2 && (version < held || repeated));
-                    (held, suspicious) = (version, 0);
-                    prop_assert_eq!(validator.watch_from(), Some(held));
+                    prop_assert!(version >= current || repeated);
+                    prop_assert_eq!(repeated, suspicious == 2 && (version < current || repeated));
+                    (current, suspicious) = (version, 0);
+                    prop_assert_eq!(validator.watch_from(), Some(current));
                 }
                 Err(error) => {
                     let is_suspicious = is_snapshot && matches!(error, ListError::Empty { .. } | ListError::OlderVersion { .. });
--- a/crates/balancer-core/tests/list_validator_replicas.rs
+++ b/crates/balancer-core/tests/list_validator_replicas.rs
@@ -24,7 +24,7 @@
 fn an_older_list_is_accepted_once_all_replicas_sent_one_in_a_row() {
     let mut validator = holding();
     let older = [entry("c", Ready)];
-    let error = Err(ListError::OlderVersion { received: 1, held: 41 });
+    let error = Err(ListError::OlderVersion { received: 1, current: 41 });
     for _ in 0..9 {
         assert_eq!(
             validate_from(&mut validator, source(0, 4), 1, true, &older),
@@ -37,16 +37,16 @@
         assert_eq!(
             validator.watch_from(),
             Some(41),
-            "the held list stays valid, and a neighbour is asked for changes"
+            "the current list stays valid, and a neighbour is polled for changes"
         );
     }
-    // A replica that still has the held version restarts the count.
+    // A replica that still has the current version restarts the count.
     assert_eq!(validate_from(&mut validator, source(3, 4), 41, false, &[]), Ok(vec![]));
     for place in [0, 1, 2] {
         assert_eq!(validate_from(&mut validator, source(place, 4), 1, true, &older), error);
     }
     let accepted = validate_from(&mut validator, source(3, 4), 1, true, &older);
-    let error = ListError::OlderVersion { received: 1, held: 41 };
+    let error = ListError::OlderVersion { received: 1, current: 41 };
     assert_eq!(accepted, Ok(vec![ListWarning::AcceptedFromReplicas { error, replicas: 4 }]));
     assert_eq!(validator.watch_from(), Some(1));
 }
@@ -57,7 +57,7 @@
     for place in 0..3 {
         assert_eq!(validator.watch_from(), Some(41));
         let result = validate_from(&mut validator, source(place, 3), 2, false, &[]);
-        assert_eq!(result, Err(ListError::OlderVersion { received: 2, held: 41 }));
+        assert_eq!(result, Err(ListError::OlderVersion { received: 2, current: 41 }));
     }
     assert_eq!(validator.watch_from(), None);
     for place in [0, 1] {
@@ -101,7 +101,7 @@
 fn a_leaving_server_is_suppressed_until_a_list_as_new_names_it() {
     let mut validator = holding();
     validator.leaving_reported(source(0, 3), Some(43), leaving(&["b"]));
-    assert_eq!(validator.watch_from(), Some(41), "a neighbour is asked for changes, not for a snapshot");
+    assert_eq!(validator.watch_from(), Some(41), "a neighbour is polled for changes, not for a snapshot");
     for (version, is_snapshot) in [(41, true), (42, false), (42, true)] {
         let entries = [entry("a", Ready), entry("b", Ready)];
         assert_eq!(validate_from(&mut validator, source(1, 3), version, is_snapshot, &entries), Ok(vec![]));
@@ -163,7 +163,7 @@
     ) {
         let servers = ["a", "b", "c", "d"];
         let mut validator = holding();
-        let (mut held, mut sources) = (41, BTreeSet::new());
+        let (mut current, mut sources) = (41, BTreeSet::new());
         let mut leaving_since = [0_u64; 4];
         for (place, version, is_snapshot, entries, breaks_off) in lists {
             let from = source(place % replicas, replicas);
@@ -180,7 +180,7 @@
                 Ok(warnings) => {
                     let by_replicas = warnings.iter().any(|warning| matches!(warning, ListWarning::AcceptedFromReplicas { .. }));
                     sources.insert(from.replica);
-                    prop_assert!(version >= held || (by_replicas && sources.len() == replicas));
+                    prop_assert!(version >= current || (by_replicas && sources.len() == replicas));
                     prop_assert!(!by_replicas || sources.len() >= replicas.min(3));
                     for (place, name) in servers.iter().enumerate() {
                         prop_assert!(version >= leaving_since[place] || !validator.is_ready(name), "{}", name);
@@ -191,7 +191,7 @@
                             *leaving = 0;
                         }
                     }
-                    held = version;
+                    current = version;
                     sources.clear();
                 }
                 Err(ListError::OlderVersion { .. } | ListError::Empty { .. }) => drop(sources.insert(from.replica)),
--- a/crates/balancer-core/tests/overload.rs
+++ b/crates/balancer-core/tests/overload.rs
@@ -126,7 +126,7 @@
 /// full. A node that gets nothing in time must reject nearly all of it, and admit it again as answers come.
 #[test]
 fn a_fleet_with_full_queues_is_sent_little_until_it_answers() {
-    // With so many servers it rarely meets one twice, so concurrency limits cannot adapt.
+    // With this number of servers it rarely meets one twice, so concurrency limits cannot adapt.
     let mut node = Node::new(Settings { nodes: 300, ..settings() }, 1);
     node.apply_snapshot((0..3_000).map(|i| Endpoint::new(&format!("s{i}"))).collect());
     let mut rng = fastrand::Rng::with_seed(2);
--- a/crates/balancer-core/tests/platform.rs
+++ b/crates/balancer-core/tests/platform.rs
@@ -18,8 +18,8 @@
     assert_eq!(settings_of(&[]).expect("no setting is required"), Settings::default());
 }
 
-/// A value that cannot be used is a mistake of whoever wrote the configuration. Replaced by a default, it would go
-/// unnoticed until the node behaves as nobody has told it to.
+/// A value that cannot be used is a mistake in the configuration. Replaced by a default, it would go
+/// unnoticed until the node behaves as it was not configured to.
 #[test]
 fn errors_of_a_configuration_name_the_setting_and_what_it_may_be() {
     for (name, value, message) in [
--- a/crates/balancer-core/tests/poll_schedule.rs
+++ b/crates/balancer-core/tests/poll_schedule.rs
@@ -88,7 +88,7 @@
                 let took = Duration::from_millis(1);
                 let outcome = PollOutcome::Answered { took, has_changes: false };
                 let pause = schedule.poll_ended(settings(nodes), poll, outcome, Watch, random.f64());
-                // The held list is valid for longer than that.
+                // The current list is valid for longer than that.
                 assert!(pause <= settings(nodes).max_poll_interval / 2);
                 now += took + pause;
                 polls += 1;
--- a/crates/balancer-core/tests/replica_capacity.rs
+++ b/crates/balancer-core/tests/replica_capacity.rs
@@ -90,12 +90,14 @@
         assert!(now < MAX_SECONDS, "{fleet:?}, seed {seed}: not all have a list");
         polls += 1;
         let node = &mut nodes[place];
-        let held = changes.map(|_| fleet.lines);
+        let endpoint_count = changes.map(|_| fleet.lines);
         let available = node.client.replicas().available();
         let pacing = match fleet.mode {
             Mode::AllNodes => PollPacing::from(settings(fleet.nodes)),
-            Mode::Replicas => PollPacing::new(settings(fleet.nodes), available, None, held),
-            Mode::Capacity => PollPacing::new(settings(fleet.nodes), available, Some(CAPACITY), held),
+            Mode::Replicas => PollPacing::new(settings(fleet.nodes), available, None, endpoint_count),
+            Mode::Capacity => {
+                PollPacing::new(settings(fleet.nodes), available, Some(CAPACITY), endpoint_count)
+            }
         };
         let replica = node.client.replicas().current();
         let turn = free[replica].max(now) + call_time;
--- a/crates/balancer-core/tests/replica_set_changes.rs
+++ b/crates/balancer-core/tests/replica_set_changes.rs
@@ -97,24 +97,24 @@
         jitter in 0.0..=1.0_f64,
         node in "[a-z0-9]{1,12}",
     ) {
-        let mut held = names(changes[0].iter().copied());
-        let mut replicas = ReplicaSelection::new(&node, held.clone());
+        let mut current = names(changes[0].iter().copied());
+        let mut replicas = ReplicaSelection::new(&node, current.clone());
         let mut now = 0.0;
         for places in changes {
             let wanted = names(places);
-            let was = polled(&replicas, &held).to_owned();
+            let was = polled(&replicas, &current).to_owned();
             let expected = if wanted.contains(&was) {
                 ReplicaSetChange::CurrentRemains
-            } else if wanted.iter().any(|name| held.contains(name)) {
+            } else if wanted.iter().any(|name| current.contains(name)) {
                 ReplicaSetChange::OthersRemain
             } else {
                 ReplicaSetChange::NoneRemains
             };
             prop_assert_eq!(replicas.replace(wanted.clone()), expected);
-            held = wanted;
-            let first = held[replicas.order()[0]].clone();
+            current = wanted;
+            let first = current[replicas.order()[0]].clone();
             let polled_now = if expected == ReplicaSetChange::CurrentRemains { &was } else { &first };
-            prop_assert_eq!(polled(&replicas, &held), polled_now);
+            prop_assert_eq!(polled(&replicas, &current), polled_now);
             prop_assert_eq!(answered(&mut replicas, now, jitter), ReplicaTransition::Stay);
             now += 1.0;
         }
--- a/crates/balancer-core/tests/supervisor.rs
+++ b/crates/balancer-core/tests/supervisor.rs
@@ -292,8 +292,8 @@
 fn a_stop_terminates_successors_too_and_ends_with_the_last_process() {
     let mut fleet = Fleet::serving(2);
     fleet.handle(Event::Upgrade);
-    let told = fleet.handle(Event::Stop);
-    assert_eq!(told, [Action::Terminate(2), Action::Terminate(0), Action::Terminate(1)]);
+    let actions = fleet.handle(Event::Stop);
+    assert_eq!(actions, [Action::Terminate(2), Action::Terminate(0), Action::Terminate(1)]);
     for process in [0, 1, 2] {
         assert!(!fleet.supervisor.is_finished());
         fleet.process_exits(process);
@@ -351,8 +351,8 @@
             }
             let upgrading = fleet.states().iter().filter(|state| **state == InstanceState::Upgrading).count();
             assert!(upgrading <= 1, "seed {seed}: {upgrading} are replaced at once");
-            let held: Vec<_> = fleet.supervisor.statuses().filter_map(|status| status.process).collect();
-            let lost = held.iter().filter(|process| !fleet.running.contains_key(process)).count();
+            let processes: Vec<_> = fleet.supervisor.statuses().filter_map(|status| status.process).collect();
+            let lost = processes.iter().filter(|process| !fleet.running.contains_key(process)).count();
             assert_eq!(lost, 0, "seed {seed}: one that has ended is taken for running");
         }
         fleet.handle(Event::Stop);
--- a/crates/cache-balancer/benches/fleet.rs
+++ b/crates/cache-balancer/benches/fleet.rs
@@ -1,5 +1,5 @@
 //! What a daemon costs, and what an upgrade does: `cargo bench -p cache-balancer --bench fleet`. Each row is a ratio or a count
-//! against a baseline of the same run. With the argument `bare` it is the bare server that start-up is held against.
+//! against a baseline of the same run. With the argument `bare` it runs the bare server with which start-up is compared.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -38,7 +38,7 @@
     throughput(&server);
 }
 
-/// The least server on the same libraries: a node's start-up is held against it.
+/// A minimal server on the same libraries, with which a node's start-up is compared.
 fn bare() {
     use http_body_util::Full;
     use hyper::body::Bytes;
--- a/crates/cache-balancer/src/aggregate/mod.rs
+++ b/crates/cache-balancer/src/aggregate/mod.rs
@@ -23,7 +23,7 @@
     /// The nodes' logs
     #[arg(required = true)]
     logs: Vec<PathBuf>,
-    /// A server counts as cold for so many seconds after its start
+    /// Seconds after its start for which a server counts as cold
     #[arg(long, default_value_t = 8)]
     warm_within: u64,
     /// Seconds a row
--- a/crates/cache-balancer/src/aggregate/rows.rs
+++ b/crates/cache-balancer/src/aggregate/rows.rs
@@ -110,8 +110,8 @@
 /// What any node had been notified of a server.
 ///
 /// Notifications reach nodes at different times. Late ones of an incarnation bring no server back, and a
-/// later start is another incarnation. A drain that is taken back within one incarnation cannot be told from
-/// a late notification.
+/// later start is another incarnation. A drain that is taken back within one incarnation cannot be distinguished
+/// from a late notification.
 #[derive(Clone, Copy, Debug, Default)]
 struct KnownServer {
     /// When its incarnation started, in seconds of Unix time; 0 if that is unknown.
--- a/crates/cache-balancer/src/cli/mod.rs
+++ b/crates/cache-balancer/src/cli/mod.rs
@@ -34,9 +34,9 @@
     Virtual,
 }
 
-/// The exit code of a run whose report holds, or does not hold, what its script expects.
-pub fn exit_code(held: bool) -> ExitCode {
-    if held {
+/// The exit code of a run: success if its report meets the expectations of its script.
+pub fn exit_code(expectations_met: bool) -> ExitCode {
+    if expectations_met {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/cache-balancer/src/config/operator.rs
+++ b/crates/cache-balancer/src/config/operator.rs
@@ -245,7 +245,7 @@
 fn pool(t: &Table, name: String, base: &Settings, folder: &Path) -> Pool {
     let discovery = discovery::read(t);
     let file = t.text("file", "the path of a file", |path| !path.is_empty());
-    let hosts = servers(t);
+    let endpoints = servers(t);
     let sources = usize::from(t.has("discovery")) + usize::from(t.has("file")) + usize::from(t.has("server"));
     if sources != 1 {
         t.fault("name", "expected exactly one of discovery, file and [[pool.server]] in this pool");
@@ -259,7 +259,7 @@
     let discovered = matches!(source, Source::Discovery(_));
     let settings =
         Settings { discovery_is_polled: discovered, start_times_reported: discovered, ..base.clone() };
-    Pool { name, source, known: EndpointList { version: 0, is_snapshot: true, endpoints: hosts }, settings }
+    Pool { name, source, known: EndpointList { version: 0, is_snapshot: true, endpoints }, settings }
 }
 
 fn servers(t: &Table) -> Vec<EndpointRecord> {
--- a/crates/cache-balancer/src/daemon/pools/tests.rs
+++ b/crates/cache-balancer/src/daemon/pools/tests.rs
@@ -120,14 +120,14 @@
 }
 
 /// The differences that the log has to name for a pool, by a comparison of sets.
-fn expected_differences(name: &str, held: &DiscoveryReplicas, wanted: &DiscoveryReplicas) -> Vec<String> {
+fn expected_differences(name: &str, current: &DiscoveryReplicas, wanted: &DiscoveryReplicas) -> Vec<String> {
     let set = |replicas: &DiscoveryReplicas| replicas.addresses.iter().copied().collect::<BTreeSet<_>>();
     let mut differences = Vec::new();
-    if set(held) != set(wanted) {
+    if set(current) != set(wanted) {
         let addresses: Vec<_> = set(wanted).iter().map(ToString::to_string).collect();
         differences.push(format!("pool {name}: list from discovery at {}", addresses.join(", ")));
     }
-    if held.capacity != wanted.capacity {
+    if current.capacity != wanted.capacity {
         differences.push(match wanted.capacity {
             Some(ReplicaCapacity { lines_per_second, .. }) => {
                 format!("pool {name}: discovery of {lines_per_second} lines a second and 10 a call")
@@ -144,14 +144,14 @@
         pools: [(); POOLS.len()].map(|()| Wanted { ports: vec![1], capacity: None }),
         backwards: false,
     };
-    let mut held = first.read().expect("a file without fault");
+    let mut current = first.read().expect("a file without fault");
     let mut model = first.pools.map(|wanted| wanted.replicas());
-    let (mut pools, mut ends) = pools(&held);
+    let (mut pools, mut ends) = pools(&current);
     for file in files {
         let read = file.read();
         prop_assert_eq!(read.is_err(), file.pools.iter().any(Wanted::is_faulty));
         if let Ok(config) = read {
-            let change = Change::between(&held, &config);
+            let change = Change::between(&current, &config);
             let mut differences = Vec::new();
             let mut order: Vec<_> = file.pools.iter().zip(POOLS).zip(&model).collect();
             if file.backwards {
@@ -164,7 +164,7 @@
                 if differences.is_empty() { "nothing changed".to_owned() } else { differences.join(", ") };
             prop_assert_eq!(change.to_string(), expected);
             pools.change(&change, &config);
-            held = config;
+            current = config;
             let before = std::mem::replace(&mut model, file.pools.map(|wanted| wanted.replicas()));
             for (ends, (before, after)) in ends.iter().zip(before.iter().zip(&model)) {
                 prop_assert_eq!(ends.replicas.has_changed().ok(), Some(before != after));
@@ -177,7 +177,7 @@
             prop_assert!(ends.inputs.try_recv().is_err());
         }
         let names: Vec<_> = pools.running.iter().map(|running| running.pool.name.as_str()).collect();
-        let expected: Vec<_> = held.pools.iter().map(|pool| pool.name.as_str()).collect();
+        let expected: Vec<_> = current.pools.iter().map(|pool| pool.name.as_str()).collect();
         prop_assert_eq!(names, expected);
     }
     Ok(())
@@ -198,11 +198,11 @@
         pools: [(); POOLS.len()].map(|()| Wanted { ports: vec![1, 2], capacity: None }),
         backwards: false,
     };
-    let held = file.read().expect("a file without fault");
-    let (mut pools, mut ends) = pools(&held);
-    let mut wanted = held.clone();
+    let current = file.read().expect("a file without fault");
+    let (mut pools, mut ends) = pools(&current);
+    let mut wanted = current.clone();
     wanted.pools.truncate(1);
-    pools.change(&Change::between(&held, &wanted), &wanted);
+    pools.change(&Change::between(&current, &wanted), &wanted);
     // An aborted task ends when it is polled next.
     tokio::task::yield_now().await;
     assert_eq!([ends[0].client.is_finished(), ends[1].client.is_finished()], [false, true]);
--- a/crates/cache-balancer/src/driver/endpoints.rs
+++ b/crates/cache-balancer/src/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of a pool, and those who follow it: the connections and the node's readiness.
+//! The endpoint list of a pool, and its effects on the connections and on the node's readiness.
 
 use crate::endpoint_list::EndpointList;
 use crate::tally::TallyLine;
@@ -13,51 +13,51 @@
 pub struct EndpointTable {
     list: EndpointList,
     upstream: Rc<Upstream>,
-    /// Set once a list has named a server that takes requests.
+    /// Set once a list has had a ready server.
     ready: watch::Sender<bool>,
 }
 
 impl EndpointTable {
-    /// An empty table, whose lists go to these connections and this flag.
+    /// An empty table, which applies its lists to `upstream` and sets `ready` once a server is ready.
     pub fn new(upstream: Rc<Upstream>, ready: watch::Sender<bool>) -> Self {
         Self { list: EndpointList::default(), upstream, ready }
     }
 
-    /// The list as it is now.
+    /// The current list.
     pub fn list(&self) -> &EndpointList {
         &self.list
     }
 
-    /// The delta that marks these servers as draining, as far as the list has them in another state.
-    pub fn draining_delta(&self, names: &BTreeSet<String>) -> EndpointList {
-        let named = self.list.endpoints.iter().filter(|host| names.contains(&host.id));
-        let hosts = named.filter_map(crate::endpoint_list::EndpointRecord::drained).collect();
-        EndpointList { version: self.list.version, is_snapshot: false, endpoints: hosts }
+    /// The delta that marks these servers as draining, as far as they are in another state in the current list.
+    pub fn draining_delta(&self, ids: &BTreeSet<String>) -> EndpointList {
+        let listed = self.list.endpoints.iter().filter(|record| ids.contains(&record.id));
+        let endpoints = listed.filter_map(crate::endpoint_list::EndpointRecord::drained).collect();
+        EndpointList { version: self.list.version, is_snapshot: false, endpoints }
     }
 
-    /// Applies a snapshot or a delta to the connections and returns its entries for the decisions.
+    /// Applies a snapshot or a delta to the connections and returns its endpoints for the decisions.
     ///
-    /// Both must have it in one step: an attempt of the decisions that overtook its list would go to a server
-    /// of which the connections know no address.
+    /// Both must apply it in one step: an attempt that the decisions start before the connections have the list would
+    /// go to a server without an address.
     pub fn apply(&mut self, update: &EndpointList, tally: &mut TallyLine) -> Arc<[Endpoint]> {
         self.count_changes(update, tally);
         self.list.apply(update);
-        let entries: Arc<[Endpoint]> = update.endpoints.iter().map(|host| host.endpoint()).collect();
+        let endpoints: Arc<[Endpoint]> = update.endpoints.iter().map(|record| record.endpoint()).collect();
         if update.is_snapshot {
-            self.upstream.retain_servers(|id| entries.iter().any(|entry| entry.id == *id));
+            self.upstream.retain_servers(|id| endpoints.iter().any(|endpoint| endpoint.id == *id));
         }
-        for (host, entry) in update.endpoints.iter().zip(entries.iter()) {
-            match entry.state {
-                EndpointState::Removed => self.upstream.remove_server(&entry.id),
+        for (record, endpoint) in update.endpoints.iter().zip(endpoints.iter()) {
+            match endpoint.state {
+                EndpointState::Removed => self.upstream.remove_server(&endpoint.id),
                 state => {
-                    self.upstream.update_server(&entry.id, host.address, state == EndpointState::Ready);
+                    self.upstream.update_server(&endpoint.id, record.address, state == EndpointState::Ready);
                 }
             }
         }
-        if entries.iter().any(|entry| entry.state == EndpointState::Ready) {
+        if endpoints.iter().any(|endpoint| endpoint.state == EndpointState::Ready) {
             self.ready.send_if_modified(|ready| !std::mem::replace(ready, true));
         }
-        entries
+        endpoints
     }
 
     /// Tallies the servers whose state a list changes. The first list of a node changes none.
@@ -65,12 +65,13 @@
         if self.list.endpoints.is_empty() {
             return;
         }
-        let state = |entry: &Endpoint| (entry.state, entry.started_at);
-        let known = self.list.endpoints.iter().map(|host| host.endpoint());
-        let mut known: BTreeMap<_, _> = known.map(|entry| (entry.id.clone(), state(&entry))).collect();
-        for entry in update.endpoints.iter().map(|host| host.endpoint()) {
-            if known.remove(&entry.id) != Some(state(&entry)) {
-                tally.record_notification(&entry.id, entry.state, entry.started_at);
+        let state = |endpoint: &Endpoint| (endpoint.state, endpoint.started_at);
+        let known = self.list.endpoints.iter().map(|record| record.endpoint());
+        let mut known: BTreeMap<_, _> =
+            known.map(|endpoint| (endpoint.id.clone(), state(&endpoint))).collect();
+        for endpoint in update.endpoints.iter().map(|record| record.endpoint()) {
+            if known.remove(&endpoint.id) != Some(state(&endpoint)) {
+                tally.record_notification(&endpoint.id, endpoint.state, endpoint.started_at);
             }
         }
         if update.is_snapshot {
--- a/crates/cache-balancer/src/driver/mod.rs
+++ b/crates/cache-balancer/src/driver/mod.rs
@@ -149,7 +149,7 @@
                 self.tally_line().lists += 1;
                 self.apply_endpoint_list(&list);
             }
-            // The list held stays in force, and the client of discovery decides when it polls again.
+            // The current list stays in force, and the client of discovery decides when it polls again.
             DriverInput::EndpointListFailed => self.tally_line().lists_failed += 1,
             DriverInput::ServersDraining(names) => {
                 let delta = self.endpoints.draining_delta(&names);
@@ -163,11 +163,11 @@
             }
             DriverInput::StateRequested(reply) => {
                 let learned_state = self.balancer.learned_state(self.clock.now());
-                // The receiver is gone if whoever asked has given up.
+                // The receiver is gone if the caller has given up.
                 let _ = reply.send((self.endpoints.list().clone(), learned_state));
             }
             DriverInput::PoolRemoved => self.pool_removed = true,
-            // The receiver is gone if whoever asked has given up.
+            // The receiver is gone if the caller has given up.
             DriverInput::LivenessCheck(reply) => drop(reply.send(())),
         }
     }
--- a/crates/cache-balancer/src/fronts/connections/state.rs
+++ b/crates/cache-balancer/src/fronts/connections/state.rs
@@ -147,7 +147,7 @@
         self.usage.idle.borrow_mut().remove(&(self.phase_since(), self.number));
     }
 
-    /// Whether bytes stand in the socket that nobody has read.
+    /// Whether the socket has unread bytes.
     ///
     /// Guarded against: a request arrives in the very moment in which its connection would be closed, and the
     /// runtime has not polled for it yet. The system has acknowledged it, so its client would see a reset
--- a/crates/cache-balancer/src/hollow/mod.rs
+++ b/crates/cache-balancer/src/hollow/mod.rs
@@ -125,9 +125,9 @@
         if replicas.is_empty() {
             return Err(ProcessError::NoReplica);
         }
-        self.replicas.send_if_modified(|held| {
-            let wanted = DiscoveryReplicas::new(replicas, held.capacity);
-            std::mem::replace(held, wanted.clone()) != wanted
+        self.replicas.send_if_modified(|current| {
+            let wanted = DiscoveryReplicas::new(replicas, current.capacity);
+            std::mem::replace(current, wanted.clone()) != wanted
         });
         Ok(())
     }
--- a/crates/cache-balancer/src/scenario/mod.rs
+++ b/crates/cache-balancer/src/scenario/mod.rs
@@ -33,7 +33,7 @@
     /// Draws everything anew from this seed, rather than from the script's own
     #[arg(long)]
     seed: Option<u64>,
-    /// Plays with so many nodes, rather than the script's own number
+    /// The number of nodes, rather than the script's own
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=10_000))]
     nodes: Option<u32>,
     /// Prints one line of JSON instead of the table and the picture
@@ -57,7 +57,7 @@
     /// Seeds that are played once each, from the script's own on
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u32).range(0..=1_000))]
     seeds: u32,
-    /// Plays with so many nodes, rather than the scripts' own numbers
+    /// The number of nodes, rather than the scripts' own
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=10_000))]
     nodes: Option<u32>,
     /// Who plays them
--- a/crates/cache-balancer/src/upstream/connection/tests.rs
+++ b/crates/cache-balancer/src/upstream/connection/tests.rs
@@ -6,8 +6,8 @@
 use tokio::net::TcpListener;
 
 /// Between an attempt's own check and the moment at which hyper writes, the server may begin to drain, the
-/// client may disconnect, or the deduplication window may end. The request would then be carried out for
-/// nobody, at a server that drains, or twice. Without the check in the stream itself each of these writes
+/// client may disconnect, or the deduplication window may end. The request would then be carried out in
+/// vain, at a server that drains, or twice. Without the check in the stream itself each of these writes
 /// three bytes here.
 #[tokio::test]
 async fn the_first_byte_is_written_only_while_the_start_condition_holds() {
--- a/crates/cache-balancer/src/upstream/pool.rs
+++ b/crates/cache-balancer/src/upstream/pool.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Closes idle connections before their servers do. Ends when nobody else holds the connections.
+    /// Closes idle connections before their servers do. Ends once the pool has been dropped elsewhere.
     pub async fn close_idle_on_time(upstream: Weak<Self>) {
         loop {
             sleep(IDLE_CHECK_INTERVAL).await;
@@ -161,7 +161,7 @@
 
     /// A permit for a new connection. Where the limit is reached, the connection that has been idle for
     /// longest is closed: a node that has met every server once must not be kept from the one that it needs
-    /// by connections that nobody uses.
+    /// by unused connections.
     fn permit(&self) -> Result<ConnectionPermit, ConnectError> {
         if self.limit.is_reached() {
             let servers = self.servers.borrow();
--- a/crates/cache-balancer/tests/aggregate.rs
+++ b/crates/cache-balancer/tests/aggregate.rs
@@ -25,8 +25,8 @@
 #[test]
 fn the_logs_of_three_nodes_give_the_requests_and_attempts_of_all() {
     let good = CacheServer::serving("value");
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let discovery = Discovery::start(&[good.entry("s-1", "ready"), endpoint("s-2", nobody, "ready")]);
+    let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let discovery = Discovery::start(&[good.entry("s-1", "ready"), endpoint("s-2", unused_address, "ready")]);
     let nodes: Vec<Node> = (0..3)
         .map(|i| {
             let mut config = config(discovery.address);
@@ -39,7 +39,7 @@
             assert_eq!(node.read("read", key).status(), 200);
         }
     }
-    discovery.notify(false, &[endpoint("s-2", nobody, "gone")]);
+    discovery.notify(false, &[endpoint("s-2", unused_address, "gone")]);
     wait_for("all nodes to be notified", || {
         discovery.received.lock().unwrap().iter().filter(|path| path.contains("after=2&")).count() == 3
     });
--- a/crates/cache-balancer/tests/answers.rs
+++ b/crates/cache-balancer/tests/answers.rs
@@ -10,37 +10,38 @@
 use std::thread;
 use std::time::Duration;
 
-/// A server that passes each request's number, from 1, and its connection to `does`, which returns whether
+/// Starts a server that passes each request's number, from 1, and its connection to `behavior`, which returns whether
 /// the connection stays open. Returns its address, the ids of the requests, and a gate that opens once it has
 /// ended a connection.
 fn scripted(
-    does: impl Fn(usize, &mut TcpStream) -> bool + Send + Sync + 'static,
+    behavior: impl Fn(usize, &mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<Mutex<Vec<String>>>, Gate) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (asked, does) = (Arc::<Mutex<Vec<String>>>::default(), Arc::new(does));
-    let (all, ended) = (asked.clone(), Gate::default());
-    let first_end = ended.clone();
+    let (received, behavior) = (Arc::<Mutex<Vec<String>>>::default(), Arc::new(behavior));
+    let (received_ids, disconnected) = (received.clone(), Gate::default());
+    let first_disconnect = disconnected.clone();
     thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
-            let (asked, does, ended) = (asked.clone(), does.clone(), ended.clone());
+            let (received, behavior, disconnected) =
+                (received.clone(), behavior.clone(), disconnected.clone());
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 while let Ok(Some(message)) = Message::read(&mut reader) {
                     let number = {
-                        let mut asked = asked.lock().unwrap();
-                        asked.push(message.header("req-id").unwrap().to_owned());
-                        asked.len()
+                        let mut received = received.lock().unwrap();
+                        received.push(message.header("req-id").unwrap().to_owned());
+                        received.len()
                     };
-                    if !does(number, &mut stream) {
+                    if !behavior(number, &mut stream) {
                         drop((reader, stream));
-                        return ended.open();
+                        return disconnected.open();
                     }
                 }
             });
         }
     });
-    (address, all, first_end)
+    (address, received_ids, first_disconnect)
 }
 
 fn write(stream: &mut TcpStream, text: &str) -> bool {
@@ -59,13 +60,13 @@
 
 /// The status, the body and the number of attempts of a request of this class, with two servers that do the
 /// same.
-fn outcome(class: &str, does: fn(usize, &mut TcpStream) -> bool) -> (u16, String, usize) {
-    let servers = [scripted(does), scripted(does)];
+fn outcome(class: &str, behavior: fn(usize, &mut TcpStream) -> bool) -> (u16, String, usize) {
+    let servers = [scripted(behavior), scripted(behavior)];
     let [one, two] = servers.each_ref().map(|(address, ..)| *address);
     let discovery = Discovery::start(&[endpoint("s-1", one, "ready"), endpoint("s-2", two, "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let answer = node.read(class, 1);
-    let attempts = servers.iter().map(|(_, asked, _)| asked.lock().unwrap().len()).sum();
+    let attempts = servers.iter().map(|(_, received, _)| received.lock().unwrap().len()).sum();
     (answer.status(), String::from_utf8(answer.body).unwrap(), attempts)
 }
 
@@ -121,13 +122,13 @@
     for (case, then) in cases.into_iter().enumerate() {
         // The bytes come once the response has been read: the connection is idle then.
         let gate = Gate::default();
-        let said = Gate::default();
-        let (held, done) = (gate.clone(), said.clone());
-        let (address, asked, ended) = scripted(move |number, stream| {
+        let written = Gate::default();
+        let (opened, done) = (gate.clone(), written.clone());
+        let (address, received, disconnected) = scripted(move |number, stream| {
             if !write(stream, &response("200 OK", "", "value")) || number != 1 {
                 return true;
             }
-            held.wait();
+            opened.wait();
             let goes_on = then(stream);
             if goes_on {
                 done.open();
@@ -139,14 +140,14 @@
         assert_eq!(node.read("once", 1).body, b"value", "{case}");
         gate.open();
         if [0, 2].contains(&case) {
-            said.wait()
+            written.wait()
         } else {
-            ended.wait()
+            disconnected.wait()
         }
         for key in 2..5 {
             let answer = node.read("once", key);
             assert_eq!((answer.status(), &answer.body[..]), (200, &b"value"[..]), "{case}, {key}");
         }
-        assert_eq!(asked.lock().unwrap()[..], ["1", "2", "3", "4"], "{case}");
+        assert_eq!(received.lock().unwrap()[..], ["1", "2", "3", "4"], "{case}");
     }
 }
--- a/crates/cache-balancer/tests/clients.rs
+++ b/crates/cache-balancer/tests/clients.rs
@@ -22,17 +22,17 @@
     );
     let served = node.client().request(&put);
     assert_eq!((served.status(), &served.body[..]), (200, &b"the\r\n\r\nvalue"[..]));
-    let asked = server.received.lock().unwrap();
-    assert_eq!(asked.len(), 1);
-    assert_eq!(asked[0].start_line, "PUT /api/users/7f3a?x=1&y=%20z HTTP/1.1");
-    assert_eq!(asked[0].header("req-id"), Some("9b1f03aa"));
-    assert_eq!(asked[0].header("idempotency-key"), Some("k-1"));
-    let left: u64 = asked[0].header("req-deadline-ms").unwrap().parse().unwrap();
+    let received = server.received.lock().unwrap();
+    assert_eq!(received.len(), 1);
+    assert_eq!(received[0].start_line, "PUT /api/users/7f3a?x=1&y=%20z HTTP/1.1");
+    assert_eq!(received[0].header("req-id"), Some("9b1f03aa"));
+    assert_eq!(received[0].header("idempotency-key"), Some("k-1"));
+    let left: u64 = received[0].header("req-deadline-ms").unwrap().parse().unwrap();
     assert!((1..20_000).contains(&left), "{left}");
-    assert!(asked[0].body == body.as_bytes());
+    assert!(received[0].body == body.as_bytes());
 }
 
-/// DriverInput that is not checked here ends the node, or is the cache server's to deal with.
+/// Input that is not checked here ends the node, or is the cache server's to deal with.
 #[test]
 fn an_invalid_request_gets_its_status_and_reaches_no_cache_server() {
     let server = CacheServer::serving("value");
@@ -88,7 +88,7 @@
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-/// A rejection that is held back until the deadline, or that does not say when to retry, has clients retry at
+/// A rejection that is delayed until the deadline, or that does not say when to retry, has clients retry at
 /// a bad time.
 #[test]
 fn a_rejection_comes_at_once_and_has_a_retry_after() {
@@ -98,7 +98,7 @@
     discovery.notify(false, &[server.entry("s-1", "draining")]);
     discovery.wait_until_notified(2);
     let mut client = node.client();
-    // The client would wait for an hour: any response was not held until its deadline.
+    // The client would wait for an hour: any response was not delayed until its deadline.
     let refused = client.request(&read_request("read", 1, 3_600_000));
     assert_eq!(refused.status(), 503);
     let after: f64 = refused.header("retry-after").expect("Retry-After").parse().unwrap();
@@ -110,7 +110,7 @@
 /// neither its connection nor its response.
 #[test]
 fn a_silent_server_ends_in_one_failure_before_the_client_gives_up() {
-    let server = CacheServer::start(|asked| match asked.header("req-id") {
+    let server = CacheServer::start(|request| match request.header("req-id") {
         Some("1") => ServerBehavior::NoResponse,
         _ => ServerBehavior::Respond(response("200 OK", "", "value")),
     });
@@ -143,7 +143,7 @@
     assert_eq!(server.request_count(), 30);
 }
 
-/// An attempt breaks after its client has disconnected. A retry would be work for nobody.
+/// An attempt breaks after its client has disconnected. A retry would be wasted work.
 #[test]
 fn no_attempt_is_made_for_a_client_that_disconnected() {
     let gate = Gate::default();
@@ -249,19 +249,19 @@
     assert_eq!(server.request_count(), 3);
 }
 
-/// The largest number of connections that clients held together which came one after the other, sent one
-/// request and kept their connection until the node closed it. Each must be served.
-fn most_held(node: &Node, clients: u64) -> usize {
-    let (mut held, mut most) = (Vec::new(), 0);
+/// The largest number of connections that were open at once, of clients that connect one after the other, send one
+/// request and keep the connection until the node closes it. Each must be served.
+fn max_open_connections(node: &Node, clients: u64) -> usize {
+    let (mut open, mut most) = (Vec::new(), 0);
     for key in 0..clients {
         let mut client = node.client();
         let answered = client.request(&read_request("read", key, 20_000));
         assert_eq!(answered.status(), 200, "client {key}");
         if answered.header("connection") != Some("close") {
-            held.push(client);
+            open.push(client);
         }
-        held.retain(Client::is_open);
-        most = most.max(held.len());
+        open.retain(Client::is_open);
+        most = most.max(open.len());
     }
     most
 }
@@ -271,8 +271,8 @@
 #[test]
 fn clients_that_never_close_keep_no_further_client_out() {
     let (server, _discovery, node) = node_with_descriptor_limit(96);
-    let most = most_held(&node, 200);
-    assert!((8..=16).contains(&most), "{most} of 32 connections held by clients that don't use them");
+    let most = max_open_connections(&node, 200);
+    assert!((8..=16).contains(&most), "{most} of 32 connections taken by clients that don't use them");
     assert_eq!(server.request_count(), 200);
 }
 
@@ -281,8 +281,8 @@
 fn clients_that_never_close_and_a_silent_flood_keep_no_client_out() {
     let (server, _discovery, node) = node_with_descriptor_limit(96);
     let _flood: Vec<_> = (0..100).map(|_| node.client()).collect();
-    let most = most_held(&node, 100);
-    assert!(most <= 16, "{most} of 32 connections held by clients that don't use them");
+    let most = max_open_connections(&node, 100);
+    assert!(most <= 16, "{most} of 32 connections taken by clients that don't use them");
     assert_eq!(server.request_count(), 100);
 }
 
@@ -336,7 +336,7 @@
     assert_eq!(server.request_count(), 0);
 }
 
-/// Connections that nobody uses held all idle connections that are kept, against those of later clients.
+/// Unused connections took up the whole limit of idle connections, so those of later clients were closed.
 #[test]
 fn the_longest_idle_connection_is_closed_for_one_just_used() {
     let (_server, _discovery, node) = node_with_descriptor_limit(42);
--- a/crates/cache-balancer/tests/common/discovery.rs
+++ b/crates/cache-balancer/tests/common/discovery.rs
@@ -14,6 +14,11 @@
     body: String,
 }
 
+/// A snapshot of this version, as discovery sends it.
+pub fn snapshot(version: u64, endpoints: &[Value]) -> String {
+    json!({"seq": version, "whole": true, "hosts": endpoints}).to_string()
+}
+
 /// A stand-in discovery service on loopback that serves one endpoint list to all nodes.
 pub struct Discovery {
     /// The address on which it listens.
@@ -33,7 +38,7 @@
     pub fn start_at(address: SocketAddr, endpoints: &[Value]) -> Self {
         let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap();
-        let body = json!({"seq": 1, "whole": true, "hosts": endpoints}).to_string();
+        let body = snapshot(1, endpoints);
         let current = Arc::new((Mutex::new(CurrentResponse { seq: 1, body }), Condvar::new()));
         let received: Arc<Mutex<Vec<String>>> = Arc::default();
         let (shared_response, received_paths) = (current.clone(), received.clone());
--- a/crates/cache-balancer/tests/common/mod.rs
+++ b/crates/cache-balancer/tests/common/mod.rs
@@ -15,6 +15,7 @@
 mod http;
 mod manager;
 mod node;
+mod operator_file;
 mod program;
 mod wait;
 
@@ -25,5 +26,6 @@
 pub use http::*;
 pub use manager::*;
 pub use node::*;
+pub use operator_file::*;
 pub use program::*;
 pub use wait::*;
--- a/crates/cache-balancer/tests/common/node.rs
+++ b/crates/cache-balancer/tests/common/node.rs
@@ -5,7 +5,7 @@
 use super::discovery::Discovery;
 use super::files::{write_config, TempDir};
 use super::http::{read_request, Message};
-use super::program::command;
+use super::program::{command, wait_for_exit};
 use super::wait::wait_for;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
@@ -122,12 +122,7 @@
 
     /// Waits until the process has exited and returns its exit status.
     pub fn exit_status(mut self) -> ExitStatus {
-        let mut status = None;
-        wait_for("the node's exit", || {
-            status = self.child.try_wait().unwrap();
-            status.is_some()
-        });
-        status.unwrap()
+        wait_for_exit(&mut self.child)
     }
 }
 
--- a/crates/cache-balancer/tests/common/program.rs
+++ b/crates/cache-balancer/tests/common/program.rs
@@ -1,7 +1,7 @@
 //! Runs of the program as a command.
 
-use super::wait::TIMEOUT;
-use std::process::{Command, Output, Stdio};
+use super::wait::{wait_for, TIMEOUT};
+use std::process::{Child, Command, ExitStatus, Output, Stdio};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -34,6 +34,16 @@
     command().args(arguments).output().unwrap()
 }
 
+/// Waits until a process has exited, and returns its exit status.
+pub fn wait_for_exit(child: &mut Child) -> ExitStatus {
+    let mut status = None;
+    wait_for("the exit of the process", || {
+        status = child.try_wait().unwrap();
+        status.is_some()
+    });
+    status.unwrap()
+}
+
 /// Output as text; panics if it is not UTF-8.
 pub fn utf8(bytes: &[u8]) -> &str {
     std::str::from_utf8(bytes).unwrap()
--- a/crates/cache-balancer/tests/departures.rs
+++ b/crates/cache-balancer/tests/departures.rs
@@ -74,7 +74,7 @@
 }
 
 /// A client was not seen to disconnect because of what it had pipelined: bytes of a next request, many
-/// requests, or more than the node keeps. The end of its stream stood behind bytes that nobody read.
+/// requests, or more than the node keeps. The end of its stream stood behind unread bytes.
 #[test]
 fn a_disconnection_is_seen_behind_whatever_was_pipelined() {
     let (server, gate) = CacheServer::gated("value");
@@ -92,8 +92,8 @@
     gate.open();
     // Nothing of what they pipelined has been forwarded: the next request is the next one there.
     assert_eq!(node.read("read", 0xffff).status(), 200);
-    let asked = server.received.lock().unwrap();
-    let ids: Vec<_> = asked.iter().map(|message| message.header("req-id").unwrap().to_owned()).collect();
+    let received = server.received.lock().unwrap();
+    let ids: Vec<_> = received.iter().map(|message| message.header("req-id").unwrap().to_owned()).collect();
     assert_eq!(ids, ["1", "2", "3", "4", "5", "ffff"]);
 }
 
--- a/crates/cache-balancer/tests/descriptors.rs
+++ b/crates/cache-balancer/tests/descriptors.rs
@@ -15,11 +15,11 @@
 /// A node that the system lets hold no more descriptors than its configuration says, with an endpoint list
 /// and a discovery that is not there yet.
 fn bounded(discovery: SocketAddr, servers: &[CacheServer]) -> Node {
-    let entries = servers.iter().enumerate();
-    let entries: Vec<_> = entries.map(|(i, server)| server.entry(&format!("s-1{i}"), "ready")).collect();
+    let endpoints = servers.iter().enumerate();
+    let endpoints: Vec<_> = endpoints.map(|(i, server)| server.entry(&format!("s-1{i}"), "ready")).collect();
     let mut config = config(discovery);
     config["limits"]["sockets"] = json!(DESCRIPTORS);
-    config["known"] = json!({"seq": 0, "whole": true, "hosts": entries});
+    config["known"] = json!({"seq": 0, "whole": true, "hosts": endpoints});
     let path = write_config(&config.to_string());
     let program = command().get_program().to_owned();
     let mut bounded = Command::new("sh");
@@ -51,7 +51,7 @@
     assert_eq!(node.get("/healthz").status(), 200);
     assert_eq!(node.read("read", 0xffff).status(), 200);
     assert_eq!(second.request_count(), before + 1);
-    let failed = node.log.lock().unwrap().iter().filter(|line| line.contains("os error 24")).count();
+    let failed = node.logged("os error 24");
     assert_eq!(failed, 0, "a descriptor was needed and there was none");
 }
 
@@ -71,8 +71,8 @@
         rest.push(node.client());
         rest.push(node.client());
     }
-    let entries = [second.entry("s-2", "ready")];
-    move_discovery(&node, Discovery::start_at(away, &entries), &second, 0);
+    let endpoints = [second.entry("s-2", "ready")];
+    move_discovery(&node, Discovery::start_at(away, &endpoints), &second, 0);
     drop(rest);
 }
 
@@ -83,9 +83,9 @@
     // A number at which none of them is overloaded.
     let servers: Vec<_> = (0..8)
         .map(|_| {
-            let held = gate.clone();
+            let opened = gate.clone();
             CacheServer::start(move |_| {
-                held.wait();
+                opened.wait();
                 ServerBehavior::Respond(response("200 OK", "", "value"))
             })
         })
@@ -97,12 +97,12 @@
     for (key, client) in (1..).zip(&mut waiting) {
         client.send(&read_request("read", key, 60_000));
     }
-    let asked = || servers.iter().map(CacheServer::request_count).sum::<usize>();
-    wait_for("an attempt for every connection", || asked() >= CONNECTIONS);
+    let received = || servers.iter().map(CacheServer::request_count).sum::<usize>();
+    wait_for("an attempt for every connection", || received() >= CONNECTIONS);
     let discovery = Discovery::start_at(away, &[second.entry("s-2", "ready")]);
     discovery.wait_until_notified(1);
     assert!(descriptors(&node) <= DESCRIPTORS);
-    assert_eq!(asked(), CONNECTIONS, "the other requests wait in the system's queue");
+    assert_eq!(received(), CONNECTIONS, "the other requests wait in the system's queue");
     gate.open();
     // Those that waited in the queue may be rejected: all come at once to the one server that is left.
     let answers: Vec<_> =
--- a/crates/cache-balancer/tests/fleet.rs
+++ b/crates/cache-balancer/tests/fleet.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::{command, read_request, unique_address, wait_for, CacheServer, Client, TempDir, TIMEOUT};
+use common::{
+    command, read_request, unique_address, wait_for, CacheServer, Client, TempDir, READ_CLASS, TIMEOUT,
+};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, ChildStdin, Command, Stdio};
@@ -10,8 +12,6 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
-
 /// A running fleet; it is killed with the test.
 struct Fleet {
     child: Child,
@@ -25,9 +25,12 @@
 
 fn lines(from: impl std::io::Read + Send + 'static) -> Arc<Mutex<Vec<String>>> {
     let lines: Arc<Mutex<Vec<String>>> = Arc::default();
-    let kept = lines.clone();
+    let collected = lines.clone();
     std::thread::spawn(move || {
-        BufReader::new(from).lines().map_while(Result::ok).for_each(|line| kept.lock().unwrap().push(line));
+        BufReader::new(from)
+            .lines()
+            .map_while(Result::ok)
+            .for_each(|line| collected.lock().unwrap().push(line));
     });
     lines
 }
@@ -37,7 +40,7 @@
         let (folder, first) = (TempDir::new(), unique_address());
         let text = format!(
             "version = 1\nname = \"n\"\n[hand_over]\nsocket = \"any\"\nprobation = \"100ms\"\n[[listener]]\nname = \"clients\"\naddress = \"{first}\"\n[[pool]]\nname = \"p\"\n\
-             [[pool.server]]\nname = \"box\"\naddress = \"{}\"\n{CLASS}",
+             [[pool.server]]\nname = \"box\"\naddress = \"{}\"\n{READ_CLASS}",
             server.address
         );
         let config = folder.write("cache-balancer.toml", &text);
@@ -58,8 +61,8 @@
         writeln!(self.commands, "{command}").unwrap();
     }
 
-    fn logged(&self, words: &str) -> usize {
-        self.log.lock().unwrap().iter().filter(|line| line.contains(words)).count()
+    fn logged(&self, text: &str) -> usize {
+        self.log.lock().unwrap().iter().filter(|line| line.contains(text)).count()
     }
 
     fn address(&self, instance: u16) -> SocketAddr {
@@ -97,13 +100,8 @@
         self.state().into_iter().map(|[state, ..]| state).collect()
     }
 
-    fn exit(&mut self) -> std::process::ExitStatus {
-        let mut status = None;
-        wait_for("the fleet's end", || {
-            status = self.child.try_wait().unwrap();
-            status.is_some()
-        });
-        status.unwrap()
+    fn exit_status(&mut self) -> std::process::ExitStatus {
+        common::wait_for_exit(&mut self.child)
     }
 }
 
@@ -136,7 +134,7 @@
     assert_eq!((&after[0], &after[2]), (&before[0], &before[2]));
     assert_eq!(fleet.read(1, "read"), 200);
     fleet.command("stop");
-    assert!(fleet.exit().success());
+    assert!(fleet.exit_status().success());
     assert!((0..3).all(|instance| TcpStream::connect(fleet.address(instance)).is_err()));
 }
 
@@ -215,7 +213,7 @@
 #[test]
 fn a_file_that_makes_no_fleet_is_named_and_starts_nothing() {
     let folder = TempDir::new();
-    let rest = format!("[[pool]]\nname = \"p\"\ndiscovery = \"127.0.0.1:1\"\n{CLASS}");
+    let rest = format!("[[pool]]\nname = \"p\"\ndiscovery = \"127.0.0.1:1\"\n{READ_CLASS}");
     let listener =
         |name: &str, port: u16| format!("[[listener]]\nname = \"{name}\"\naddress = \"127.0.0.1:{port}\"\n");
     for (listeners, why) in [
@@ -229,9 +227,9 @@
         let config = folder.write("cache-balancer.toml", &format!("version = 1\n{listeners}{rest}"));
         let mut command = command();
         command.args(["fleet", "--instances", "3", "--config"]).arg(config).stdin(Stdio::null());
-        let ended = common::output_before_timeout(command);
-        let said = String::from_utf8(ended.stderr).unwrap();
-        assert!(ended.status.code() == Some(2) && said.contains(why), "{why}: {said}");
-        assert!(!said.contains("started"), "{said}");
+        let output = common::output_before_timeout(command);
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert!(output.status.code() == Some(2) && stderr.contains(why), "{why}: {stderr}");
+        assert!(!stderr.contains("started"), "{stderr}");
     }
 }
--- a/crates/cache-balancer/tests/handover.rs
+++ b/crates/cache-balancer/tests/handover.rs
@@ -32,10 +32,10 @@
 #[test]
 fn the_predecessor_finishes_its_requests_and_the_successor_has_its_state() {
     let gate = Gate::default();
-    let held = gate.clone();
-    let good = CacheServer::start(move |asked| {
-        if asked.header("req-id") == Some("ff") {
-            held.wait();
+    let opened = gate.clone();
+    let good = CacheServer::start(move |request| {
+        if request.header("req-id") == Some("ff") {
+            opened.wait();
         }
         common::ServerBehavior::Respond(common::response("200 OK", "", "good"))
     });
@@ -55,7 +55,7 @@
     assert_eq!(idle.request(&read_request("read", 0x100, 20_000)).body, b"good");
     out.send(&read_request("read", 0xff, 20_000));
     wait_for("the request", || {
-        good.received.lock().unwrap().iter().any(|asked| asked.header("req-id") == Some("ff"))
+        good.received.lock().unwrap().iter().any(|request| request.header("req-id") == Some("ff"))
     });
     let successor = fixture.start();
     wait_for("the hand-over", || predecessor.logged("stands by: its successor serves, on probation") == 1);
@@ -186,10 +186,10 @@
     assert!(UnixStream::connect(fixture.folder.0.join("m.sock")).is_ok());
     let far = fixture.folder.write("far.toml", &good.replace("n.sock", &"n".repeat(90)));
     let checked = command().arg("check").arg(far).output().unwrap();
-    let said = String::from_utf8(checked.stderr).unwrap();
+    let stderr = String::from_utf8(checked.stderr).unwrap();
     assert!(
-        said.contains("hand_over.socket: expected the path of a Unix socket, of up to 80 bytes"),
-        "{said}"
+        stderr.contains("hand_over.socket: expected the path of a Unix socket, of up to 80 bytes"),
+        "{stderr}"
     );
 }
 
--- a/crates/cache-balancer/tests/handover_probation.rs
+++ b/crates/cache-balancer/tests/handover_probation.rs
@@ -131,15 +131,15 @@
         assert_eq!(fixture.read(key), b"a");
     }
     // New connections are kept open again.
-    let mut kept = Client::connect(fixture.address);
-    assert_eq!(kept.request(&read_request("read", 21, 20_000)).header("connection"), None);
-    let mut said = Vec::new();
+    let mut reused = Client::connect(fixture.address);
+    assert_eq!(reused.request(&read_request("read", 21, 20_000)).header("connection"), None);
+    let mut notifications = Vec::new();
     let main = format!("MAINPID={}", predecessor.child.id());
-    while !said.ends_with(&["READY=1".to_owned()]) || !said.contains(&main) {
-        said.push(common::receive_notification(&notify));
+    while !notifications.ends_with(&["READY=1".to_owned()]) || !notifications.contains(&main) {
+        notifications.push(common::receive_notification(&notify));
     }
     let status = "STATUS=serving: the successor has died, and its clients were taken back";
-    assert!(said.iter().any(|word| word == status), "{said:?}");
+    assert!(notifications.iter().any(|notification| notification == status), "{notifications:?}");
     assert_eq!(predecessor.get("/healthz").status(), 200);
     // The next successor is accepted.
     let successor = fixture.take_over(&predecessor);
@@ -163,11 +163,11 @@
         predecessor.logged("no successor is started: two died while they served") == 1
     });
     let output = output_before_timeout(fixture.command());
-    let said = String::from_utf8(output.stderr).unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        said.contains("did not hand over: two successors have died with clients in their hands"),
-        "{said}"
+        stderr.contains("did not hand over: two successors have died with clients in their hands"),
+        "{stderr}"
     );
     assert_eq!(fixture.read(1), b"a");
     wait_for("the end of the bar", || {
--- a/crates/cache-balancer/tests/handover_successor.rs
+++ b/crates/cache-balancer/tests/handover_successor.rs
@@ -75,9 +75,12 @@
         node.join().unwrap()
     });
     assert_eq!(output.status.code(), Some(1));
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert!(said.contains("cache-balancer: the predecessor goes on by itself: a change of mind"), "{said}");
-    assert!(!said.contains("listens on"), "{said}");
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert!(
+        stderr.contains("cache-balancer: the predecessor goes on by itself: a change of mind"),
+        "{stderr}"
+    );
+    assert!(!stderr.contains("listens on"), "{stderr}");
     // What is no offer is named in the error.
     for (bytes, why) in [
         (b"HTTP".to_vec(), "byte 0 of a frame: expected \"PHHO\""),
@@ -92,8 +95,8 @@
             drop(peer);
             node.join().unwrap()
         });
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert!(output.status.code() == Some(1) && said.contains(why), "{why}: {said}");
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert!(output.status.code() == Some(1) && stderr.contains(why), "{why}: {stderr}");
     }
 }
 
--- a/crates/cache-balancer/tests/handover_support/mod.rs
+++ b/crates/cache-balancer/tests/handover_support/mod.rs
@@ -5,7 +5,8 @@
 pub mod scripted;
 
 use super::common::{
-    command, read_request, unique_address, wait_for, CacheServer, Client, Node, TempDir, TIMEOUT,
+    command, read_request, server_table, unique_address, wait_for, CacheServer, Client, Node, TempDir,
+    READ_CLASS, TIMEOUT,
 };
 use scripted::{Peer, REQUEST};
 use std::net::SocketAddr;
@@ -16,8 +17,6 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// A request class of an operator's file.
-const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
 /// Settings of a hand-over, for the begin of an operator's file.
 pub const HANDOVER_SETTINGS: &str = "[hand_over]\nsocket = \"n.sock\"\nprobation = \"100ms\"\nbar = \"1s\"\n";
 
@@ -39,7 +38,7 @@
         let folder = TempDir::new();
         let text = format!(
             "version = 1\n{HANDOVER_SETTINGS}within = \"{within}\"\n[[listener]]\nname = \"clients\"\n\
-             address = \"{address}\"\n[[pool]]\nname = \"p\"\n{pool}{CLASS}"
+             address = \"{address}\"\n[[pool]]\nname = \"p\"\n{pool}{READ_CLASS}"
         );
         Self { folder, text, address }
     }
@@ -119,7 +118,7 @@
 
 /// A pool of an operator's file with this server as its only, static endpoint.
 pub fn static_pool(server: &CacheServer) -> String {
-    format!("[[pool.server]]\nname = \"box\"\naddress = \"{}\"\n", server.address)
+    server_table("box", server)
 }
 
 /// Clients that send one request after the other until they are stopped. Half of them reuse a connection until the
--- a/crates/cache-balancer/tests/lifecycle.rs
+++ b/crates/cache-balancer/tests/lifecycle.rs
@@ -10,11 +10,11 @@
 #[test]
 fn a_terminated_node_finishes_its_requests_and_exits_with_success() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
-    let held = gate.clone();
-    let server = CacheServer::start(move |asked| {
-        if asked.header("req-id") == Some("1") {
-            let open = held.0.lock().unwrap();
-            drop(held.1.wait_timeout_while(open, TIMEOUT, |open| !*open).unwrap());
+    let opened = gate.clone();
+    let server = CacheServer::start(move |request| {
+        if request.header("req-id") == Some("1") {
+            let open = opened.0.lock().unwrap();
+            drop(opened.1.wait_timeout_while(open, TIMEOUT, |open| !*open).unwrap());
         }
         ServerBehavior::Respond(response("200 OK", "", "value"))
     });
@@ -76,9 +76,9 @@
         if let Some(path) = &path {
             command.env("LB_CONFIG", path);
         }
-        let ended = command.output().unwrap();
-        let error = String::from_utf8(ended.stderr).unwrap();
-        assert!(!ended.status.success(), "{path:?}");
+        let output = command.output().unwrap();
+        let error = String::from_utf8(output.stderr).unwrap();
+        assert!(!output.status.success(), "{path:?}");
         assert_eq!(error.lines().count(), 1, "{error}");
         assert!(error.starts_with("cache-balancer: "), "{error}");
     }
@@ -102,7 +102,7 @@
         ("limits/most_tries", json!("many"), "settings.limits.most_tries: expected a whole number from 1 up, found \"many\""),
         ("limits/second_copies", json!("perhaps"), "settings.limits.second_copies: expected true or false, found \"perhaps\""),
     ];
-    for (path, value, words) in cases {
+    for (path, value, message) in cases {
         let mut broken = good.clone();
         *broken["settings"].pointer_mut(&format!("/{path}")).unwrap_or(&mut json!(null)) = value.clone();
         // Some are in no configuration of these tests.
@@ -112,10 +112,10 @@
         }
         let mut command = command();
         command.env("LB_CONFIG", write_config(&broken.to_string()));
-        let ended = output_before_timeout(command);
-        let error = String::from_utf8(ended.stderr).unwrap();
-        assert!(!ended.status.success(), "{path}");
-        assert_eq!(error, format!("cache-balancer: {words}\n"));
+        let output = output_before_timeout(command);
+        let error = String::from_utf8(output.stderr).unwrap();
+        assert!(!output.status.success(), "{path}");
+        assert_eq!(error, format!("cache-balancer: {message}\n"));
     }
     // A reload names the fault as well, and changes nothing.
     let server = CacheServer::serving("value");
@@ -123,8 +123,8 @@
     let good = config(discovery.address);
     let node = Node::start_ready(&good);
     node.reconfigure(&good.to_string().replace("\"effect\":\"keyed\"", "\"effect\":\"harmless\""));
-    let words = "configuration not taken: settings.lanes.2.effect: expected one of safe, keyed, unsafe";
-    assert_eq!(node.logged(words), 1);
+    let message = "configuration not taken: settings.lanes.2.effect: expected one of safe, keyed, unsafe";
+    assert_eq!(node.logged(message), 1);
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
@@ -164,11 +164,11 @@
         ["", "{\"name\":", "{}", &good.to_string().replace("8c1f30d27a5be964", "-")].iter().enumerate()
     {
         node.reload(text);
-        let said = || {
+        let rejections = || {
             let log = node.log.lock().unwrap();
             log.iter().filter(|line| line.starts_with("configuration not taken: ")).count()
         };
-        wait_for("a line in the log", || said() == i + 1);
+        wait_for("a line in the log", || rejections() == i + 1);
         assert_eq!(node.read("read", 1).status(), 200);
     }
     // The old watch goes on.
@@ -190,10 +190,10 @@
 #[test]
 fn a_terminated_node_at_capacity_answers_unaccepted_connections_too() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
-    let held = gate.clone();
+    let opened = gate.clone();
     let server = CacheServer::start(move |_| {
-        let open = held.0.lock().unwrap();
-        drop(held.1.wait_timeout_while(open, TIMEOUT, |open| !*open).unwrap());
+        let open = opened.0.lock().unwrap();
+        drop(opened.1.wait_timeout_while(open, TIMEOUT, |open| !*open).unwrap());
         ServerBehavior::Respond(response("200 OK", "", "value"))
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
--- a/crates/cache-balancer/tests/lists.rs
+++ b/crates/cache-balancer/tests/lists.rs
@@ -20,7 +20,7 @@
     for key in 0..5 {
         assert_eq!(node.read("read", key).body, b"old", "{text}");
     }
-    let good = json!({"seq": seq, "whole": true, "hosts": [new.entry("s-2", "ready")]});
+    let good = snapshot(seq, &[new.entry("s-2", "ready")]);
     discovery.notify_text(good.to_string());
     discovery.wait_until_notified(seq);
     for key in 0..5 {
@@ -28,12 +28,8 @@
     }
 }
 
-fn snapshot(seq: u64, hosts: &[Value]) -> String {
-    json!({"seq": seq, "whole": true, "hosts": hosts}).to_string()
-}
-
 #[test]
-fn the_error_in_a_malformed_list_is_logged_and_the_held_list_stays() {
+fn the_error_in_a_malformed_list_is_logged_and_the_current_list_stays() {
     rejects("", "not a list: EOF while parsing", 7);
     rejects(r#"{"seq":2,"whole":true,"hosts":[OLD"#, "not a list: ", 7);
     rejects(r#"{"seq":2,"whole":true,"hosts":[{"dial":null}]}"#, "hosts[0]: missing field `host`", 7);
@@ -82,10 +78,10 @@
 /// A discovery that answers the first request with a snapshot in which two servers are ready, and later ones as `then`
 /// returns, which is given their number from 1.
 fn scripted(
-    hosts: [Value; 2],
+    endpoints: [Value; 2],
     then: impl Fn(usize) -> ServerBehavior + Send + Sync + 'static,
 ) -> CacheServer {
-    let first = response("200 OK", "", &snapshot(1, &hosts));
+    let first = response("200 OK", "", &snapshot(1, &endpoints));
     let calls = AtomicUsize::new(0);
     CacheServer::start(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
         0 => ServerBehavior::Respond(first.clone()),
@@ -99,10 +95,10 @@
     let (leaving, staying) = (CacheServer::serving("leaving"), CacheServer::serving("staying"));
     let text = text.replace("LEAVING", &leaving.entry("s-1", "draining").to_string());
     let shown = text.clone();
-    let hosts = [leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")];
+    let endpoints = [leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")];
     let both_used = std::sync::Arc::new(AtomicUsize::new(0));
     let may_answer = both_used.clone();
-    let discovery = scripted(hosts, move |call| {
+    let discovery = scripted(endpoints, move |call| {
         if call > 1 {
             return ServerBehavior::NoResponse;
         }
@@ -165,8 +161,8 @@
 #[test]
 fn a_stalled_answer_times_out_before_the_wait_of_its_watch() {
     let (one, two) = (CacheServer::serving("one"), CacheServer::serving("two"));
-    let hosts = [one.entry("s-1", "ready"), two.entry("s-2", "ready")];
-    let discovery = scripted(hosts, |call| match call {
+    let endpoints = [one.entry("s-1", "ready"), two.entry("s-2", "ready")];
+    let discovery = scripted(endpoints, |call| match call {
         1 => without_end(r#"{"seq":2,"#.into()),
         _ => ServerBehavior::NoResponse,
     });
@@ -174,9 +170,9 @@
     wait_for("the watch", || discovery.request_count() >= 2);
     let began = Instant::now();
     wait_for("the next poll", || discovery.request_count() >= 3);
-    let asked = discovery.received.lock().unwrap()[1].start_line.clone();
-    let wait = asked.split_once("wait_ms=").unwrap().1.split(' ').next().unwrap().parse().unwrap();
-    assert!(began.elapsed() < Duration::from_millis(wait), "{asked}");
+    let watch = discovery.received.lock().unwrap()[1].start_line.clone();
+    let wait = watch.split_once("wait_ms=").unwrap().1.split(' ').next().unwrap().parse().unwrap();
+    assert!(began.elapsed() < Duration::from_millis(wait), "{watch}");
 }
 
 /// One malformed entry makes an answer no list. The drain of another server in it counts as notified all the same.
@@ -192,10 +188,10 @@
 #[test]
 fn a_drain_from_a_damaged_answer_lasts_until_a_snapshot_differs() {
     let (one, two) = (CacheServer::serving("one"), CacheServer::serving("two"));
-    let hosts = [one.entry("s-1", "ready"), two.entry("s-2", "ready")];
+    let endpoints = [one.entry("s-1", "ready"), two.entry("s-2", "ready")];
     let damaged = format!(r#"{{"seq":2,"whole":false,"hosts":[{},"#, one.entry("s-1", "draining"));
-    let again = snapshot(2, &hosts);
-    let discovery = scripted(hosts.clone(), move |call| match call {
+    let again = snapshot(2, &endpoints);
+    let discovery = scripted(endpoints.clone(), move |call| match call {
         1 => broken_off(damaged.clone()),
         2 => ServerBehavior::Respond(response("200 OK", "", &again)),
         _ => ServerBehavior::NoResponse,
@@ -215,9 +211,9 @@
 #[test]
 fn an_agent_is_polled_again_and_again_also_after_it_was_silent() {
     let (leaving, staying) = (CacheServer::serving("leaving"), CacheServer::serving("staying"));
-    let hosts = [leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")];
+    let endpoints = [leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")];
     let drained = json!({"seq": 2, "whole": false, "hosts": [leaving.entry("s-1", "draining")]}).to_string();
-    let agent = scripted(hosts, move |call| match call {
+    let agent = scripted(endpoints, move |call| match call {
         // Silent, as it is while discovery is down, on every connection.
         1..=5 => ServerBehavior::NoResponse,
         6 => ServerBehavior::Respond(response("200 OK", "", &drained)),
@@ -236,9 +232,9 @@
 #[test]
 fn a_discovery_that_never_waits_is_not_polled_without_a_pause() {
     let server = CacheServer::serving("value");
-    let hosts = [server.entry("s-1", "ready"), server.entry("s-2", "ready")];
+    let endpoints = [server.entry("s-1", "ready"), server.entry("s-2", "ready")];
     let nothing = json!({"seq": 1, "whole": false, "hosts": []}).to_string();
-    let discovery = scripted(hosts, move |_| ServerBehavior::Respond(response("200 OK", "", &nothing)));
+    let discovery = scripted(endpoints, move |_| ServerBehavior::Respond(response("200 OK", "", &nothing)));
     let node = Node::start_ready(&config(discovery.address));
     wait_for("watches", || discovery.request_count() >= 3);
     let (before, mut client) = (discovery.request_count(), node.client());
--- a/crates/cache-balancer/tests/manager.rs
+++ b/crates/cache-balancer/tests/manager.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    command, output_before_timeout, read_request, wait_for, CacheServer, Client, Discovery, Node, TempDir,
-    TIMEOUT,
+    command, output_before_timeout, read_request, server_table, wait_for, CacheServer, Client, Discovery,
+    Node, TempDir, CLIENT_LISTENER, READ_CLASS, TIMEOUT,
 };
 use std::net::TcpListener;
 use std::os::fd::OwnedFd;
@@ -47,19 +47,16 @@
     }
 }
 
-const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
-const LISTENER: &str = "[[listener]]\nname = \"clients\"\naddress = \"127.0.0.1:0\"\n";
-
 fn discovered(discovery: &Discovery) -> String {
     format!(
-        "version = 1\n{LISTENER}[[pool]]\nname = \"records\"\ndiscovery = \"{}\"\n{CLASS}",
+        "version = 1\n{CLIENT_LISTENER}[[pool]]\nname = \"records\"\ndiscovery = \"{}\"\n{READ_CLASS}",
         discovery.address
     )
 }
 
-fn fixed(server: &CacheServer, listeners: &str) -> String {
-    let address = server.address;
-    format!("version = 1\n{listeners}[[pool]]\nname = \"records\"\n[[pool.server]]\nname = \"box\"\naddress = \"{address}\"\n{CLASS}")
+fn operator_file(server: &CacheServer, listeners: &str) -> String {
+    let table = server_table("box", server);
+    format!("version = 1\n{listeners}[[pool]]\nname = \"records\"\n{table}{READ_CLASS}")
 }
 
 #[test]
@@ -82,12 +79,12 @@
 #[test]
 fn the_watchdog_is_fed_while_the_node_works_and_only_if_requested() {
     let (manager, server) = (Manager::start(), CacheServer::serving("a"));
-    let (mut command, path) = manager.command(&fixed(&server, LISTENER));
+    let (mut command, path) = manager.command(&operator_file(&server, CLIENT_LISTENER));
     command.env("WATCHDOG_USEC", "100000");
     let node = Node::spawn(command, path);
     (0..3).for_each(|_| drop(manager.until("WATCHDOG=1")));
     drop(node);
-    let (command, path) = manager.command(&fixed(&server, LISTENER));
+    let (command, path) = manager.command(&operator_file(&server, CLIENT_LISTENER));
     let node = Node::spawn(command, path);
     let _ = manager.until("READY=1");
     node.terminate();
@@ -99,19 +96,19 @@
 fn a_manager_that_is_away_or_reads_nothing_delays_no_request() {
     let server = CacheServer::serving("a");
     let away = Manager::start();
-    let (mut command, path) = away.command(&fixed(&server, LISTENER));
+    let (mut command, path) = away.command(&operator_file(&server, CLIENT_LISTENER));
     command.env("NOTIFY_SOCKET", away.folder.0.join("nobody"));
     let node = Node::spawn(command, path);
-    let told = || node.log.lock().unwrap().iter().filter(|line| line.contains("is not notified")).count();
-    wait_for("the failure in the log", || told() > 0);
+    let warnings = || node.logged("is not notified");
+    wait_for("the failure in the log", || warnings() > 0);
     assert_eq!(node.read("read", 1).body, b"a");
-    assert_eq!(told(), 1, "one line, however many notifications are lost");
+    assert_eq!(warnings(), 1, "one line, however many notifications are lost");
     // Its queue is full: a write to it blocks.
     let full = Manager::start();
     let filler = UnixDatagram::unbound().unwrap();
     filler.set_nonblocking(true).unwrap();
     while filler.send_to(b"X=1", full.folder.0.join("notify")).is_ok() {}
-    let (mut command, path) = full.command(&fixed(&server, LISTENER));
+    let (mut command, path) = full.command(&operator_file(&server, CLIENT_LISTENER));
     command.env("WATCHDOG_USEC", "2000");
     let node = Node::spawn(command, path);
     wait_for("the node's readiness", || node.get("/healthz").status() == 200);
@@ -163,14 +160,14 @@
 #[test]
 fn a_passed_socket_is_used_in_place_of_the_address() {
     let (manager, server) = (Manager::start(), CacheServer::serving("a"));
-    let two = format!("{LISTENER}{}", LISTENER.replace("clients", "others"));
-    for (listeners, name) in [(LISTENER, "cache-balancer.socket"), (&two, "others")] {
+    let two = format!("{CLIENT_LISTENER}{}", CLIENT_LISTENER.replace("clients", "others"));
+    for (listeners, name) in [(CLIENT_LISTENER, "cache-balancer.socket"), (&two, "others")] {
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = socket.local_addr().unwrap();
         // A client that came before the node: the kernel holds its connection.
         let mut early = Client::connect(address);
         early.send(&read_request("read", 1, 20_000));
-        let (command, path) = activated(&manager, &fixed(&server, listeners), socket, name);
+        let (command, path) = activated(&manager, &operator_file(&server, listeners), socket, name);
         let node = Node::spawn(command, path);
         assert_eq!(early.receive().expect("an answer").body, b"a", "{name}");
         assert_eq!(Client::connect(address).request(&read_request("read", 2, 20_000)).body, b"a");
@@ -182,16 +179,16 @@
 #[test]
 fn a_passed_socket_without_a_listener_is_named_and_fails_the_start() {
     let (manager, server) = (Manager::start(), CacheServer::serving("a"));
-    let two = format!("{LISTENER}{}", LISTENER.replace("clients", "others"));
+    let two = format!("{CLIENT_LISTENER}{}", CLIENT_LISTENER.replace("clients", "others"));
     for (names, expected) in [
         ("odd", "passed a socket \"odd\", and there is no listener of this name"),
         ("clients:clients", "passed two sockets \"clients\", and a listener has one address"),
     ] {
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (command, _) = activated(&manager, &fixed(&server, &two), socket, names);
-        let ended = output_before_timeout(command);
-        assert_eq!(ended.status.code(), Some(1));
-        let said = String::from_utf8(ended.stderr).unwrap();
-        assert!(said.contains(expected), "{said}");
+        let (command, _) = activated(&manager, &operator_file(&server, &two), socket, names);
+        let output = output_before_timeout(command);
+        assert_eq!(output.status.code(), Some(1));
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert!(stderr.contains(expected), "{stderr}");
     }
 }
--- a/crates/cache-balancer/tests/operator.rs
+++ b/crates/cache-balancer/tests/operator.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    command, output_before_timeout, read_request, response, start_with_operator_file, wait_for, CacheServer,
-    Client, Discovery, Node, ServerBehavior, TempDir,
+    command, output_before_timeout, read_request, response, server_table, start_with_operator_file, utf8,
+    wait_for, CacheServer, Client, Discovery, Node, ServerBehavior, TempDir,
 };
 use std::path::Path;
 use std::process::Output;
@@ -13,17 +13,9 @@
     command().arg("check").arg(path).output().unwrap()
 }
 
-fn text(bytes: &[u8]) -> &str {
-    std::str::from_utf8(bytes).unwrap()
-}
-
 const CLASS: &str =
     "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\nworth = 1.0\n";
 
-fn server_table(name: &str, server: &CacheServer) -> String {
-    format!("[[pool.server]]\nname = \"{name}\"\naddress = \"{}\"\n", server.address)
-}
-
 fn listener(name: &str) -> String {
     format!("[[listener]]\nname = \"{name}\"\naddress = \"127.0.0.1:0\"\n")
 }
@@ -32,8 +24,8 @@
 fn the_example_has_no_fault_and_shows_the_effective_configuration() {
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/cache-balancer.toml");
     let checked = check(&example);
-    assert!(checked.status.success(), "{}", text(&checked.stderr));
-    let effective = text(&checked.stdout);
+    assert!(checked.status.success(), "{}", utf8(&checked.stderr));
+    let effective = utf8(&checked.stdout);
     for line in [
         "name = \"n0\"",
         "nodes = 20",
@@ -46,7 +38,7 @@
     // The effective configuration is a file that reads as the same.
     let folder = TempDir::new();
     let again = check(&folder.write("effective.toml", effective));
-    assert_eq!(text(&again.stdout), effective, "{}", text(&again.stderr));
+    assert_eq!(utf8(&again.stdout), effective, "{}", utf8(&again.stderr));
 }
 
 /// A default could apply only if its table is in the file, or a path could mean another file once the effective
@@ -57,13 +49,13 @@
     let pool = "[[pool]]\nname = \"p\"\nfile = \"boxes.toml\"\n";
     folder.write("short.toml", &format!("version = 1\n{pool}{CLASS}"));
     let checked = command().current_dir(&folder.0).args(["check", "short.toml"]).output().unwrap();
-    let effective = text(&checked.stdout);
+    let effective = utf8(&checked.stdout);
     let boxes = format!("file = {:?}", folder.0.join("boxes.toml").display().to_string());
     for line in ["max_retry_after = \"2s\"", "second_copies = true", "address = \"127.0.0.1:7070\"", &boxes] {
         assert!(effective.lines().any(|other| other == line), "{line}\n{effective}");
     }
     let empty = folder.write("tables.toml", &format!("version = 1\n[limits]\n[servers]\n{pool}{CLASS}"));
-    assert_eq!(text(&check(&empty).stdout), effective);
+    assert_eq!(utf8(&check(&empty).stdout), effective);
 }
 
 #[test]
@@ -76,10 +68,10 @@
     let path = folder.write("few.toml", &few);
     let mut few = command();
     few.arg("run").arg("--config").arg(&path);
-    let ended = output_before_timeout(few);
-    assert_eq!(ended.status.code(), Some(1));
-    let said = text(&ended.stderr);
-    assert!(said.contains("40 descriptors leave no room to work beside 35 of the node's own"), "{said}");
+    let output = output_before_timeout(few);
+    assert_eq!(output.status.code(), Some(1));
+    let stderr = utf8(&output.stderr);
+    assert!(stderr.contains("40 descriptors leave no room to work beside 35 of the node's own"), "{stderr}");
     let many = format!("version = 1\n[limits]\ndescriptors = 65536\n{}{pool}{CLASS}", listener("l"));
     let path = folder.write("many.toml", &many);
     let script = "ulimit -n 256; exec \"$0\" run --config \"$1\"";
@@ -115,7 +107,7 @@
                 words.map(|word| if word.starts_with('/') { example.to_str().unwrap() } else { word });
             // With an unknown argument before it, `--help` would fail.
             let called = command().args(words).arg("--help").output().unwrap();
-            assert!(called.status.success(), "{call}: {}", text(&called.stderr));
+            assert!(called.status.success(), "{call}: {}", utf8(&called.stderr));
         }
     }
 }
@@ -128,7 +120,7 @@
     assert_eq!(checked.status.code(), Some(2), "{lines}");
     assert!(checked.stdout.is_empty());
     let place = format!("{}/", folder.0.display());
-    text(&checked.stderr).lines().map(|line| line.replacen(&place, "", 1)).collect()
+    utf8(&checked.stderr).lines().map(|line| line.replacen(&place, "", 1)).collect()
 }
 
 #[test]
@@ -199,10 +191,10 @@
     run.arg("run").arg("--config").arg(&path);
     let run = output_before_timeout(run);
     assert_eq!(run.status.code(), Some(1));
-    assert!(text(&run.stderr).contains("bad.toml:3: odd: unknown key"), "{}", text(&run.stderr));
+    assert!(utf8(&run.stderr).contains("bad.toml:3: odd: unknown key"), "{}", utf8(&run.stderr));
     let missing = check(&folder.0.join("none.toml"));
     assert_eq!(missing.status.code(), Some(2));
-    assert!(text(&missing.stderr).contains("none.toml: No such file"), "{}", text(&missing.stderr));
+    assert!(utf8(&missing.stderr).contains("none.toml: No such file"), "{}", utf8(&missing.stderr));
 }
 
 #[test]
@@ -271,7 +263,7 @@
     let node =
         start_with_operator_file(&folder, &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
     assert_eq!(node.read("read", 1).body, b"one");
-    let logged = |words: &str| node.log.lock().unwrap().iter().any(|line| line.contains(words));
+    let logged = |text: &str| node.logged(text) > 0;
     folder.write("boxes.toml", "version = 1\n[[server]]\nname = \"oth");
     wait_for("the fault in the log", || logged("boxes.toml:3: TOML: "));
     assert!(logged("list rejected; the one before stays in use"));
--- a/crates/cache-balancer/tests/operator_replicas.rs
+++ b/crates/cache-balancer/tests/operator_replicas.rs
@@ -2,18 +2,17 @@
 
 mod common;
 
-use common::{command, TempDir};
+use common::{command, TempDir, READ_CLASS};
 use std::net::SocketAddr;
 use std::path::Path;
 
-const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
 const CAPACITY: &str = "discovery_lines_per_second = 200\ndiscovery_call_lines = 10\n";
 /// The most replicas that a pool may name.
 const MAX_REPLICAS: u16 = 64;
 
 /// A file whose only pool has these lines, from line 5 on.
 fn file(lines: &str) -> String {
-    format!("version = 1\nname = \"n0\"\n[[pool]]\nname = \"p\"\n{lines}{CLASS}")
+    format!("version = 1\nname = \"n0\"\n[[pool]]\nname = \"p\"\n{lines}{READ_CLASS}")
 }
 
 /// A `discovery` that names these addresses, each on a line of its own.
--- a/crates/cache-balancer/tests/reload.rs
+++ b/crates/cache-balancer/tests/reload.rs
@@ -3,16 +3,14 @@
 mod common;
 
 use common::{
-    command, read_request, response, start_with_operator_file, wait_for, CacheServer, Client, Discovery,
-    Gate, Node, ServerBehavior, TempDir, TIMEOUT,
+    command, read_request, response, server_table, start_with_operator_file, wait_for, CacheServer, Client,
+    Discovery, Gate, Node, ServerBehavior, TempDir, CLIENT_LISTENER, TIMEOUT,
 };
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixDatagram;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-const CLIENTS: &str = "[[listener]]\nname = \"clients\"\naddress = \"127.0.0.1:0\"\n";
-
 fn class(name: &str, rest: &str) -> String {
     format!("[[class]]\nname = \"{name}\"\naim = \"5s\"\ndeadline = \"20s\"\n{rest}")
 }
@@ -22,15 +20,14 @@
 }
 
 fn pool(name: &str, servers: &[&CacheServer]) -> String {
-    let server = |(number, server): (usize, &&CacheServer)| {
-        format!("[[pool.server]]\nname = \"box-{number}\"\naddress = \"{}\"\n", server.address)
-    };
-    let servers: String = servers.iter().enumerate().map(server).collect();
+    let tables = servers.iter().enumerate();
+    let servers: String =
+        tables.map(|(number, server)| server_table(&format!("box-{number}"), server)).collect();
     format!("[[pool]]\nname = \"{name}\"\n{servers}")
 }
 
 fn file(parts: &[&str]) -> String {
-    format!("version = 1\n{CLIENTS}{}", parts.concat())
+    format!("version = 1\n{CLIENT_LISTENER}{}", parts.concat())
 }
 
 /// An address on which no process listens.
@@ -114,10 +111,10 @@
 #[test]
 fn a_pool_may_change_the_source_of_its_list_with_requests_in_flight() {
     let (gate, other) = (Gate::default(), CacheServer::serving("other"));
-    let held = gate.clone();
-    let slow = CacheServer::start(move |asked| {
-        if asked.header("req-id") == Some("1") {
-            held.wait();
+    let opened = gate.clone();
+    let slow = CacheServer::start(move |request| {
+        if request.header("req-id") == Some("1") {
+            opened.wait();
         }
         ServerBehavior::Respond(response("200 OK", "", "slow"))
     });
@@ -151,7 +148,11 @@
     let good = CacheServer::serving("good");
     let folder = TempDir::new();
     let text = |nodes: u32| {
-        format!("version = 1\nnodes = {nodes}\n{CLIENTS}{}{}", pool("p", &[&broken, &good]), safe("read"))
+        format!(
+            "version = 1\nnodes = {nodes}\n{CLIENT_LISTENER}{}{}",
+            pool("p", &[&broken, &good]),
+            safe("read")
+        )
     };
     let node = start_with_operator_file(&folder, &text(1));
     for key in 0..60 {
@@ -215,8 +216,8 @@
         (file(&[&listener, &pool, &safe("new")]), &format!("cannot listen on {occupied}: ")),
         (
             format!(
-                "version = 1\n[limits]\ndescriptors = 32\n{CLIENTS}{}{pool}{}",
-                CLIENTS.replace("clients", "more"),
+                "version = 1\n[limits]\ndescriptors = 32\n{CLIENT_LISTENER}{}{pool}{}",
+                CLIENT_LISTENER.replace("clients", "more"),
                 safe("new")
             ),
             "descriptors leave no room to work",
@@ -239,7 +240,7 @@
 fn more_descriptors_are_used_at_once_and_fewer_end_no_request() {
     let (server, gate) = CacheServer::gated("a");
     let folder = TempDir::new();
-    let rest = format!("{CLIENTS}{}{}", pool("p", &[&server]), safe("read"));
+    let rest = format!("{CLIENT_LISTENER}{}{}", pool("p", &[&server]), safe("read"));
     let with = |descriptors: u32| format!("version = 1\n[limits]\ndescriptors = {descriptors}\n{rest}");
     // Capacity for four requests.
     let node = start_with_operator_file(&folder, &with(32));
@@ -262,7 +263,7 @@
     let folder = TempDir::new();
     let rest = |turn: u32| {
         let limits = format!("[limits]\nmax_attempts = {}\n", 1 + turn % 9);
-        format!("version = 1\n{CLIENTS}{limits}{}{}", pool("p", &[&server]), safe("read"))
+        format!("version = 1\n{CLIENT_LISTENER}{limits}{}{}", pool("p", &[&server]), safe("read"))
     };
     let node = Arc::new(start_with_operator_file(&folder, &rest(1)));
     let over = Arc::new(AtomicBool::new(false));
@@ -297,7 +298,7 @@
         .lock()
         .unwrap()
         .iter()
-        .map(|asked| asked.header("req-id").unwrap().to_owned())
+        .map(|request| request.header("req-id").unwrap().to_owned())
         .collect();
     assert_eq!((server.request_count() as u64, keys.len() as u64), (answers + 1, answers + 1));
     assert!(node.logged("configuration read again: ") > 0);
--- a/crates/cache-balancer/tests/reload_replicas.rs
+++ b/crates/cache-balancer/tests/reload_replicas.rs
@@ -2,16 +2,15 @@
 
 mod common;
 
-use common::{start_with_operator_file, wait_for, CacheServer, Discovery, Node, TempDir};
+use common::{start_with_operator_file, wait_for, CacheServer, Discovery, Node, TempDir, READ_CLASS};
 use std::net::SocketAddr;
 
 const CLIENTS: &str = "[[listener]]\nname = \"clients\"\naddress = \"127.0.0.1:0\"\n";
-const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
 const CAPACITY: &str = "discovery_lines_per_second = 200\ndiscovery_call_lines = 10\n";
 
 /// A file whose only pool has these lines, from line 5 on.
 fn file(lines: &str) -> String {
-    format!("version = 1\nname = \"n0\"\n[[pool]]\nname = \"p\"\n{lines}{CLASS}{CLIENTS}")
+    format!("version = 1\nname = \"n0\"\n[[pool]]\nname = \"p\"\n{lines}{READ_CLASS}{CLIENTS}")
 }
 
 /// A `discovery` that names these addresses, each on a line of its own.
@@ -59,7 +58,7 @@
     replicas.iter().map(|replica| replica.address).collect()
 }
 
-/// If the good half of a faulty file took effect, the node would run with a configuration that nobody wrote.
+/// If the good half of a faulty file took effect, the node would run with a configuration that is in no file.
 #[test]
 fn a_faulty_reload_is_logged_and_changes_nothing() {
     let (server, other) = (CacheServer::serving("a"), CacheServer::serving("b"));
@@ -129,8 +128,8 @@
     let without = list(&addresses(&replicas));
     node.reconfigure(&file(&format!("{without}{CAPACITY}")));
     node.reconfigure(&file(&without));
-    for words in ["discovery of 200 lines a second and 10 a call", "discovery of unknown capacity"] {
-        assert_eq!(node.logged(&format!("configuration read again: pool p: {words}")), 1, "{words}");
+    for message in ["discovery of 200 lines a second and 10 a call", "discovery of unknown capacity"] {
+        assert_eq!(node.logged(&format!("configuration read again: pool p: {message}")), 1, "{message}");
     }
     still_watches(&node, &replicas, current);
 }
--- a/crates/cache-balancer/tests/replicas.rs
+++ b/crates/cache-balancer/tests/replicas.rs
@@ -12,16 +12,14 @@
 use std::thread;
 use std::time::Duration;
 
-const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
-const LISTENER: &str = "[[listener]]\nname = \"clients\"\naddress = \"127.0.0.1:0\"\n";
 /// The number of bytes that an answer which breaks off announces beyond what it sends.
 const MISSING: usize = 1_000;
 
-/// How a replica answers.
+/// The behavior of a stand-in replica.
 #[derive(Clone)]
 enum ReplicaBehavior {
     /// With this snapshot; watches wait until the list changes.
-    Lists { version: u64, hosts: Vec<Value> },
+    Lists { version: u64, endpoints: Vec<Value> },
     /// With these bytes, whatever was requested.
     Sends(String),
     /// With the beginning of an answer; then it closes the connection.
@@ -51,8 +49,8 @@
         self.behavior.1.notify_all();
     }
 
-    fn lists(&self, version: u64, hosts: &[Value]) {
-        self.set(ReplicaBehavior::Lists { version, hosts: hosts.to_vec() });
+    fn lists(&self, version: u64, endpoints: &[Value]) {
+        self.set(ReplicaBehavior::Lists { version, endpoints: endpoints.to_vec() });
     }
 }
 
@@ -87,7 +85,7 @@
         let addresses: Vec<_> =
             replicas.iter().map(|&place| format!("\"{}\"", self.replicas[place].address)).collect();
         let pool = format!("[[pool]]\nname = \"p\"\ndiscovery = [{}]\n", addresses.join(", "));
-        format!("version = 1\nname = \"{node}\"\n[servers]\ncold_share = 1.0\n{LISTENER}{pool}{CLASS}")
+        format!("version = 1\nname = \"{node}\"\n[servers]\ncold_share = 1.0\n{CLIENT_LISTENER}{pool}{READ_CLASS}")
     }
 
     fn calls(&self) -> Vec<(usize, String)> {
@@ -151,7 +149,7 @@
                 }
                 json!({"seq": version, "whole": false, "hosts": []}).to_string()
             }
-            ReplicaBehavior::Lists { version, hosts } => snapshot(version, &hosts),
+            ReplicaBehavior::Lists { version, endpoints } => snapshot(version, &endpoints),
             ReplicaBehavior::Sends(text) => text,
             ReplicaBehavior::SendsSlowly { list, takes } => {
                 thread::sleep(takes);
@@ -175,13 +173,9 @@
     }
 }
 
-fn snapshot(version: u64, hosts: &[Value]) -> String {
-    json!({"seq": version, "whole": true, "hosts": hosts}).to_string()
-}
-
 /// A list without its end.
-fn beginning(version: u64, hosts: &[Value]) -> String {
-    let list = snapshot(version, hosts);
+fn beginning(version: u64, endpoints: &[Value]) -> String {
+    let list = snapshot(version, endpoints);
     list.trim_end_matches("]}").to_owned() + ",{\"host\":\"s-"
 }
 
@@ -214,8 +208,8 @@
     }
 }
 
-fn lists(version: u64, hosts: &[Value]) -> ReplicaBehavior {
-    ReplicaBehavior::Lists { version, hosts: hosts.to_vec() }
+fn lists(version: u64, endpoints: &[Value]) -> ReplicaBehavior {
+    ReplicaBehavior::Lists { version, endpoints: endpoints.to_vec() }
 }
 
 #[test]
@@ -249,7 +243,7 @@
     assert_eq!(servers.sent_to_leaving(&node, 1_000), 0);
     let calls = service.calls();
     let lists = calls.iter().filter(|(_, path)| path == "/v1/servers").count();
-    assert_eq!(lists, 1, "the held list stays valid: {calls:?}");
+    assert_eq!(lists, 1, "the current list stays valid: {calls:?}");
     assert_eq!(service.calls_to(2).len(), 0);
     assert_eq!(node.logged(&format!("discovery at {}: list rejected", service.replicas[0].address)), 1);
 }
@@ -452,7 +446,7 @@
     service.wait_for_watch(0, 8);
     assert_eq!(service.calls().len(), before.len() + 1, "the same watch, and the next one");
     assert_eq!(servers.sent_to_leaving(&node, 1_000), 0);
-    // Another replica remains: it is polled for changes after the held version.
+    // Another replica remains: it is polled for changes after the current version.
     service.replicas[2].lists(8, &servers.one_drains());
     service.replicas[3].lists(8, &servers.one_drains());
     node.reconfigure(&service.file_of("n0", &[2, 3]));
--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -64,7 +64,7 @@
     async fn wait_for_requests(&self, requests: u64) {
         let (start, enough) = (Instant::now(), self.nodes.requests() + requests);
         while self.nodes.requests() < enough {
-            assert!(start.elapsed() < TIMEOUT, "waited in vain for {requests} requests");
+            assert!(start.elapsed() < TIMEOUT, "timed out waiting for {requests} requests");
             sleep(Duration::from_millis(5)).await;
         }
     }
@@ -88,11 +88,11 @@
 }
 
 /// Each request has one outcome.
-fn assert_accounted(report: &RealReport, asked: u64) {
+fn assert_accounted(report: &RealReport, sent: u64) {
     let answers = report.served + report.refused + report.failed + report.unanswered;
     assert_eq!(report.requests, answers, "{report:#?}");
     // A request that was not accepted met no node.
-    assert!(report.requests <= asked, "{report:#?}");
+    assert!(report.requests <= sent, "{report:#?}");
     assert!(report.attempts >= report.served, "{report:#?}");
     assert_eq!((report.turned_away, report.nodes.len()), (0, NODES as usize));
     assert!(!report.load_ran_out);
@@ -125,13 +125,13 @@
     });
     run.send_list();
     run.wait_for_requests(100).await;
-    let asked = run.nodes.requests();
+    let sent = run.nodes.requests();
     let usage = run.nodes.usage();
     let names: Vec<_> = usage.iter().map(|node| (node.name.as_str(), node.running)).collect();
     assert_eq!(names, [("real-0", true), ("real-1", true), ("real-2", true)]);
     assert!(usage.iter().all(|node| node.rss_anon > 0), "{usage:?}");
     let report = run.nodes.finish().await;
-    assert_accounted(&report, asked + MAX_IN_FLIGHT * u64::from(NODES));
+    assert_accounted(&report, sent + MAX_IN_FLIGHT * u64::from(NODES));
     assert_eq!(report.rules_broken, RulesBroken::default(), "{report:#?}");
     // Only the killed node may leave requests without an answer.
     assert!(report.unanswered <= MAX_IN_FLIGHT, "{report:#?}");
@@ -163,10 +163,10 @@
     run.change(0..SERVERS as usize / 2, health("draining"));
     sleep(NOTIFIED_AFTER + DRAIN_GRACE * 2).await;
     run.wait_for_requests(100).await;
-    let asked = run.nodes.requests();
+    let sent = run.nodes.requests();
     run.nodes.discovery_away(from, now_us());
     let report = run.nodes.finish().await;
-    assert_accounted(&report, asked + MAX_IN_FLIGHT * u64::from(NODES));
+    assert_accounted(&report, sent + MAX_IN_FLIGHT * u64::from(NODES));
     assert_eq!(report.rules_broken, RulesBroken::default(), "{report:#?}");
 }
 
--- a/crates/cache-balancer/tests/scenario.rs
+++ b/crates/cache-balancer/tests/scenario.rs
@@ -65,14 +65,14 @@
     let bad = script_file(&folder, "bad.toml", &format!("{SHORT}speed = 3\n"));
     let fault = format!("{bad}:5: speed: unknown key; ");
     for arguments in [&["scenario", &bad][..], &["scenario", "check", &bad]] {
-        let ended = cache_balancer(arguments);
-        assert_eq!((ended.status.code(), utf8(&ended.stdout)), (Some(2), ""));
-        assert!(utf8(&ended.stderr).starts_with(&fault), "{}", utf8(&ended.stderr));
-        assert_eq!(utf8(&ended.stderr).lines().count(), 1);
+        let output = cache_balancer(arguments);
+        assert_eq!((output.status.code(), utf8(&output.stdout)), (Some(2), ""));
+        assert!(utf8(&output.stderr).starts_with(&fault), "{}", utf8(&output.stderr));
+        assert_eq!(utf8(&output.stderr).lines().count(), 1);
     }
-    let ended = cache_balancer(&["scenario", "no-such-scenario"]);
-    assert_eq!((ended.status.code(), utf8(&ended.stdout)), (Some(2), ""));
-    assert!(utf8(&ended.stderr).contains("a scenario's name is expected, or a file"));
+    let output = cache_balancer(&["scenario", "no-such-scenario"]);
+    assert_eq!((output.status.code(), utf8(&output.stdout)), (Some(2), ""));
+    assert!(utf8(&output.stderr).contains("a scenario's name is expected, or a file"));
 }
 
 #[test]
@@ -165,13 +165,14 @@
     let void = |played: &Output| played.status.code() == Some(3);
     // On a busy machine there is no figure, and a line that says why; a few runs find a quieter moment.
     let played = (1..MAX_RUNS).fold(play(), |played, _| if void(&played) { play() } else { played });
-    let said = utf8(&played.stderr);
+    let stderr = utf8(&played.stderr);
     if void(&played) {
-        assert!(said.contains("VOID: this machine was too busy") && played.stdout.is_empty(), "{said}");
+        assert!(stderr.contains("VOID: this machine was too busy") && played.stdout.is_empty(), "{stderr}");
         eprintln!("not judged: void in {MAX_RUNS} of {MAX_RUNS} runs");
         return;
     }
-    let json: serde_json::Value = serde_json::from_slice(&played.stdout).unwrap_or_else(|_| panic!("{said}"));
+    let json: serde_json::Value =
+        serde_json::from_slice(&played.stdout).unwrap_or_else(|_| panic!("{stderr}"));
     let verdict = &json["verdict"];
     assert_eq!(verdict["broken"], serde_json::json!([0, 0, 0, 0]), "{}", verdict["breaches"]);
     assert!(verdict["asked"].as_u64() > Some(300) && verdict["answers"][0].as_u64() > Some(300), "{verdict}");
@@ -198,10 +199,10 @@
     assert_eq!(children.split_whitespace().count(), 2, "{children}");
     assert!(Command::new("kill").args(["-INT", &id]).status().unwrap().success());
     progress.for_each(drop);
-    let ended = player.wait_with_output().unwrap();
+    let output = player.wait_with_output().unwrap();
     // A busy machine has no figure to show, and nothing to mark.
-    let shown = utf8(&ended.stdout);
-    assert!(ended.status.code() == Some(3) || shown.contains("PARTIAL: broken off"), "{shown}");
+    let shown = utf8(&output.stdout);
+    assert!(output.status.code() == Some(3) || shown.contains("PARTIAL: broken off"), "{shown}");
     for child in children.split_whitespace() {
         let gone = || {
             std::fs::read_to_string(format!("/proc/{child}/stat")).map_or(true, |stat| stat.contains(") Z "))
--- a/crates/cache-balancer/tests/servers.rs
+++ b/crates/cache-balancer/tests/servers.rs
@@ -65,10 +65,10 @@
 /// The status and the number of attempts of a request of this class, where the first attempt meets `does` and
 /// all others are served.
 fn after_one(does: fn() -> ServerBehavior, class: &str) -> (u16, usize) {
-    let asked = Arc::new(AtomicU32::new(0));
+    let received = Arc::new(AtomicU32::new(0));
     let server = || {
-        let asked = asked.clone();
-        CacheServer::start(move |_| match asked.fetch_add(1, Ordering::SeqCst) {
+        let received = received.clone();
+        CacheServer::start(move |_| match received.fetch_add(1, Ordering::SeqCst) {
             0 => does(),
             _ => ServerBehavior::Respond(response("200 OK", "", "value")),
         })
@@ -143,8 +143,8 @@
 /// A server that sends a second response behind the first gave it to the next client.
 #[test]
 fn bytes_behind_a_response_are_never_the_response_to_the_next_request() {
-    let server = CacheServer::start(|asked| {
-        let own = response("200 OK", "", asked.header("req-id").unwrap());
+    let server = CacheServer::start(|request| {
+        let own = response("200 OK", "", request.header("req-id").unwrap());
         let extra = response("200 OK", "", "a copy");
         ServerBehavior::Respond(own + &extra)
     });
@@ -185,7 +185,7 @@
 /// were missed elsewhere, and the misses of a whole fleet overload the origin.
 #[test]
 fn a_class_that_a_server_rejects_leaves_the_keys_of_others_there() {
-    let picky = CacheServer::start(|asked| match asked.header("idempotency-key") {
+    let picky = CacheServer::start(|request| match request.header("idempotency-key") {
         Some(_) => ServerBehavior::Respond(response(
             "503 Service Unavailable",
             "Srv-Declined: 1\r\nSrv-Load: waiting=0\r\n",
@@ -221,7 +221,7 @@
 /// Reads these keys at once. The servers hold the requests that reach them until each has reached one or has
 /// its response. Returns the number that reached one, and all responses.
 fn at_once(node: &Node, gate: &HoldingGate, keys: std::ops::Range<u64>) -> (usize, Vec<Message>) {
-    gate.hold(true);
+    gate.set_closed(true);
     let before = gate.reached.load(Ordering::SeqCst);
     let (sender, answers) = std::sync::mpsc::channel();
     for key in keys.clone() {
@@ -235,31 +235,31 @@
         reached = gate.reached.load(Ordering::SeqCst) - before;
         got.len() + reached == keys.clone().count()
     });
-    gate.hold(false);
+    gate.set_closed(false);
     while got.len() < keys.clone().count() {
         got.push(answers.recv_timeout(TIMEOUT).expect("a response"));
     }
     (reached, got)
 }
 
-/// Holds the responses of servers back while it is closed, and counts the requests that reach it.
+/// Delays the responses of servers while it is closed, and counts the requests that reach it.
 #[derive(Default)]
 struct HoldingGate {
-    held: Mutex<bool>,
+    closed: Mutex<bool>,
     opened: Condvar,
     reached: AtomicUsize,
 }
 
 impl HoldingGate {
-    fn hold(&self, held: bool) {
-        *self.held.lock().unwrap() = held;
+    fn set_closed(&self, closed: bool) {
+        *self.closed.lock().unwrap() = closed;
         self.opened.notify_all();
     }
 
     fn pass(&self) {
         self.reached.fetch_add(1, Ordering::SeqCst);
-        let held = self.held.lock().unwrap();
-        drop(self.opened.wait_timeout_while(held, TIMEOUT, |held| *held).unwrap());
+        let closed = self.closed.lock().unwrap();
+        drop(self.opened.wait_timeout_while(closed, TIMEOUT, |closed| *closed).unwrap());
     }
 }
 
@@ -272,10 +272,10 @@
     let server = || {
         let (gate, down) = (gate.clone(), down.clone());
         // Keys under 1000 are cached, all others must be fetched.
-        CacheServer::start(move |asked| {
-            let key = asked.header("req-id").and_then(|id| u64::from_str_radix(id, 16).ok());
+        CacheServer::start(move |request| {
+            let key = request.header("req-id").and_then(|id| u64::from_str_radix(id, 16).ok());
             if key.is_some_and(|key| key < 1000) {
-                return ServerBehavior::Respond(response("200 OK", "", "held"));
+                return ServerBehavior::Respond(response("200 OK", "", "cached"));
             }
             gate.pass();
             ServerBehavior::Respond(match down.load(Ordering::SeqCst) {
@@ -286,9 +286,10 @@
     };
     let servers = [server(), server(), server()];
     let names = ["s-1", "s-2", "s-3"];
-    let hosts: Vec<_> = servers.iter().zip(names).map(|(server, name)| server.entry(name, "ready")).collect();
-    let node = Node::start_ready(&config(Discovery::start(&hosts).address));
-    (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"held"));
+    let endpoints: Vec<_> =
+        servers.iter().zip(names).map(|(server, name)| server.entry(name, "ready")).collect();
+    let node = Node::start_ready(&config(Discovery::start(&endpoints).address));
+    (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"cached"));
     let mut keys = (1..).map(|round| round * 1000..round * 1000 + 20);
     let mut ask = || at_once(&node, &gate, keys.next().unwrap());
     // While fetches succeed none is limited.
@@ -298,7 +299,7 @@
     let (_, answers) = ask();
     let rejected = answers.iter().filter(|answer| answer.status() == 503).collect::<Vec<_>>();
     assert!(rejected.len() >= 17 && rejected.iter().all(|answer| answer.header("retry-after").is_some()));
-    (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"held", "key {key}"));
+    (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"cached", "key {key}"));
     down.store(false, Ordering::SeqCst);
     wait_for("the limit's end", || ask().0 == 20);
 }
--- a/crates/cache-balancer/tests/shutdown.rs
+++ b/crates/cache-balancer/tests/shutdown.rs
@@ -152,7 +152,7 @@
     assert_eq!(left.receive(), None);
     discovery.notify(false, &[endpoint("s-1", late.address, "draining"), other.entry("s-2", "ready")]);
     discovery.wait_until_notified(2);
-    late.serve("never asked");
+    late.serve("unexpected");
     let answer = drained.receive().expect("the answer to an accepted request");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"value"[..]));
     assert!(node.exit_status().success());
--- a/crates/cache-balancer/tests/sizes.rs
+++ b/crates/cache-balancer/tests/sizes.rs
@@ -151,9 +151,9 @@
 #[test]
 fn a_list_of_5000_servers_that_arrives_in_pieces_is_applied() {
     let (port, met) = servers();
-    let mut hosts = entries(0..5_000, port, "draining");
-    hosts[4_999] = entries(4_999..5_000, port, "ready").remove(0);
-    let (address, _allowed) = discovery(vec![json!({"seq": 1, "whole": true, "hosts": hosts})]);
+    let mut endpoints = entries(0..5_000, port, "draining");
+    endpoints[4_999] = entries(4_999..5_000, port, "ready").remove(0);
+    let (address, _allowed) = discovery(vec![json!({"seq": 1, "whole": true, "hosts": endpoints})]);
     let node = Node::start_ready(&config(address));
     assert_eq!(node.read("read", 1).status(), 200);
     assert_eq!(met.lock().unwrap().iter().collect::<Vec<_>>(), [&dial(4_999, port)]);
@@ -180,7 +180,7 @@
         let memory = own_memory(&node);
         println!("| {servers} | {memory} KiB |");
         if let Some((fewer, less)) = before {
-            // A list as text, as it is held, and as the decisions have it: some KiB for each server, and
+            // A list as text, as it is stored, and as the decisions have it: some KiB for each server, and
             // nothing reserved.
             let grown = memory.saturating_sub(less);
             assert!(
