--- a/crates/cache-balancer/tests/common/mod.rs
+++ b/crates/cache-balancer/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What a node needs around it, on loopback: cache servers and discovery whose behaviour a test sets, and
-//! clients.
+//! Test fixtures on loopback: node processes, and stand-ins for cache servers, discovery, clients and the service
+//! manager.
 
 // Each test file is a program of its own and uses a part of this.
 #![allow(
@@ -15,6 +15,7 @@
 mod http;
 mod manager;
 mod node;
+mod operator_file;
 mod program;
 mod wait;
 
@@ -25,5 +26,6 @@
 pub use http::*;
 pub use manager::*;
 pub use node::*;
+pub use operator_file::*;
 pub use program::*;
 pub use wait::*;
--- a/crates/cache-balancer/tests/fleet.rs
+++ b/crates/cache-balancer/tests/fleet.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::{command, own_address, read, wait_for, CacheServer, Client, Folder, PATIENCE};
+use common::{
+    command, read_request, unique_address, wait_for, CacheServer, Client, TempDir, READ_CLASS, TIMEOUT,
+};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, ChildStdin, Command, Stdio};
@@ -10,8 +12,6 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
-
 /// A running fleet; it is killed with the test.
 struct Fleet {
     child: Child,
@@ -19,25 +19,28 @@
     shown: Arc<Mutex<Vec<String>>>,
     log: Arc<Mutex<Vec<String>>>,
     first: SocketAddr,
-    folder: Folder,
+    folder: TempDir,
     text: String,
 }
 
 fn lines(from: impl std::io::Read + Send + 'static) -> Arc<Mutex<Vec<String>>> {
     let lines: Arc<Mutex<Vec<String>>> = Arc::default();
-    let kept = lines.clone();
+    let collected = lines.clone();
     std::thread::spawn(move || {
-        BufReader::new(from).lines().map_while(Result::ok).for_each(|line| kept.lock().unwrap().push(line));
+        BufReader::new(from)
+            .lines()
+            .map_while(Result::ok)
+            .for_each(|line| collected.lock().unwrap().push(line));
     });
     lines
 }
 
 impl Fleet {
     fn start(server: &CacheServer, instances: u16) -> Self {
-        let (folder, first) = (Folder::new(), own_address());
+        let (folder, first) = (TempDir::new(), unique_address());
         let text = format!(
             "version = 1\nname = \"n\"\n[hand_over]\nsocket = \"any\"\nprobation = \"100ms\"\n[[listener]]\nname = \"clients\"\naddress = \"{first}\"\n[[pool]]\nname = \"p\"\n\
-             [[pool.server]]\nname = \"box\"\naddress = \"{}\"\n{CLASS}",
+             [[pool.server]]\nname = \"box\"\naddress = \"{}\"\n{READ_CLASS}",
             server.address
         );
         let config = folder.write("cache-balancer.toml", &text);
@@ -58,8 +61,8 @@
         writeln!(self.commands, "{command}").unwrap();
     }
 
-    fn logged(&self, words: &str) -> usize {
-        self.log.lock().unwrap().iter().filter(|line| line.contains(words)).count()
+    fn logged(&self, text: &str) -> usize {
+        self.log.lock().unwrap().iter().filter(|line| line.contains(text)).count()
     }
 
     fn address(&self, instance: u16) -> SocketAddr {
@@ -67,7 +70,7 @@
     }
 
     fn read(&self, instance: u16, class: &str) -> u16 {
-        Client::to(self.address(instance)).ask(&read(class, 1, 20_000)).status()
+        Client::connect(self.address(instance)).request(&read_request(class, 1, 20_000)).status()
     }
 
     /// The row of each instance: state, process, failures, upgrades.
@@ -88,7 +91,7 @@
             if found.len() == 3 {
                 return found;
             }
-            assert!(start.elapsed() < PATIENCE, "{found:?}");
+            assert!(start.elapsed() < TIMEOUT, "{found:?}");
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
     }
@@ -97,13 +100,8 @@
         self.state().into_iter().map(|[state, ..]| state).collect()
     }
 
-    fn exit(&mut self) -> std::process::ExitStatus {
-        let mut status = None;
-        wait_for("the fleet's end", || {
-            status = self.child.try_wait().unwrap();
-            status.is_some()
-        });
-        status.unwrap()
+    fn exit_status(&mut self) -> std::process::ExitStatus {
+        common::wait_for_exit(&mut self.child)
     }
 }
 
@@ -136,7 +134,7 @@
     assert_eq!((&after[0], &after[2]), (&before[0], &before[2]));
     assert_eq!(fleet.read(1, "read"), 200);
     fleet.command("stop");
-    assert!(fleet.exit().success());
+    assert!(fleet.exit_status().success());
     assert!((0..3).all(|instance| TcpStream::connect(fleet.address(instance)).is_err()));
 }
 
@@ -151,8 +149,11 @@
             std::thread::spawn(move || {
                 let mut answers = 0;
                 while !over.load(Ordering::SeqCst) {
-                    let answer =
-                        Client::to(address).ask(&read("read", (u64::from(instance) << 32) + answers, 20_000));
+                    let answer = Client::connect(address).request(&read_request(
+                        "read",
+                        (u64::from(instance) << 32) + answers,
+                        20_000,
+                    ));
                     assert_eq!(answer.status(), 200);
                     answers += 1;
                     // Each connection holds a port for a while after its end.
@@ -168,7 +169,7 @@
     }
     over.store(true, Ordering::SeqCst);
     let answers: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    assert_eq!(server.count() as u64, answers);
+    assert_eq!(server.request_count() as u64, answers);
     let upgrades: Vec<_> =
         fleet.state().into_iter().map(|[.., failures, upgrades]| (failures, upgrades)).collect();
     assert_eq!(upgrades, vec![("0".to_owned(), "2".to_owned()); 3]);
@@ -211,8 +212,8 @@
 
 #[test]
 fn a_file_that_makes_no_fleet_is_named_and_starts_nothing() {
-    let folder = Folder::new();
-    let rest = format!("[[pool]]\nname = \"p\"\ndiscovery = \"127.0.0.1:1\"\n{CLASS}");
+    let folder = TempDir::new();
+    let rest = format!("[[pool]]\nname = \"p\"\ndiscovery = \"127.0.0.1:1\"\n{READ_CLASS}");
     let listener =
         |name: &str, port: u16| format!("[[listener]]\nname = \"{name}\"\naddress = \"127.0.0.1:{port}\"\n");
     for (listeners, why) in [
@@ -226,9 +227,9 @@
         let config = folder.write("cache-balancer.toml", &format!("version = 1\n{listeners}{rest}"));
         let mut command = command();
         command.args(["fleet", "--instances", "3", "--config"]).arg(config).stdin(Stdio::null());
-        let ended = common::ended(command);
-        let said = String::from_utf8(ended.stderr).unwrap();
-        assert!(ended.status.code() == Some(2) && said.contains(why), "{why}: {said}");
-        assert!(!said.contains("started"), "{said}");
+        let output = common::output_before_timeout(command);
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert!(output.status.code() == Some(2) && stderr.contains(why), "{why}: {stderr}");
+        assert!(!stderr.contains("started"), "{stderr}");
     }
 }
--- a/crates/cache-balancer/tests/manager.rs
+++ b/crates/cache-balancer/tests/manager.rs
@@ -3,7 +3,10 @@
 
 mod common;
 
-use common::{command, ended, read, wait_for, CacheServer, Client, Discovery, Folder, Node, PATIENCE};
+use common::{
+    command, output_before_timeout, read_request, server_table, wait_for, CacheServer, Client, Discovery,
+    Node, TempDir, CLIENT_LISTENER, READ_CLASS, TIMEOUT,
+};
 use std::net::TcpListener;
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixDatagram;
@@ -12,21 +15,21 @@
 
 /// The manager's socket and the node's file.
 struct Manager {
-    folder: Folder,
+    folder: TempDir,
     socket: UnixDatagram,
 }
 
 impl Manager {
     fn start() -> Self {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let socket = UnixDatagram::bind(folder.0.join("notify")).unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         Self { folder, socket }
     }
 
     /// The next notification of the node.
     fn notification(&self) -> String {
-        common::word(&self.socket)
+        common::receive_notification(&self.socket)
     }
 
     /// Waits for this notification, and returns those before it.
@@ -44,19 +47,16 @@
     }
 }
 
-const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
-const LISTENER: &str = "[[listener]]\nname = \"clients\"\naddress = \"127.0.0.1:0\"\n";
-
 fn discovered(discovery: &Discovery) -> String {
     format!(
-        "version = 1\n{LISTENER}[[pool]]\nname = \"records\"\ndiscovery = \"{}\"\n{CLASS}",
+        "version = 1\n{CLIENT_LISTENER}[[pool]]\nname = \"records\"\ndiscovery = \"{}\"\n{READ_CLASS}",
         discovery.address
     )
 }
 
-fn fixed(server: &CacheServer, listeners: &str) -> String {
-    let address = server.address;
-    format!("version = 1\n{listeners}[[pool]]\nname = \"records\"\n[[pool.server]]\nname = \"box\"\naddress = \"{address}\"\n{CLASS}")
+fn operator_file(server: &CacheServer, listeners: &str) -> String {
+    let table = server_table("box", server);
+    format!("version = 1\n{listeners}[[pool]]\nname = \"records\"\n{table}{READ_CLASS}")
 }
 
 #[test]
@@ -65,56 +65,56 @@
     let (command, path) = manager.command(&discovered(&discovery));
     let node = Node::spawn(command, path);
     // The list has arrived and is empty: the node listens, and cannot serve.
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     assert_eq!(manager.notification(), "STATUS=waiting for cache servers of pool records");
     assert_eq!(node.get("/healthz").status(), 503);
-    discovery.tell(true, &[server.entry("box", "ready")]);
+    discovery.notify(true, &[server.entry("box", "ready")]);
     assert_eq!(manager.until("READY=1"), ["STATUS=serving"]);
     assert_eq!(node.read("read", 1).body, b"a");
     node.terminate();
     assert_eq!(manager.notification(), "STOPPING=1");
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 #[test]
 fn the_watchdog_is_fed_while_the_node_works_and_only_if_requested() {
     let (manager, server) = (Manager::start(), CacheServer::serving("a"));
-    let (mut command, path) = manager.command(&fixed(&server, LISTENER));
+    let (mut command, path) = manager.command(&operator_file(&server, CLIENT_LISTENER));
     command.env("WATCHDOG_USEC", "100000");
     let node = Node::spawn(command, path);
     (0..3).for_each(|_| drop(manager.until("WATCHDOG=1")));
     drop(node);
-    let (command, path) = manager.command(&fixed(&server, LISTENER));
+    let (command, path) = manager.command(&operator_file(&server, CLIENT_LISTENER));
     let node = Node::spawn(command, path);
     let _ = manager.until("READY=1");
     node.terminate();
     assert!(!manager.until("STOPPING=1").contains(&"WATCHDOG=1".to_owned()));
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 #[test]
 fn a_manager_that_is_away_or_reads_nothing_delays_no_request() {
     let server = CacheServer::serving("a");
     let away = Manager::start();
-    let (mut command, path) = away.command(&fixed(&server, LISTENER));
+    let (mut command, path) = away.command(&operator_file(&server, CLIENT_LISTENER));
     command.env("NOTIFY_SOCKET", away.folder.0.join("nobody"));
     let node = Node::spawn(command, path);
-    let told = || node.log.lock().unwrap().iter().filter(|line| line.contains("is not notified")).count();
-    wait_for("the failure in the log", || told() > 0);
+    let warnings = || node.logged("is not notified");
+    wait_for("the failure in the log", || warnings() > 0);
     assert_eq!(node.read("read", 1).body, b"a");
-    assert_eq!(told(), 1, "one line, however many notifications are lost");
+    assert_eq!(warnings(), 1, "one line, however many notifications are lost");
     // Its queue is full: a write to it blocks.
     let full = Manager::start();
     let filler = UnixDatagram::unbound().unwrap();
     filler.set_nonblocking(true).unwrap();
     while filler.send_to(b"X=1", full.folder.0.join("notify")).is_ok() {}
-    let (mut command, path) = full.command(&fixed(&server, LISTENER));
+    let (mut command, path) = full.command(&operator_file(&server, CLIENT_LISTENER));
     command.env("WATCHDOG_USEC", "2000");
     let node = Node::spawn(command, path);
     wait_for("the node's readiness", || node.get("/healthz").status() == 200);
     (0..50).for_each(|key| assert_eq!(node.read("read", key).body, b"a"));
     node.terminate();
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 /// A notification of readiness that was dropped from a full queue would leave the start unfinished forever.
@@ -128,9 +128,9 @@
     // So often that notifications of the watchdog would fill any queue.
     command.env("WATCHDOG_USEC", "200");
     let node = Node::spawn(command, path);
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     (0..200).for_each(|_| assert_eq!(node.get("/healthz").status(), 503));
-    discovery.tell(true, &[server.entry("box", "ready")]);
+    discovery.notify(true, &[server.entry("box", "ready")]);
     wait_for("the node's readiness", || node.get("/healthz").status() == 200);
     let before = manager.until("READY=1");
     assert!(
@@ -160,35 +160,35 @@
 #[test]
 fn a_passed_socket_is_used_in_place_of_the_address() {
     let (manager, server) = (Manager::start(), CacheServer::serving("a"));
-    let two = format!("{LISTENER}{}", LISTENER.replace("clients", "others"));
-    for (listeners, name) in [(LISTENER, "cache-balancer.socket"), (&two, "others")] {
+    let two = format!("{CLIENT_LISTENER}{}", CLIENT_LISTENER.replace("clients", "others"));
+    for (listeners, name) in [(CLIENT_LISTENER, "cache-balancer.socket"), (&two, "others")] {
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = socket.local_addr().unwrap();
         // A client that came before the node: the kernel holds its connection.
-        let mut early = Client::to(address);
-        early.send(&read("read", 1, 20_000));
-        let (command, path) = activated(&manager, &fixed(&server, listeners), socket, name);
+        let mut early = Client::connect(address);
+        early.send(&read_request("read", 1, 20_000));
+        let (command, path) = activated(&manager, &operator_file(&server, listeners), socket, name);
         let node = Node::spawn(command, path);
-        assert_eq!(early.answer().expect("an answer").body, b"a", "{name}");
-        assert_eq!(Client::to(address).ask(&read("read", 2, 20_000)).body, b"a");
+        assert_eq!(early.receive().expect("an answer").body, b"a", "{name}");
+        assert_eq!(Client::connect(address).request(&read_request("read", 2, 20_000)).body, b"a");
         node.terminate();
-        assert!(node.exit().success());
+        assert!(node.exit_status().success());
     }
 }
 
 #[test]
 fn a_passed_socket_without_a_listener_is_named_and_fails_the_start() {
     let (manager, server) = (Manager::start(), CacheServer::serving("a"));
-    let two = format!("{LISTENER}{}", LISTENER.replace("clients", "others"));
+    let two = format!("{CLIENT_LISTENER}{}", CLIENT_LISTENER.replace("clients", "others"));
     for (names, expected) in [
         ("odd", "passed a socket \"odd\", and there is no listener of this name"),
         ("clients:clients", "passed two sockets \"clients\", and a listener has one address"),
     ] {
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (command, _) = activated(&manager, &fixed(&server, &two), socket, names);
-        let ended = ended(command);
-        assert_eq!(ended.status.code(), Some(1));
-        let said = String::from_utf8(ended.stderr).unwrap();
-        assert!(said.contains(expected), "{said}");
+        let (command, _) = activated(&manager, &operator_file(&server, &two), socket, names);
+        let output = output_before_timeout(command);
+        assert_eq!(output.status.code(), Some(1));
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert!(stderr.contains(expected), "{stderr}");
     }
 }
--- a/crates/cache-balancer/tests/operator.rs
+++ b/crates/cache-balancer/tests/operator.rs
@@ -3,7 +3,8 @@
 mod common;
 
 use common::{
-    answer, command, ended, read, run, wait_for, CacheServer, Client, Discovery, Does, Folder, Node,
+    command, output_before_timeout, read_request, response, server_table, start_with_operator_file, utf8,
+    wait_for, CacheServer, Client, Discovery, Node, ServerBehavior, TempDir,
 };
 use std::path::Path;
 use std::process::Output;
@@ -12,17 +13,9 @@
     command().arg("check").arg(path).output().unwrap()
 }
 
-fn text(bytes: &[u8]) -> &str {
-    std::str::from_utf8(bytes).unwrap()
-}
-
 const CLASS: &str =
     "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\nworth = 1.0\n";
 
-fn server_table(name: &str, server: &CacheServer) -> String {
-    format!("[[pool.server]]\nname = \"{name}\"\naddress = \"{}\"\n", server.address)
-}
-
 fn listener(name: &str) -> String {
     format!("[[listener]]\nname = \"{name}\"\naddress = \"127.0.0.1:0\"\n")
 }
@@ -31,8 +24,8 @@
 fn the_example_has_no_fault_and_shows_the_effective_configuration() {
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/cache-balancer.toml");
     let checked = check(&example);
-    assert!(checked.status.success(), "{}", text(&checked.stderr));
-    let effective = text(&checked.stdout);
+    assert!(checked.status.success(), "{}", utf8(&checked.stderr));
+    let effective = utf8(&checked.stdout);
     for line in [
         "name = \"n0\"",
         "nodes = 20",
@@ -43,42 +36,42 @@
         assert!(effective.lines().any(|other| other == line), "{line}\n{effective}");
     }
     // The effective configuration is a file that reads as the same.
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let again = check(&folder.write("effective.toml", effective));
-    assert_eq!(text(&again.stdout), effective, "{}", text(&again.stderr));
+    assert_eq!(utf8(&again.stdout), effective, "{}", utf8(&again.stderr));
 }
 
 /// A default could apply only if its table is in the file, or a path could mean another file once the effective
 /// configuration is written to another folder.
 #[test]
 fn the_shortest_file_has_the_defaults_of_the_example_and_keeps_its_paths() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pool = "[[pool]]\nname = \"p\"\nfile = \"boxes.toml\"\n";
     folder.write("short.toml", &format!("version = 1\n{pool}{CLASS}"));
     let checked = command().current_dir(&folder.0).args(["check", "short.toml"]).output().unwrap();
-    let effective = text(&checked.stdout);
+    let effective = utf8(&checked.stdout);
     let boxes = format!("file = {:?}", folder.0.join("boxes.toml").display().to_string());
     for line in ["max_retry_after = \"2s\"", "second_copies = true", "address = \"127.0.0.1:7070\"", &boxes] {
         assert!(effective.lines().any(|other| other == line), "{line}\n{effective}");
     }
     let empty = folder.write("tables.toml", &format!("version = 1\n[limits]\n[servers]\n{pool}{CLASS}"));
-    assert_eq!(text(&check(&empty).stdout), effective);
+    assert_eq!(utf8(&check(&empty).stdout), effective);
 }
 
 #[test]
 fn the_systems_limit_on_descriptors_holds_and_too_few_fail_the_start() {
     let server = CacheServer::serving("a");
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pool = format!("[[pool]]\nname = \"p\"\n{}", server_table("box", &server));
     let listeners: String = (0..12).map(|number| listener(&format!("l{number}"))).collect();
     let few = format!("version = 1\n[limits]\ndescriptors = 40\n{listeners}{pool}{CLASS}");
     let path = folder.write("few.toml", &few);
     let mut few = command();
     few.arg("run").arg("--config").arg(&path);
-    let ended = ended(few);
-    assert_eq!(ended.status.code(), Some(1));
-    let said = text(&ended.stderr);
-    assert!(said.contains("40 descriptors leave no room to work beside 35 of the node's own"), "{said}");
+    let output = output_before_timeout(few);
+    assert_eq!(output.status.code(), Some(1));
+    let stderr = utf8(&output.stderr);
+    assert!(stderr.contains("40 descriptors leave no room to work beside 35 of the node's own"), "{stderr}");
     let many = format!("version = 1\n[limits]\ndescriptors = 65536\n{}{pool}{CLASS}", listener("l"));
     let path = folder.write("many.toml", &many);
     let script = "ulimit -n 256; exec \"$0\" run --config \"$1\"";
@@ -114,20 +107,20 @@
                 words.map(|word| if word.starts_with('/') { example.to_str().unwrap() } else { word });
             // With an unknown argument before it, `--help` would fail.
             let called = command().args(words).arg("--help").output().unwrap();
-            assert!(called.status.success(), "{call}: {}", text(&called.stderr));
+            assert!(called.status.success(), "{call}: {}", utf8(&called.stderr));
         }
     }
 }
 
 /// The faults of a file with these lines after its first.
 fn faults(lines: &str) -> Vec<String> {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let path = folder.write("bad.toml", &format!("version = 1\n{lines}"));
     let checked = check(&path);
     assert_eq!(checked.status.code(), Some(2), "{lines}");
     assert!(checked.stdout.is_empty());
     let place = format!("{}/", folder.0.display());
-    text(&checked.stderr).lines().map(|line| line.replacen(&place, "", 1)).collect()
+    utf8(&checked.stderr).lines().map(|line| line.replacen(&place, "", 1)).collect()
 }
 
 #[test]
@@ -192,16 +185,16 @@
     let expected =
         ["pool", "class", "nodes", "odd", "limits.max_attempts", "listener[0].name", "listener[0].address"];
     assert_eq!(fields, expected);
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let path = folder.write("bad.toml", &format!("version = 1\n{bad}"));
     let mut run = command();
     run.arg("run").arg("--config").arg(&path);
-    let run = ended(run);
+    let run = output_before_timeout(run);
     assert_eq!(run.status.code(), Some(1));
-    assert!(text(&run.stderr).contains("bad.toml:3: odd: unknown key"), "{}", text(&run.stderr));
+    assert!(utf8(&run.stderr).contains("bad.toml:3: odd: unknown key"), "{}", utf8(&run.stderr));
     let missing = check(&folder.0.join("none.toml"));
     assert_eq!(missing.status.code(), Some(2));
-    assert!(text(&missing.stderr).contains("none.toml: No such file"), "{}", text(&missing.stderr));
+    assert!(utf8(&missing.stderr).contains("none.toml: No such file"), "{}", utf8(&missing.stderr));
 }
 
 #[test]
@@ -210,40 +203,42 @@
     let class = |name: &str, pool: &str| {
         format!("[[class]]\nname = \"{name}\"\npool = \"{pool}\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n")
     };
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pools = format!(
         "[[pool]]\nname = \"p\"\n{}[[pool]]\nname = \"q\"\n{}",
         server_table("box", &one),
         server_table("box", &other)
     );
     let listeners = format!("{}{}", listener("here"), listener("there"));
-    let node =
-        run(&folder, &format!("version = 1\n{listeners}{pools}{}{}", class("a", "p"), class("b", "q")));
+    let node = start_with_operator_file(
+        &folder,
+        &format!("version = 1\n{listeners}{pools}{}{}", class("a", "p"), class("b", "q")),
+    );
     let second = || node.log.lock().unwrap().iter().find_map(|line| line.rsplit(' ').next()?.parse().ok());
     wait_for("the second listener", || second().is_some());
-    for mut client in [node.client(), Client::to(second().unwrap())] {
-        assert_eq!(client.ask(&read("a", 1, 20_000)).body, b"one");
-        assert_eq!(client.ask(&read("b", 1, 20_000)).body, b"other");
+    for mut client in [node.client(), Client::connect(second().unwrap())] {
+        assert_eq!(client.request(&read_request("a", 1, 20_000)).body, b"one");
+        assert_eq!(client.request(&read_request("b", 1, 20_000)).body, b"other");
     }
-    assert_eq!((one.count(), other.count()), (2, 2));
+    assert_eq!((one.request_count(), other.request_count()), (2, 2));
     node.terminate();
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
 
 #[test]
 fn a_pool_that_follows_discovery_is_not_ready_before_its_list_arrives() {
     let server = CacheServer::serving("a");
     let discovery = Discovery::start(&[]);
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pool = format!("[[pool]]\nname = \"p\"\ndiscovery = \"{}\"\n", discovery.address);
     let path =
         folder.write("cache-balancer.toml", &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
     let mut command = command();
     command.arg("run").arg("--config").arg(&path);
     let node = Node::spawn(command, path);
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     assert_eq!(node.get("/healthz").status(), 503);
-    discovery.tell(true, &[server.entry("box", "ready")]);
+    discovery.notify(true, &[server.entry("box", "ready")]);
     wait_for("the node's readiness", || node.get("/healthz").status() == 200);
     assert_eq!(node.read("read", 1).body, b"a");
 }
@@ -261,13 +256,14 @@
         });
         format!("version = 1\n{}", tables.collect::<String>())
     };
-    let folder = Folder::new();
+    let folder = TempDir::new();
     folder.write("boxes.toml", &list(&[("one", &one, "ready")]));
     // No slow start for a server that is added to the list.
     let pool = "[servers]\ncold_share = 1.0\n[[pool]]\nname = \"p\"\nfile = \"boxes.toml\"\n";
-    let node = run(&folder, &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
+    let node =
+        start_with_operator_file(&folder, &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
     assert_eq!(node.read("read", 1).body, b"one");
-    let logged = |words: &str| node.log.lock().unwrap().iter().any(|line| line.contains(words));
+    let logged = |text: &str| node.logged(text) > 0;
     folder.write("boxes.toml", "version = 1\n[[server]]\nname = \"oth");
     wait_for("the fault in the log", || logged("boxes.toml:3: TOML: "));
     assert!(logged("list rejected; the one before stays in use"));
@@ -280,15 +276,15 @@
         logged("expected a list of 8388608 bytes at the most")
     });
     assert_eq!(node.read("read", 7).body, b"one");
-    let before = one.count();
+    let before = one.request_count();
     folder.write("boxes.toml", &list(&[("one", &one, "draining"), ("other", &other, "ready")]));
     wait_for("the new list", || node.read("read", 4).body == b"other");
     assert_eq!(node.read("read", 5).body, b"other");
     // The old list was in use until the new one was read.
-    let meanwhile = one.count() - before;
+    let meanwhile = one.request_count() - before;
     folder.write("boxes.toml", &list(&[("other", &other, "ready")]));
     assert_eq!(node.read("read", 6).body, b"other");
-    assert_eq!(one.count() - before, meanwhile);
+    assert_eq!(one.request_count() - before, meanwhile);
 }
 
 #[test]
@@ -297,17 +293,17 @@
     let receiver = std::sync::Mutex::new(receiver);
     let slow = CacheServer::start(move |_| {
         let _ = receiver.lock().unwrap().recv();
-        Does::Answer(answer("200 OK", "", "late"))
+        ServerBehavior::Respond(response("200 OK", "", "late"))
     });
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let pool = format!("[[pool]]\nname = \"p\"\n{}", server_table("box", &slow));
     let listeners = format!("{}{}", listener("here"), listener("there"));
-    let node = run(&folder, &format!("version = 1\n{listeners}{pool}{CLASS}"));
+    let node = start_with_operator_file(&folder, &format!("version = 1\n{listeners}{pool}{CLASS}"));
     let second = || node.log.lock().unwrap().iter().find_map(|line| line.rsplit(' ').next()?.parse().ok());
     wait_for("the second listener", || second().is_some());
-    let mut client = Client::to(second().unwrap());
-    let request = std::thread::spawn(move || client.ask(&read("read", 1, 20_000)));
-    wait_for("the request", || slow.count() == 1);
+    let mut client = Client::connect(second().unwrap());
+    let request = std::thread::spawn(move || client.request(&read_request("read", 1, 20_000)));
+    wait_for("the request", || slow.request_count() == 1);
     node.terminate();
     let closing =
         || node.log.lock().unwrap().iter().filter(|line| line.contains("no further clients")).count();
@@ -315,5 +311,5 @@
     sender.send(()).unwrap();
     let answered = request.join().unwrap();
     assert_eq!((answered.status(), answered.body.as_slice()), (200, &b"late"[..]));
-    assert!(node.exit().success());
+    assert!(node.exit_status().success());
 }
--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 /// Far longer than anything here takes: a wait that reaches it has failed.
-const PATIENCE: Duration = Duration::from_secs(120);
+const TIMEOUT: Duration = Duration::from_secs(120);
 const NODES: u32 = 3;
 const SERVERS: u32 = 40;
 /// The largest number of requests that are in flight at one node.
@@ -64,7 +64,7 @@
     async fn wait_for_requests(&self, requests: u64) {
         let (start, enough) = (Instant::now(), self.nodes.requests() + requests);
         while self.nodes.requests() < enough {
-            assert!(start.elapsed() < PATIENCE, "waited in vain for {requests} requests");
+            assert!(start.elapsed() < TIMEOUT, "timed out waiting for {requests} requests");
             sleep(Duration::from_millis(5)).await;
         }
     }
@@ -79,7 +79,7 @@
 
     /// Has discovery send the list.
     fn send_list(&self) {
-        self.discovery.tell(true, &entries(&self.listed));
+        self.discovery.notify(true, &entries(&self.listed));
     }
 }
 
@@ -88,11 +88,11 @@
 }
 
 /// Each request has one outcome.
-fn assert_accounted(report: &RealReport, asked: u64) {
+fn assert_accounted(report: &RealReport, sent: u64) {
     let answers = report.served + report.refused + report.failed + report.unanswered;
     assert_eq!(report.requests, answers, "{report:#?}");
     // A request that was not accepted met no node.
-    assert!(report.requests <= asked, "{report:#?}");
+    assert!(report.requests <= sent, "{report:#?}");
     assert!(report.attempts >= report.served, "{report:#?}");
     assert_eq!((report.turned_away, report.nodes.len()), (0, NODES as usize));
     assert!(!report.load_ran_out);
@@ -125,13 +125,13 @@
     });
     run.send_list();
     run.wait_for_requests(100).await;
-    let asked = run.nodes.requests();
+    let sent = run.nodes.requests();
     let usage = run.nodes.usage();
     let names: Vec<_> = usage.iter().map(|node| (node.name.as_str(), node.running)).collect();
     assert_eq!(names, [("real-0", true), ("real-1", true), ("real-2", true)]);
     assert!(usage.iter().all(|node| node.rss_anon > 0), "{usage:?}");
     let report = run.nodes.finish().await;
-    assert_accounted(&report, asked + MAX_IN_FLIGHT * u64::from(NODES));
+    assert_accounted(&report, sent + MAX_IN_FLIGHT * u64::from(NODES));
     assert_eq!(report.rules_broken, RulesBroken::default(), "{report:#?}");
     // Only the killed node may leave requests without an answer.
     assert!(report.unanswered <= MAX_IN_FLIGHT, "{report:#?}");
@@ -163,10 +163,10 @@
     run.change(0..SERVERS as usize / 2, health("draining"));
     sleep(NOTIFIED_AFTER + DRAIN_GRACE * 2).await;
     run.wait_for_requests(100).await;
-    let asked = run.nodes.requests();
+    let sent = run.nodes.requests();
     run.nodes.discovery_away(from, now_us());
     let report = run.nodes.finish().await;
-    assert_accounted(&report, asked + MAX_IN_FLIGHT * u64::from(NODES));
+    assert_accounted(&report, sent + MAX_IN_FLIGHT * u64::from(NODES));
     assert_eq!(report.rules_broken, RulesBroken::default(), "{report:#?}");
 }
 
@@ -199,7 +199,7 @@
     let discovery = Discovery::start(&entries(&servers.servers()));
     let idle = RealSettings { rate: 0.0, ..settings(&discovery) };
     let nodes = RealNodes::start(&servers, idle).await.unwrap();
-    discovery.wait_until_told(1);
+    discovery.wait_until_notified(1);
     let report = nodes.finish().await;
     assert_accounted(&report, 0);
     assert_eq!((report.attempts, report.held_back, report.rules_broken), (0, 0, RulesBroken::default()));
@@ -221,7 +221,7 @@
     // Killed and not waited for, they are gone once the runtime has reaped them.
     let start = Instant::now();
     while processes.iter().any(|id| runs(*id)) {
-        assert!(start.elapsed() < PATIENCE, "a node outlives its run");
+        assert!(start.elapsed() < TIMEOUT, "a node outlives its run");
         sleep(Duration::from_millis(5)).await;
     }
 }
