--- a/crates/cache-balancer/tests/common/discovery.rs
+++ b/crates/cache-balancer/tests/common/discovery.rs
@@ -1,12 +1,11 @@
 //! A stand-in discovery service that sends the endpoint lists of the test.
 
-use super::http::{response, Message};
+use super::http::{response, serve_requests};
 use super::wait::{wait_for, TIMEOUT};
 use serde_json::{json, Value};
-use std::io::{BufReader, Write};
+use std::io::Write;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::{Arc, Condvar, Mutex};
-use std::thread;
 
 /// The response to polls, and its version.
 struct CurrentResponse {
@@ -42,34 +41,17 @@
         let current = Arc::new((Mutex::new(CurrentResponse { seq: 1, body }), Condvar::new()));
         let received: Arc<Mutex<Vec<String>>> = Arc::default();
         let (shared_response, received_paths) = (current.clone(), received.clone());
-        thread::spawn(move || {
-            for stream in listener.incoming().map_while(Result::ok) {
-                let (current, received) = (shared_response.clone(), received_paths.clone());
-                thread::spawn(move || {
-                    let mut reader = BufReader::new(stream.try_clone().unwrap());
-                    let mut stream = stream;
-                    while let Ok(Some(message)) = Message::read(&mut reader) {
-                        let path = message.start_line.split(' ').nth(1).unwrap().to_owned();
-                        let after =
-                            path.split_once("after=").map(|(_, rest)| rest.split('&').next().unwrap());
-                        let after = after.map_or(0, |after| after.parse().unwrap());
-                        received.lock().unwrap().push(path);
-                        let (response_to_send, changed) = &*current;
-                        let response_to_send = changed
-                            .wait_timeout_while(response_to_send.lock().unwrap(), TIMEOUT, |response| {
-                                response.seq <= after
-                            })
-                            .unwrap()
-                            .0;
-                        if stream
-                            .write_all(response("200 OK", "", &response_to_send.body).as_bytes())
-                            .is_err()
-                        {
-                            return;
-                        }
-                    }
-                });
-            }
+        serve_requests(listener, move |request, stream| {
+            let path = request.start_line.split(' ').nth(1).unwrap().to_owned();
+            let after = path.split_once("after=").map(|(_, rest)| rest.split('&').next().unwrap());
+            let after = after.map_or(0, |after| after.parse().unwrap());
+            received_paths.lock().unwrap().push(path);
+            let (latest, changed) = &*shared_response;
+            let latest = changed
+                .wait_timeout_while(latest.lock().unwrap(), TIMEOUT, |latest| latest.seq <= after)
+                .unwrap()
+                .0;
+            stream.write_all(response("200 OK", "", &latest.body).as_bytes()).is_ok()
         });
         Self { address, received, current }
     }
--- a/crates/cache-balancer/tests/common/http.rs
+++ b/crates/cache-balancer/tests/common/http.rs
@@ -2,7 +2,9 @@
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read};
-use std::net::TcpStream;
+use std::net::{TcpListener, TcpStream};
+use std::sync::Arc;
+use std::thread;
 
 /// An HTTP message as it was received.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -50,6 +52,28 @@
     }
 }
 
+/// Accepts connections in the background and passes each request on them to `respond`, which writes the response and
+/// returns whether the connection stays open. The listener is open until the test process ends.
+pub fn serve_requests(
+    listener: TcpListener,
+    respond: impl Fn(&Message, &mut TcpStream) -> bool + Send + Sync + 'static,
+) {
+    let respond = Arc::new(respond);
+    thread::spawn(move || {
+        for mut stream in listener.incoming().map_while(Result::ok) {
+            let respond = respond.clone();
+            thread::spawn(move || {
+                let mut reader = BufReader::new(stream.try_clone().unwrap());
+                while let Ok(Some(request)) = Message::read(&mut reader) {
+                    if !respond(&request, &mut stream) {
+                        return;
+                    }
+                }
+            });
+        }
+    });
+}
+
 /// A response with this status, these header lines (each ended by CRLF) and this body.
 pub fn response(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
--- a/crates/cache-balancer/tests/descriptors.rs
+++ b/crates/cache-balancer/tests/descriptors.rs
@@ -12,7 +12,7 @@
 /// The connections of clients that such a node holds, and those to cache servers.
 const CONNECTIONS: usize = (DESCRIPTORS - 24) / 2;
 
-/// A node that the system lets hold no more descriptors than its configuration says, with an endpoint list
+/// A node whose limit of open descriptors (`ulimit`) is that of its configuration, with an endpoint list
 /// and a discovery that is not there yet.
 fn bounded(discovery: SocketAddr, servers: &[CacheServer]) -> Node {
     let endpoints = servers.iter().enumerate();
--- a/crates/cache-balancer/tests/handover_replicas.rs
+++ b/crates/cache-balancer/tests/handover_replicas.rs
@@ -34,7 +34,7 @@
 
 fn count_polls(replicas: &[&Discovery], path: impl Fn(&str) -> bool) -> usize {
     let polls = |replica: &&Discovery| {
-        replica.received.lock().unwrap().iter().filter(|received| path(received.as_str())).count()
+        replica.received.lock().unwrap().iter().filter(|polled| path(polled.as_str())).count()
     };
     replicas.iter().map(polls).sum()
 }
--- a/crates/cache-balancer/tests/handover_versions.rs
+++ b/crates/cache-balancer/tests/handover_versions.rs
@@ -4,13 +4,15 @@
 mod common;
 mod handover_support;
 
-use common::{output_before_timeout, response, wait_for, CacheServer, Discovery, Message, ServerBehavior};
+use common::{
+    output_before_timeout, response, serve_requests, wait_for, CacheServer, Discovery, ServerBehavior,
+};
 use handover_support::recorded::{form, kind, text, Recording};
 use handover_support::scripted::{Peer, ScriptedPredecessor, OFFER, PROCEED};
 use handover_support::{static_pool, Clients, Fixture};
 use serde_json::Value;
-use std::io::{BufReader, Write};
-use std::net::{TcpListener, TcpStream};
+use std::io::Write;
+use std::net::TcpListener;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
@@ -18,14 +20,14 @@
 const SUCCESSOR: &str = "successor";
 
 /// The servers, the discovery service and the node's file as in the recording.
-struct World {
+struct Deployment {
     good: CacheServer,
     broken: CacheServer,
     discovery: Discovery,
     fixture: Fixture,
 }
 
-impl World {
+impl Deployment {
     fn new() -> Self {
         let good = CacheServer::serving("good");
         let broken = CacheServer::start(|_| ServerBehavior::RespondAndClose(String::new()));
@@ -61,10 +63,10 @@
 /// before sends, and would lose requests if the two disagreed on a message.
 #[test]
 fn this_version_takes_over_from_the_version_before_with_its_state() {
-    let world = World::new();
-    world.discovery.notify(false, &[]);
-    let World { good, fixture, discovery, .. } = &world;
-    let recording = world.recording();
+    let deployment = Deployment::new();
+    deployment.discovery.notify(false, &[]);
+    let Deployment { good, fixture, discovery, .. } = &deployment;
+    let recording = deployment.recording();
     let sent = recording.frames("handover", PREDECESSOR);
     let [offer, proceed, commit, departed] = &sent[..] else { panic!("{} frames", sent.len()) };
     let expected = recording.frames("handover", SUCCESSOR);
@@ -120,9 +122,9 @@
 /// if this version sent another form of message.
 #[test]
 fn this_version_hands_over_to_the_version_before_with_its_state() {
-    let world = World::new();
-    let World { good, broken, fixture, discovery, .. } = &world;
-    let recording = world.recording();
+    let deployment = Deployment::new();
+    let Deployment { good, broken, fixture, discovery, .. } = &deployment;
+    let recording = deployment.recording();
     let expected = recording.frames("handover", PREDECESSOR);
     let [offer, proceed, commit, _] = &expected[..] else { panic!("{} frames", expected.len()) };
     let sent = recording.frames("handover", SUCCESSOR);
@@ -172,25 +174,13 @@
     socket.set_nonblocking(false).unwrap();
     let served: Arc<AtomicU64> = Arc::default();
     let count = served.clone();
-    std::thread::spawn(move || {
-        for stream in socket.incoming().map_while(Result::ok) {
-            let count = count.clone();
-            std::thread::spawn(move || serve_connection(stream, &count));
-        }
+    serve_requests(socket, move |_, stream| {
+        count.fetch_add(1, Ordering::SeqCst);
+        stream.write_all(response("200 OK", "", "successor").as_bytes()).is_ok()
     });
     served
 }
 
-fn serve_connection(mut stream: TcpStream, count: &AtomicU64) {
-    let mut reader = BufReader::new(stream.try_clone().unwrap());
-    while let Ok(Some(_)) = Message::read(&mut reader) {
-        count.fetch_add(1, Ordering::SeqCst);
-        if stream.write_all(response("200 OK", "", "successor").as_bytes()).is_err() {
-            return;
-        }
-    }
-}
-
 #[test]
 fn a_declining_successor_of_the_version_before_leaves_this_one_serving() {
     let server = CacheServer::serving("a");
@@ -234,8 +224,8 @@
 
 #[test]
 fn a_successor_stopped_on_probation_releases_as_the_version_before_does() {
-    let world = World::new();
-    let (fixture, recording) = (&world.fixture, world.recording());
+    let deployment = Deployment::new();
+    let (fixture, recording) = (&deployment.fixture, deployment.recording());
     let sent = recording.frames("handover", PREDECESSOR);
     let predecessor = ScriptedPredecessor::at(fixture);
     let (node, mut peer) = std::thread::scope(|scope| {
@@ -252,8 +242,8 @@
 
 #[test]
 fn a_successor_cancelled_by_the_version_before_exits_with_its_reason() {
-    let world = World::new();
-    let (fixture, recording) = (&world.fixture, world.recording());
+    let deployment = Deployment::new();
+    let (fixture, recording) = (&deployment.fixture, deployment.recording());
     let offer = &recording.frames("handover", PREDECESSOR)[0];
     let predecessor = ScriptedPredecessor::at(fixture);
     let output = std::thread::scope(|scope| {
@@ -269,8 +259,8 @@
 
 #[test]
 fn a_successor_stopped_before_it_proceeds_declines_as_the_version_before_does() {
-    let world = World::new();
-    let (fixture, recording) = (&world.fixture, world.recording());
+    let deployment = Deployment::new();
+    let (fixture, recording) = (&deployment.fixture, deployment.recording());
     let offer = &recording.frames("handover", PREDECESSOR)[0];
     let predecessor = ScriptedPredecessor::at(fixture);
     let mut node = fixture.command().stderr(std::process::Stdio::null()).spawn().unwrap();
--- a/crates/cache-balancer/tests/hollow.rs
+++ b/crates/cache-balancer/tests/hollow.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{command, wait_for, TIMEOUT};
+use common::{command, wait_for, wait_for_exit, TIMEOUT};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::cell::RefCell;
@@ -73,13 +73,9 @@
     /// Ends its input and waits for its end. Returns whether it succeeded, and its standard error.
     fn finish(mut self) -> (bool, String) {
         self.commands = None;
-        let mut status = None;
-        wait_for("a process's end", || {
-            status = self.child.try_wait().unwrap();
-            status.is_some()
-        });
+        let status = wait_for_exit(&mut self.child);
         let errors = self.errors.take().unwrap().join().unwrap();
-        (status.unwrap().success(), errors)
+        (status.success(), errors)
     }
 }
 
--- a/crates/cache-balancer/tests/lifecycle.rs
+++ b/crates/cache-balancer/tests/lifecycle.rs
@@ -133,23 +133,23 @@
 #[test]
 fn a_reload_moves_the_watch_to_the_new_discovery_from_a_snapshot_on() {
     let servers = [CacheServer::serving("0"), CacheServer::serving("1"), CacheServer::serving("2")];
-    let lists = servers.each_ref().map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
-    let node = Node::start_ready(&config(lists[0].address));
-    lists[0].wait_until_notified(1);
+    let services = servers.each_ref().map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
+    let node = Node::start_ready(&config(services[0].address));
+    services[0].wait_until_notified(1);
     let mut client = node.client();
-    for (i, list) in lists.iter().enumerate().skip(1) {
+    for (i, discovery) in services.iter().enumerate().skip(1) {
         assert_eq!(client.request(&read_request("read", 1, 20_000)).body, (i - 1).to_string().as_bytes());
-        node.reload(&config(list.address).to_string());
-        list.wait_until_notified(1);
-        assert_eq!(list.received.lock().unwrap()[0], "/v1/servers");
+        node.reload(&config(discovery.address).to_string());
+        discovery.wait_until_notified(1);
+        assert_eq!(discovery.received.lock().unwrap()[0], "/v1/servers");
         assert_eq!(client.request(&read_request("read", 1, 20_000)).body, i.to_string().as_bytes());
     }
     // The old discovery services have no effect any more.
-    lists[0].notify(true, &[servers[0].entry("s-1", "ready")]);
-    lists[2].notify(false, &[]);
-    lists[2].wait_until_notified(2);
+    services[0].notify(true, &[servers[0].entry("s-1", "ready")]);
+    services[2].notify(false, &[]);
+    services[2].wait_until_notified(2);
     assert_eq!(client.request(&read_request("read", 1, 20_000)).body, b"2");
-    assert_eq!(lists.each_ref().map(|list| list.request_count()), [2, 2, 3]);
+    assert_eq!(services.each_ref().map(|discovery| discovery.request_count()), [2, 2, 3]);
 }
 
 /// A reload could end the node or leave it without a list: it serves with the old one while the new discovery is silent.
--- a/crates/cache-balancer/tests/lists.rs
+++ b/crates/cache-balancer/tests/lists.rs
@@ -157,7 +157,7 @@
 }
 
 /// An answer that has begun shows that there are changes. If the node waited for its end as long as for a watch without
-/// events, it would hear of them late.
+/// events, it would be notified of them late.
 #[test]
 fn a_stalled_answer_times_out_before_the_wait_of_its_watch() {
     let (one, two) = (CacheServer::serving("one"), CacheServer::serving("two"));
--- a/crates/cache-balancer/tests/outage.rs
+++ b/crates/cache-balancer/tests/outage.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// A backoff that grows with the number of nodes is at half a minute when discovery is back: the nodes hear of a drain long
+/// A backoff that grows with the number of nodes is at half a minute when discovery is back: the nodes are notified of a drain long
 /// after the deadline and send to the draining server until then.
 #[test]
 fn every_process_is_notified_in_time_once_discovery_is_back() {
--- a/crates/cache-balancer/tests/replicas.rs
+++ b/crates/cache-balancer/tests/replicas.rs
@@ -6,7 +6,7 @@
 use balancer_core::discovery::ReplicaSelection;
 use common::*;
 use serde_json::{json, Value};
-use std::io::{BufReader, Write};
+use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
@@ -108,20 +108,10 @@
     let behavior = Arc::new((Mutex::new((0, behavior)), Condvar::new()));
     let replica = Replica { address: listener.local_addr().unwrap(), behavior: behavior.clone() };
     let calls = calls.clone();
-    thread::spawn(move || {
-        for stream in listener.incoming().map_while(Result::ok) {
-            let (behavior, calls) = (behavior.clone(), calls.clone());
-            thread::spawn(move || {
-                let mut reader = BufReader::new(stream.try_clone().unwrap());
-                while let Ok(Some(message)) = Message::read(&mut reader) {
-                    let path = message.start_line.split(' ').nth(1).unwrap().to_owned();
-                    calls.lock().unwrap().push((place, path.clone()));
-                    if !answer_call(&stream, &path, &behavior) {
-                        return;
-                    }
-                }
-            });
-        }
+    serve_requests(listener, move |request, stream| {
+        let path = request.start_line.split(' ').nth(1).unwrap().to_owned();
+        calls.lock().unwrap().push((place, path.clone()));
+        answer_call(stream, &path, &behavior)
     });
     replica
 }
--- a/crates/cache-balancer/tests/scale.rs
+++ b/crates/cache-balancer/tests/scale.rs
@@ -10,7 +10,7 @@
 use testbed::scale::{ScaleReport, ScaleScript};
 
 const NODES: u64 = 300;
-/// Far longer than anything here takes: a wait that reaches it has failed.
+/// The time after which a wait fails. Far longer than anything that the tests wait for.
 const TIMEOUT: Duration = Duration::from_secs(300);
 /// Processes of a run have a variable of this name in their environment, with a value of its own.
 const MARK: &str = "PINHEAD_SCALE_TEST";
--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -13,7 +13,7 @@
 };
 use tokio::time::sleep;
 
-/// Far longer than anything here takes: a wait that reaches it has failed.
+/// The time after which a wait fails. Far longer than anything that the tests wait for.
 const TIMEOUT: Duration = Duration::from_secs(120);
 const NODES: u32 = 3;
 const SERVERS: u32 = 40;
--- a/crates/cache-balancer/tests/servers.rs
+++ b/crates/cache-balancer/tests/servers.rs
@@ -62,14 +62,14 @@
     assert_eq!((server.request_count(), server.connections.load(Ordering::SeqCst)), (10, 1));
 }
 
-/// The status and the number of attempts of a request of this class, where the first attempt meets `does` and
+/// The status and the number of attempts of a request of this class, where the first attempt gets `behavior` and
 /// all others are served.
-fn after_one(does: fn() -> ServerBehavior, class: &str) -> (u16, usize) {
+fn after_one(behavior: fn() -> ServerBehavior, class: &str) -> (u16, usize) {
     let received = Arc::new(AtomicU32::new(0));
     let server = || {
         let received = received.clone();
         CacheServer::start(move |_| match received.fetch_add(1, Ordering::SeqCst) {
-            0 => does(),
+            0 => behavior(),
             _ => ServerBehavior::Respond(response("200 OK", "", "value")),
         })
     };
@@ -264,7 +264,7 @@
 }
 
 /// An overloaded origin failed the misses, clients and node retried them, and the servers never got to cache
-/// what they were asked for: the overload did not end.
+/// what was requested: the overload did not end.
 #[test]
 fn probable_misses_are_limited_while_fetches_fail_and_hits_go_on() {
     let gate = Arc::new(HoldingGate::default());
--- a/crates/cache-balancer/tests/silence.rs
+++ b/crates/cache-balancer/tests/silence.rs
@@ -7,7 +7,7 @@
 use common::*;
 use serde_json::json;
 use std::collections::BTreeMap;
-use std::io::{BufReader, Write};
+use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -54,39 +54,33 @@
                 notified: Arc::clone(&notified),
             };
             let listening = discovery.clone();
-            thread::spawn(move || {
-                for stream in listener.incoming().map_while(Result::ok) {
-                    let serving = listening.clone();
-                    thread::spawn(move || serving.serve(stream));
-                }
-            });
+            serve_requests(listener, move |request, stream| listening.respond(request, stream));
             discovery
         };
         (0..nodes).map(start).collect()
     }
 
-    fn serve(&self, mut stream: TcpStream) {
-        let mut reader = BufReader::new(stream.try_clone().unwrap());
-        while let Ok(Some(message)) = Message::read(&mut reader) {
-            let Some((_, wait)) = message.start_line.split_once("wait_ms=") else {
-                let _ = stream.write_all(response("200 OK", "", &self.ready).as_bytes());
-                continue;
-            };
-            let wait = Duration::from_millis(wait.split(' ').next().unwrap().parse().unwrap());
-            if !self.watches.lock().unwrap().contains_key(&self.node) {
-                self.watches.lock().unwrap().insert(self.node, (Instant::now(), wait));
-                // Lost: the connection stays open and nothing more is sent on it.
-                thread::sleep(2 * TIMEOUT);
-                return;
-            }
-            let lost = self.watches.lock().unwrap().len();
-            assert_eq!(lost, self.nodes, "all watches are lost before any drain");
-            if self.notified.lock().unwrap().contains(&self.node) {
-                thread::sleep(wait);
-            }
-            let _ = stream.write_all(response("200 OK", "", &self.draining).as_bytes());
-            self.notified.lock().unwrap().push(self.node);
+    /// Responds to a request. Returns whether the connection stays open.
+    fn respond(&self, request: &Message, stream: &mut TcpStream) -> bool {
+        let Some((_, wait)) = request.start_line.split_once("wait_ms=") else {
+            let _ = stream.write_all(response("200 OK", "", &self.ready).as_bytes());
+            return true;
+        };
+        let wait = Duration::from_millis(wait.split(' ').next().unwrap().parse().unwrap());
+        if !self.watches.lock().unwrap().contains_key(&self.node) {
+            self.watches.lock().unwrap().insert(self.node, (Instant::now(), wait));
+            // Lost: the connection stays open and nothing more is sent on it.
+            thread::sleep(2 * TIMEOUT);
+            return false;
+        }
+        let lost = self.watches.lock().unwrap().len();
+        assert_eq!(lost, self.nodes, "all watches are lost before any drain");
+        if self.notified.lock().unwrap().contains(&self.node) {
+            thread::sleep(wait);
         }
+        let _ = stream.write_all(response("200 OK", "", &self.draining).as_bytes());
+        self.notified.lock().unwrap().push(self.node);
+        true
     }
 }
 
--- a/crates/cache-balancer/tests/sizes.rs
+++ b/crates/cache-balancer/tests/sizes.rs
@@ -6,7 +6,7 @@
 use common::*;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
-use std::io::{BufReader, Write};
+use std::io::Write;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -27,22 +27,10 @@
     let listener = TcpListener::bind("0.0.0.0:0").unwrap();
     let port = listener.local_addr().unwrap().port();
     let met: Arc<Mutex<BTreeSet<_>>> = Arc::default();
-    let all = met.clone();
-    thread::spawn(move || {
-        for stream in listener.incoming().map_while(Result::ok) {
-            let met = all.clone();
-            thread::spawn(move || {
-                let own = stream.local_addr().unwrap();
-                let mut reader = BufReader::new(stream.try_clone().unwrap());
-                let mut stream = stream;
-                while let Ok(Some(_)) = Message::read(&mut reader) {
-                    met.lock().unwrap().insert(own);
-                    if stream.write_all(response("200 OK", "", "value").as_bytes()).is_err() {
-                        return;
-                    }
-                }
-            });
-        }
+    let reached = met.clone();
+    serve_requests(listener, move |_, stream| {
+        reached.lock().unwrap().insert(stream.local_addr().unwrap());
+        stream.write_all(response("200 OK", "", "value").as_bytes()).is_ok()
     });
     (port, met)
 }
@@ -66,24 +54,16 @@
 fn discovery(lists: Vec<Value>) -> (SocketAddr, Arc<Mutex<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (sent, allowed) = (Arc::new(Mutex::new(0)), Arc::new(Mutex::new(1)));
+    let (sent, allowed) = (Mutex::new(0), Arc::new(Mutex::new(1)));
     let limit = allowed.clone();
-    thread::spawn(move || {
-        for stream in listener.incoming().map_while(Result::ok) {
-            let (lists, sent, limit) = (lists.clone(), sent.clone(), limit.clone());
-            thread::spawn(move || {
-                let mut reader = BufReader::new(stream.try_clone().unwrap());
-                let mut stream = stream;
-                while let Ok(Some(_)) = Message::read(&mut reader) {
-                    let next = *sent.lock().unwrap();
-                    while next >= *limit.lock().unwrap() {
-                        thread::sleep(Duration::from_millis(5));
-                    }
-                    *sent.lock().unwrap() += 1;
-                    in_pieces(&mut stream, &serde_json::to_string_pretty(&lists[next]).unwrap());
-                }
-            });
+    serve_requests(listener, move |_, stream| {
+        let next = *sent.lock().unwrap();
+        while next >= *limit.lock().unwrap() {
+            thread::sleep(Duration::from_millis(5));
         }
+        *sent.lock().unwrap() += 1;
+        in_pieces(stream, &serde_json::to_string_pretty(&lists[next]).unwrap());
+        true
     });
     (address, allowed)
 }
