--- a/crates/cache-balancer/src/daemon/graceful_restart/mod.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/mod.rs
@@ -11,7 +11,7 @@
 use crate::handover::PredecessorEndpoint;
 use crate::service_manager::ServiceManager;
 use balancer_core::graceful_restart::{PredecessorAction, PredecessorEvent, SuccessorEvent};
-use predecessor::SuccessorHandover;
+use predecessor::OutgoingHandover;
 use rustix::process::Signal;
 use std::future::pending;
 use std::time::Duration;
@@ -42,14 +42,15 @@
 #[derive(Debug, Default)]
 pub(super) struct GracefulRestart {
     predecessor: Option<StandbyPredecessor>,
-    successor: Option<SuccessorHandover>,
+    /// `None` without `[hand_over]`, or if a process that took over could not bind its socket.
+    outgoing: Option<OutgoingHandover>,
 }
 
 impl GracefulRestart {
     pub fn new(predecessor: Option<StandbyPredecessor>, endpoint: Option<PredecessorEndpoint>) -> Self {
         Self {
             predecessor: predecessor.filter(StandbyPredecessor::is_standing_by),
-            successor: endpoint.map(SuccessorHandover::new),
+            outgoing: endpoint.map(OutgoingHandover::new),
         }
     }
 
@@ -60,29 +61,29 @@
 
     /// Whether a hand-over to a successor is in progress that is not committed yet.
     pub fn is_handing_over(&self) -> bool {
-        self.successor.as_ref().is_some_and(SuccessorHandover::is_handing_over)
+        self.outgoing.as_ref().is_some_and(OutgoingHandover::is_handing_over)
     }
 
     /// Whether the successor serves, and this process stands by.
     pub fn is_standing_by(&self) -> bool {
-        self.successor.as_ref().is_some_and(SuccessorHandover::is_standing_by)
+        self.outgoing.as_ref().is_some_and(OutgoingHandover::is_standing_by)
     }
 
     /// The time for which successors are still rejected.
     pub fn backoff_remaining(&self) -> Option<Duration> {
-        self.successor.as_ref()?.backoff_remaining()
+        self.outgoing.as_ref()?.backoff_remaining()
     }
 
     /// Sends a signal on to the successor.
     pub fn forward_signal(&self, signal: Signal) {
-        if let Some(successor) = &self.successor {
-            successor.forward_signal(signal);
+        if let Some(outgoing) = &self.outgoing {
+            outgoing.forward_signal(signal);
         }
     }
 
     /// The next event. Cancel safe.
     pub async fn next(&mut self, node: &Node) -> RestartEvent {
-        let Self { predecessor, successor } = self;
+        let Self { predecessor, outgoing } = self;
         let predecessor_gone = async {
             match predecessor {
                 Some(predecessor) => predecessor.gone().await,
@@ -90,8 +91,8 @@
             }
         };
         let successor_event = async {
-            match successor {
-                Some(successor) => successor.next(node).await,
+            match outgoing {
+                Some(outgoing) => outgoing.next(node).await,
                 None => pending().await,
             }
         };
@@ -120,18 +121,18 @@
         node: &Node,
         manager: &ServiceManager,
     ) -> Transition {
-        let Some(successor) = &mut self.successor else { return Transition::None };
+        let Some(outgoing) = &mut self.outgoing else { return Transition::None };
         let mut transition = Transition::None;
-        for action in successor.handle(event) {
+        for action in outgoing.handle(event) {
             if *action == PredecessorAction::Offer {
                 release_predecessor(&mut self.predecessor, manager).await;
             }
-            let next = successor.carry_out(*action, event, node, manager).await;
+            let next = outgoing.carry_out(*action, event, node, manager).await;
             if next != Transition::None {
                 transition = next;
             }
         }
-        successor.disconnect_if_serving();
+        outgoing.disconnect_if_serving();
         transition
     }
 
@@ -140,18 +141,18 @@
         if let Some(predecessor) = &mut self.predecessor {
             predecessor.handle(SuccessorEvent::StopRequested).await;
         }
-        match &mut self.successor {
-            Some(successor) => successor.stop(manager).await,
+        match &mut self.outgoing {
+            Some(outgoing) => outgoing.stop(manager).await,
             None => false,
         }
     }
 
     /// Applies a new configuration. `endpoint` listens at its socket if that has moved.
     pub fn reconfigure(&mut self, endpoint: Option<PredecessorEndpoint>, config: &Config) {
-        match (&config.handover, endpoint, &mut self.successor) {
-            (None, ..) => self.successor = None,
-            (Some(_), Some(endpoint), _) => self.successor = Some(SuccessorHandover::new(endpoint)),
-            (Some(config), None, Some(successor)) => successor.reconfigure(config.clone()),
+        match (&config.handover, endpoint, &mut self.outgoing) {
+            (None, ..) => self.outgoing = None,
+            (Some(_), Some(endpoint), _) => self.outgoing = Some(OutgoingHandover::new(endpoint)),
+            (Some(config), None, Some(outgoing)) => outgoing.reconfigure(config.clone()),
             (Some(_), None, None) => {}
         }
     }
--- a/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
@@ -14,14 +14,15 @@
 
 /// The hand-over to a successor, from the start of this process on.
 #[derive(Debug)]
-pub(super) struct SuccessorHandover {
+pub(super) struct OutgoingHandover {
     machine: Predecessor,
     endpoint: PredecessorEndpoint,
-    /// The successor is on probation until then, and until every request that this process accepted has ended.
+    /// The successor is on probation until then, and until every connection that this process accepted
+    /// has ended.
     probation_until: Option<Instant>,
 }
 
-impl SuccessorHandover {
+impl OutgoingHandover {
     pub fn new(endpoint: PredecessorEndpoint) -> Self {
         Self { machine: Predecessor::default(), endpoint, probation_until: None }
     }
--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -24,7 +24,7 @@
 /// The pools, in the order of the configuration.
 pub struct Pools {
     running: Vec<Running>,
-    places: Rc<ConnectionLimit>,
+    connection_limit: Rc<ConnectionLimit>,
     /// The name of the node.
     node: String,
     /// Whether the pools log a line of counts for each second.
@@ -37,10 +37,10 @@
 struct Running {
     pool: Pool,
     /// Leads to its driver.
-    events: UnboundedSender<DriverInput>,
+    driver_inputs: UnboundedSender<DriverInput>,
     ready: watch::Receiver<bool>,
     list: ListWatch,
-    /// The poll_settings on which discovery is polled.
+    /// What polls of discovery depend on, shared with the poller.
     poll_settings: Rc<Cell<PollSettings>>,
 }
 
@@ -67,16 +67,21 @@
             Source::Fixed => self.pool.known.clone(),
             Source::Discovery(_) | Source::File(_) => endpoint_list,
         };
-        // The driver ends only once it is retired.
-        let _ = self.events.send(DriverInput::StateRestored(Box::new((endpoint_list, learned_state))));
+        // The driver ends only once its pool is removed.
+        let _ = self.driver_inputs.send(DriverInput::StateRestored(Box::new((endpoint_list, learned_state))));
     }
 }
 
 impl Pools {
     /// Starts the pools, with the state of the predecessor's pools of the same names.
-    pub fn start(config: &Config, places: Rc<ConnectionLimit>, mut learned: Vec<PoolState>) -> Self {
+    pub fn start(
+        config: &Config,
+        connection_limit: Rc<ConnectionLimit>,
+        mut learned: Vec<PoolState>,
+    ) -> Self {
         let (node, tally) = (config.name.clone(), Rc::new(Cell::new(config.tally)));
-        let mut pools = Self { running: Vec::new(), places, node, tally, seed: config.seed, started: 0 };
+        let mut pools =
+            Self { running: Vec::new(), connection_limit, node, tally, seed: config.seed, started: 0 };
         for pool in config.pools.iter().cloned() {
             let index = learned.iter().position(|learned| learned.name == pool.name);
             let running = pools.start_pool(pool, index.map(|index| learned.swap_remove(index)));
@@ -97,10 +102,10 @@
     /// The learned state of each pool.
     pub async fn learned_state(&self) -> Vec<PoolState> {
         let mut states = Vec::new();
-        for Running { pool, events, .. } in &self.running {
+        for Running { pool, driver_inputs, .. } in &self.running {
             let (answer, state) = oneshot::channel();
-            // The driver ends only once it is retired.
-            let _ = events.send(DriverInput::StateRequested(answer));
+            // The driver ends only once its pool is removed.
+            let _ = driver_inputs.send(DriverInput::StateRequested(answer));
             let Ok((endpoint_list, learned_state)) = state.await else { continue };
             states.push(PoolState::new(&pool.name, &pool.source, endpoint_list, learned_state));
         }
@@ -119,14 +124,14 @@
             self.running.push(running);
         }
         for removed in before.into_iter().flatten() {
-            // Its driver ends only once it is retired.
-            let _ = removed.events.send(DriverInput::PoolRemoved);
+            // Its driver ends only once its pool is removed.
+            let _ = removed.driver_inputs.send(DriverInput::PoolRemoved);
         }
     }
 
     /// The inputs of the drivers.
     pub fn drivers(&self) -> Vec<UnboundedSender<DriverInput>> {
-        self.running.iter().map(|running| running.events.clone()).collect()
+        self.running.iter().map(|running| running.driver_inputs.clone()).collect()
     }
 
     /// Whether each pool has had a server that takes work.
@@ -136,8 +141,9 @@
 
     /// The pool of each class.
     pub fn routes(&self) -> Routes {
-        let classes =
-            |running: &Running| Class::all(&running.pool.settings, &running.events).collect::<Vec<_>>();
+        let classes = |running: &Running| {
+            Class::all(&running.pool.settings, &running.driver_inputs).collect::<Vec<_>>()
+        };
         let tenants = |running: &Running| {
             running.pool.settings.tenants.iter().map(|tenant| tenant.name.clone()).collect::<Vec<_>>()
         };
@@ -151,20 +157,21 @@
         let seed = self.seed.wrapping_add(self.started);
         self.started += 1;
         // The number of connections bounds it: each has one request, or one attempt, in the channel.
-        let (events, inputs) = mpsc::unbounded_channel();
+        let (driver_inputs, inputs) = mpsc::unbounded_channel();
         let (has_servers, ready) = watch::channel(false);
         let Pool { settings, known, .. } = &pool;
         let (connecting, idle) = (settings.connect_timeout, settings.server_idle_timeout);
-        let upstream = Rc::new(Upstream::new(self.places.clone(), connecting, idle));
+        let upstream = Rc::new(Upstream::new(self.connection_limit.clone(), connecting, idle));
         spawn_local(Upstream::close_idle_on_time(Rc::downgrade(&upstream)));
         let validator = initial_validator(&pool, learned.as_ref());
         let poll_settings = Rc::new(Cell::new(PollSettings::from(settings)));
-        let list = ListWatch::start(&self.node, &pool.source, validator, seed, &poll_settings, &events);
+        let list =
+            ListWatch::start(&self.node, &pool.source, validator, seed, &poll_settings, &driver_inputs);
         let balancer = Balancer::new(settings.clone(), seed);
         let tally = Tally::new(&self.node, &pool.name, self.tally.clone());
-        let driver = Driver::new(balancer, upstream, has_servers, events.clone(), tally);
+        let driver = Driver::new(balancer, upstream, has_servers, driver_inputs.clone(), tally);
         spawn_local(driver.run(known.clone(), inputs));
-        let running = Running { pool, events, ready, list, poll_settings };
+        let running = Running { pool, driver_inputs, ready, list, poll_settings };
         if let Some(learned) = learned {
             running.restore(learned);
         }
@@ -177,8 +184,8 @@
         let Pool { source, known, settings, .. } = &running.pool;
         running.poll_settings.set(PollSettings::from(settings));
         if *settings != before.settings {
-            // The driver ends only once it is retired.
-            let _ = running.events.send(DriverInput::Reconfigured(Box::new(settings.clone())));
+            // The driver ends only once its pool is removed.
+            let _ = running.driver_inputs.send(DriverInput::Reconfigured(Box::new(settings.clone())));
         }
         match (source, &running.list) {
             (Source::Discovery(new), ListWatch::Discovery(current, _)) => {
@@ -195,7 +202,7 @@
                     validator,
                     seed,
                     &running.poll_settings,
-                    &running.events,
+                    &running.driver_inputs,
                 );
             }
         }
@@ -203,7 +210,7 @@
             && (before.source != Source::Fixed || known.endpoints != before.known.endpoints)
         {
             let _ = running
-                .events
+                .driver_inputs
                 .send(DriverInput::EndpointList(EndpointList { is_snapshot: true, ..known.clone() }));
         }
         running
@@ -218,26 +225,26 @@
         validator: ListValidator,
         seed: u64,
         poll_settings: &Rc<Cell<PollSettings>>,
-        events: &UnboundedSender<DriverInput>,
+        driver_inputs: &UnboundedSender<DriverInput>,
     ) -> Self {
         match source {
             Source::Discovery(replicas) => {
                 // With a random sequence for each, pools that lost discovery together do not return together.
                 let random = fastrand::Rng::with_seed(seed);
                 let (sender, replicas) = watch::channel(replicas.clone());
-                let (poll_settings, events) = (poll_settings.clone(), events.clone());
+                let (poll_settings, driver_inputs) = (poll_settings.clone(), driver_inputs.clone());
                 let watching = DiscoveryPoller {
                     node: node.to_owned(),
                     replicas,
                     validator,
                     poll_settings,
                     random,
-                    events,
+                    driver_inputs,
                 };
                 Self::Discovery(sender, spawn_local(watching.run()).abort_handle())
             }
             Source::File(path) => {
-                Self::File(spawn_local(list_file::watch(path.clone(), events.clone())).abort_handle())
+                Self::File(spawn_local(list_file::watch(path.clone(), driver_inputs.clone())).abort_handle())
             }
             Source::Fixed => Self::Fixed,
         }
--- a/crates/cache-balancer/src/daemon/pools/tests.rs
+++ b/crates/cache-balancer/src/daemon/pools/tests.rs
@@ -94,10 +94,10 @@
     let Source::Discovery(replicas) = &pool.source else { panic!("expected discovery") };
     let (sender, replicas) = watch::channel(replicas.clone());
     let client = tokio::spawn(std::future::pending::<()>()).abort_handle();
-    let (events, inputs) = mpsc::unbounded_channel();
+    let (driver_inputs, inputs) = mpsc::unbounded_channel();
     let running = Running {
         pool: pool.clone(),
-        events,
+        driver_inputs,
         ready: watch::channel(false).1,
         list: ListWatch::Discovery(sender, client.clone()),
         poll_settings: Rc::new(Cell::new(PollSettings::from(&pool.settings))),
@@ -110,7 +110,7 @@
     let (running, ends): (Vec<_>, Vec<_>) = config.pools.iter().map(running).unzip();
     let pools = Pools {
         running,
-        places: Rc::new(ConnectionLimit::new(1)),
+        connection_limit: Rc::new(ConnectionLimit::new(1)),
         node: config.name.clone(),
         tally: Rc::default(),
         seed: config.seed,
--- a/crates/cache-balancer/src/discovery/mod.rs
+++ b/crates/cache-balancer/src/discovery/mod.rs
@@ -43,7 +43,7 @@
     /// The source of jitter.
     pub random: fastrand::Rng,
     /// Where lists and failures are reported.
-    pub events: UnboundedSender<DriverInput>,
+    pub driver_inputs: UnboundedSender<DriverInput>,
 }
 
 impl DiscoveryPoller {
@@ -163,10 +163,10 @@
                 self.connection = None;
                 log!("{}: {}", self.label(), single_line(&error.to_string()));
                 self.report_leaving(body);
-                (DriverInput::EndpointListFailed, error.outcome(took))
+                (DriverInput::PollFailed, error.outcome(took))
             }
         };
-        self.poller.events.send(input).ok()?;
+        self.poller.driver_inputs.send(input).ok()?;
         let jitter = self.draw_jitter();
         let now = Timestamp::from_micros(self.started_at.elapsed().as_micros() as u64);
         let (pacing, next_kind) = (self.pacing(), self.next_kind());
@@ -222,7 +222,7 @@
         if leaving.ids.is_empty() {
             return;
         }
-        request::report_leaving(&self.label(), &self.poller.events, leaving.ids.clone());
+        request::report_leaving(&self.label(), &self.poller.driver_inputs, leaving.ids.clone());
         let address = self.address().to_string();
         let source = ListSource { replica: &address, replicas: self.addresses.len() };
         self.poller.validator.leaving_reported(source, leaving.version, leaving.ids);
@@ -259,7 +259,7 @@
             deadlines,
             partial_read_interval: self.poller.poll_settings.get().partial_read_interval(),
             label: self.label(),
-            events: self.poller.events.clone(),
+            driver_inputs: self.poller.driver_inputs.clone(),
         }
     }
 
--- a/crates/cache-balancer/src/discovery/request.rs
+++ b/crates/cache-balancer/src/discovery/request.rs
@@ -95,7 +95,7 @@
     /// How often the part of an answer that has arrived is read.
     pub(super) partial_read_interval: Duration,
     pub(super) label: ReplicaLabel,
-    pub(super) events: UnboundedSender<DriverInput>,
+    pub(super) driver_inputs: UnboundedSender<DriverInput>,
 }
 
 impl PollRequest {
@@ -189,7 +189,7 @@
     fn report_leaving(&self, received: &[u8]) {
         let leaving = EndpointList::read_leaving(received);
         if !leaving.ids.is_empty() {
-            report_leaving(&self.label, &self.events, leaving.ids);
+            report_leaving(&self.label, &self.driver_inputs, leaving.ids);
         }
     }
 
@@ -210,10 +210,10 @@
 /// Reports endpoints that are leaving to the driver.
 pub(super) fn report_leaving(
     label: &ReplicaLabel,
-    events: &UnboundedSender<DriverInput>,
+    driver_inputs: &UnboundedSender<DriverInput>,
     ids: BTreeSet<String>,
 ) {
     log!("{label}: {} servers reported as leaving in an incomplete or rejected answer, avoided", ids.len());
     // The driver lives as long as the node.
-    let _ = events.send(DriverInput::ServersDraining(ids));
+    let _ = driver_inputs.send(DriverInput::EndpointsLeaving(ids));
 }
--- a/crates/cache-balancer/src/driver/endpoints.rs
+++ b/crates/cache-balancer/src/driver/endpoints.rs
@@ -1,6 +1,6 @@
 //! The endpoint list of a pool, and those who follow it: the connections and the node's readiness.
 
-use crate::endpoint_list::EndpointList;
+use crate::endpoint_list::{EndpointList, EndpointRecord};
 use crate::tally::TallyLine;
 use crate::upstream::Upstream;
 use balancer_core::{Endpoint, EndpointState};
@@ -28,11 +28,11 @@
         &self.list
     }
 
-    /// The delta that marks these servers as draining, as far as the list has them in another state.
-    pub fn draining_delta(&self, names: &BTreeSet<String>) -> EndpointList {
-        let named = self.list.endpoints.iter().filter(|host| names.contains(&host.id));
-        let hosts = named.filter_map(crate::endpoint_list::EndpointRecord::drained).collect();
-        EndpointList { version: self.list.version, is_snapshot: false, endpoints: hosts }
+    /// The delta that marks these endpoints as draining, as far as the list has them as ready.
+    pub fn draining_delta(&self, ids: &BTreeSet<String>) -> EndpointList {
+        let leaving = self.list.endpoints.iter().filter(|endpoint| ids.contains(&endpoint.id));
+        let endpoints = leaving.filter_map(EndpointRecord::drained).collect();
+        EndpointList { version: self.list.version, is_snapshot: false, endpoints }
     }
 
     /// Applies a snapshot or a delta to the connections and returns its entries for the decisions.
@@ -42,15 +42,15 @@
     pub fn apply(&mut self, update: &EndpointList, tally: &mut TallyLine) -> Arc<[Endpoint]> {
         self.count_changes(update, tally);
         self.list.apply(update);
-        let entries: Arc<[Endpoint]> = update.endpoints.iter().map(|host| host.endpoint()).collect();
+        let entries: Arc<[Endpoint]> = update.endpoints.iter().map(|record| record.endpoint()).collect();
         if update.is_snapshot {
             self.upstream.retain_servers(|id| entries.iter().any(|entry| entry.id == *id));
         }
-        for (host, entry) in update.endpoints.iter().zip(entries.iter()) {
+        for (record, entry) in update.endpoints.iter().zip(entries.iter()) {
             match entry.state {
                 EndpointState::Removed => self.upstream.remove_server(&entry.id),
                 state => {
-                    self.upstream.update_server(&entry.id, host.address, state == EndpointState::Ready);
+                    self.upstream.update_server(&entry.id, record.address, state == EndpointState::Ready);
                 }
             }
         }
@@ -66,9 +66,9 @@
             return;
         }
         let state = |entry: &Endpoint| (entry.state, entry.started_at);
-        let known = self.list.endpoints.iter().map(|host| host.endpoint());
+        let known = self.list.endpoints.iter().map(|record| record.endpoint());
         let mut known: BTreeMap<_, _> = known.map(|entry| (entry.id.clone(), state(&entry))).collect();
-        for entry in update.endpoints.iter().map(|host| host.endpoint()) {
+        for entry in update.endpoints.iter().map(|record| record.endpoint()) {
             if known.remove(&entry.id) != Some(state(&entry)) {
                 tally.record_notification(&entry.id, entry.state, entry.started_at);
             }
--- a/crates/cache-balancer/src/driver/mod.rs
+++ b/crates/cache-balancer/src/driver/mod.rs
@@ -47,7 +47,7 @@
                 let (version, snapshot, entries) = (list.version, list.is_snapshot, list.endpoints.len());
                 Some(Self::ListApplied { version, snapshot, entries })
             }
-            DriverInput::EndpointListFailed => Some(Self::CallFailed),
+            DriverInput::PollFailed => Some(Self::CallFailed),
             _ => None,
         }
     }
@@ -150,9 +150,9 @@
                 self.apply_endpoint_list(&list);
             }
             // The list held stays in force, and the client of discovery decides when it polls again.
-            DriverInput::EndpointListFailed => self.tally_line().lists_failed += 1,
-            DriverInput::ServersDraining(names) => {
-                let delta = self.endpoints.draining_delta(&names);
+            DriverInput::PollFailed => self.tally_line().lists_failed += 1,
+            DriverInput::EndpointsLeaving(ids) => {
+                let delta = self.endpoints.draining_delta(&ids);
                 self.apply_endpoint_list(&delta);
             }
             DriverInput::Reconfigured(settings) => self.reconfigure(settings),
--- a/crates/cache-balancer/src/fronts/connections/tests.rs
+++ b/crates/cache-balancer/src/fronts/connections/tests.rs
@@ -63,12 +63,12 @@
     }
 }
 
-/// A connection that responds to every request at once, as the front does, with a way to its stage.
+/// A connection that responds to every request at once, as the front does, with a way to set its shutdown phase.
 struct ServedConnection {
     client: std::net::TcpStream,
     state: Rc<ConnectionState>,
     requests: Rc<Cell<usize>>,
-    stage: watch::Sender<ShutdownPhase>,
+    shutdown_phase: watch::Sender<ShutdownPhase>,
     ended: tokio::task::JoinHandle<()>,
 }
 
@@ -79,7 +79,7 @@
 impl ServedConnection {
     fn start() -> Self {
         let (client, connection) = connect(&table());
-        let (stage, watched) = watch::channel(ShutdownPhase::Serving);
+        let (shutdown_phase, watched) = watch::channel(ShutdownPhase::Serving);
         let (state, requests) = (connection.state.clone(), Rc::new(Cell::new(0)));
         let count = requests.clone();
         let ended = tokio::task::spawn_local(async move {
@@ -103,7 +103,7 @@
                 hyper::server::conn::http1::Builder::new().serve_connection(connection.stream(), service);
             connection.drive(serving, |serving| serving.graceful_shutdown(), watched.clone()).await;
         });
-        Self { client, state, requests, stage, ended }
+        Self { client, state, requests, shutdown_phase, ended }
     }
 
     /// Waits until the connection has had this number of requests and is in this phase.
@@ -155,7 +155,7 @@
             if read_ahead {
                 served.reach(1, Phase::ReadingRequest).await;
             }
-            served.stage.send_replace(ShutdownPhase::Closing);
+            served.shutdown_phase.send_replace(ShutdownPhase::Closing);
             tokio::task::yield_now().await;
             served.send(&REQUEST[ahead..]);
             assert_eq!(served.responses().await, 2, "{ahead} bytes, read {read_ahead}");
@@ -180,13 +180,13 @@
 async fn a_connection_accepted_at_shutdown_gets_time_for_its_first_request() {
     let all = async {
         let served = ServedConnection::start();
-        served.stage.send_replace(ShutdownPhase::Closing);
+        served.shutdown_phase.send_replace(ShutdownPhase::Closing);
         tokio::task::yield_now().await;
         served.send(REQUEST);
         assert_eq!(served.responses().await, 1);
         // And no more than that where nothing comes.
         let silent = ServedConnection::start();
-        silent.stage.send_replace(ShutdownPhase::Closing);
+        silent.shutdown_phase.send_replace(ShutdownPhase::Closing);
         assert_eq!(silent.responses().await, 0);
     };
     tokio::task::LocalSet::new().run_until(all).await;
--- a/crates/cache-balancer/src/fronts/connections/tracked.rs
+++ b/crates/cache-balancer/src/fronts/connections/tracked.rs
@@ -68,12 +68,12 @@
         &self,
         serving: C,
         close: impl Fn(Pin<&mut C>),
-        mut stage: watch::Receiver<ShutdownPhase>,
+        mut shutdown_phase: watch::Receiver<ShutdownPhase>,
     ) where
         C: Future,
     {
         let mut serving = pin!(serving);
-        let mut node_closing = pin!(stage.wait_for(|stage| *stage == ShutdownPhase::Closing));
+        let mut node_closing = pin!(shutdown_phase.wait_for(|phase| *phase == ShutdownPhase::Closing));
         let mut grace_over = pin!(sleep_until(self.state.phase_since() + FIRST_REQUEST_GRACE));
         let (mut node_closed, mut in_grace) = (false, false);
         loop {
--- a/crates/cache-balancer/src/fronts/http1/connection.rs
+++ b/crates/cache-balancer/src/fronts/http1/connection.rs
@@ -25,15 +25,15 @@
 /// Serves a connection to its end.
 pub(super) async fn serve_connection(
     connection: TrackedConnection,
-    stage: watch::Receiver<ShutdownPhase>,
+    shutdown_phase: watch::Receiver<ShutdownPhase>,
     front: Rc<Front>,
 ) {
-    let (connection, front, stage) = (&connection, &*front, &stage);
+    let (connection, front, shutdown_phase) = (&connection, &*front, &shutdown_phase);
     let service = service_fn(|request: Request<Incoming>| {
         // Not in the future: hyper reads on before it polls that for the first time.
         connection.head_read(request.body().size_hint().lower() as usize);
         async move {
-            let response = respond(front, connection, stage, request).await;
+            let response = respond(front, connection, shutdown_phase, request).await;
             connection.response_ready();
             Ok::<_, Infallible>(response)
         }
@@ -41,22 +41,22 @@
     let mut http = http1::Builder::new();
     http.max_buf_size(MAX_HEAD_BYTES);
     let serving = http.serve_connection(connection.stream(), service);
-    connection.drive(serving, |serving| serving.graceful_shutdown(), stage.clone()).await;
+    connection.drive(serving, |serving| serving.graceful_shutdown(), shutdown_phase.clone()).await;
 }
 
 async fn respond(
     front: &Front,
     connection: &TrackedConnection,
-    stage: &watch::Receiver<ShutdownPhase>,
+    shutdown_phase: &watch::Receiver<ShutdownPhase>,
     request: Request<Incoming>,
 ) -> HttpResponse {
-    let (mut response, valid) = match handle(front, connection, stage, request).await {
+    let (mut response, valid) = match handle(front, connection, shutdown_phase, request).await {
         Ok(response) => (response, true),
         Err(error) => (error.response(), false),
     };
     // A client whose request is invalid sends the next one at once: not on this connection, where its
     // requests would take the node's time without a pause.
-    if !valid || *stage.borrow() >= ShutdownPhase::StandingBy || !connection.may_stay_open() {
+    if !valid || *shutdown_phase.borrow() >= ShutdownPhase::StandingBy || !connection.may_stay_open() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
@@ -65,14 +65,14 @@
 async fn handle(
     front: &Front,
     connection: &TrackedConnection,
-    stage: &watch::Receiver<ShutdownPhase>,
+    shutdown_phase: &watch::Receiver<ShutdownPhase>,
     request: Request<Incoming>,
 ) -> Result<HttpResponse, RequestError> {
     let received_at = Instant::now();
     let (head, body) = request.into_parts();
     let target = head.uri.path_and_query().cloned().ok_or(RequestError::NoPath)?;
     if target.path() == HEALTH_PATH {
-        return health(front, *stage.borrow(), &head.method);
+        return health(front, *shutdown_phase.borrow(), &head.method);
     }
     let key = key_of(target.path()).ok_or(RequestError::UnknownPath)?;
     check_transfer(&head)?;
@@ -98,9 +98,13 @@
 }
 
 /// Whether the node is ready, for the platform's health checks.
-fn health(front: &Front, stage: ShutdownPhase, method: &Method) -> Result<HttpResponse, RequestError> {
+fn health(
+    front: &Front,
+    shutdown_phase: ShutdownPhase,
+    method: &Method,
+) -> Result<HttpResponse, RequestError> {
     match *method {
-        Method::GET if front.ready.reached() && stage < ShutdownPhase::StandingBy => {
+        Method::GET if front.ready.reached() && shutdown_phase < ShutdownPhase::StandingBy => {
             Ok(response::text(StatusCode::OK, "ready"))
         }
         Method::GET => Ok(response::text(StatusCode::SERVICE_UNAVAILABLE, "not ready")),
--- a/crates/cache-balancer/src/fronts/http1/listener.rs
+++ b/crates/cache-balancer/src/fronts/http1/listener.rs
@@ -23,10 +23,15 @@
 /// A connection that was asked to make room has done so by then, or a request has arrived on it.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Accepts and serves connections until `stage` is [`ShutdownPhase::Closing`] or [`ShutdownPhase::HandedOver`]. All listeners
+/// Accepts and serves connections until `shutdown_phase` is [`ShutdownPhase::Closing`] or
+/// [`ShutdownPhase::HandedOver`]. All listeners
 /// together hold the front's connection permits; further connections wait unaccepted.
-pub async fn serve(listener: Rc<TcpListener>, stage: watch::Receiver<ShutdownPhase>, front: Rc<Front>) {
-    let mut watched = stage.clone();
+pub async fn serve(
+    listener: Rc<TcpListener>,
+    shutdown_phase: watch::Receiver<ShutdownPhase>,
+    front: Rc<Front>,
+) {
+    let mut watched = shutdown_phase.clone();
     loop {
         let now = *watched.borrow_and_update();
         match now {
@@ -40,13 +45,13 @@
             ShutdownPhase::Closing => break,
         }
         let accepted = tokio::select! {
-            // A connection that has been accepted by then is served: it comes before the change of the stage.
+            // A connection that has been accepted by then is served: it comes before the change of the phase.
             biased;
             accepted = accept(&listener, &front.connection_permits, &front.table) => accepted,
             _ = watched.changed() => continue,
         };
         match accepted {
-            Ok((stream, permit)) => spawn_connection(stream, permit, &stage, &front),
+            Ok((stream, permit)) => spawn_connection(stream, permit, &shutdown_phase, &front),
             Err(error) => {
                 log!("accept: {error}");
                 sleep(ACCEPT_RETRY_DELAY).await;
@@ -54,18 +59,22 @@
         }
     }
     log!("no further clients are accepted");
-    serve_backlog(&listener, &stage, &front).await;
+    serve_backlog(&listener, &shutdown_phase, &front).await;
 }
 
 /// Serves the connections that wait in the system's queue as the node closes, as permits become free.
 ///
 /// Guarded against: the system has completed their handshake, so their clients may have sent a request, and
 /// would see a reset when the listener closes. The number of accepts is bounded by the length of the queue.
-async fn serve_backlog(listener: &TcpListener, stage: &watch::Receiver<ShutdownPhase>, front: &Rc<Front>) {
+async fn serve_backlog(
+    listener: &TcpListener,
+    shutdown_phase: &watch::Receiver<ShutdownPhase>,
+    front: &Rc<Front>,
+) {
     for _ in 0..LISTEN_BACKLOG {
         let Ok(permit) = front.connection_permits.clone().acquire_owned().await else { break };
         match accept_queued(listener) {
-            Ok(stream) => spawn_connection(stream, permit, stage, front),
+            Ok(stream) => spawn_connection(stream, permit, shutdown_phase, front),
             Err(error) if error.kind() == ErrorKind::WouldBlock => break,
             Err(_) => {}
         }
@@ -82,14 +91,14 @@
 fn spawn_connection(
     stream: TcpStream,
     permit: OwnedSemaphorePermit,
-    stage: &watch::Receiver<ShutdownPhase>,
+    shutdown_phase: &watch::Receiver<ShutdownPhase>,
     front: &Rc<Front>,
 ) {
-    let (stage, front) = (stage.clone(), front.clone());
+    let (shutdown_phase, front) = (shutdown_phase.clone(), front.clone());
     // It enters the table at once: an eviction before its task is first polled must see it.
     let connection = TrackedConnection::new(front.table.clone(), stream);
     tokio::task::spawn_local(async move {
-        serve_connection(connection, stage, front).await;
+        serve_connection(connection, shutdown_phase, front).await;
         drop(permit);
     });
 }
--- a/crates/cache-balancer/src/handover/messages.rs
+++ b/crates/cache-balancer/src/handover/messages.rs
@@ -65,6 +65,7 @@
 
 impl fmt::Display for CancelReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        // The texts are part of the messages between versions: they are sent as the reason of a cancel frame.
         match self {
             Self::BackingOff(remaining) => write!(
                 f,
--- a/crates/cache-balancer/src/handover/predecessor/successor_link.rs
+++ b/crates/cache-balancer/src/handover/predecessor/successor_link.rs
@@ -120,8 +120,9 @@
                 PredecessorEvent::SuccessorAccepting
             }
             Kind::Release => PredecessorEvent::Released,
-            // Messages of a predecessor: the other end is no successor.
-            Kind::Decline | Kind::Offer | Kind::Proceed | Kind::Cancel | Kind::Commit | Kind::Departed => {
+            Kind::Decline => PredecessorEvent::Declined,
+            // Only a predecessor sends these: the process at the other end is no successor.
+            Kind::Offer | Kind::Proceed | Kind::Cancel | Kind::Commit | Kind::Departed => {
                 PredecessorEvent::Declined
             }
         })
--- a/crates/cache-balancer/src/hollow/node.rs
+++ b/crates/cache-balancer/src/hollow/node.rs
@@ -71,7 +71,7 @@
 
 /// A running node. Dropping it kills the node: its connections close and its state is lost.
 pub struct HollowNode {
-    events: UnboundedSender<DriverInput>,
+    driver_inputs: UnboundedSender<DriverInput>,
     driver: AbortHandle,
     discovery: AbortHandle,
 }
@@ -82,7 +82,7 @@
         let mut random = setup.random(number, launch);
         let settings = setup.settings(number);
         let name = format!("h{number}");
-        let (events, inputs) = mpsc::unbounded_channel();
+        let (driver_inputs, inputs) = mpsc::unbounded_channel();
         let upstream = Rc::new(Upstream::new(
             Rc::new(ConnectionLimit::new(MAX_CONNECTIONS)),
             settings.connect_timeout,
@@ -98,25 +98,25 @@
             ),
             poll_settings: Rc::new(Cell::new(PollSettings::from(&settings))),
             random: random.fork(),
-            events: events.clone(),
+            driver_inputs: driver_inputs.clone(),
         };
         let balancer = Balancer::new(settings, random.u64(..));
         // The readiness of a hollow node is not observed.
         let ready = watch::Sender::new(false);
         let tally = Tally::new(&name, "pool", Rc::new(Cell::new(false)));
         let record = setup.record.clone();
-        let driver = Driver::new(balancer, upstream, ready, events.clone(), tally)
+        let driver = Driver::new(balancer, upstream, ready, driver_inputs.clone(), tally)
             .observed(Box::new(move |event| record.add(number, event)));
         let driver = spawn_local(driver.run(known, inputs)).abort_handle();
         let discovery = spawn_local(discovery.run()).abort_handle();
-        Self { events, driver, discovery }
+        Self { driver_inputs, driver, discovery }
     }
 
     /// Completes when the node has applied the list that it started with; fails if the node was killed before.
     pub fn started(&self) -> oneshot::Receiver<()> {
         let (answer, started) = oneshot::channel();
         // The node may have been killed.
-        let _ = self.events.send(DriverInput::LivenessCheck(answer));
+        let _ = self.driver_inputs.send(DriverInput::LivenessCheck(answer));
         started
     }
 }
--- a/crates/cache-balancer/src/input.rs
+++ b/crates/cache-balancer/src/input.rs
@@ -78,10 +78,11 @@
     },
     /// An endpoint list: a snapshot or a delta.
     EndpointList(EndpointList),
-    /// A call to discovery failed.
-    EndpointListFailed,
-    /// Servers that a response of discovery names as draining, while its list is not applied, or not yet.
-    ServersDraining(BTreeSet<String>),
+    /// A poll failed, or its list was rejected.
+    PollFailed,
+    /// Endpoints that an answer of discovery reports as draining or removed, while its list is not applied, or not
+    /// yet.
+    EndpointsLeaving(BTreeSet<String>),
     /// These settings hold for requests that are accepted from here on.
     Reconfigured(Box<Settings>),
     /// The learned state of the predecessor process. It comes before the first request.
--- a/crates/cache-balancer/src/list_file.rs
+++ b/crates/cache-balancer/src/list_file.rs
@@ -15,7 +15,7 @@
 
 /// Sends the driver each list that the file holds, for as long as the driver lives. A file that cannot be used is logged, a
 /// line for each error, and the list before it stays in use.
-pub async fn watch(path: PathBuf, events: UnboundedSender<DriverInput>) {
+pub async fn watch(path: PathBuf, driver_inputs: UnboundedSender<DriverInput>) {
     let (mut version, mut last_read) = (0, None);
     loop {
         let file = path.clone();
@@ -31,7 +31,7 @@
             match list {
                 Ok(list) => {
                     version += 1;
-                    if events.send(DriverInput::EndpointList(list)).is_err() {
+                    if driver_inputs.send(DriverInput::EndpointList(list)).is_err() {
                         return;
                     }
                 }
--- a/crates/cache-balancer/src/service_manager/watchdog.rs
+++ b/crates/cache-balancer/src/service_manager/watchdog.rs
@@ -26,7 +26,7 @@
 async fn all_answer(drivers: Vec<UnboundedSender<DriverInput>>) -> bool {
     for driver in drivers {
         let (answer, answered) = oneshot::channel();
-        // A retired driver ends when its work is done, also with a question in its queue.
+        // The driver of a removed pool ends when its work is done, also with a question in its queue.
         if driver.send(DriverInput::LivenessCheck(answer)).is_ok()
             && answered.await.is_err()
             && !driver.is_closed()
--- a/crates/cache-balancer/tests/clients.rs
+++ b/crates/cache-balancer/tests/clients.rs
@@ -31,7 +31,7 @@
     assert!(asked[0].body == body.as_bytes());
 }
 
-/// DriverInput that is not checked here ends the node, or is the cache server's to deal with.
+/// A request that is not checked here can end the node, or is left to the cache server.
 #[test]
 fn an_invalid_request_gets_its_status_and_reaches_no_cache_server() {
     let server = CacheServer::serving("value");
--- a/crates/cache-balancer/tests/handover_probation.rs
+++ b/crates/cache-balancer/tests/handover_probation.rs
@@ -170,7 +170,7 @@
         "{said}"
     );
     assert_eq!(fixture.read(1), b"a");
-    wait_for("the end of the bar", || {
+    wait_for("the end of the backoff", || {
         let mut peer = fixture.request_hand_over();
         peer.receive().is_some_and(|(kind, _)| kind == OFFER)
     });
@@ -251,7 +251,7 @@
     let predecessor = fixture.spawn(command);
     wait_for("the socket", || fixture.socket().exists());
     let successor = fixture.take_over(&predecessor);
-    // A directory takes the fixture of its socket.
+    // A directory stands where its socket was.
     fixture.block_socket();
     drop(successor);
     wait_for("the rollback", || predecessor.said("has rolled back") == 1);
--- a/crates/cache-balancer/tests/handover_successor.rs
+++ b/crates/cache-balancer/tests/handover_successor.rs
@@ -180,7 +180,7 @@
         let mut peer = scripted.accept_request();
         scripted.offer(&fixture, &peer, &empty_state());
         peer.expect(READY.0);
-        // A directory takes the fixture of its socket.
+        // A directory stands where its socket was.
         fixture.block_socket();
         drop(peer);
         node.join().unwrap()
