--- a/crates/cache-balancer/src/driver/endpoints.rs
+++ b/crates/cache-balancer/src/driver/endpoints.rs
@@ -1,6 +1,6 @@
 //! The endpoint list of a pool, and its effects on the connections and on the node's readiness.
 
-use crate::endpoint_list::EndpointList;
+use crate::endpoint_list::{EndpointList, EndpointRecord};
 use crate::tally::TallyLine;
 use crate::upstream::Upstream;
 use balancer_core::{Endpoint, EndpointState};
@@ -28,10 +28,10 @@
         &self.list
     }
 
-    /// The delta that marks these servers as draining, as far as they are in another state in the current list.
+    /// The delta that marks these endpoints as draining, as far as the list has them as ready.
     pub fn draining_delta(&self, ids: &BTreeSet<String>) -> EndpointList {
-        let listed = self.list.endpoints.iter().filter(|record| ids.contains(&record.id));
-        let endpoints = listed.filter_map(crate::endpoint_list::EndpointRecord::drained).collect();
+        let leaving = self.list.endpoints.iter().filter(|endpoint| ids.contains(&endpoint.id));
+        let endpoints = leaving.filter_map(EndpointRecord::drained).collect();
         EndpointList { version: self.list.version, is_snapshot: false, endpoints }
     }
 
