--- a/crates/balancer-core/src/balance/attempt_results.rs
+++ b/crates/balancer-core/src/balance/attempt_results.rs
@@ -96,7 +96,7 @@
         origin_at_fault: bool,
     ) -> Evidence {
         let queue_was_empty =
-            server.is_some_and(|index| self.selector(now).has_empty_queue(&self.servers[index]));
+            server.is_some_and(|index| self.selector(now).empty_queue_is_known(&self.servers[index]));
         let in_time_limit = self.request_costs.in_time_limit(&pending.request, pending.class());
         let load = &outcome.load;
         Evidence {
@@ -178,7 +178,10 @@
         }
     }
 
-    /// Ejects the server where it fails and others do not.
+    /// Ejects the server where it fails and others do not. Where others fail as well, the breaker stays as it
+    /// is, and a failed trial keeps its place: see [`CircuitBreaker::on_result`].
+    ///
+    /// [`CircuitBreaker::on_result`]: super::circuit_breaker::CircuitBreaker::on_result
     fn record_server(
         &mut self,
         now: Timestamp,
--- a/crates/balancer-core/src/balance/circuit_breaker.rs
+++ b/crates/balancer-core/src/balance/circuit_breaker.rs
@@ -4,7 +4,8 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Fewest calls of a window that open a breaker.
+/// Fewest calls of a window that open a breaker. A server to which this node rarely sends needs fewer, for
+/// errors only, and is then ejected for a part of the cooldown: see `OutlierDetection::on_server_result`.
 pub const MIN_CALLS: u32 = 3;
 /// Fraction of failed calls that opens a breaker.
 pub const FAILURE_THRESHOLD: f64 = 0.6;
@@ -135,6 +136,12 @@
     /// Counts the result of a call that was sent in `epoch`. Returns whether the breaker should open: after a
     /// failed trial, or when enough calls of a window have failed. `min_calls` is the fewest calls that
     /// suffice for that.
+    ///
+    /// A caller that does not open it, because other servers fail as well, leaves the failed trial's place
+    /// taken. After `TRIALS` such trials [`Self::admits`] is false until the breaker is opened, closed or
+    /// replaced. Of a server's breaker: until its next incarnation, its removal from the list or a state
+    /// hand-over, unless attempts that are sent past the breaker, as a last resort, succeed often enough to
+    /// close it or fail alone.
     pub fn on_result(&mut self, epoch: u32, result: CallResult, min_calls: u32, now: Timestamp) -> bool {
         if epoch != self.epoch {
             return false;
--- a/crates/balancer-core/src/balance/dispatch.rs
+++ b/crates/balancer-core/src/balance/dispatch.rs
@@ -27,7 +27,7 @@
         if pending.finished {
             return;
         }
-        if let Some(retry_after) = self.rejected_by_admission(now, &pending) {
+        if let Some(retry_after) = self.admission_retry_after(now, &pending) {
             return actions.push(Action::Reject { id: pending.request.id, retry_after });
         }
         let kind = AttemptKind::following(pending.last_status());
@@ -35,7 +35,7 @@
             || now >= pending.request.deadline
             || !self.origin_admits(now, &pending.request)
         {
-            return self.give_up(now, pending, actions);
+            return self.reject_or_fail(now, pending, actions);
         }
         let fetches = self.fetch_policy(&pending);
         match self.selector(now).select(&pending, fetches) {
@@ -43,8 +43,8 @@
                 self.retry_budget.on_send(kind);
                 self.send(now, index, pending, actions);
             }
-            None if fetches == FetchPolicy::CachedOnly => self.give_up(now, pending, actions),
-            None => self.queue_or_give_up(now, pending, actions),
+            None if fetches == FetchPolicy::CachedOnly => self.reject_or_fail(now, pending, actions),
+            None => self.queue_or_reject_or_fail(now, pending, actions),
         }
     }
 
@@ -86,12 +86,14 @@
         }
     }
 
-    /// Asks admission control about a new request. Returns its `Retry-After` where it is rejected.
+    /// Asks admission control about a new request. Returns its `Retry-After` where it is rejected, and `None`
+    /// where it is admitted or not new.
     ///
     /// A fleet that is overloaded as a whole recovers only if enough is rejected before it is sent, and the
     /// same keys at all nodes: a rejected client sends its request to another node at once, which would admit
     /// it otherwise.
-    fn rejected_by_admission(&mut self, now: Timestamp, pending: &PendingRequest) -> Option<Duration> {
+    fn admission_retry_after(&mut self, now: Timestamp, pending: &PendingRequest) -> Option<Duration> {
+        // A queued request, which has no attempt either, was admitted when it arrived.
         let is_new = pending.attempts.is_empty() && pending.arrived_at == now;
         if !is_new || now >= pending.request.deadline {
             return None;
@@ -107,7 +109,12 @@
     }
 
     /// Queues a request for capacity while that leaves time for an answer within its objective.
-    fn queue_or_give_up(&mut self, now: Timestamp, pending: PendingRequest, actions: &mut Vec<Action>) {
+    fn queue_or_reject_or_fail(
+        &mut self,
+        now: Timestamp,
+        pending: PendingRequest,
+        actions: &mut Vec<Action>,
+    ) {
         let times = QueueTimes {
             arrived_at: pending.arrived_at,
             deadline: pending.request.deadline,
@@ -120,7 +127,7 @@
                 self.queue.insert(next_try, pending.request.id.clone());
                 self.store(pending);
             }
-            None => self.give_up(now, pending, actions),
+            None => self.reject_or_fail(now, pending, actions),
         }
     }
 
@@ -154,8 +161,10 @@
         self.store(pending);
     }
 
-    /// Rejects the request where its client may safely send it again, and fails it otherwise.
-    fn give_up(&mut self, now: Timestamp, pending: PendingRequest, actions: &mut Vec<Action>) {
+    /// Answers a request that is not sent again: the retry budget is spent, its deadline has passed, the
+    /// origin's breaker is open, its attempts are used up, or no server may or can take it in time. It is
+    /// rejected where its client may safely send it again before the deadline, and fails otherwise.
+    fn reject_or_fail(&mut self, now: Timestamp, pending: PendingRequest, actions: &mut Vec<Action>) {
         if pending.is_safe_to_reject() && now < pending.request.deadline {
             let max = pending.settings.max_retry_after;
             let retry_after = retry_after(self.origin_state(), pending.class(), max, now);
--- a/crates/balancer-core/src/balance/outlier_detection.rs
+++ b/crates/balancer-core/src/balance/outlier_detection.rs
@@ -14,7 +14,8 @@
 /// Window over which the calls of one class at a server are counted. A class that is rejected by a server
 /// with an empty queue is no accident, and in a long window the calls served before would hide it.
 const CLASS_WINDOW: Duration = Duration::from_secs(1);
-/// No server is ejected while the other servers fail at this rate: the cause is not that one server's.
+/// No server is ejected while this fraction or more of the recent calls to the other servers fails: the cause
+/// is not that one server's. Fewer than [`MIN_CALLS`] recent calls to them are no evidence of a common cause.
 const COMMON_FAILURE_RATE: f64 = FAILURE_THRESHOLD / 2.0;
 
 /// The breakers of one server.
@@ -23,6 +24,9 @@
 /// that class's own. Ejected as a whole it would lose the keys of all classes to servers that have not cached
 /// them, so each class has a breaker of its own. The cost: a class that is rejected for a moment only is
 /// missed elsewhere meanwhile.
+///
+/// The breakers of classes open only where a node knows that the server's queue is empty, which no node does
+/// in a fleet of 16 nodes or more: see `Selector::empty_queue_is_known`.
 #[derive(Debug)]
 pub struct OutlierDetection {
     server: CircuitBreaker,
@@ -80,12 +84,12 @@
 
     /// Counts the result of an attempt for the server as a whole. Returns whether its breaker should open.
     pub fn on_server_result(&mut self, epochs: Epochs, assessment: Assessment, now: Timestamp) -> bool {
-        // One of many nodes rarely makes as many calls in a window as open a breaker: for errors as many as
-        // it makes suffice, for a part of the cooldown. Not for time-outs and full queues, which all servers
-        // have under overload.
+        // One of many nodes may make fewer than `MIN_CALLS` calls in a window. For errors, as many as it
+        // makes suffice, and the server is ejected for a part of the cooldown. Not for time-outs and full
+        // queues, which all servers have under overload.
         let min_calls = match assessment {
             Assessment::TimedOut | Assessment::QueueFull => MIN_CALLS,
-            _ => self.expected_calls_per_window(),
+            _ => self.min_calls_at_last_interval(),
         };
         self.server.on_result(epochs.server, assessment.server_result(), min_calls, now)
     }
@@ -101,8 +105,8 @@
         self.classes[class].on_result(epochs.class, assessment.class_result(), MIN_CALLS, now)
     }
 
-    /// Ejects the server: after a failed trial for the whole cooldown, otherwise for as much of it as there
-    /// is evidence.
+    /// Ejects the server: after a failed trial for the whole cooldown, otherwise for the fraction of it that
+    /// the calls of the window are of [`MIN_CALLS`].
     pub fn eject_server(&mut self, now: Timestamp) {
         let evidence = match self.server.state() {
             BreakerState::Closed => self.server.calls().min(MIN_CALLS),
@@ -128,9 +132,9 @@
         self.classes = former.iter().map(breaker).collect();
     }
 
-    /// Number of calls that the server gets in a window at the present rate, at most those that open a
-    /// breaker.
-    fn expected_calls_per_window(&self) -> u32 {
+    /// Fewest calls that open the server's breaker for errors: those that a window has room for at the
+    /// interval of the last two sends, from 1 to [`MIN_CALLS`].
+    fn min_calls_at_last_interval(&self) -> u32 {
         let calls = SERVER_WINDOW.as_secs_f64() / self.send_interval.as_secs_f64();
         calls.clamp(1.0, f64::from(MIN_CALLS)) as u32
     }
@@ -164,7 +168,8 @@
 }
 
 /// Whether a server fails while the others do not. Many servers that fail together have a common cause, and
-/// ejecting them would push their keys onto the rest, until the last servers have to take them all.
+/// ejecting them would push their keys onto the rest, until the last servers have to take them all. Where the
+/// others had too few calls to compare with, the server counts as an outlier.
 pub fn is_server_outlier(servers: &[Server], index: usize, now: Timestamp) -> bool {
     let others = other_servers(servers, index).map(|other| &other.outlier_detection.server);
     let (calls, failures) = recent_calls(others, now);
@@ -172,6 +177,7 @@
 }
 
 /// Whether the other servers take a class better than this one: where most reject it, no other is better.
+/// Without recent calls of the class to the others, none is known to be better.
 pub fn is_class_outlier(servers: &[Server], index: usize, class: usize, now: Timestamp) -> bool {
     let others = other_servers(servers, index).map(|other| &other.outlier_detection.classes[class]);
     let (calls, failures) = recent_calls(others, now);
--- a/crates/balancer-core/src/balance/queue.rs
+++ b/crates/balancer-core/src/balance/queue.rs
@@ -10,7 +10,8 @@
 
 /// Time between two tries, as a fraction of the latency objective.
 const TRY_INTERVAL_FRACTION: f64 = 0.1;
-/// After its next try a request must have time for this many answers of mean latency.
+/// From its next try to its latency objective or its deadline, a request must have this multiple of the mean
+/// latency of its class: the answer may take longer than the mean.
 const LATENCY_RESERVE: u32 = 3;
 
 /// What decides whether a request may wait.
@@ -18,7 +19,7 @@
 pub struct QueueTimes {
     /// When it arrived.
     pub arrived_at: Timestamp,
-    /// When its client gives up.
+    /// When its answer is due: a little before its client gives up.
     pub deadline: Timestamp,
     /// Latency objective of its class.
     pub latency_objective: Duration,
--- a/crates/balancer-core/src/balance/selection.rs
+++ b/crates/balancer-core/src/balance/selection.rs
@@ -16,9 +16,9 @@
 /// Number of eligible servers of a key's order that are tried for capacity. With more of them the hits of a
 /// slow fleet would turn into misses.
 const MAX_CANDIDATES: usize = 3;
-/// Fraction of its concurrency limit up to which the first server of the order takes requests, and the others
-/// for want of capacity at the first.
+/// Fraction of its concurrency limit up to which the first eligible server of the order takes requests.
 const FIRST_SERVER_FRACTION: f64 = 1.0;
+/// The same for the servers after it, which take what the first has no capacity for.
 const SPILLOVER_FRACTION: f64 = 0.5;
 
 /// Which servers an attempt may go to.
@@ -79,8 +79,9 @@
         is_aside && (pending.request.write || pending.has_missed())
     }
 
-    /// The first server of the order, where no server is eligible: it may be ejected, but all others are as
-    /// well.
+    /// The first server of the order, where no server is eligible. It is sent a request's first attempt even
+    /// while it is ejected, within its concurrency limit and slow start: every other server is ejected or
+    /// excluded as well. `None` where only cached values may be read.
     fn last_resort(&self, first: usize, pending: &PendingRequest, fetches: FetchPolicy) -> Option<usize> {
         let may_be_sent =
             fetches == FetchPolicy::Allowed && pending.attempts.is_empty() && self.slow_start_admits(first);
@@ -132,12 +133,13 @@
     /// would reject hits.
     fn has_idle_capacity(&self, index: usize) -> bool {
         let server = &self.servers[index];
-        self.has_empty_queue(server) && f64::from(server.concurrency.in_flight()) < self.initial_limit
+        self.empty_queue_is_known(server) && f64::from(server.concurrency.in_flight()) < self.initial_limit
     }
 
-    /// Whether a server has reported an empty queue. Only a node with a substantial part of a server's
-    /// requests can know: for one of many nodes, a report is older than the bursts of the others.
-    pub fn has_empty_queue(&self, server: &Server) -> bool {
+    /// Whether this node knows that a server's queue is empty, by its last report. In a fleet of 16 nodes or
+    /// more, whose concurrency limits start at the minimum, no node ever knows: its reports are older than
+    /// the bursts of the other nodes. So classes are not ejected there, and idle capacity is not used.
+    pub fn empty_queue_is_known(&self, server: &Server) -> bool {
         self.initial_limit > INITIAL_LIMIT_MIN && server.reports_empty_queue(self.now)
     }
 
--- a/crates/balancer-core/src/discovery/pacing.rs
+++ b/crates/balancer-core/src/discovery/pacing.rs
@@ -19,7 +19,8 @@
     pub max_poll_interval: Duration,
     /// [`Settings::drain_grace`].
     pub drain_grace: Duration,
-    /// [`Settings::discovery_is_polled`]: one service for all nodes, else an agent on the node's own machine.
+    /// [`Settings::discovery_is_polled`]. Both are polled: one service for all nodes, paced by their number, or else an
+    /// agent on the node's own machine, several times within each drain grace.
     pub is_polled: bool,
 }
 
--- a/crates/balancer-core/src/events.rs
+++ b/crates/balancer-core/src/events.rs
@@ -17,7 +17,7 @@
     EndpointsUpdated(EndpointUpdate),
     /// A client sent a request.
     Request(Request),
-    /// The answer to an attempt began to stream to the client.
+    /// The answer to an attempt began to stream to the client. No decision uses it yet.
     ResponseStarted {
         /// The request.
         id: RequestId,
@@ -35,7 +35,7 @@
     Reconfigured(Box<Settings>),
     /// A timer set by [`Action::SetTimer`] expired.
     TimerExpired,
-    /// A health check ended.
+    /// A health check ended. No decision uses it yet.
     HealthCheckEnded {
         /// The server.
         server: ServerId,
@@ -63,7 +63,7 @@
         /// time. `None` if only `timeout` bounds it.
         start_within: Option<Duration>,
     },
-    /// Stop waiting for an attempt.
+    /// Stop waiting for an attempt. No decision sends it yet.
     CancelAttempt {
         /// The request.
         id: RequestId,
@@ -87,17 +87,18 @@
         /// Time from now.
         after: Duration,
     },
-    /// Send a server a health check.
+    /// Send a server a health check. No decision sends it yet.
     CheckHealth {
         /// The server.
         server: ServerId,
     },
-    /// Close the idle connections to a server.
+    /// Close the idle connections to a server. No decision sends it yet.
     CloseIdleConnections {
         /// The server.
         server: ServerId,
     },
-    /// Ask discovery to push changes of the endpoint list.
+    /// Begin to watch the endpoint list. Sent only where one discovery service is polled by all nodes
+    /// ([`Settings::discovery_is_polled`]); the daemon polls that service, or else the agent on its machine, by itself.
     SubscribeToEndpoints,
     /// Write a line to the log.
     Log(String),
--- a/crates/balancer-core/src/requests.rs
+++ b/crates/balancer-core/src/requests.rs
@@ -12,17 +12,17 @@
     pub id: RequestId,
     /// Its class; `None` for one that the settings do not name.
     pub class: Option<ClassId>,
-    /// Its tenant.
+    /// Its tenant. No decision uses it yet.
     pub tenant: Option<TenantId>,
     /// The key of the object that it reads or writes.
     pub key: Option<u64>,
-    /// When the client gives up waiting.
+    /// When its answer is due. The daemon sets it 5 ms before the client gives up, for the way back to the client.
     pub deadline: Timestamp,
     /// Rough estimate of its work, as time on a standard core.
     pub expected_work: Option<Duration>,
     /// Whether it changes the object.
     pub write: bool,
-    /// Whether the client marks it as a retry of its own.
+    /// Whether the client marks it as a retry of its own. No decision uses it yet.
     pub client_retry: bool,
 }
 
--- a/crates/balancer-core/src/settings.rs
+++ b/crates/balancer-core/src/settings.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassId(pub usize);
 
-/// Index of a tenant in [`Settings::tenants`].
+/// Index of a tenant in [`Settings::tenants`]. No decision uses it yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantId(pub usize);
 
@@ -50,11 +50,11 @@
     pub idempotency: Idempotency,
     /// An answer within this time has its full weight.
     pub latency_objective: Duration,
-    /// Time after which clients give up for good.
+    /// Time after which clients give up for good. No decision uses it yet: they use the deadline of the request.
     pub deadline: Duration,
     /// Weight of an answer relative to other classes.
     pub priority_weight: f64,
-    /// Part of `priority_weight`, from 0 to 1, that an answer past `latency_objective` still has.
+    /// Part of `priority_weight`, from 0 to 1, that an answer past `latency_objective` still has. No decision uses it yet.
     pub late_weight_fraction: f64,
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// A tenant and its quota.
+/// A tenant and its quota. No decision uses it yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// The name that requests use.
@@ -96,31 +96,32 @@
 /// Settings of a node. `Default` gives a value for each, for callers that know only some.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Zone of this node.
+    /// Zone of this node. No decision uses it yet.
     pub zone: Option<Name>,
     /// Number of nodes that share the cache servers; each takes its part of what all may do together.
     pub nodes: u32,
     /// Classes of requests.
     pub classes: Vec<RequestClass>,
-    /// Tenants, if there are any.
+    /// Tenants, if there are any. No decision uses it yet.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request over its tenant's quota, from 0 to 1, as a part of its class's.
+    /// Weight of a request over its tenant's quota, from 0 to 1, as a part of its class's. No decision uses it yet.
     pub over_quota_weight_fraction: f64,
     /// Who fetches what a cache server does not hold.
     pub mode: CacheMode,
     /// Whether endpoint weights reflect the speed of a server, rather than only its number of cores.
     pub weights_reflect_speed: bool,
-    /// Whether discovery has to be polled, rather than pushing the endpoint list to an agent on the node's machine.
+    /// Which discovery the node polls. `true`: one service for all nodes, paced by their number. `false`: an agent on the
+    /// node's own machine, polled several times within each `drain_grace`.
     pub discovery_is_polled: bool,
     /// Whether discovery reports start times. If not, an endpoint that appears later counts as just started.
     pub start_times_reported: bool,
     /// Attempts a request may have, the first included.
     pub max_attempts: u32,
-    /// Whether two attempts of a request may be in flight at once.
+    /// Whether two attempts of a request may be in flight at once. No decision uses it yet.
     pub hedging_allowed: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts may be cancelled. No decision uses it yet.
     pub cancellation_allowed: bool,
-    /// Whether servers may be sent health checks.
+    /// Whether servers may be sent health checks. No decision uses it yet.
     pub health_checks_allowed: bool,
     /// Longest `Retry-After` that clients honour; zero where they are sent none.
     pub max_retry_after: Duration,
@@ -136,10 +137,11 @@
     pub slow_start_overload_factor: f64,
     /// Time over which `slow_start_overload_factor` is counted.
     pub slow_start_overload_window: Duration,
-    /// Longest time between two polls of discovery after which the node still counts as knowing only the list of the
-    /// first; four times as long after a failed poll.
+    /// While no watch is open, the held list is valid for this time from the last poll of discovery, four times as long if
+    /// that poll failed. After that, a change counts as notified this long after it was made.
     pub max_poll_interval: Duration,
-    /// Time after the notification that a server is draining from which no new attempt may be sent to it.
+    /// Time after the notification that a server is draining from which no new attempt may be sent to it. The balancer
+    /// sends none from the notification itself on; discovery is polled often enough to be notified in time.
     pub drain_grace: Duration,
 }
 
