--- a/crates/cache-balancer/src/cli/mod.rs
+++ b/crates/cache-balancer/src/cli/mod.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Exit code: a script or result that cannot be used, or a run that came to nothing. A run that misses what
+/// Exit code: a file, script or result that cannot be used, or a run that came to nothing. A run that misses what
 /// its script expects ends with 1.
 pub const UNUSABLE: u8 = 2;
 
--- a/crates/cache-balancer/src/config/mod.rs
+++ b/crates/cache-balancer/src/config/mod.rs
@@ -10,8 +10,12 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The fewest descriptors that hold the runtime's own and one connection each way.
-pub const MIN_DESCRIPTORS: usize = 32;
+/// Descriptors reserved for the runtime, one listener, one pool's list and the standard streams.
+pub const RESERVED_DESCRIPTORS: usize = 24;
+/// The fewest connections each way. With fewer than for a handful of clients, a node is of no use.
+pub const MIN_CONNECTIONS: usize = 4;
+/// The fewest descriptors that hold the reserved ones and [`MIN_CONNECTIONS`] each way.
+pub const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + 2 * MIN_CONNECTIONS;
 
 /// The configuration of a node, read at its start and at each reload.
 #[derive(Clone, Debug)]
--- a/crates/cache-balancer/src/config/operator.rs
+++ b/crates/cache-balancer/src/config/operator.rs
@@ -32,6 +32,8 @@
 const MAX_NODES: u64 = 10_000;
 const TIME: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(3_600);
 const FRACTION: RangeInclusive<f64> = 0.0..=1.0;
+/// The late weight fraction of a class that states none: a response past the latency objective is still of some use.
+const DEFAULT_LATE_WEIGHT_FRACTION: f64 = 0.4;
 /// The name of a node whose file has none.
 const DEFAULT_NAME: &str = "cache-balancer";
 /// The port of the listener that a file without one gets.
@@ -299,7 +301,7 @@
         latency_objective: t.time("aim", TIME).unwrap_or(base.latency_objective),
         deadline: t.time("deadline", TIME).unwrap_or(base.deadline),
         priority_weight: t.number("worth", 0.0..=1e6).unwrap_or(base.priority_weight),
-        late_weight_fraction: t.number("late_worth", FRACTION).unwrap_or(0.4),
+        late_weight_fraction: t.number("late_worth", FRACTION).unwrap_or(DEFAULT_LATE_WEIGHT_FRACTION),
     };
     if class.deadline < class.latency_objective {
         t.fault("deadline", "expected a time no shorter than the aim");
--- a/crates/cache-balancer/src/daemon/node.rs
+++ b/crates/cache-balancer/src/daemon/node.rs
@@ -5,7 +5,7 @@
 use super::listeners::{bind, Bound, InheritedSockets, Listeners};
 use super::pools::Pools;
 use super::{limit_descriptors, ConfigSource};
-use crate::config::{operator, platform, Config, HandoverConfig};
+use crate::config::{operator, platform, Config, HandoverConfig, MIN_CONNECTIONS, RESERVED_DESCRIPTORS};
 use crate::fronts::http1::Front;
 use crate::handover::{PoolState, PredecessorEndpoint, State};
 use crate::input::DriverInput;
@@ -17,11 +17,6 @@
 use tokio::sync::watch;
 use tokio::task::{spawn_blocking, spawn_local};
 
-/// Descriptors reserved for the runtime, one listener, one pool's list and the standard streams.
-const RESERVED_DESCRIPTORS: usize = 24;
-/// With fewer connections each way than for a handful of clients, a node is of no use.
-const MIN_CONNECTIONS: usize = 4;
-
 /// The largest number of client connections, and of connections to cache servers, that the node can hold.
 pub fn max_connections(config: &Config) -> Result<usize, ConfigureError> {
     // A hand-over needs its socket, its link, and a second descriptor for each listener.
--- a/crates/cache-balancer/src/discovery/mod.rs
+++ b/crates/cache-balancer/src/discovery/mod.rs
@@ -47,8 +47,8 @@
 }
 
 impl DiscoveryPoller {
-    /// Polls for as long as the driver lives, a service or an agent that lists are pushed to: neither sends anything to a
-    /// node that does not poll. When none of the replicas remains, it requests a snapshot from the new ones at once; the node
+    /// Polls for as long as the driver lives. A discovery agent on this machine only answers polls, too; it never sends
+    /// unasked. When none of the replicas remains, it requests a snapshot from the new ones at once; the node
     /// serves from the list it holds until that has come.
     pub async fn run(mut self) {
         let addresses = self.replicas.borrow_and_update().addresses.clone();
--- a/crates/cache-balancer/src/discovery/request.rs
+++ b/crates/cache-balancer/src/discovery/request.rs
@@ -58,7 +58,8 @@
     fn next_part_by(self, is_watch: bool, sent_at: Instant, last_part_at: Instant) -> Instant {
         match (self.allowance, is_watch) {
             (None, _) => sent_at + self.timeout,
-            // What a watch misses has a deadline, and another replica may send it.
+            // A change that a stalled watch withholds still counts as notified by a deadline, so the watch is given
+            // up early and another replica polled.
             (Some(_), true) => {
                 let stalled_at = (sent_at + self.timeout).max(last_part_at + MAX_STALL);
                 (last_part_at + ANSWER_TIMEOUT).min(stalled_at)
--- a/crates/cache-balancer/src/driver/actions.rs
+++ b/crates/cache-balancer/src/driver/actions.rs
@@ -26,7 +26,7 @@
                 self.tally_line().trips += u32::from(is_breaker_trip(&text));
                 log!("{text}");
             }
-            // The settings of this node forbid health checks.
+            // No decision asks for one yet.
             Action::CheckHealth { server } => log!("no probe of {server}: this node sends none"),
         }
     }
--- a/crates/cache-balancer/src/driver/tests.rs
+++ b/crates/cache-balancer/src/driver/tests.rs
@@ -15,11 +15,9 @@
 /// recognised is missing from `aggregate`, without a complaint.
 #[test]
 fn a_breaker_trip_is_recognised_by_its_log_line() {
-    for line in [
-        "breaker of the origin tripped",
-        "breaker of s-1 tripped",
-        "breaker of s-1 tripped for class ClassId(0)",
-    ] {
+    for line in
+        ["breaker of the origin tripped", "breaker of s-1 tripped", "breaker of s-1 tripped for class 0"]
+    {
         assert!(is_breaker_trip(line), "{line}");
     }
     for line in ["breaker of s-1 closed", "the breaker of s-1 tripped", "tripped"] {
--- a/crates/cache-balancer/src/fleet/mod.rs
+++ b/crates/cache-balancer/src/fleet/mod.rs
@@ -69,7 +69,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log!("{error}");
-            ExitCode::from(crate::UNUSABLE)
+            ExitCode::from(crate::cli::UNUSABLE)
         }
     }
 }
--- a/crates/cache-balancer/src/fronts/http1/listener.rs
+++ b/crates/cache-balancer/src/fronts/http1/listener.rs
@@ -16,7 +16,8 @@
 
 /// The pause after a failed accept (no descriptor left, say): tried again at once, it would fail and spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The largest number of connections that the system holds unaccepted: the backlog that tokio asks for.
+/// The largest number of connections that the system holds unaccepted: the backlog that tokio asks for. It is
+/// also used for inherited sockets, whose own backlog may differ.
 const LISTEN_BACKLOG: usize = 1024;
 /// The pause before a full table, in which no connection can be evicted yet, is tried again.
 const FULL_TABLE_RETRY_DELAY: Duration = Duration::from_millis(10);
@@ -24,8 +25,8 @@
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Accepts and serves connections until `shutdown_phase` is [`ShutdownPhase::Closing`] or
-/// [`ShutdownPhase::HandedOver`]. All listeners
-/// together hold the front's connection permits; further connections wait unaccepted.
+/// [`ShutdownPhase::HandedOver`]. All listeners together hold the front's connection permits; further connections
+/// wait unaccepted.
 pub async fn serve(
     listener: Rc<TcpListener>,
     shutdown_phase: watch::Receiver<ShutdownPhase>,
--- a/crates/cache-balancer/src/fronts/http1/request.rs
+++ b/crates/cache-balancer/src/fronts/http1/request.rs
@@ -136,8 +136,7 @@
             id: id.clone(),
             idempotency_key: single(headers, &IDEMPOTENCY_KEY)?.cloned(),
             terms: RequestTerms {
-                // No client waits longer than its class does, and the node holds what it has of a request as
-                // long.
+                // Capped: the node keeps the request's body and connection for this time.
                 client_timeout: Duration::from_millis(deadline_ms.into()).min(class.deadline),
                 class: class.id,
                 driver: class.driver.clone(),
--- a/crates/cache-balancer/src/handover/predecessor/mod.rs
+++ b/crates/cache-balancer/src/handover/predecessor/mod.rs
@@ -26,6 +26,8 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The predecessor's end of a hand-over, with at most one successor at a time.
+///
+/// The successor's probation ends when its time is over and every connection that this process accepted has ended.
 #[derive(Debug)]
 pub struct PredecessorEndpoint {
     /// `None` while the successor listens at the same path.
--- a/crates/cache-balancer/src/main.rs
+++ b/crates/cache-balancer/src/main.rs
@@ -61,7 +61,7 @@
     /// Runs scripted faults against the real decisions, and judges the outcome
     #[command(alias = "rehearse")]
     Scenario(scenario::Arguments),
-    /// Measures hundreds of hollow nodes against discovery by replicas, and lays lines through the figures
+    /// Measures hundreds of hollow nodes against discovery by replicas, and fits lines to the results
     Scale(scale::Arguments),
     /// One replica of the stand-in discovery of a scale run
     #[command(hide = true)]
@@ -71,9 +71,6 @@
     ScaleHollow,
 }
 
-/// The exit code for a file that cannot be used.
-const UNUSABLE: u8 = 2;
-
 fn main() -> ExitCode {
     match Arguments::parse().command {
         Some(Command::Scenario(arguments)) => scenario::run(arguments),
@@ -106,7 +103,7 @@
         }
         Err(error) => {
             eprintln!("{error}");
-            ExitCode::from(UNUSABLE)
+            ExitCode::from(cli::UNUSABLE)
         }
     }
 }
--- a/crates/cache-balancer/src/scale/fit.rs
+++ b/crates/cache-balancer/src/scale/fit.rs
@@ -1,4 +1,4 @@
-//! `cache-balancer scale fit`: lays lines through the results of several runs.
+//! `cache-balancer scale fit`: fits lines to the results of several runs.
 
 use super::{write_plot, FitArguments, ScaleError};
 use std::path::Path;
--- a/crates/cache-balancer/src/service_manager/notifier.rs
+++ b/crates/cache-balancer/src/service_manager/notifier.rs
@@ -22,8 +22,8 @@
     Flush(oneshot::Sender<()>),
 }
 
-/// A queue to the thread. It loses no notification, since a start whose end is not reported never ends; and it stays short:
-/// a few for each pool at the start, two at the end, and one of the watchdog.
+/// A queue to the thread. Unbounded, since a lost `READY=1` would leave the start pending at the manager. It holds a few
+/// notifications per pool at the start, two at the end, and at most one of the watchdog.
 #[derive(Clone, Debug)]
 pub(super) struct Notifier {
     queue: Sender<Notification>,
--- a/crates/cache-balancer/tests/clients.rs
+++ b/crates/cache-balancer/tests/clients.rs
@@ -124,7 +124,7 @@
     wait_for("the cancelled attempt's connection to close", || server.closed.load(Ordering::SeqCst) == 1);
 }
 
-/// Clients held idle connections, and all others were kept out of a full table.
+/// Clients that hold idle connections could keep all others out of a full table.
 #[test]
 fn idle_connections_are_evicted_when_the_table_is_full() {
     let (server, _discovery, node) = small_node(40);
@@ -266,7 +266,7 @@
 }
 
 /// A platform gives its clients a third of a node's descriptors. Clients that send one request and never
-/// close held all of these, and the next one was shut out.
+/// close could hold all of these, and the next one would be shut out.
 #[test]
 fn clients_that_never_close_keep_no_further_client_out() {
     let (server, _discovery, node) = small_node(96);
@@ -299,7 +299,7 @@
     assert_eq!(server.count(), 160);
 }
 
-/// A pipelined request has been accepted. It was lost with the connection that the response before it closed.
+/// A pipelined request has been accepted. It could be lost with the connection that the response before it closes.
 #[test]
 fn a_pipelined_request_is_served_before_its_connection_closes() {
     let (server, _discovery, node) = small_node(40);
@@ -334,7 +334,7 @@
     assert_eq!(server.count(), 0);
 }
 
-/// Connections that nobody uses held all idle connections that are kept, against those of later clients.
+/// Connections that nobody uses could hold all idle connections that are kept, against those of later clients.
 #[test]
 fn the_longest_idle_connection_is_closed_for_one_just_used() {
     let (_server, _discovery, node) = small_node(42);
--- a/crates/testbed/src/fault_schedule/effects.rs
+++ b/crates/testbed/src/fault_schedule/effects.rs
@@ -6,6 +6,9 @@
 use crate::script::{Fault, Incident, Script};
 use std::time::Duration;
 
+/// The purpose of random values: which servers and nodes an incident affects.
+const INCIDENT_TARGETS: u64 = 0x7469_6d65;
+
 /// The index of an incident in the script.
 pub(super) type IncidentIndex = usize;
 
@@ -70,7 +73,7 @@
 pub(super) fn all(script: &Script) -> Vec<ScheduledEffect> {
     let mut effects = Vec::new();
     for (number, incident) in script.incidents.iter().enumerate() {
-        let random = RandomSource::new(script.seed).derive(0x7469_6d65).derive(number as u64);
+        let random = RandomSource::new(script.seed).derive(INCIDENT_TARGETS).derive(number as u64);
         let mut planner = Planner { script, incident, number, random, effects: &mut effects };
         planner.plan();
     }
--- a/crates/testbed/src/judge/mod.rs
+++ b/crates/testbed/src/judge/mod.rs
@@ -155,13 +155,13 @@
     fn attempt_sent(&mut self, request: RequestNumber, server: usize, at: Timestamp) {
         self.second(at).attempts += 1;
         let Some(record) = self.requests.get_mut(&request) else {
-            let description = format!("request {request:x} was sent on, and no node had taken it");
+            let description = format!("request {request:x} was forwarded, and no node had accepted it");
             return self.violation(Rule::SafeRepeats, at, description);
         };
         record.sent.push((server, at));
         let (node, answered) = (record.node, record.answered);
         if answered.is_some_and(|(when, _)| at > when) {
-            let description = format!("request {request:x} was sent on after its final answer");
+            let description = format!("request {request:x} was forwarded after its final answer");
             self.violation(Rule::OneAnswerInTime, at, description);
         }
         let notified = self.unavailable_since.get(&(node, server)).copied();
@@ -175,7 +175,7 @@
 
     fn executed(&mut self, request: RequestNumber, server: usize, at: Timestamp) {
         let Some(record) = self.requests.get_mut(&request) else {
-            let description = format!("request {request:x} ran, and no node had taken it");
+            let description = format!("request {request:x} was executed, and no node had accepted it");
             return self.violation(Rule::SafeRepeats, at, description);
         };
         record.executions.push((server, at));
@@ -216,7 +216,7 @@
         second.rejected += u32::from(answer == FinalAnswer::Rejected);
         second.failed += u32::from(answer == FinalAnswer::Failed);
         let Some(record) = self.requests.get_mut(&request) else {
-            let description = format!("request {request:x} was answered, and no node had taken it");
+            let description = format!("request {request:x} was answered, and no node had accepted it");
             return self.violation(Rule::OneAnswerInTime, at, description);
         };
         let (expires_at, excused) = (record.expires_at, record.excused);
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -5,6 +5,9 @@
 
 use std::f64::consts::TAU;
 
+/// The purpose of the random values that a run draws, over sockets and in virtual time alike.
+pub(crate) const RUN_STREAM: u64 = 0x706c_6179;
+
 /// A source of random values. [`RandomSource::derive`] narrows it to one purpose; sources of different purposes are
 /// independent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/testbed/src/sockets/context.rs
+++ b/crates/testbed/src/sockets/context.rs
@@ -10,7 +10,7 @@
 use crate::models::cache_server::JobId;
 use crate::models::{CacheServer, Origin};
 use crate::network_model;
-use crate::random::RandomSource;
+use crate::random::{RandomSource, RUN_STREAM};
 use crate::run_result::Sample;
 use crate::script::Script;
 use crate::workload::{Operation, Workload};
@@ -138,7 +138,7 @@
         let folder = std::env::temp_dir().join(format!("cache-balancer-rehearse-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(SocketRunError::system(format!("{}", folder.display())))?;
         Ok(Self {
-            random: RandomSource::new(script.seed).derive(0x706c_6179),
+            random: RandomSource::new(script.seed).derive(RUN_STREAM),
             judge: RefCell::new(Judge::new(&script)),
             state: RefCell::new(State::new(&script)),
             script,
--- a/crates/testbed/src/virtual_time/simulation.rs
+++ b/crates/testbed/src/virtual_time/simulation.rs
@@ -9,7 +9,7 @@
 use crate::judge::Judge;
 use crate::models::Origin;
 use crate::placement::Placement;
-use crate::random::RandomSource;
+use crate::random::{RandomSource, RUN_STREAM};
 use crate::run_result::{hit_rate, RunResult, Sample};
 use crate::script::Script;
 use crate::workload::{Operation, Workload};
@@ -104,7 +104,7 @@
             now: Timestamp::default(),
             events: EventQueue::default(),
             judge: Judge::new(script),
-            random: RandomSource::new(script.seed).derive(0x706c_6179),
+            random: RandomSource::new(script.seed).derive(RUN_STREAM),
             workload: Workload::new(script),
             next_operation: None,
             operations: Vec::new(),
