--- a/crates/cache-balancer/tests/clients.rs
+++ b/crates/cache-balancer/tests/clients.rs
@@ -125,7 +125,7 @@
     wait_for("the cancelled attempt's connection to close", || server.closed.load(Ordering::SeqCst) == 1);
 }
 
-/// Clients held idle connections, and all others were kept out of a full table.
+/// Clients that hold idle connections could keep all others out of a full table.
 #[test]
 fn idle_connections_are_evicted_when_the_table_is_full() {
     let (server, _discovery, node) = node_with_descriptor_limit(40);
@@ -267,7 +267,7 @@
 }
 
 /// A platform gives its clients a third of a node's descriptors. Clients that send one request and never
-/// close held all of these, and the next one was shut out.
+/// close could hold all of these, and the next one would be shut out.
 #[test]
 fn clients_that_never_close_keep_no_further_client_out() {
     let (server, _discovery, node) = node_with_descriptor_limit(96);
@@ -300,7 +300,7 @@
     assert_eq!(server.request_count(), 160);
 }
 
-/// A pipelined request has been accepted. It was lost with the connection that the response before it closed.
+/// A pipelined request has been accepted. It could be lost with the connection that the response before it closes.
 #[test]
 fn a_pipelined_request_is_served_before_its_connection_closes() {
     let (server, _discovery, node) = node_with_descriptor_limit(40);
