--- a/crates/balancer-core/src/balance/attempt_results.rs
+++ b/crates/balancer-core/src/balance/attempt_results.rs
@@ -55,8 +55,8 @@
         self.mark_cached(server, &pending, outcome);
         let fetched =
             outcome.cache_result == Some(CacheResult::Miss) && self.settings.mode == CacheMode::Through;
-        // Before this result is recorded: the evidence is what was known when it came, such as whether the
-        // queue was empty by the report before, which `record_load` replaces.
+        // Before `record_load`, which replaces the server's last report of its queue: the evidence includes
+        // what that report said before this answer.
         let evidence = self.evidence(now, server, &pending, outcome, fetched || origin_overloaded);
         self.request_costs.record_work(&pending.request);
         let expected = pending.request.expected_work.unwrap_or(pending.class().latency_objective);
--- a/crates/balancer-core/src/discovery/backoff.rs
+++ b/crates/balancer-core/src/discovery/backoff.rs
@@ -33,8 +33,8 @@
 const FIRST_STEP: Duration = Duration::from_millis(200);
 /// The longest step of a small fleet.
 pub(super) const MAX_STEP: Duration = Duration::from_secs(3);
-/// The base of the steps is at least the longest step divided by this, so the first pause is up to an eighth of the longest
-/// step or more: with shorter ones hundreds of nodes fail repeatedly within the first second.
+/// The base of the steps is at least the longest step divided by this, so the first pause is drawn from at least an eighth
+/// of the longest step: with shorter ones hundreds of nodes fail repeatedly within the first second.
 const MAX_TO_FIRST_STEP: u32 = 16;
 /// The time that discovery is assumed to need for one line of a list: it sends 200 a second.
 const LINE_COST: Duration = Duration::from_millis(5);
--- a/crates/balancer-core/src/discovery/list_validator.rs
+++ b/crates/balancer-core/src/discovery/list_validator.rs
@@ -7,9 +7,10 @@
 //! the fleet to a few servers is accepted at once, since nothing new may go to a server that a list lacks.
 //!
 //! Where replicas of one service are polled, repetition by one of them proves nothing: an empty list takes three replicas, or
-//! all where there are fewer, and an older one takes all of them; either also takes three snapshots. Any smaller number may lag behind together after a network
-//! partition, and a replica that cannot be reached may be the one with the newer list. The other replicas are asked for
-//! changes, as before: a snapshot for each node is more than they could send.
+//! all where there are fewer, and an older one takes all of them. Three suspicious snapshots are needed there as well. Any
+//! smaller number of replicas may lag behind together after a network partition, and a replica that cannot be reached may be
+//! the one with the newer list. The other replicas are asked for changes, as before: a snapshot for each node is more than
+//! they could send.
 
 use super::poll_schedule::PollKind;
 use super::suppressed_servers::SuppressedServers;
--- a/crates/balancer-core/src/discovery/pacing.rs
+++ b/crates/balancer-core/src/discovery/pacing.rs
@@ -86,9 +86,8 @@
         self.share.unwrap_or(assumed).min_hold_down()
     }
 
-    /// How long the rest of an answer may take once it has begun, after `timeouts` polls that timed out since the last
-    /// answer. `None`
-    /// where no capacity is stated: the time does not depend on the answer's length.
+    /// How long the rest of an answer may take once it has begun, after `timeouts` snapshot polls that timed out since the
+    /// last answer or lost watch. `None` where no capacity is stated: the time does not depend on the answer's length.
     pub(super) fn answer_allowance(self, timeouts: u32) -> Option<Duration> {
         self.share.map(|share| share.answer_allowance(timeouts))
     }
--- a/crates/balancer-core/src/graceful_restart/predecessor.rs
+++ b/crates/balancer-core/src/graceful_restart/predecessor.rs
@@ -149,8 +149,8 @@
             (StandingBy, SuccessorDied) if backing_off => (Serving, &[Rollback, BackOff]),
             (StandingBy, SuccessorDied | Declined) => (Serving, &[Rollback]),
             (StandingBy, Released | TimedOut) => (Departed, &[Depart]),
-            // A link that is lost in standby changes nothing: the successor keeps the clients, and this process stands by
-            // until the probation ends.
+            // A link that is lost in standby changes nothing here: the successor keeps the clients. This process stands by
+            // until the probation ends, the successor's death is reported, or the successor ends it by a signal.
             (state, _) => (state, &[]),
         }
     }
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -16,7 +16,7 @@
 //! let endpoints = EndpointUpdate::Snapshot([Endpoint::new("cache-1")].into());
 //! balancer.handle(now, Event::EndpointsUpdated(endpoints), &mut actions);
 //!
-//! // A client has sent a request, which it gives up after 400 ms.
+//! // A client has sent a request, whose answer is due within 400 ms.
 //! let request = Request::new("request-1", now + Duration::from_millis(400));
 //! balancer.handle(now, Event::Request(request), &mut actions);
 //!
