--- a/crates/cache-balancer/src/daemon/change/tests.rs
+++ b/crates/cache-balancer/src/daemon/change/tests.rs
@@ -47,28 +47,42 @@
     }
 }
 
+/// Checks for each pair of configurations that the log names exactly these differences.
+fn assert_differences(cases: &[(String, String, &str)]) {
+    for (current, new, expected) in cases {
+        // The number of descriptors is the system's where the file has none.
+        assert_eq!(between(current, new).to_string(), *expected);
+    }
+}
+
+/// A pool whose list stands in the file, with one server of this name.
+fn pool_of_server(name: &str) -> String {
+    format!("[[pool]]\nname = \"p\"\n[[pool.server]]\nname = \"{name}\"\naddress = \"127.0.0.1:9\"\n{CLASS}")
+}
+
+/// A pool whose list comes from these replicas of discovery.
+fn pool_of_replicas(list: &str) -> String {
+    format!("[[pool]]\nname = \"p\"\ndiscovery = [{list}]\n{CLASS}")
+}
+
 #[test]
-fn each_difference_is_named_and_nothing_else() {
-    let server = |name: &str| {
-        format!("[[pool]]\nname = \"p\"\n[[pool.server]]\nname = \"{name}\"\naddress = \"127.0.0.1:9\"\n")
-    };
-    let replicas = |list: &str| format!("[[pool]]\nname = \"p\"\ndiscovery = [{list}]\n");
+fn each_difference_of_a_list_source_is_named_and_nothing_else() {
     let good = format!("{POOL}{CLASS}");
-    let cases = [
+    assert_differences(&[
         (
             good.clone(),
             format!("{}{CLASS}", POOL.replace(":1\"", ":2\"")),
             "pool p: list from discovery at 127.0.0.1:2",
         ),
-        (good.clone(), format!("{}{CLASS}", replicas("\"127.0.0.1:1\"")), "nothing changed"),
+        (good.clone(), pool_of_replicas("\"127.0.0.1:1\""), "nothing changed"),
         (
             good.clone(),
-            format!("{}{CLASS}", replicas("\"127.0.0.1:2\", \"127.0.0.1:1\"")),
+            pool_of_replicas("\"127.0.0.1:2\", \"127.0.0.1:1\""),
             "pool p: list from discovery at 127.0.0.1:1, 127.0.0.1:2",
         ),
         (
-            format!("{}{CLASS}", replicas("\"127.0.0.1:2\", \"127.0.0.1:1\"")),
-            format!("{}{CLASS}", replicas("\"127.0.0.1:1\", \"127.0.0.1:2\"")),
+            pool_of_replicas("\"127.0.0.1:2\", \"127.0.0.1:1\""),
+            pool_of_replicas("\"127.0.0.1:1\", \"127.0.0.1:2\""),
             "nothing changed",
         ),
         (
@@ -78,13 +92,20 @@
         ),
         (format!("{POOL}{CAPACITY}{CLASS}"), good.clone(), "pool p: discovery of unknown capacity"),
         (
-            format!("{}{CLASS}", server("s")),
+            pool_of_server("s"),
             format!("{POOL}{CAPACITY}{CLASS}"),
             "pool p: list from discovery at 127.0.0.1:1",
         ),
         (good.clone(), format!("[[pool]]\nname = \"p\"\nfile = \"/x\"\n{CLASS}"), "pool p: list from /x"),
-        (good.clone(), format!("{}{CLASS}", server("s")), "pool p: list from the file itself"),
-        (format!("{}{CLASS}", server("s")), format!("{}{CLASS}", server("t")), "pool p: other servers"),
+        (good.clone(), pool_of_server("s"), "pool p: list from the file itself"),
+        (pool_of_server("s"), pool_of_server("t"), "pool p: other servers"),
+    ]);
+}
+
+#[test]
+fn each_difference_of_classes_pools_and_limits_is_named_and_nothing_else() {
+    let good = format!("{POOL}{CLASS}");
+    assert_differences(&[
         (good.clone(), format!("{good}[[class]]\nname = \"b\"\n"), "class b added"),
         (good.clone(), format!("{good}effect = \"safe\"\n"), "class a changed"),
         (
@@ -103,10 +124,5 @@
             format!("{}{CLASS}", POOL.replace("\"p\"", "\"q\"")),
             "pool q added, pool p removed, class a changed",
         ),
-    ];
-    for (current, new, expected) in cases {
-        let change = between(&current, &new).to_string();
-        // The number of descriptors is the system's where the file has none.
-        assert_eq!(change, expected);
-    }
+    ]);
 }
--- a/crates/cache-balancer/tests/handover_probation.rs
+++ b/crates/cache-balancer/tests/handover_probation.rs
@@ -3,12 +3,16 @@
 mod common;
 mod handover_support;
 
-use common::{output_before_timeout, read_request, wait_for, CacheServer, Client, Node, TIMEOUT};
+use common::{output_before_timeout, read_request, wait_for, CacheServer, Client, Node, TempDir, TIMEOUT};
 use handover_support::scripted::{Peer, ACCEPTING, COMMIT, OFFER, PROCEED, READY, REQUEST_WITH_PROBATION};
 use handover_support::Fixture;
-use std::os::unix::net::{UnixDatagram, UnixStream};
+use std::os::unix::net::{UnixDatagram, UnixListener, UnixStream};
+use std::path::Path;
 use std::process::{Command, Stdio};
 
+/// The test that is also the program of a [`SuccessorProcess`].
+const SCRIPTED_SUCCESSOR: &str = "a_scripted_successor_requests_a_hand_over_and_lives_on";
+
 /// A scripted successor in a process of its own, so that its death can be told from this process's. It carries out the
 /// steps of its script, and then lives on until a signal ends it.
 struct SuccessorProcess {
@@ -19,17 +23,17 @@
 impl SuccessorProcess {
     /// The steps, separated by spaces: `request`, expect `offer`, `ready`, expect `proceed`, `accepting`, expect `commit`,
     /// `close` the link.
-    fn start(fixture: &Fixture, script: &str) -> Self {
-        let done = fixture.folder.0.join(format!("done-{}", script.replace(' ', "-")));
+    fn start(folder: &TempDir, socket: &Path, script: &str) -> Self {
+        let done = folder.0.join(format!("done-{}", script.replace(' ', "-")));
         let mut command = Command::new(std::env::current_exe().unwrap());
-        command.args(["--exact", "acts_as_a_successor", "--ignored"]).stdout(Stdio::null());
-        command.env("SOCKET", fixture.socket()).env("SCRIPT", script).env("DONE", &done);
+        command.args(["--exact", SCRIPTED_SUCCESSOR]).stdout(Stdio::null());
+        command.env("SUCCESSOR_SOCKET", socket).env("SUCCESSOR_SCRIPT", script).env("SUCCESSOR_DONE", &done);
         Self { process: command.spawn().unwrap(), done }
     }
 
     /// Starts one, and returns once its script is done.
     fn done(fixture: &Fixture, script: &str) -> Self {
-        let successor = Self::start(fixture, script);
+        let successor = Self::start(&fixture.folder, &fixture.socket(), script);
         wait_for("the script", || successor.done.exists());
         successor
     }
@@ -53,12 +57,29 @@
     }
 }
 
+/// The probation tests rely on a successor that does what its script says and nothing else. With a script in the environment
+/// this is that successor; without one, it starts itself so and looks at it from the predecessor's end.
 #[test]
-#[ignore = "the process of a SuccessorProcess, and no test"]
-fn acts_as_a_successor() {
-    let variable = |name| std::env::var_os(name).expect("started by a test");
-    let mut peer = Some(Peer(UnixStream::connect(variable("SOCKET")).unwrap()));
-    for step in variable("SCRIPT").into_string().unwrap().split(' ') {
+fn a_scripted_successor_requests_a_hand_over_and_lives_on() {
+    if let Some(script) = std::env::var_os("SUCCESSOR_SCRIPT") {
+        return act_as_successor(script.to_str().unwrap());
+    }
+    let folder = TempDir::new();
+    let socket = folder.0.join("n.sock");
+    let listener = UnixListener::bind(&socket).unwrap();
+    let mut successor = SuccessorProcess::start(&folder, &socket, "request close");
+    let mut link = Peer(listener.accept().unwrap().0);
+    let (kind, text) = REQUEST_WITH_PROBATION;
+    assert_eq!(link.expect(kind), serde_json::from_str::<serde_json::Value>(text).unwrap());
+    wait_for("the script", || successor.done.exists());
+    assert_eq!(successor.process.try_wait().unwrap(), None, "it lives until a signal ends it");
+}
+
+/// Carries out the steps of a script on the link of the environment, and lives on.
+fn act_as_successor(script: &str) {
+    let variable = |name| std::env::var_os(name).expect("set with the script");
+    let mut peer = Some(Peer(UnixStream::connect(variable("SUCCESSOR_SOCKET")).unwrap()));
+    for step in script.split(' ') {
         let Some(link) = &mut peer else { break };
         match step {
             "request" => link.send(REQUEST_WITH_PROBATION),
@@ -71,7 +92,7 @@
             other => panic!("no such step: {other}"),
         }
     }
-    std::fs::write(variable("DONE"), "").unwrap();
+    std::fs::write(variable("SUCCESSOR_DONE"), "").unwrap();
     std::thread::sleep(TIMEOUT);
 }
 
