--- a/crates/balancer-core/benches/servers.rs
+++ b/crates/balancer-core/benches/servers.rs
@@ -1,6 +1,7 @@
-//! The cost of one request, one snapshot and one delta by the number of cache servers.
+//! Measures the cost of one request, one snapshot and one delta by the number of cache servers.
 //!
-//! `cargo bench -p balancer-core --bench servers`. The largest size is meant for prediction: fit the others, then compare.
+//! Run with `cargo bench -p balancer-core --bench servers`. The largest size is for checking a prediction:
+//! fit the other sizes, then compare.
 
 use balancer_core::{
     Action, AttemptOutcome, AttemptStatus, Balancer, CacheResult, ClassId, Endpoint, EndpointState,
@@ -9,11 +10,12 @@
 use criterion::{BatchSize, BenchmarkId, Criterion};
 use std::time::Duration;
 
-/// Numbers of cache servers: about that of today, each doubling up to the planned size, and one size beyond.
+/// Numbers of cache servers: about the present number, doublings up to the planned size, and one size beyond
+/// it.
 const SERVERS: [u32; 6] = [79, 138, 275, 550, 1_100, 2_200];
 const NODES: u32 = 5_900;
 const START: Timestamp = Timestamp::from_micros(3_000_000_000);
-/// One node's part of the planned peak: 3.4 million requests a second over 5,900 nodes.
+/// Interval between requests at one node at the planned peak: 3.4 million requests a second over 5,900 nodes.
 const REQUEST_INTERVAL: Duration = Duration::from_micros(1_736);
 const WARM_UP_REQUESTS: u64 = 2_000;
 const KEYS: u64 = 100_003;
@@ -29,7 +31,7 @@
     (0..count).map(endpoint).collect()
 }
 
-/// A node with this many servers, its clock and its number of requests so far.
+/// A balancer, its clock and its number of requests so far.
 struct Fixture {
     balancer: Balancer,
     actions: Vec<Action>,
@@ -60,7 +62,7 @@
         self.balancer.handle(self.now, event, &mut self.actions);
     }
 
-    /// One request from its arrival to its answer.
+    /// Handles one request from its arrival to its answer.
     fn serve_request(&mut self) {
         self.requests += 1;
         self.now = self.now + REQUEST_INTERVAL;
--- a/crates/balancer-core/src/balance.rs
+++ b/crates/balancer-core/src/balance.rs
@@ -1,17 +1,16 @@
 //! The balancing policy: which server a request goes to, when it is retried, and when it is rejected. The
 //! types of its interface are in `src/api.rs`.
 //!
-//! Each rule is a type with its own state, in a file of its own in `balance/`; [`Balancer`] wires them
-//! together:
+//! Each rule is a type with its own state, in its own file in `balance/`. [`Balancer`] connects them:
 //!
-//! - where a request goes: `rendezvous` (weighted rendezvous hashing), [`hot_keys`](crate::hot_keys)
-//!   (replicas of hot keys), `servers` and `server_kinds` (capacity), `slow_start`, `selection`;
-//! - how much a server is sent: `concurrency_limit`, `circuit_breaker` and `outlier_detection` (ejection);
-//! - what the origin is sent: `cached_keys`, `fetch_limit`, `origin_breaker`;
-//! - what is sent at all: [`admission`](crate::admission), `retry_budget`, `queue`, `retry_after`, `dispatch`
-//!   (the wiring);
-//! - what a result is evidence of: `assessment`, `request_costs`, `attempt_results` (the wiring);
-//! - what a successor restores: `learned_state`.
+//! - server selection: `rendezvous` (weighted rendezvous hashing), [`hot_keys`](crate::hot_keys) (replicas of
+//!   hot keys), `servers` and `server_kinds` (capacity), `slow_start`, `selection`;
+//! - load on a single server: `concurrency_limit`, `circuit_breaker` and `outlier_detection` (ejection);
+//! - load on the origin: `cached_keys`, `fetch_limit`, `origin_breaker`;
+//! - load on the fleet: [`admission`](crate::admission), `retry_budget`, `queue`, `retry_after`, and `dispatch`,
+//!   which applies them to a request;
+//! - evaluation of results: `assessment`, `request_costs`, and `attempt_results`, which updates the other rules;
+//! - state for a successor process: `learned_state`.
 
 mod assessment;
 mod attempt_results;
@@ -59,30 +58,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after which discovery is subscribed to again when it could not be reached: while it fails, it has
-/// load enough.
+/// Delay before subscribing to the endpoint list again after discovery was unavailable, so that retries do
+/// not add to the load of a failing discovery.
 const RESUBSCRIBE_DELAY: Duration = Duration::from_secs(1);
-/// Time constant with which counts of attempts decay.
+/// Time constant of the exponential decay of attempt counts.
 const RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
-/// Decides for one node. It has no clock and does no I/O: equal events give equal actions.
+/// Makes the balancing decisions of one node. It reads no clock and does no I/O, so equal events give equal
+/// actions.
 #[derive(Debug)]
 pub struct Balancer {
-    /// With a last class for requests of no class; see [`with_unnamed_class`].
+    /// The last class is for requests without a class; see [`with_unnamed_class`].
     settings: Arc<Settings>,
     seed: u64,
-    /// Number of requests so far. Each has a random number by its place among them.
-    requests_seen: u64,
+    /// Number of requests so far, from which the random number of each request is derived.
+    request_count: u64,
     servers: ServerList,
-    /// Where the concurrency limits of servers start at this node.
+    /// Initial concurrency limit of each server at this node.
     initial_limit: f64,
-    /// Looked up by id, since its order differs from run to run; iterated only where each is changed by
-    /// itself.
+    /// Requests that are queued or have an attempt in flight. The iteration order differs between runs, so
+    /// the map is iterated only to change each entry independently.
     pending: HashMap<RequestId, PendingRequest>,
     queue: RequestQueue,
-    /// Time of the next [`Event::TimerExpired`], if one is to come.
+    /// Time of the next [`Event::TimerExpired`], if a timer is set.
     timer_at: Option<Timestamp>,
-    /// When to subscribe to the endpoint list, where discovery is polled.
+    /// Time of the next subscription to the endpoint list. Used only where discovery is polled.
     subscribe_at: Option<Timestamp>,
     retry_budget: RetryBudget,
     request_costs: RequestCosts,
@@ -97,7 +97,7 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no server yet. `seed` should differ between nodes.
+    /// Creates a balancer without servers. `seed` should differ between nodes.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let settings = with_unnamed_class(settings);
         Self {
@@ -105,7 +105,7 @@
             initial_limit: initial_limit(settings.nodes),
             settings,
             seed,
-            requests_seen: 0,
+            request_count: 0,
             servers: ServerList::default(),
             pending: HashMap::new(),
             queue: RequestQueue::default(),
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Takes in what happened at `now`, and appends what the node must do.
+    /// Handles an event at `now` and appends the actions that the node must carry out.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.decay(now);
         match event {
@@ -152,7 +152,7 @@
         self.set_timer(now, actions);
     }
 
-    /// Scales the counts that decay with time.
+    /// Decays the counts of recent attempts and starts a new generation of cache marks if one is due.
     fn decay(&mut self, now: Timestamp) {
         let factor = self.decay.factor(now, RATE_TIME_CONSTANT);
         self.slow_start.decay(factor);
@@ -173,7 +173,7 @@
     }
 
     fn on_request(&mut self, now: Timestamp, request: Request, actions: &mut Vec<Action>) {
-        self.requests_seen += 1;
+        self.request_count += 1;
         if let Some(key) = request.key {
             self.hot_keys.record(now, key);
         }
@@ -181,7 +181,7 @@
             settings: self.settings.clone(),
             class_index: class_index(&self.settings, &request),
             attempts: Vec::new(),
-            random: unit_interval(mix(self.seed ^ self.requests_seen)),
+            random: unit_interval(mix(self.seed ^ self.request_count)),
             arrived_at: now,
             finished: false,
             request,
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Sets a timer where something falls due before the one that is set.
+    /// Sets a timer if a queued request or a subscription is due before the present timer.
     fn set_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let subscribe_at = self.subscribe_at.filter(|_| self.settings.discovery_is_polled);
         let next = self.queue.next_try().into_iter().chain(subscribe_at).min();
@@ -206,36 +206,38 @@
         }
     }
 
-    /// Applies new settings. What is known of servers stays, and what is counted by class stays with the
-    /// class of that name.
+    /// Applies new settings. State about servers is kept, and state by class is carried over to the class of
+    /// the same name.
     fn reconfigure(&mut self, now: Timestamp, settings: Settings) {
-        let before = std::mem::replace(&mut self.settings, with_unnamed_class(settings));
-        let former = |class: &RequestClass| before.classes.iter().position(|other| other.name == class.name);
-        let former: Vec<_> = self.settings.classes.iter().map(former).collect();
-        self.reassign_classes(now, &former);
+        let old_settings = std::mem::replace(&mut self.settings, with_unnamed_class(settings));
+        let previous_index =
+            |class: &RequestClass| old_settings.classes.iter().position(|other| other.name == class.name);
+        let previous_indices: Vec<_> = self.settings.classes.iter().map(previous_index).collect();
+        self.reassign_classes(now, &previous_indices);
         let initial_limit = initial_limit(self.settings.nodes);
         let factor = initial_limit / std::mem::replace(&mut self.initial_limit, initial_limit);
         self.servers.iter_mut().for_each(|server| server.concurrency.scale(factor));
-        if self.settings.discovery_is_polled && !before.discovery_is_polled {
+        if self.settings.discovery_is_polled && !old_settings.discovery_is_polled {
             self.subscribe_at = Some(now);
         }
     }
 
-    /// Moves what is counted by class to the present classes. `former` has the position that each of them had
-    /// before, if it was there.
-    fn reassign_classes(&mut self, now: Timestamp, former: &[Option<usize>]) {
-        self.request_costs.reassign_classes(&self.settings.classes, former);
-        self.admission.reassign_classes(former);
+    /// Maps state by class to the new classes. `previous_indices` holds the previous index of each new class,
+    /// or `None` if the class was added.
+    fn reassign_classes(&mut self, now: Timestamp, previous_indices: &[Option<usize>]) {
+        self.request_costs.reassign_classes(&self.settings.classes, previous_indices);
+        self.admission.reassign_classes(previous_indices);
         for server in self.servers.iter_mut() {
-            server.outlier_detection.reassign_classes(former, now);
+            server.outlier_detection.reassign_classes(previous_indices, now);
         }
-        let unnamed = former.len() - 1;
+        let unnamed_class = previous_indices.len() - 1;
         for pending in self.pending.values_mut() {
-            match former.iter().position(|former| *former == Some(pending.class_index)) {
-                Some(present) => pending.class_index = present,
+            match previous_indices.iter().position(|previous| *previous == Some(pending.class_index)) {
+                Some(index) => pending.class_index = index,
                 None => {
-                    // Its class is gone. The unnamed class must not be blamed for its attempts.
-                    pending.class_index = unnamed;
+                    // The class of this request was removed. Results of its attempts must not count against
+                    // the unnamed class.
+                    pending.class_index = unnamed_class;
                     pending.attempts.iter_mut().for_each(|attempt| attempt.epochs.class = IGNORED_EPOCH);
                 }
             }
@@ -243,13 +245,13 @@
     }
 }
 
-/// Settings with a last class for requests of no class: the most careful one.
+/// Appends a class for requests without a class. Its settings are the most conservative ones.
 fn with_unnamed_class(mut settings: Settings) -> Arc<Settings> {
     settings.classes.push(RequestClass::default());
     Arc::new(settings)
 }
 
-/// One node's part of what all nodes may do together.
-fn per_node(of_all_nodes: f64, nodes: u32) -> f64 {
-    of_all_nodes / f64::from(nodes.max(1))
+/// Returns one node's share of a total for all nodes.
+fn per_node(fleet_total: f64, nodes: u32) -> f64 {
+    fleet_total / f64::from(nodes.max(1))
 }
--- a/crates/balancer-core/src/balance/cached_keys.rs
+++ b/crates/balancer-core/src/balance/cached_keys.rs
@@ -1,5 +1,5 @@
-//! What the cache servers most likely hold: by what they report of each answer, or by what they have
-//! answered.
+//! Tracks which keys the cache servers most likely hold, based on their reports of hits and misses or, where
+//! they do not report these, on their answers.
 
 use crate::hashing::mix;
 use crate::learned_state::ago;
@@ -7,18 +7,17 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
 
-/// Most keys that are remembered at a time, so that a client that invents keys takes up no more memory.
-/// [`CachedKeys`] that holds more is cleared as a whole before it records the next key; [`CacheMarks`] begins
-/// a new generation.
+/// Maximum number of keys that are tracked, so that a client that invents keys cannot use up memory. Beyond
+/// it, [`CachedKeys`] is cleared before it records the next key, and [`CacheMarks`] begins a new generation.
 const MAX_KEYS: usize = 4096;
-/// Length of a generation of [`CacheMarks`]: a server most likely still holds what it answered in the present
-/// one or the one before.
-const GENERATION: Duration = Duration::from_secs(5);
+/// Length of a generation of [`CacheMarks`]. A server most likely still holds the keys that it answered for
+/// in the current or the previous generation.
+const GENERATION_LENGTH: Duration = Duration::from_secs(5);
 
-/// Whether the last answer for a key came from its server's cache, where servers report that.
+/// Tracks whether the last answer for each key came from its server's cache, where servers report that.
 #[derive(Debug, Default)]
 pub struct CachedKeys {
-    /// Never iterated in its own order, which differs from run to run.
+    /// Never exposed in iteration order, which differs between runs.
     keys: HashMap<u64, bool>,
 }
 
@@ -36,55 +35,56 @@
         self.keys.insert(key, cached);
     }
 
-    /// The keys in ascending order, for a successor: equal states are equal to the byte.
+    /// Returns the keys in ascending order, for a successor process. The order makes the serialized form of
+    /// equal states identical.
     pub fn learned(&self) -> Vec<(u64, bool)> {
         let sorted: BTreeSet<_> = self.keys.iter().map(|(key, cached)| (*key, *cached)).collect();
         sorted.into_iter().collect()
     }
 
-    /// The keys that a predecessor knew.
+    /// Restores the keys of a predecessor process.
     pub fn restored(keys: &[(u64, bool)]) -> Self {
         Self { keys: keys.iter().take(MAX_KEYS).copied().collect() }
     }
 }
 
-/// One incarnation of a server. A restart loses its cache.
+/// One incarnation of a server. A restart begins another one, with an empty cache.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheIncarnation {
-    /// Hash of the server's identity.
+    /// Hash of the server's id.
     pub server_hash: u64,
-    /// When the incarnation started, if that is known.
+    /// Start time of the incarnation, if known.
     pub started_at: Option<Timestamp>,
 }
 
 impl CacheIncarnation {
-    /// Stands for a key at this incarnation.
+    /// Returns a hash that identifies a key at this incarnation.
     fn mark(self, key: u64) -> u64 {
         mix(key ^ mix(self.server_hash ^ self.started_at.map_or(0, Timestamp::as_micros)))
     }
 }
 
-/// Marks of what each server has answered recently, where servers do not report misses. They are held in two
-/// generations, of which the older one is dropped as a whole, so that they stay bounded without a walk over
-/// them.
+/// Tracks which keys each server has answered for recently, where servers do not report misses. A mark is a
+/// hash of a key and a server incarnation. Marks are kept in two generations, and the older one is dropped as
+/// a whole, which bounds their number without scanning them.
 #[derive(Debug, Default)]
 pub struct CacheMarks {
     current: HashSet<u64>,
     previous: HashSet<u64>,
-    /// When the current generation began.
-    since: Timestamp,
+    /// Start of the current generation.
+    generation_started_at: Timestamp,
 }
 
 impl CacheMarks {
-    /// Begins a new generation where the current one is old or full.
+    /// Begins a new generation if the current one has reached its maximum age or size.
     pub fn rotate(&mut self, now: Timestamp) {
-        if now.since(self.since) >= GENERATION || self.current.len() >= MAX_KEYS {
+        if now.since(self.generation_started_at) >= GENERATION_LENGTH || self.current.len() >= MAX_KEYS {
             self.previous = std::mem::take(&mut self.current);
-            self.since = now;
+            self.generation_started_at = now;
         }
     }
 
-    /// Records that a server has answered for a key, and now holds it.
+    /// Records that a server has answered for a key and now holds it.
     pub fn insert(&mut self, key: u64, incarnation: CacheIncarnation) {
         self.current.insert(incarnation.mark(key));
     }
@@ -95,7 +95,8 @@
         self.current.contains(&mark) || self.previous.contains(&mark)
     }
 
-    /// The marks of the current and the previous generation in ascending order, for a successor.
+    /// Returns the marks of the current and the previous generation in ascending order, for a successor
+    /// process.
     pub fn learned(&self) -> [Vec<u64>; 2] {
         [&self.current, &self.previous].map(|marks| {
             let sorted: BTreeSet<u64> = marks.iter().copied().collect();
@@ -103,15 +104,16 @@
         })
     }
 
-    /// Time since the current generation began.
+    /// Returns the time since the current generation began.
     pub fn age(&self, now: Timestamp) -> Duration {
-        now.since(self.since)
+        now.since(self.generation_started_at)
     }
 
-    /// The marks of a predecessor. `age` is that of its current generation, in microseconds.
+    /// Restores the marks of a predecessor process. `age` is the age of its current generation in
+    /// microseconds.
     pub fn restored(marks: &[Vec<u64>; 2], age: u64, now: Timestamp) -> Self {
         let [current, previous] =
             marks.each_ref().map(|marks| marks.iter().take(MAX_KEYS).copied().collect());
-        Self { current, previous, since: ago(now, age) }
+        Self { current, previous, generation_started_at: ago(now, age) }
     }
 }
--- a/crates/balancer-core/src/balance/queue.rs
+++ b/crates/balancer-core/src/balance/queue.rs
@@ -1,37 +1,38 @@
-//! Requests that wait for capacity, each until the time of its next try.
+//! Queue of requests that wait for capacity. Each request waits until the next try to dispatch it.
 //!
-//! A burst passes within milliseconds. Rejected at once, its requests would be lost although their objective
-//! leaves them time to wait; queued for longer, they would take up capacity and be late all the same.
+//! A burst passes within milliseconds. If its requests were rejected at once, they would be lost although
+//! their latency objective leaves time to wait. If they were queued for longer, they would use capacity and
+//! still be late.
 
 use crate::names::RequestId;
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time between two tries, as a fraction of the latency objective.
+/// Interval between two tries to dispatch a request, as a fraction of its latency objective.
 const TRY_INTERVAL_FRACTION: f64 = 0.1;
-/// Least time between two tries. Without it, a request with no objective would be tried again at the same
-/// moment, without end.
+/// Minimum interval between two tries. Without it, a request with no latency objective would be tried again
+/// at the same instant in an endless loop.
 const TRY_INTERVAL_MIN: Duration = Duration::from_millis(1);
-/// From its next try to its latency objective or its deadline, a request must have this multiple of the mean
-/// latency of its class: the answer may take longer than the mean.
+/// Time that must remain from the next try to the latency objective or the deadline, as a multiple of the
+/// mean latency of the class. It is more than the mean, since an answer may take longer.
 const LATENCY_RESERVE: u32 = 3;
 
-/// What decides whether a request may wait.
+/// The times that decide whether a request may wait.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueTimes {
-    /// When it arrived.
+    /// Time at which the request arrived.
     pub arrived_at: Timestamp,
-    /// When its answer is due: a little before its client gives up.
+    /// Time by which the answer is due, shortly before the client gives up.
     pub deadline: Timestamp,
-    /// Latency objective of its class.
+    /// Latency objective of the request's class.
     pub latency_objective: Duration,
-    /// Mean latency of its class.
+    /// Mean latency of the request's class.
     pub mean_latency: Duration,
 }
 
 impl QueueTimes {
-    /// When the request is to be tried again; `None` where it would be too late for an answer in time.
+    /// Returns the time of the next try, or `None` if an answer would then come too late.
     pub fn next_try(&self, now: Timestamp) -> Option<Timestamp> {
         let interval = self.latency_objective.mul_f64(TRY_INTERVAL_FRACTION).max(TRY_INTERVAL_MIN);
         let next_try = now + interval;
@@ -40,25 +41,25 @@
     }
 }
 
-/// The requests that wait, by the time of their next try.
+/// Waiting requests, ordered by the time of their next try.
 #[derive(Debug, Default)]
 pub struct RequestQueue {
     entries: BTreeSet<(Timestamp, RequestId)>,
 }
 
 impl RequestQueue {
-    /// Adds a request.
+    /// Adds a request that is to be tried again at `next_try`.
     pub fn insert(&mut self, next_try: Timestamp, id: RequestId) {
         self.entries.insert((next_try, id));
     }
 
-    /// Removes and returns the first request that is due; `None` where none is.
+    /// Removes and returns the first request that is due, or `None` if none is due.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<RequestId> {
         self.next_try().filter(|at| *at <= now)?;
         self.entries.pop_first().map(|(_, id)| id)
     }
 
-    /// Time of the first try; `None` where no request waits.
+    /// Returns the time of the earliest try, or `None` if no request waits.
     pub fn next_try(&self) -> Option<Timestamp> {
         self.entries.first().map(|(at, _)| *at)
     }
--- a/crates/balancer-core/src/balance/selection.rs
+++ b/crates/balancer-core/src/balance/selection.rs
@@ -1,4 +1,5 @@
-//! Which server an attempt goes to: the first of the key's order that is eligible and has capacity.
+//! Server selection: an attempt goes to the first server in the key's order that is eligible and has
+//! capacity.
 
 use super::cached_keys::CacheMarks;
 use super::concurrency_limit::INITIAL_LIMIT_MIN;
@@ -13,46 +14,48 @@
 use crate::settings::{CacheMode, Settings};
 use crate::time::Timestamp;
 
-/// Number of eligible servers of a key's order that are tried for capacity. With more of them the hits of a
-/// slow fleet would turn into misses.
+/// Maximum number of eligible servers of a key's order that are checked for capacity. With more of them, the
+/// hits of a slow fleet would turn into misses.
 const MAX_CANDIDATES: usize = 3;
-/// Fraction of its concurrency limit up to which the first eligible server of the order takes requests.
+/// Fraction of its concurrency limit up to which the first eligible server of the order accepts requests.
 const FIRST_SERVER_FRACTION: f64 = 1.0;
-/// The same for the servers after it, which take what the first has no capacity for.
+/// Fraction of their concurrency limit up to which later servers accept requests for which the first one has
+/// no capacity.
 const SPILLOVER_FRACTION: f64 = 0.5;
 
-/// Which servers an attempt may go to.
+/// Whether an attempt may cause a fetch from the origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchPolicy {
-    /// Any of them.
+    /// The attempt may go to any eligible server.
     Allowed,
-    /// Those that most likely hold the value.
+    /// The attempt may go only to servers that most likely have the value cached.
     CachedOnly,
 }
 
-/// Selects servers, by what the balancer knows at `now`.
+/// Selects servers based on the balancer's state at `now`.
 #[derive(Clone, Copy, Debug)]
 pub struct Selector<'a> {
-    /// The present time.
+    /// Current time.
     pub now: Timestamp,
-    /// The present settings.
+    /// Current settings.
     pub settings: &'a Settings,
     /// Seed of this node.
     pub seed: u64,
-    /// Where concurrency limits start at this node.
+    /// Initial concurrency limit of each server at this node.
     pub initial_limit: f64,
-    /// The servers.
+    /// Servers on the endpoint list.
     pub servers: &'a ServerList,
-    /// What may be sent to warming servers.
+    /// Limits requests to warming servers.
     pub slow_start: &'a SlowStart,
     /// Replication factors of keys.
     pub hot_keys: &'a HotKeys,
-    /// What servers most likely hold, where they do not report misses.
+    /// Keys that servers most likely have cached, where servers do not report misses.
     pub cache_marks: &'a CacheMarks,
 }
 
 impl Selector<'_> {
-    /// Index of the server for a request's next attempt; `None` where no eligible server has capacity.
+    /// Returns the index of the server for a request's next attempt, or `None` if no eligible server has
+    /// capacity or the request has no attempts left.
     pub fn select(&self, pending: &PendingRequest, fetches: FetchPolicy) -> Option<usize> {
         if pending.attempts.len() >= pending.settings.max_attempts as usize {
             return None;
@@ -73,22 +76,23 @@
         }
     }
 
-    /// Whether the balancer itself has to go to the origin for this request.
+    /// Whether the balancer must send this request to the origin itself: in cache-aside mode, a write or a
+    /// request that has missed.
     fn needs_origin(&self, pending: &PendingRequest) -> bool {
         let is_aside = matches!(self.settings.mode, CacheMode::Aside { .. });
         is_aside && (pending.request.write || pending.has_missed())
     }
 
-    /// The first server of the order, where no server is eligible. It is sent a request's first attempt even
-    /// while it is ejected, within its concurrency limit and slow start: every other server is ejected or
-    /// excluded as well. `None` where only cached values may be read.
+    /// Falls back to the first server of the order when no server is eligible. That server gets a request's
+    /// first attempt even while it is ejected, within its concurrency limit and slow start, since every other
+    /// server is ejected or excluded as well. Returns `None` if only cached values may be read.
     fn last_resort(&self, first: usize, pending: &PendingRequest, fetches: FetchPolicy) -> Option<usize> {
-        let may_be_sent =
+        let is_allowed =
             fetches == FetchPolicy::Allowed && pending.attempts.is_empty() && self.slow_start_admits(first);
-        (may_be_sent && self.has_capacity(first, FIRST_SERVER_FRACTION, pending)).then_some(first)
+        (is_allowed && self.has_capacity(first, FIRST_SERVER_FRACTION, pending)).then_some(first)
     }
 
-    /// Whether an attempt may go to this server, whatever its capacity.
+    /// Whether an attempt may go to this server, regardless of its capacity.
     fn is_eligible(&self, index: usize, pending: &PendingRequest, fetches: FetchPolicy) -> bool {
         let server = &self.servers[index];
         let endpoint = &server.endpoint;
@@ -108,43 +112,44 @@
         self.servers[index].concurrency.has_capacity(fraction, pending.random)
     }
 
-    /// Whether a read at this server will be fetched from the origin, as far as is known from what that
-    /// server has answered here. Other nodes may have asked it for the key: some of these are hits.
+    /// Whether this server will probably fetch the value from the origin: as far as this node knows, it has
+    /// not answered for the key recently. Some of these reads are hits, since other nodes may have requested
+    /// the key.
     pub fn is_probable_miss(&self, request: &Request, server: &Server) -> bool {
         self.settings.mode == CacheMode::Through
             && !request.write
             && request.key.is_some_and(|key| !self.cache_marks.contains(key, server.incarnation()))
     }
 
-    /// The first of these candidates that has capacity for the request.
+    /// Returns the first candidate with capacity for the request, or else the first one with idle capacity.
     fn first_with_capacity(&self, candidates: &[usize], pending: &PendingRequest) -> Option<usize> {
-        let fraction = |place| if place == 0 { FIRST_SERVER_FRACTION } else { SPILLOVER_FRACTION };
+        let fraction = |position| if position == 0 { FIRST_SERVER_FRACTION } else { SPILLOVER_FRACTION };
         let within_limit = candidates
             .iter()
             .enumerate()
-            .find(|&(place, &index)| self.has_capacity(index, fraction(place), pending));
-        let found = within_limit.map(|(_, &index)| index);
-        found.or_else(|| candidates.iter().copied().find(|index| self.has_idle_capacity(*index)))
+            .find(|&(position, &index)| self.has_capacity(index, fraction(position), pending));
+        let within_limit = within_limit.map(|(_, &index)| index);
+        within_limit.or_else(|| candidates.iter().copied().find(|index| self.has_idle_capacity(*index)))
     }
 
-    /// Whether a server past its limit may be sent a request all the same: it reports an empty queue, and has
-    /// fewer requests in flight than limits start with. Limits keep requests off servers that answer late,
-    /// and all servers do while misses wait for a slow origin: without this rule a fleet with idle servers
-    /// would reject hits.
+    /// Whether a server may be sent a request beyond its concurrency limit: it reports an empty queue and has
+    /// fewer requests in flight than the initial limit. Late answers lower the limits, and all servers answer
+    /// late while misses wait for a slow origin. Without this rule, a fleet with idle servers would reject
+    /// hits.
     fn has_idle_capacity(&self, index: usize) -> bool {
         let server = &self.servers[index];
         self.empty_queue_is_known(server) && f64::from(server.concurrency.in_flight()) < self.initial_limit
     }
 
-    /// Whether this node knows that a server's queue is empty, by its last report. In a fleet of 16 nodes or
-    /// more, whose concurrency limits start at the minimum, no node ever knows: its reports are older than
-    /// the bursts of the other nodes. So classes are not ejected there, and idle capacity is not used.
+    /// Whether this node knows from the last report that a server's queue is empty. In a fleet of 16 nodes or
+    /// more, whose concurrency limits start at the minimum, no node ever knows, since reports are older than
+    /// the bursts of the other nodes. There, classes are not ejected and idle capacity is not used.
     pub fn empty_queue_is_known(&self, server: &Server) -> bool {
         self.initial_limit > INITIAL_LIMIT_MIN && server.reports_empty_queue(self.now)
     }
 
-    /// The servers in the order of the request's key, with the one that it goes to among the replicas of a
-    /// hot key first.
+    /// Returns the servers in the order of the request's key. For a hot key, the replica chosen for this
+    /// request comes first.
     fn replica_order(&self, pending: &PendingRequest) -> Vec<usize> {
         let key = placement_key(&pending.request);
         let mut order = rendezvous_order(key, self.candidates());
@@ -155,8 +160,8 @@
         order
     }
 
-    /// The place of the replica for this random number: each of them is chosen in proportion to its capacity,
-    /// a warming one less often.
+    /// Chooses a replica by a random number between 0 and 1 and returns its position. The probability is
+    /// proportional to capacity, so a warming replica is chosen less often.
     fn choose_replica(&self, replicas: &[usize], random: f64) -> usize {
         let capacity = |index: &usize| self.servers.capacity(&self.servers[*index], self.settings, self.now);
         let mut remaining = random * replicas.iter().map(capacity).sum::<f64>();
@@ -167,7 +172,7 @@
         chosen.unwrap_or(0)
     }
 
-    /// The cache servers that take requests.
+    /// Returns the cache servers that accept requests.
     fn candidates(&self) -> impl Iterator<Item = Candidate> + '_ {
         let ready = self.servers.iter().enumerate();
         let ready = ready.filter(|(_, server)| server.is_ready_cache(self.settings));
--- a/crates/balancer-core/src/balance/server_kinds.rs
+++ b/crates/balancer-core/src/balance/server_kinds.rs
@@ -1,41 +1,42 @@
-//! How fast each kind of server is, where the weights of discovery's list do not reflect it: by how long
-//! answers take relative to their expected work. Otherwise servers of a slow kind would get as many keys as
-//! fast ones, and queue.
+//! Estimates the speed of each kind of server from the latency of its answers relative to their expected
+//! work, where the weights of the endpoint list do not reflect speed. Otherwise servers of a slow kind would
+//! get as many keys as fast ones, and requests would queue there.
 
 use crate::learned_state::{non_negative, LearnedKind};
 use crate::names::Name;
 use std::time::Duration;
 
-/// Answers of relative latency 1 that each kind starts with.
+/// Number of assumed answers of relative latency 1 with which the mean of each kind starts.
 const PRIOR_ANSWERS: f64 = 10.0;
-/// Most answers over which the relative latency of a kind is averaged.
+/// Maximum number of answers over which the relative latency of a kind is averaged.
 const MAX_ANSWERS: f64 = 200.0;
-/// Least relative latency that is counted.
+/// Minimum relative latency. Lower values are raised to it.
 const RELATIVE_LATENCY_MIN: f64 = 1e-3;
-/// Bound of the logarithm of a relative latency that is taken over from a predecessor.
+/// Bound on the logarithm of a relative latency that is restored from a predecessor process.
 const MAX_RESTORED_LOG: f64 = 10.0;
 
-/// The kinds of servers that have been on the list.
+/// The kinds of servers that have been on the endpoint list.
 #[derive(Debug, Default)]
 pub struct ServerKinds {
     kinds: Vec<ServerKind>,
 }
 
-/// The relative latency of a kind of servers: what its answers take, divided by their expected work.
+/// The relative latency of a kind of server: the latency of its answers divided by their expected work.
 #[derive(Debug)]
 struct ServerKind {
     name: Option<Name>,
-    /// Mean of the logarithm, so that a few long answers do not decide.
+    /// Mean of the logarithm of the relative latency. The logarithm reduces the influence of a few slow
+    /// answers.
     log_relative_latency: f64,
-    /// Number of answers that the mean is taken over.
+    /// Number of answers in the mean.
     answers: f64,
 }
 
 impl ServerKinds {
-    /// Index of the kind with this name, added where it is new.
+    /// Returns the index of the kind with this name, and adds the kind if it is new.
     pub fn index_of(&mut self, name: Option<&Name>) -> usize {
-        let known = self.kinds.iter().position(|kind| kind.name.as_ref() == name);
-        known.unwrap_or_else(|| {
+        let existing = self.kinds.iter().position(|kind| kind.name.as_ref() == name);
+        existing.unwrap_or_else(|| {
             self.kinds.push(ServerKind {
                 name: name.cloned(),
                 log_relative_latency: 0.0,
@@ -45,20 +46,20 @@
         })
     }
 
-    /// Speed of a kind relative to one whose answers take their expected work.
+    /// Returns the speed of a kind relative to one whose answers take exactly their expected work.
     pub fn speed(&self, index: usize) -> f64 {
         (-self.kinds[index].log_relative_latency).exp()
     }
 
-    /// Counts the latency of an answer. `expected_seconds` is its expected work, above 0.
+    /// Records the latency of an answer. `expected_seconds` is the expected work of the request, above 0.
     pub fn record(&mut self, index: usize, latency: Duration, expected_seconds: f64) {
         let kind = &mut self.kinds[index];
         kind.answers = (kind.answers + 1.0).min(MAX_ANSWERS);
-        let relative = (latency.as_secs_f64() / expected_seconds).max(RELATIVE_LATENCY_MIN);
-        kind.log_relative_latency += (relative.ln() - kind.log_relative_latency) / kind.answers;
+        let relative_latency = (latency.as_secs_f64() / expected_seconds).max(RELATIVE_LATENCY_MIN);
+        kind.log_relative_latency += (relative_latency.ln() - kind.log_relative_latency) / kind.answers;
     }
 
-    /// The kinds, for a successor.
+    /// Returns the kinds, for a successor process.
     pub fn learned(&self) -> Vec<LearnedKind> {
         let learned = |kind: &ServerKind| LearnedKind {
             name: kind.name.as_ref().map(Name::to_string),
@@ -68,7 +69,7 @@
         self.kinds.iter().map(learned).collect()
     }
 
-    /// Restores what a predecessor learned of the kinds that are known here.
+    /// Restores what a predecessor process learned about the kinds that are known here.
     pub fn restore(&mut self, learned: &[LearnedKind]) {
         for kind in &mut self.kinds {
             let name = kind.name.as_ref().map(Name::as_str);
--- a/crates/balancer-core/src/balance/servers.rs
+++ b/crates/balancer-core/src/balance/servers.rs
@@ -1,4 +1,5 @@
-//! The servers, what is known of each, and how updates of the endpoint list change them.
+//! The servers on the endpoint list, the state that is kept for each, and how updates of the list change
+//! them.
 
 use super::cached_keys::CacheIncarnation;
 use super::concurrency_limit::ConcurrencyLimit;
@@ -14,32 +15,32 @@
 use std::ops::{Index, IndexMut};
 use std::time::Duration;
 
-/// Time for which a report of an empty queue counts as the present state.
+/// Time for which a report of an empty queue is considered current.
 const QUEUE_REPORT_TTL: Duration = Duration::from_millis(500);
-/// Least capacity, so that one of no weight can still be compared.
+/// Minimum capacity, so that servers of weight 0 can still be compared.
 const CAPACITY_MIN: f64 = 1e-9;
 
 /// A server on the endpoint list.
 #[derive(Debug)]
 pub struct Server {
-    /// Its entry on the list.
+    /// Entry of the server on the endpoint list.
     pub endpoint: Endpoint,
-    /// Index of its kind.
+    /// Index of the server's kind in [`ServerKinds`].
     kind: usize,
-    /// Hash of its identity.
+    /// Hash of the server's id.
     pub hash: u64,
-    /// Its circuit breakers.
+    /// Circuit breakers of the server and of its classes.
     pub outlier_detection: OutlierDetection,
-    /// Limit of the requests in flight.
+    /// Limit of the requests in flight at the server.
     pub concurrency: ConcurrencyLimit,
-    /// Requests sent while it warms up.
+    /// Requests sent to the server while it warms up.
     pub warm_up_sends: WarmUpSends,
-    /// When it last reported an empty queue, unless it has reported a longer one since.
+    /// Time of the last queue report, if that report showed an empty queue.
     pub empty_queue_at: Option<Timestamp>,
 }
 
 impl Server {
-    /// Whether it is the origin, which the balancer itself sends misses and writes to.
+    /// Whether this is the origin, to which the balancer itself sends misses and writes.
     pub fn is_origin(&self, settings: &Settings) -> bool {
         match &settings.mode {
             CacheMode::Aside { origin_kind } => self.endpoint.kind.as_ref() == Some(origin_kind),
@@ -47,17 +48,17 @@
         }
     }
 
-    /// Whether it is a cache server that takes requests.
+    /// Whether this is a cache server that accepts requests.
     pub fn is_ready_cache(&self, settings: &Settings) -> bool {
         self.endpoint.state == EndpointState::Ready && !self.is_origin(settings)
     }
 
-    /// Whether it has recently reported an empty queue.
+    /// Whether the server has recently reported an empty queue.
     pub fn reports_empty_queue(&self, now: Timestamp) -> bool {
         self.empty_queue_at.is_some_and(|at| now.since(at) < QUEUE_REPORT_TTL)
     }
 
-    /// Its present incarnation.
+    /// Returns the present incarnation of the server.
     pub fn incarnation(&self) -> CacheIncarnation {
         CacheIncarnation { server_hash: self.hash, started_at: self.endpoint.started_at }
     }
@@ -93,8 +94,8 @@
 }
 
 impl ServerList {
-    /// Applies a complete list: servers that it lacks are removed. Limits of new servers start at
-    /// `initial_limit`.
+    /// Applies a complete list and removes servers that are not on it. Concurrency limits of new servers
+    /// start at `initial_limit`.
     pub fn apply_snapshot(
         &mut self,
         endpoints: &[Endpoint],
@@ -106,7 +107,7 @@
         self.apply_delta(endpoints, settings, initial_limit, now);
     }
 
-    /// Applies the endpoints that changed. Limits of new servers start at `initial_limit`.
+    /// Applies the endpoints that changed. Concurrency limits of new servers start at `initial_limit`.
     pub fn apply_delta(
         &mut self,
         endpoints: &[Endpoint],
@@ -122,7 +123,7 @@
                 Ok(index) => self.update(index, endpoint, settings, now),
                 Err(_) if is_removed => {}
                 Err(index) => {
-                    // Servers of the first list have long been there.
+                    // Servers on the first list are assumed to have been running for long.
                     let endpoint = if is_first_list {
                         endpoint.clone()
                     } else {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Index of a server, or the index at which it would have to be inserted.
+    /// Returns the index of a server, or else the index at which to insert it.
     pub fn position(&self, id: &ServerId) -> Result<usize, usize> {
         self.servers.binary_search_by(|server| server.endpoint.id.cmp(id))
     }
@@ -167,41 +168,41 @@
         }
     }
 
-    /// Present capacity of a server, for comparison with other servers; above 0.
+    /// Returns the present capacity of a server relative to other servers; above 0.
     pub fn capacity(&self, server: &Server, settings: &Settings, now: Timestamp) -> f64 {
         let speed = if settings.weights_reflect_speed { 1.0 } else { self.kinds.speed(server.kind) };
         let warm_up_fraction = warm_up_fraction(&server.endpoint, settings, now);
         (server.endpoint.weight * speed * warm_up_fraction).max(CAPACITY_MIN)
     }
 
-    /// Counts the latency of an answer of a server, for the speed of its kind. `expected_seconds` is its
-    /// expected work, above 0.
+    /// Records the latency of an answer of a server, for the speed of its kind. `expected_seconds` is the
+    /// expected work of the request, above 0.
     pub fn record_latency(&mut self, index: usize, latency: Duration, expected_seconds: f64) {
         self.kinds.record(self.servers[index].kind, latency, expected_seconds);
     }
 
-    /// Present capacity of all cache servers that take requests.
+    /// Returns the total present capacity of the cache servers that accept requests.
     pub fn total_capacity(&self, settings: &Settings, now: Timestamp) -> f64 {
-        let caches = self.servers.iter().filter(|server| server.is_ready_cache(settings));
-        caches.map(|server| self.capacity(server, settings, now)).sum()
+        let cache_servers = self.servers.iter().filter(|server| server.is_ready_cache(settings));
+        cache_servers.map(|server| self.capacity(server, settings, now)).sum()
     }
 
-    /// The servers in the order of their ids.
+    /// Returns the servers, sorted by id.
     pub fn iter(&self) -> std::slice::Iter<'_, Server> {
         self.servers.iter()
     }
 
-    /// The servers in the order of their ids.
+    /// Returns the servers, sorted by id.
     pub fn iter_mut(&mut self) -> std::slice::IterMut<'_, Server> {
         self.servers.iter_mut()
     }
 
-    /// The servers in the order of their ids.
+    /// Returns the servers, sorted by id.
     pub fn as_slice(&self) -> &[Server] {
         &self.servers
     }
 
-    /// What was learned of the servers and their kinds, for a successor.
+    /// Returns what was learned about the servers and their kinds, for a successor process.
     pub fn learned(
         &self,
         class_names: &[Name],
@@ -212,7 +213,8 @@
         (servers.collect(), self.kinds.learned())
     }
 
-    /// Restores what a predecessor learned of the servers on the list, of each if it has not restarted since.
+    /// Restores what a predecessor process learned about the servers on the list, except for servers that
+    /// have restarted since.
     pub fn restore(
         &mut self,
         servers: &[LearnedServer],
@@ -247,11 +249,11 @@
     }
 }
 
-/// An endpoint with the time of its start, which is inferred where discovery does not report it: a server
-/// that was not listed before, or has been draining, has most likely just started.
+/// Returns the endpoint with its start time, which is inferred where discovery does not report it: a server
+/// that was not listed before, or was draining, has most likely just started.
 fn with_start_time(
     endpoint: &Endpoint,
-    before: Option<&Endpoint>,
+    previous: Option<&Endpoint>,
     settings: &Settings,
     now: Timestamp,
 ) -> Endpoint {
@@ -259,8 +261,8 @@
         return endpoint.clone();
     }
     let is_ready = endpoint.state == EndpointState::Ready;
-    let started_at = match before.filter(|before| before.state == EndpointState::Ready) {
-        Some(before) => before.started_at,
+    let started_at = match previous.filter(|previous| previous.state == EndpointState::Ready) {
+        Some(previous) => previous.started_at,
         None => is_ready.then_some(now),
     };
     Endpoint { started_at, ..endpoint.clone() }
--- a/crates/balancer-core/src/endpoints.rs
+++ b/crates/balancer-core/src/endpoints.rs
@@ -1,41 +1,42 @@
-//! Endpoints: the cache servers, and the origin where requests reach it through the balancer, as discovery lists them.
+//! Endpoints on discovery's list: the cache servers, and the origin where requests reach it through the
+//! balancer.
 
 use crate::names::{Name, ServerId};
 use crate::time::Timestamp;
 use std::sync::Arc;
 
-/// State of an endpoint in discovery's list.
+/// State of an endpoint on discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes the requests it has and must not be sent any more.
+    /// Finishes its requests in flight and must not be sent new ones.
     Draining,
     /// No longer part of the fleet.
     Removed,
 }
 
-/// An endpoint, as discovery lists it.
+/// An endpoint on discovery's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its identity, stable across restarts of its process.
+    /// Identity of the server, stable across restarts of its process.
     pub id: ServerId,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: Option<Name>,
-    /// Its kind; see [`CacheMode::Aside`](crate::api::CacheMode::Aside).
+    /// Kind of the server; see [`CacheMode::Aside`](crate::api::CacheMode::Aside).
     pub kind: Option<Name>,
-    /// The group of servers that share their memory of idempotency keys.
+    /// Group of servers that share their record of idempotency keys.
     pub cell: u64,
-    /// Whether it takes requests.
+    /// Whether the server accepts requests.
     pub state: EndpointState,
-    /// Its capacity relative to other endpoints.
+    /// Capacity relative to other endpoints.
     pub weight: f64,
-    /// Start of its present incarnation; `None` for one that has long been warm.
+    /// Start time of the present incarnation; `None` if the server has long been warm.
     pub started_at: Option<Timestamp>,
 }
 
 impl Endpoint {
-    /// A ready endpoint of weight 1 that has long been warm.
+    /// Creates a ready endpoint of weight 1 that has long been warm.
     pub fn new(id: &str) -> Self {
         Self {
             id: id.into(),
@@ -52,10 +53,10 @@
 /// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// The complete list: an endpoint that it lacks is removed.
+    /// The complete list. Endpoints that are not on it are removed.
     Snapshot(Arc<[Endpoint]>),
     /// The endpoints that changed.
     Delta(Arc<[Endpoint]>),
-    /// Discovery could not be reached, or its watch broke. The current list stays in force.
+    /// Discovery could not be reached, or its watch failed. The current list stays in use.
     Unavailable,
 }
--- a/crates/balancer-core/src/hashing.rs
+++ b/crates/balancer-core/src/hashing.rs
@@ -1,6 +1,7 @@
-//! Hashes, and pseudo-random numbers made from them: equal input gives equal numbers on every machine.
+//! Hash functions and pseudo-random numbers derived from them. Equal inputs give equal results on every
+//! machine.
 
-/// Scatters nearby numbers (the finalizer of splitmix64).
+/// Maps nearby numbers to unrelated ones (the finalizer of SplitMix64).
 pub fn mix(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -8,12 +9,12 @@
     x ^ (x >> 31)
 }
 
-/// A hash as a number between 0 and 1, both excluded.
+/// Maps a hash to a number between 0 and 1, both excluded.
 pub fn unit_interval(hash: u64) -> f64 {
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// The 64-bit FNV-1a hash.
+/// Returns the 64-bit FNV-1a hash of a text.
 pub fn hash_text(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x100_0000_01b3;
