--- a/crates/balancer-core/benches/servers.rs
+++ b/crates/balancer-core/benches/servers.rs
@@ -89,7 +89,7 @@
     }
 }
 
-fn requests(criterion: &mut Criterion) {
+fn bench_requests(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one request");
     for servers in SERVERS {
         let mut fixture = Fixture::new(servers);
@@ -99,7 +99,7 @@
     }
 }
 
-fn snapshots(criterion: &mut Criterion) {
+fn bench_snapshots(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one whole list");
     for servers in SERVERS {
         let mut fixture = Fixture::new(servers);
@@ -114,7 +114,7 @@
     }
 }
 
-fn deltas(criterion: &mut Criterion) {
+fn bench_deltas(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one change");
     for servers in SERVERS {
         let mut fixture = Fixture::new(servers);
@@ -136,8 +136,8 @@
         .warm_up_time(Duration::from_millis(500))
         .measurement_time(Duration::from_secs(2))
         .configure_from_args();
-    requests(&mut criterion);
-    snapshots(&mut criterion);
-    deltas(&mut criterion);
+    bench_requests(&mut criterion);
+    bench_snapshots(&mut criterion);
+    bench_deltas(&mut criterion);
     criterion.final_summary();
 }
--- a/crates/balancer-core/src/balance.rs
+++ b/crates/balancer-core/src/balance.rs
@@ -7,9 +7,10 @@
 //!   hot keys), `servers` and `server_kinds` (capacity), `slow_start`, `selection`;
 //! - load on a single server: `concurrency_limit`, `circuit_breaker` and `outlier_detection` (ejection);
 //! - load on the origin: `cached_keys`, `fetch_limit`, `origin_breaker`;
-//! - load on the fleet: [`admission`](crate::admission), `retry_budget`, `queue`, `retry_after`, and `dispatch`,
-//!   which applies them to a request;
-//! - evaluation of results: `assessment`, `request_costs`, and `attempt_results`, which updates the other rules;
+//! - load on the fleet: [`admission`](crate::admission), `retry_budget`, `queue`, `retry_after`, and
+//!   `dispatch`, which applies the rules to a request;
+//! - evaluation of results: `assessment`, `request_costs`, and `attempt_results`, which passes a result to the
+//!   rules;
 //! - state for a successor process: `learned_state`.
 
 mod assessment;
--- a/crates/balancer-core/src/balance/queue.rs
+++ b/crates/balancer-core/src/balance/queue.rs
@@ -15,7 +15,7 @@
 /// at the same instant in an endless loop.
 const TRY_INTERVAL_MIN: Duration = Duration::from_millis(1);
 /// Time that must remain from the next try to the latency objective or the deadline, as a multiple of the
-/// mean latency of the class. It is more than the mean, since an answer may take longer.
+/// mean latency of the class. An answer may take longer than the mean.
 const LATENCY_RESERVE: u32 = 3;
 
 /// The times that decide whether a request may wait.
--- a/crates/balancer-core/src/hot_keys.rs
+++ b/crates/balancer-core/src/hot_keys.rs
@@ -25,7 +25,7 @@
 /// Number of replicas per fair share of the traffic, where a fair share is the load of one server. With 3,
 /// one key makes up at most a third of a server's load, which leaves capacity for the server's other keys.
 const REPLICAS_PER_SHARE: f64 = 3.0;
-/// Minimum number of requests in a sample.
+/// Minimum size of the sample, in requests. A smaller sample is treated as if it had this size.
 const MIN_SAMPLE_REQUESTS: f64 = 60.0;
 /// Maximum number of keys that are counted at a time.
 const MAX_KEYS: usize = 512;
--- a/crates/balancer-core/tests/cache_aside.rs
+++ b/crates/balancer-core/tests/cache_aside.rs
@@ -1,4 +1,4 @@
-//! Sites whose balancers fetch misses from the origin themselves.
+//! Cache-aside sites, where the balancer fetches misses from the origin itself.
 
 mod common;
 use balancer_core::*;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_write_goes_straight_to_the_origin() {
+fn a_write_goes_directly_to_the_origin() {
     let mut node = node();
     let request = Request { class: Some(ClassId(1)), write: true, ..Request::new("w", node.now + ms(400)) };
     let id = node.submit(request);
--- a/crates/balancer-core/tests/fetch_limit.rs
+++ b/crates/balancer-core/tests/fetch_limit.rs
@@ -1,4 +1,4 @@
-//! The fetch limit: an overloaded origin behind cache servers that fetch from it fails at all of them.
+//! The fetch limit, with an overloaded origin that fails fetches of all cache servers.
 
 mod common;
 use balancer_core::*;
@@ -6,8 +6,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Offers a node its part of 1,500 reads a second, all of different keys, and ends each attempt after 50 ms with this status.
-/// Returns the fraction of the reads that was forwarded.
+/// Sends a node its share of 1,500 reads a second, each for a different key, and ends each attempt with
+/// `status` after 50 ms. Returns the fraction of the reads that were forwarded.
 fn forwarded_fraction(
     node: &mut Node,
     keys: &mut std::ops::RangeFrom<u64>,
@@ -16,12 +16,12 @@
 ) -> f64 {
     let interval = Duration::from_micros(1_000_000 / 1_500) * node.settings.nodes;
     let end = node.now + Duration::from_secs(seconds);
-    // The requests in flight, by the end of their attempt.
+    // Requests in flight and the end times of their attempts, in order of time.
     let mut in_flight = VecDeque::new();
-    let (mut forwarded, mut all) = (0, 0);
+    let (mut forwarded, mut total) = (0, 0);
     while node.now < end {
         let id = node.request(0, keys.next().unwrap(), ms(400));
-        all += 1;
+        total += 1;
         if node.in_flight(&id).is_some() {
             forwarded += 1;
             in_flight.push_back((node.now + ms(50), id));
@@ -40,10 +40,11 @@
             !request.finished || request.attempts.iter().any(|attempt| attempt.status.is_none())
         });
     }
-    f64::from(forwarded) / f64::from(all)
+    f64::from(forwarded) / f64::from(total)
 }
 
-/// The fraction of the reads that is forwarded after 5 s in which all have failed, and after 20 s in which all are served again.
+/// Returns the fraction of the reads that are forwarded after 5 s in which all failed, and after another 20 s
+/// in which all were served.
 fn forwarded_while_failing_and_after(nodes: u32) -> (f64, f64) {
     let mut node = Node::with_servers(Settings { nodes, ..settings() }, 26);
     let mut keys = 0..;
@@ -57,11 +58,10 @@
     (failing, forwarded_fraction(&mut node, &mut keys, 10, AttemptStatus::Ok))
 }
 
-/// An overloaded origin does not recover by itself: each fetch that fails is sent again by its client and the
-/// node, and with nothing cached the next minute is as bad. A limit that applied to fewer than 15 nodes only
-/// left larger fleets without one.
+/// An overloaded origin does not recover by itself: each failed fetch is sent again by the client and by the
+/// node, and nothing is cached. A limit that applied only below 15 nodes left larger fleets without one.
 #[test]
-fn any_number_of_nodes_holds_back_reads_that_fail_at_the_origin() {
+fn reads_that_fail_at_the_origin_are_held_back_at_any_number_of_nodes() {
     let counts = [1, 2, 15, 16, 17, 60, 100, 450];
     let fractions = counts.map(forwarded_while_failing_and_after);
     println!("{counts:?}: {fractions:.2?}");
@@ -72,15 +72,16 @@
         );
         assert!(after >= 0.9, "{nodes} nodes: {after} of the reads forwarded once it serves again");
     }
-    // There is no step between numbers of nodes side by side.
+    // Adjacent numbers of nodes give similar fractions.
     for pair in fractions[2..5].windows(2) {
         assert!((pair[0].0 - pair[1].0).abs() <= 0.1, "{fractions:?}");
     }
 }
 
-/// A fetch limit that one bad server brings about would hold back the keys of all the others.
+/// Failures of a single server must not activate the fetch limit, which would hold back the keys of all other
+/// servers.
 #[test]
-fn one_failing_server_of_eight_holds_back_no_other_servers_reads() {
+fn one_failing_server_of_eight_does_not_hold_back_reads_of_others() {
     for nodes in [1, 16, 100] {
         let mut node = Node::with_servers(Settings { nodes, ..settings() }, 8);
         let mut rejected = 0;
--- a/crates/balancer-core/tests/latency_tail.rs
+++ b/crates/balancer-core/tests/latency_tail.rs
@@ -1,4 +1,4 @@
-//! Servers whose latency has a tail that does not come from load.
+//! Servers whose latency distribution has a long tail that is not caused by load.
 
 mod common;
 
@@ -15,39 +15,39 @@
 const LENGTH: Duration = Duration::from_secs(60);
 const DEADLINE: Duration = Duration::from_secs(1);
 const LONGEST_LATENCY: Duration = Duration::from_millis(300);
-/// A client waits for this long, and for a random part of the spread, before its next request.
+/// Minimum pause of a client before its next request. A random fraction of [`PAUSE_SPREAD`] is added.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
 const PAUSE_SPREAD: Duration = Duration::from_millis(50);
 
-/// The most of all requests that may be left unserved.
+/// Maximum share of the requests that may be left unserved.
 const MAX_SHARE: f64 = 0.02;
 
-/// What happens next, in the order of time.
+/// Scheduled event, in order of time.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Next {
+enum ScheduledEvent {
     ClientSends,
     AttemptEnds { id: u64, attempt: u32, server: String, sent_at: Timestamp },
     TimerExpires,
 }
 
-/// Clients in a closed loop at one node, before servers that answer all requests after a random time.
+/// Simulates clients in a closed loop at one node. The servers answer every request after a random time.
 struct ClosedLoop {
     balancer: Balancer,
     random: fastrand::Rng,
     now: Timestamp,
-    events: BinaryHeap<Reverse<(Timestamp, Next)>>,
-    /// The number of attempts of each open request.
+    events: BinaryHeap<Reverse<(Timestamp, ScheduledEvent)>>,
+    /// Number of attempts of each open request.
     attempts: BTreeMap<u64, u32>,
     requests: u64,
     rejected: u64,
 }
 
 impl ClosedLoop {
-    /// One of `nodes` nodes, whose classes have this latency objective.
+    /// Creates one of `nodes` nodes, whose classes have this latency objective.
     fn new(nodes: u32, latency_objective: Duration) -> Self {
         let mut settings = Settings { nodes, hedging_allowed: false, max_attempts: 3, ..settings() };
         settings.classes.iter_mut().for_each(|class| class.latency_objective = latency_objective);
-        let mut this = Self {
+        let mut simulation = Self {
             balancer: Balancer::new(settings, SEED),
             random: fastrand::Rng::with_seed(SEED),
             now: Timestamp::from_micros(3_000_000_000),
@@ -58,34 +58,34 @@
         };
         let servers: Vec<_> =
             (0..SERVERS).map(|index| Endpoint::new(&char::from(b'a' + index).to_string())).collect();
-        this.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(servers.into())));
-        (0..CLIENTS).for_each(|_| this.pause_client());
-        this
+        simulation.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(servers.into())));
+        (0..CLIENTS).for_each(|_| simulation.pause_client());
+        simulation
     }
 
-    /// The share of requests that were rejected or failed, over the whole time.
+    /// Runs the simulation and returns the share of requests that were rejected or failed.
     fn share_not_served(mut self) -> f64 {
         let end = self.now + LENGTH;
-        while let Some(Reverse((at, next))) = self.events.pop().filter(|Reverse((at, _))| *at <= end) {
+        while let Some(Reverse((at, event))) = self.events.pop().filter(|Reverse((at, _))| *at <= end) {
             self.now = at;
-            match next {
-                Next::ClientSends => self.send_request(),
-                Next::AttemptEnds { id, attempt, server, sent_at } => {
+            match event {
+                ScheduledEvent::ClientSends => self.send_request(),
+                ScheduledEvent::AttemptEnds { id, attempt, server, sent_at } => {
                     self.end_attempt(id, attempt, &server, sent_at);
                 }
-                Next::TimerExpires => self.handle(Event::TimerExpired),
+                ScheduledEvent::TimerExpires => self.handle(Event::TimerExpired),
             }
         }
         self.rejected as f64 / self.requests as f64
     }
 
-    fn schedule(&mut self, after: Duration, next: Next) {
-        self.events.push(Reverse((self.now + after, next)));
+    fn schedule(&mut self, after: Duration, event: ScheduledEvent) {
+        self.events.push(Reverse((self.now + after, event)));
     }
 
     fn pause_client(&mut self) {
         let pause = MIN_PAUSE + PAUSE_SPREAD.mul_f64(self.random.f64());
-        self.schedule(pause, Next::ClientSends);
+        self.schedule(pause, ScheduledEvent::ClientSends);
     }
 
     fn send_request(&mut self) {
@@ -122,13 +122,14 @@
                     self.rejected += 1;
                     self.pause_client();
                 }
-                Action::SetTimer { after } => self.schedule(after, Next::TimerExpires),
+                Action::SetTimer { after } => self.schedule(after, ScheduledEvent::TimerExpires),
                 _ => {}
             }
         }
     }
 
-    /// The answer comes after a time whose cube root is uniform: one in eight takes over 200 ms, whatever the load.
+    /// Schedules the answer after a time whose cube root is uniform: one answer in eight takes over 200 ms,
+    /// regardless of load.
     fn start_attempt(&mut self, id: &RequestId, server: &ServerId) {
         let id = number(id);
         let attempts = self.attempts.get_mut(&id).expect("an open request");
@@ -136,7 +137,7 @@
         *attempts += 1;
         let latency = LONGEST_LATENCY.mul_f64(self.random.f64().powi(3));
         let (server, sent_at) = (server.to_string(), self.now);
-        self.schedule(latency, Next::AttemptEnds { id, attempt, server, sent_at });
+        self.schedule(latency, ScheduledEvent::AttemptEnds { id, attempt, server, sent_at });
     }
 }
 
@@ -144,22 +145,22 @@
     id.to_string().parse().expect("a number")
 }
 
-/// The share of requests that one of `nodes` nodes does not serve.
+/// Returns the share of requests that one of `nodes` nodes does not serve.
 fn share_not_served(nodes: u32, latency_objective: Duration) -> f64 {
     ClosedLoop::new(nodes, latency_objective).share_not_served()
 }
 
-/// Without it, the next test could fail for the model's own sake.
+/// Control for the next test: shows that the simulation itself does not cause rejections.
 #[test]
-fn a_tail_far_within_the_objective_rejects_nothing() {
+fn a_tail_far_within_the_objective_causes_no_rejections() {
     for nodes in [1, 20, 300] {
         let share = share_not_served(nodes, ms(1_000));
         assert!(share < MAX_SHARE, "{share:.3} not served at {nodes} nodes");
     }
 }
 
-/// Servers that had room were taken for full, since one answer in eight came after the objective: nine requests in ten
-/// were rejected.
+/// One answer in eight comes after the latency objective regardless of load. Servers with spare capacity were
+/// therefore treated as full, and nine requests in ten were rejected.
 #[test]
 fn a_natural_tail_of_latency_is_not_taken_for_a_full_server() {
     let cases = [1, 20, 300].into_iter().flat_map(|nodes| [(nodes, ms(200)), (nodes, ms(250))]);
--- a/crates/balancer-core/tests/rendezvous.rs
+++ b/crates/balancer-core/tests/rendezvous.rs
@@ -1,11 +1,11 @@
-//! How keys are distributed over servers, and which move when the list changes.
+//! Distribution of keys over servers, and which keys move when the endpoint list changes.
 
 mod common;
 use balancer_core::*;
 use common::*;
 use std::collections::BTreeMap;
 
-/// The server of each of 2,000 keys.
+/// Returns the server of each of 2,000 keys.
 fn owners(node: &mut Node) -> BTreeMap<u64, ServerId> {
     let mut owners = BTreeMap::new();
     for key in 0..2_000u64 {
@@ -16,13 +16,13 @@
     owners
 }
 
-/// The fraction of the keys that a server has.
+/// Returns the fraction of the keys that a server owns.
 fn share(owners: &BTreeMap<u64, ServerId>, server: &str) -> f64 {
     owners.values().filter(|id| id.as_str() == server).count() as f64 / owners.len() as f64
 }
 
 #[test]
-fn a_removed_server_moves_its_own_keys_only_and_gets_them_back() {
+fn removing_a_server_moves_only_its_keys_and_its_return_restores_them() {
     let mut node = Node::with_servers(settings(), 8);
     let before = owners(&mut node);
     let removed = Endpoint { state: EndpointState::Removed, ..Endpoint::new("d") };
@@ -36,7 +36,7 @@
     for other in ["a", "h"] {
         assert!(
             share(&without, other) > share(&before, other),
-            "its keys are distributed over all the others"
+            "the keys of the removed server are distributed over all others"
         );
     }
     node.apply_delta(vec![Endpoint::new("d")]);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn shares_of_keys_follow_weights() {
+fn shares_of_keys_are_proportional_to_weights() {
     let mut node = Node::new(settings(), 1);
     let with_weight = |id: &str, weight| Endpoint { weight, ..Endpoint::new(id) };
     node.apply_snapshot(vec![with_weight("a", 1.0), with_weight("b", 1.0), with_weight("c", 2.0)]);
@@ -54,15 +54,15 @@
 }
 
 #[test]
-fn nodes_with_other_seeds_and_list_orders_agree() {
-    let mut one = Node::with_servers(settings(), 5);
-    let mut two = Node::new(settings(), 99);
-    two.apply_snapshot(["e", "c", "a", "b", "d"].map(Endpoint::new).to_vec());
-    assert_eq!(owners(&mut one), owners(&mut two));
+fn nodes_with_different_seeds_and_list_orders_agree() {
+    let mut first = Node::with_servers(settings(), 5);
+    let mut second = Node::new(settings(), 99);
+    second.apply_snapshot(["e", "c", "a", "b", "d"].map(Endpoint::new).to_vec());
+    assert_eq!(owners(&mut first), owners(&mut second));
 }
 
-/// Where listed weights do not reflect speed, servers of a slow kind would get as many keys as fast ones, and
-/// queue.
+/// Where the weights on the list do not reflect speed, servers of a slow kind would get as many keys as fast
+/// ones, and requests would queue there.
 #[test]
 fn a_slow_kind_gets_fewer_keys_where_weights_do_not_reflect_speed() {
     let share_of_slow_kind = |weights_reflect_speed| {
--- a/crates/balancer-core/tests/slow_start_budget.rs
+++ b/crates/balancer-core/tests/slow_start_budget.rs
@@ -1,7 +1,7 @@
-//! What all nodes of a fleet together send a server that is warming up.
+//! The load that all nodes of a fleet together send to a warming server.
 //!
-//! Its settings give it a budget of N requests of mean work in a window. What is put down to chance beyond that is 2√N + 2,
-//! however many nodes there are, and whichever of them have just started.
+//! The settings give the server a budget of N requests of mean work per window. The tolerance for random
+//! variation is 2√N + 2, regardless of the number of nodes and of which of them have just started.
 
 mod common;
 
@@ -15,7 +15,7 @@
 const OVERLOAD_WINDOW: Duration = Duration::from_millis(1_500);
 const MIN_FRACTION: f64 = 0.35;
 const OVERLOAD_FACTOR: f64 = 3.0;
-/// Start of the clock, in microseconds.
+/// Start time of the simulation, in microseconds.
 const START: u64 = 3_000_000_000;
 /// Length of a run, in seconds.
 const SECONDS: u64 = 9;
@@ -23,27 +23,28 @@
 /// Latency of every answer, in microseconds.
 const LATENCY: u64 = 40_000;
 
-/// What a fleet is put through.
+/// Conditions of one simulated fleet.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
     nodes: u32,
-    /// Requests a second of all nodes together.
+    /// Total request rate of all nodes, per second.
     rate: u64,
-    /// The fraction of the servers' capacity that they are.
+    /// Request rate as a fraction of the servers' capacity.
     utilization: f64,
     /// Number of servers that have just started.
     warming: usize,
-    /// The fraction of the requests that are for one key, whose own server is warming up.
+    /// Fraction of the requests that are for a single key, whose server is warming up.
     hot_fraction: f64,
-    /// The fraction of the nodes that restart in the middle, and have learned nothing then.
+    /// Fraction of the nodes that restart without learned state halfway through the run.
     restarting_fraction: f64,
-    /// Some requests are six times as much work as the others.
+    /// Whether some requests take six times as much work as the others.
     uneven_work: bool,
-    /// Some nodes get up to six times as many requests as others.
+    /// Whether some nodes get up to six times as many requests as others.
     uneven_traffic: bool,
-    /// There are two processes of each node, as in a hand-over: half as many nodes are known to be.
+    /// Whether each node has two processes, as during a hand-over, so that the nodes' settings state half of
+    /// the number of processes.
     two_processes: bool,
-    /// The nodes take every server for warm.
+    /// Whether the nodes treat every server as warm.
     slow_start_off: bool,
 }
 
@@ -54,19 +55,19 @@
     TimerExpires,
 }
 
-/// A fleet in the middle of a trial.
+/// A simulated fleet during a trial.
 struct Fleet<'a> {
     trial: &'a Trial,
     seed: u64,
     settings: Settings,
     endpoints: Vec<Endpoint>,
     nodes: Vec<Balancer>,
-    /// Steps to come: time in microseconds, node, what happens.
-    agenda: BinaryHeap<Reverse<(u64, usize, Step)>>,
+    /// Scheduled steps: time in microseconds, node and step.
+    scheduled_steps: BinaryHeap<Reverse<(u64, usize, Step)>>,
     rng: fastrand::Rng,
     hot_key: u64,
     requests: u64,
-    /// By server: time in microseconds and work of each request.
+    /// Requests sent to each server: time in microseconds and work.
     sent: Vec<Vec<(u64, f64)>>,
 }
 
@@ -83,7 +84,7 @@
 }
 
 impl Trial {
-    /// One of twelve servers is warming up, nothing else is out of the ordinary.
+    /// One of twelve servers is warming up, under ordinary conditions otherwise.
     fn ordinary(nodes: u32) -> Self {
         Self {
             nodes,
@@ -99,13 +100,13 @@
         }
     }
 
-    /// The budget of a warming server in a window, in requests of mean work, as the settings give it when it starts.
+    /// Returns the budget of a warming server per window at its start, in requests of mean work.
     fn budget(&self) -> f64 {
         let capacity = self.rate as f64 / self.utilization / SERVERS as f64;
         OVERLOAD_FACTOR * capacity * MIN_FRACTION * OVERLOAD_WINDOW.as_secs_f64()
     }
 
-    fn most_allowed(&self) -> f64 {
+    fn max_allowed(&self) -> f64 {
         self.budget() + 2.0 * self.budget().sqrt() + 2.0
     }
 
@@ -113,7 +114,7 @@
         Settings {
             nodes: if self.two_processes { self.nodes.div_ceil(2) } else { self.nodes },
             slow_start_min_fraction: if self.slow_start_off { 1.0 } else { MIN_FRACTION },
-            // So long that the budget is that of the start all the time.
+            // Long enough that the budget stays at its initial value throughout the run.
             slow_start_window: ms(600_000),
             slow_start_overload_factor: OVERLOAD_FACTOR,
             slow_start_overload_window: OVERLOAD_WINDOW,
@@ -121,24 +122,25 @@
         }
     }
 
-    /// The share of the traffic that each node gets.
+    /// Returns the relative traffic of each node.
     fn traffic_weights(&self) -> Vec<u64> {
         let weight = |node: u32| if self.uneven_traffic { 1 + u64::from(node * 7 % 6) } else { 1 };
         (0..self.nodes).map(weight).collect()
     }
 
-    /// The most work that any warming server was sent in a window.
-    fn most_in_a_window(&self, seed: u64) -> f64 {
+    /// Returns the maximum work that any warming server was sent in a window.
+    fn max_work_in_a_window(&self, seed: u64) -> f64 {
         let mut fleet = Fleet::new(self, seed);
         fleet.run();
-        fleet.sent[..self.warming].iter().map(|sent| most_in_a_window(sent)).fold(0.0, f64::max)
+        fleet.sent[..self.warming].iter().map(|sent| max_work_in_a_window(sent)).fold(0.0, f64::max)
     }
 
-    /// Over this many seeds, the most work in a window, and the number of seeds with more than chance allows.
-    fn most_over_seeds(&self, seeds: u64) -> (f64, usize) {
-        let all: Vec<_> = (1..=seeds).map(|seed| self.most_in_a_window(seed)).collect();
-        let exceeded = all.iter().filter(|most| **most > self.most_allowed()).count();
-        (all.into_iter().fold(0.0, f64::max), exceeded)
+    /// Returns, over seeds 1 to `seeds`, the maximum work in a window and the number of seeds in which it
+    /// exceeds the allowed work.
+    fn max_over_seeds(&self, seeds: u64) -> (f64, usize) {
+        let maxima: Vec<_> = (1..=seeds).map(|seed| self.max_work_in_a_window(seed)).collect();
+        let exceeded = maxima.iter().filter(|max_work| **max_work > self.max_allowed()).count();
+        (maxima.into_iter().fold(0.0, f64::max), exceeded)
     }
 }
 
@@ -151,15 +153,16 @@
             ..Endpoint::new(&server_name(server))
         };
         let endpoints: Vec<_> = (0..SERVERS).map(endpoint).collect();
-        let is_of_warming_server = |key: &u64| first_server(*key, &settings, &endpoints) < trial.warming;
-        let hot_key = (0..).find(is_of_warming_server).expect("a key");
+        let is_owned_by_warming_server =
+            |key: &u64| first_server(*key, &settings, &endpoints) < trial.warming;
+        let hot_key = (0..).find(is_owned_by_warming_server).expect("a key");
         let mut fleet = Self {
             trial,
             seed,
             settings,
             endpoints,
             nodes: Vec::new(),
-            agenda: BinaryHeap::new(),
+            scheduled_steps: BinaryHeap::new(),
             rng: fastrand::Rng::with_seed(seed),
             hot_key,
             requests: 0,
@@ -170,7 +173,7 @@
         fleet
     }
 
-    /// A node that starts at this time. `number` is part of its seed.
+    /// Creates a node that starts at `at`. `number` is part of its seed.
     fn new_node(&self, number: u64, at: u64) -> Balancer {
         let mut node = Balancer::new(self.settings.clone(), self.seed << 32 | number);
         let snapshot = EndpointUpdate::Snapshot(self.endpoints.clone().into());
@@ -180,23 +183,27 @@
 
     fn schedule_requests(&mut self) {
         let weights = self.trial.traffic_weights();
-        let all: u64 = weights.iter().sum();
+        let total_weight: u64 = weights.iter().sum();
         for request in 0..self.trial.rate * SECONDS {
             let at = START + request * 1_000_000 / self.trial.rate;
-            let mut drawn = self.rng.u64(0..all);
+            let mut drawn = self.rng.u64(0..total_weight);
             let node = weights.iter().position(|weight| {
                 let found = drawn < *weight;
                 drawn = drawn.saturating_sub(*weight);
                 found
             });
-            self.agenda.push(Reverse((at, node.expect("one of them"), Step::RequestArrives)));
+            self.scheduled_steps.push(Reverse((
+                at,
+                node.expect("a node with the drawn weight"),
+                Step::RequestArrives,
+            )));
         }
     }
 
     fn run(&mut self) {
         let restart_at = START + SECONDS * 500_000;
         let mut has_restarted = self.trial.restarting_fraction == 0.0;
-        while let Some(Reverse((at, node, step))) = self.agenda.pop() {
+        while let Some(Reverse((at, node, step))) = self.scheduled_steps.pop() {
             if !has_restarted && at >= restart_at {
                 has_restarted = true;
                 self.restart_nodes(at);
@@ -249,17 +256,17 @@
                 self.sent[server].push((at, work));
                 let request = id.as_str().parse().expect("a number");
                 let ends = Step::AttemptEnds { request, attempt: 0, server };
-                self.agenda.push(Reverse((at + LATENCY, node, ends)));
+                self.scheduled_steps.push(Reverse((at + LATENCY, node, ends)));
             }
             Action::SetTimer { after } => {
                 let expires_at = at + after.as_micros().max(1) as u64;
-                self.agenda.push(Reverse((expires_at, node, Step::TimerExpires)));
+                self.scheduled_steps.push(Reverse((expires_at, node, Step::TimerExpires)));
             }
             _ => {}
         }
     }
 
-    /// Work of a request, of which the mean is 1.
+    /// Returns the work of a request. The mean is 1.
     fn work(&mut self) -> f64 {
         if !self.trial.uneven_work {
             1.0
@@ -271,7 +278,7 @@
     }
 }
 
-/// The server that a node would send a key to if every server were warm.
+/// Returns the server that a node would send a key to if every server were warm.
 fn first_server(key: u64, settings: &Settings, endpoints: &[Endpoint]) -> usize {
     let warm = endpoints.iter().map(|endpoint| Endpoint { started_at: None, ..endpoint.clone() });
     let snapshot = EndpointUpdate::Snapshot(warm.collect());
@@ -287,7 +294,7 @@
     server.expect("a server")
 }
 
-fn most_in_a_window(sent: &[(u64, f64)]) -> f64 {
+fn max_work_in_a_window(sent: &[(u64, f64)]) -> f64 {
     let window = OVERLOAD_WINDOW.as_micros() as u64;
     let work_from = |first: usize| {
         let within = sent[first..].iter().take_while(|later| later.0 - sent[first].0 < window);
@@ -296,11 +303,11 @@
     (0..sent.len()).map(work_from).fold(0.0, f64::max)
 }
 
-/// Each node keeps to its part of a warming server's budget without knowing what the others send. If the parts add up to
-/// more, the server is overloaded and does not recover.
+/// Each node limits itself to its part of a warming server's budget without knowing what the others send. If
+/// the parts add up to more than the budget, the server is overloaded and does not recover.
 #[test]
 fn all_nodes_together_keep_to_the_budget_of_a_warming_server() {
-    println!("| trial | nodes | N | allowed | the most over seeds | seeds past it |");
+    println!("| trial | nodes | N | allowed | maximum over seeds | seeds exceeding it |");
     println!("| --- | --- | --- | --- | --- | --- |");
     let mut exceeded = Vec::new();
     for nodes in [1, 2, 8, 20, 30, 60, 100, 350] {
@@ -325,33 +332,33 @@
                 Trial { rate: 90, warming: 3, restarting_fraction: 0.5, uneven_work: true, ..ordinary },
             ),
             (
-                "hardly any traffic, most of it for one key",
+                "hardly any traffic, four fifths of it for one key",
                 Trial { rate: 12, warming: 3, hot_fraction: 0.8, ..ordinary },
             ),
             ("the same, all warming up", Trial { rate: 12, warming: 12, hot_fraction: 0.8, ..ordinary }),
         ];
         for (name, trial) in trials {
-            let (most, seeds_past) = trial.most_over_seeds(6);
+            let (max_work, seeds_exceeding) = trial.max_over_seeds(6);
             println!(
-                "| {name} | {nodes} | {:.0} | {:.0} | {most:.0} | {seeds_past} of 6 |",
+                "| {name} | {nodes} | {:.0} | {:.0} | {max_work:.0} | {seeds_exceeding} of 6 |",
                 trial.budget(),
-                trial.most_allowed()
+                trial.max_allowed()
             );
-            if seeds_past > 0 {
-                exceeded.push((name, nodes, most));
+            if seeds_exceeding > 0 {
+                exceeded.push((name, nodes, max_work));
             }
         }
     }
     assert!(exceeded.is_empty(), "{exceeded:?}");
 }
 
-/// The same check on nodes that take a warming server for warm shows that the check can fail.
+/// Shows that the check above can fail: nodes that treat a warming server as warm exceed its budget.
 #[test]
-fn a_warming_server_that_is_taken_for_warm_exceeds_its_budget() {
+fn a_warming_server_treated_as_warm_exceeds_its_budget() {
     for nodes in [1, 30, 350] {
         let trial =
             Trial { hot_fraction: 0.6, utilization: 1.4, slow_start_off: true, ..Trial::ordinary(nodes) };
-        let (most, seeds_past) = trial.most_over_seeds(3);
-        assert_eq!(seeds_past, 3, "{nodes} nodes sent {most} of {:.0}", trial.most_allowed());
+        let (max_work, seeds_exceeding) = trial.max_over_seeds(3);
+        assert_eq!(seeds_exceeding, 3, "{nodes} nodes sent {max_work} of {:.0}", trial.max_allowed());
     }
 }
