--- a/crates/arrival-time/src/lib.rs
+++ b/crates/arrival-time/src/lib.rs
@@ -18,7 +18,7 @@
 
 /// Asks the system to note arrivals on this socket from now on, and on the connections that a listening one accepts.
 /// Returns `false` if it cannot. With the first such socket of a machine, the system may begin some milliseconds later.
-pub fn note_arrivals(socket: &impl AsFd) -> bool {
+pub fn enable_arrival_timestamps(socket: &impl AsFd) -> bool {
     setsockopt(socket, sockopt::ReceiveTimestampns, &true).is_ok()
 }
 
@@ -41,7 +41,7 @@
 impl ArrivalReader {
     /// A reader of this socket, whose arrivals are noted from now on. Where the system cannot, reads tell no wait.
     pub fn new(socket: &TcpStream) -> Self {
-        Self { control: note_arrivals(socket).then(|| cmsg_space!(TimeSpec)) }
+        Self { control: enable_arrival_timestamps(socket).then(|| cmsg_space!(TimeSpec)) }
     }
 
     /// Reads what is there.
--- a/crates/arrival-time/tests/waits.rs
+++ b/crates/arrival-time/tests/waits.rs
@@ -1,6 +1,6 @@
 //! Waits of bytes before they are read.
 
-use arrival_time::{note_arrivals, ArrivalReader, MAX_WAIT};
+use arrival_time::{enable_arrival_timestamps, ArrivalReader, MAX_WAIT};
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
@@ -13,7 +13,7 @@
 /// A listener whose connections are known to have their arrivals noted: the system may take a moment to begin.
 async fn noting_listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    assert!(note_arrivals(&listener));
+    assert!(enable_arrival_timestamps(&listener));
     let is_noted = async || {
         let (mut client, server) = connection(&listener).await;
         client.write_all(b"x").await.unwrap();
--- a/crates/cache-balancer/src/daemon/listeners.rs
+++ b/crates/cache-balancer/src/daemon/listeners.rs
@@ -4,11 +4,11 @@
 use super::change::Change;
 use super::error::ConfigureError;
 use crate::config::Listener;
-use crate::fronts::http1::{serve, Front};
+use crate::frontend::http1::{serve, Frontend};
 use crate::log::log;
 use crate::service_manager::ActivationSockets;
 use crate::shutdown_phase::ShutdownPhase;
-use arrival_time::note_arrivals;
+use arrival_time::enable_arrival_timestamps;
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
 use std::rc::{Rc, Weak};
@@ -68,7 +68,7 @@
         };
         // From here on, so that requests that come before the first accept tell when they came. Where the system cannot,
         // they count from their read.
-        note_arrivals(&socket);
+        enable_arrival_timestamps(&socket);
         bound.push((index, socket));
     }
     Ok(bound)
@@ -81,7 +81,7 @@
 
 /// The listeners, in the order of the configuration.
 pub struct Listeners {
-    front: Rc<Front>,
+    front: Rc<Frontend>,
     running: Vec<Running>,
     /// Removed listeners that have not closed yet.
     removed: JoinSet<()>,
@@ -106,7 +106,7 @@
 
 impl Listeners {
     /// No listeners yet.
-    pub fn new(front: Rc<Front>) -> Self {
+    pub fn new(front: Rc<Frontend>) -> Self {
         Self { front, running: Vec::new(), removed: JoinSet::new() }
     }
 
--- a/crates/cache-balancer/src/daemon/node.rs
+++ b/crates/cache-balancer/src/daemon/node.rs
@@ -6,7 +6,7 @@
 use super::pools::Pools;
 use super::{limit_descriptors, ConfigSource};
 use crate::config::{operator, platform, Config, HandoverConfig, MIN_CONNECTIONS, RESERVED_DESCRIPTORS};
-use crate::fronts::http1::Front;
+use crate::frontend::http1::Frontend;
 use crate::handover::{PoolState, PredecessorEndpoint, State};
 use crate::input::DriverInput;
 use crate::log::log;
@@ -37,7 +37,7 @@
     pools: Pools,
     pub drivers: watch::Sender<Vec<UnboundedSender<DriverInput>>>,
     pub readiness: Rc<Readiness>,
-    front: Rc<Front>,
+    front: Rc<Frontend>,
     pub listeners: Listeners,
 }
 
@@ -58,7 +58,7 @@
         let pools = Pools::start(&config, upstream.clone(), learned);
         let readiness = Rc::new(Readiness::new(pools.ready()));
         let front =
-            Rc::new(Front::new(pools.routes(), readiness.clone(), config.descriptors, max_connections));
+            Rc::new(Frontend::new(pools.routes(), readiness.clone(), config.descriptors, max_connections));
         spawn_local(front.table.clone().enforce_limits());
         let listeners = Listeners::new(front.clone());
         let drivers = watch::Sender::new(pools.drivers());
--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -5,7 +5,7 @@
 use crate::discovery::DiscoveryPoller;
 use crate::driver::Driver;
 use crate::endpoint_list::EndpointList;
-use crate::fronts::http1::{Class, Routes};
+use crate::frontend::http1::{ClassRoute, Routes};
 use crate::handover::PoolState;
 use crate::input::DriverInput;
 use crate::list_file;
@@ -142,7 +142,7 @@
     /// The pool of each class.
     pub fn routes(&self) -> Routes {
         let classes = |running: &Running| {
-            Class::all(&running.pool.settings, &running.driver_inputs).collect::<Vec<_>>()
+            ClassRoute::for_pool(&running.pool.settings, &running.driver_inputs).collect::<Vec<_>>()
         };
         let tenants = |running: &Running| {
             running.pool.settings.tenants.iter().map(|tenant| tenant.name.clone()).collect::<Vec<_>>()
--- a/crates/cache-balancer/src/fronts/connections/table.rs
+++ b/crates/cache-balancer/src/frontend/connections/table.rs
@@ -122,7 +122,7 @@
     /// Such connections are evicted first, the oldest first, so a flood displaces itself. But it must not
     /// wait for itself either, with usual clients behind it: connections that have long been idle come next,
     /// and any idle one if no new connection is left.
-    pub fn make_room(&self) -> bool {
+    pub fn evict_one(&self) -> bool {
         let connections = self.connections.borrow();
         let oldest = |phase, min_age| oldest_in_phase(&connections, phase, min_age);
         let found = oldest(Phase::Lingering, Duration::ZERO)
--- a/crates/cache-balancer/src/fronts/connections/tests.rs
+++ b/crates/cache-balancer/src/frontend/connections/tests.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// A connection that responds to every request at once, as the front does, with a way to set its shutdown phase.
+/// A connection that responds to every request at once, as the frontend does, with a way to set its shutdown phase.
 struct ServedConnection {
     client: std::net::TcpStream,
     state: Rc<ConnectionState>,
@@ -227,7 +227,7 @@
     let connected = [connect(&table), connect(&table)];
     connected.iter().for_each(|(_, connection)| connection.state.enter(Phase::Idle));
     io::Write::write_all(&mut &connected[0].0, REQUEST).expect("a socket that takes it");
-    assert!(table.make_room());
+    assert!(table.evict_one());
     assert_eq!([0, 1].map(|i: usize| connected[i].1.state.is_closing()), [false, true]);
-    assert!(!table.make_room());
+    assert!(!table.evict_one());
 }
--- a/crates/cache-balancer/src/fronts/http1/connection.rs
+++ b/crates/cache-balancer/src/frontend/http1/connection.rs
@@ -3,8 +3,8 @@
 use super::forward::forward;
 use super::request::{check_transfer, key_of, read_body, RequestError, RequestHead};
 use super::response::{self, HttpResponse};
-use super::Front;
-use crate::fronts::connections::TrackedConnection;
+use super::Frontend;
+use crate::frontend::connections::TrackedConnection;
 use crate::shutdown_phase::ShutdownPhase;
 use crate::upstream::{ForwardedRequest, ResponsePending};
 use hyper::body::{Body, Incoming};
@@ -25,14 +25,14 @@
 pub(super) async fn serve_connection(
     connection: TrackedConnection,
     shutdown_phase: watch::Receiver<ShutdownPhase>,
-    front: Rc<Front>,
+    frontend: Rc<Frontend>,
 ) {
-    let (connection, front, shutdown_phase) = (&connection, &*front, &shutdown_phase);
+    let (connection, frontend, shutdown_phase) = (&connection, &*frontend, &shutdown_phase);
     let service = service_fn(|request: Request<Incoming>| {
         // Not in the future: hyper reads on before it polls that for the first time.
         connection.head_read(request.body().size_hint().lower() as usize);
         async move {
-            let response = respond(front, connection, shutdown_phase, request).await;
+            let response = respond(frontend, connection, shutdown_phase, request).await;
             connection.response_ready();
             Ok::<_, Infallible>(response)
         }
@@ -44,12 +44,12 @@
 }
 
 async fn respond(
-    front: &Front,
+    frontend: &Frontend,
     connection: &TrackedConnection,
     shutdown_phase: &watch::Receiver<ShutdownPhase>,
     request: Request<Incoming>,
 ) -> HttpResponse {
-    let (mut response, valid) = match handle(front, connection, shutdown_phase, request).await {
+    let (mut response, valid) = match handle(frontend, connection, shutdown_phase, request).await {
         Ok(response) => (response, true),
         Err(error) => (error.response(), false),
     };
@@ -62,7 +62,7 @@
 }
 
 async fn handle(
-    front: &Front,
+    frontend: &Frontend,
     connection: &TrackedConnection,
     shutdown_phase: &watch::Receiver<ShutdownPhase>,
     request: Request<Incoming>,
@@ -72,19 +72,19 @@
     let (head, body) = request.into_parts();
     let target = head.uri.path_and_query().cloned().ok_or(RequestError::NoPath)?;
     if target.path() == HEALTH_PATH {
-        return health(front, *shutdown_phase.borrow(), &head.method);
+        return health(frontend, *shutdown_phase.borrow(), &head.method);
     }
     let key = key_of(target.path()).ok_or(RequestError::UnknownPath)?;
     check_transfer(&head)?;
-    let routes = front.routes();
+    let routes = frontend.routes();
     let mut request_head = RequestHead::read(&routes, &head.headers)?;
     let body = read_body(body).await?;
     // It is accepted now, and not when its head came: a reload may have changed the routes meanwhile.
-    if !Rc::ptr_eq(&routes, &front.routes()) {
-        request_head = RequestHead::read(&front.routes(), &head.headers)?;
+    if !Rc::ptr_eq(&routes, &frontend.routes()) {
+        request_head = RequestHead::read(&frontend.routes(), &head.headers)?;
     }
     // Forwarded, a second request of this id would pass for a copy of the first.
-    let id = front.in_flight_ids.insert(request_head.id).ok_or(RequestError::IdInFlight)?;
+    let id = frontend.in_flight_ids.insert(request_head.id).ok_or(RequestError::IdInFlight)?;
     connection.request_read();
     let message = ForwardedRequest {
         method: head.method,
@@ -94,17 +94,17 @@
         body,
         pending: ResponsePending::new(),
     };
-    Ok(forward(front.request_number(), received_at, key, request_head.terms, message).await)
+    Ok(forward(frontend.request_number(), received_at, key, request_head.terms, message).await)
 }
 
 /// Whether the node is ready, for the platform's health checks.
 fn health(
-    front: &Front,
+    frontend: &Frontend,
     shutdown_phase: ShutdownPhase,
     method: &Method,
 ) -> Result<HttpResponse, RequestError> {
     match *method {
-        Method::GET if front.ready.reached() && shutdown_phase < ShutdownPhase::StandingBy => {
+        Method::GET if frontend.ready.reached() && shutdown_phase < ShutdownPhase::StandingBy => {
             Ok(response::text(StatusCode::OK, "ready"))
         }
         Method::GET => Ok(response::text(StatusCode::SERVICE_UNAVAILABLE, "not ready")),
--- a/crates/cache-balancer/src/fronts/http1/listener.rs
+++ b/crates/cache-balancer/src/frontend/http1/listener.rs
@@ -1,8 +1,8 @@
 //! Accepts connections.
 
 use super::connection::serve_connection;
-use super::Front;
-use crate::fronts::connections::{ConnectionTable, TrackedConnection};
+use super::Frontend;
+use crate::frontend::connections::{ConnectionTable, TrackedConnection};
 use crate::log::log;
 use crate::shutdown_phase::ShutdownPhase;
 use socket2::SockRef;
@@ -25,12 +25,12 @@
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Accepts and serves connections until `shutdown_phase` is [`ShutdownPhase::Closing`] or
-/// [`ShutdownPhase::HandedOver`]. All listeners together hold the front's connection permits; further connections
+/// [`ShutdownPhase::HandedOver`]. All listeners together hold the frontend's connection permits; further connections
 /// wait unaccepted.
 pub async fn serve(
     listener: Rc<TcpListener>,
     shutdown_phase: watch::Receiver<ShutdownPhase>,
-    front: Rc<Front>,
+    frontend: Rc<Frontend>,
 ) {
     let mut watched = shutdown_phase.clone();
     loop {
@@ -48,11 +48,11 @@
         let accepted = tokio::select! {
             // A connection that has been accepted by then is served: it comes before the change of the phase.
             biased;
-            accepted = accept(&listener, &front.connection_permits, &front.table) => accepted,
+            accepted = accept(&listener, &frontend.connection_permits, &frontend.table) => accepted,
             _ = watched.changed() => continue,
         };
         match accepted {
-            Ok((stream, permit)) => spawn_connection(stream, permit, &shutdown_phase, &front),
+            Ok((stream, permit)) => spawn_connection(stream, permit, &shutdown_phase, &frontend),
             Err(error) => {
                 log!("accept: {error}");
                 sleep(ACCEPT_RETRY_DELAY).await;
@@ -60,7 +60,7 @@
         }
     }
     log!("no further clients are accepted");
-    serve_backlog(&listener, &shutdown_phase, &front).await;
+    serve_backlog(&listener, &shutdown_phase, &frontend).await;
 }
 
 /// Serves the connections that wait in the system's queue as the node closes, as permits become free.
@@ -70,12 +70,12 @@
 async fn serve_backlog(
     listener: &TcpListener,
     shutdown_phase: &watch::Receiver<ShutdownPhase>,
-    front: &Rc<Front>,
+    frontend: &Rc<Frontend>,
 ) {
     for _ in 0..LISTEN_BACKLOG {
-        let Ok(permit) = front.connection_permits.clone().acquire_owned().await else { break };
+        let Ok(permit) = frontend.connection_permits.clone().acquire_owned().await else { break };
         match accept_queued(listener) {
-            Ok(stream) => spawn_connection(stream, permit, shutdown_phase, front),
+            Ok(stream) => spawn_connection(stream, permit, shutdown_phase, frontend),
             Err(error) if error.kind() == ErrorKind::WouldBlock => break,
             Err(_) => {}
         }
@@ -93,13 +93,13 @@
     stream: TcpStream,
     permit: OwnedSemaphorePermit,
     shutdown_phase: &watch::Receiver<ShutdownPhase>,
-    front: &Rc<Front>,
+    frontend: &Rc<Frontend>,
 ) {
-    let (shutdown_phase, front) = (shutdown_phase.clone(), front.clone());
+    let (shutdown_phase, frontend) = (shutdown_phase.clone(), frontend.clone());
     // It enters the table at once: an eviction before its task is first polled must see it.
-    let connection = TrackedConnection::new(front.table.clone(), stream);
+    let connection = TrackedConnection::new(frontend.table.clone(), stream);
     tokio::task::spawn_local(async move {
-        serve_connection(connection, shutdown_phase, front).await;
+        serve_connection(connection, shutdown_phase, frontend).await;
         drop(permit);
     });
 }
@@ -115,7 +115,7 @@
     table: &ConnectionTable,
 ) -> io::Result<(TcpStream, OwnedSemaphorePermit)> {
     let permit = loop {
-        while permits.available_permits() == 0 && !table.make_room() {
+        while permits.available_permits() == 0 && !table.evict_one() {
             sleep(FULL_TABLE_RETRY_DELAY).await;
         }
         // The connection that was asked to close stays open if a request arrives on it just then: another has
--- a/crates/cache-balancer/src/fronts/http1/mod.rs
+++ b/crates/cache-balancer/src/frontend/http1/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 front: accepts connections, reads requests, passes them to the driver of their pool, writes
+//! The HTTP/1.1 frontend: accepts connections, reads requests, passes them to the driver of their pool, writes
 //! the responses and reports clients that disconnect.
 
 mod connection;
@@ -9,9 +9,9 @@
 mod routes;
 
 pub use listener::serve;
-pub use routes::{Class, Routes};
+pub use routes::{ClassRoute, Routes};
 
-use crate::fronts::connections::ConnectionTable;
+use crate::frontend::connections::ConnectionTable;
 use crate::input::RequestNumber;
 use crate::readiness::Readiness;
 use crate::upstream::InFlightIds;
@@ -21,7 +21,7 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 
 /// What all connections of clients share.
-pub struct Front {
+pub struct Frontend {
     routes: RefCell<Rc<Routes>>,
     ready: Rc<Readiness>,
     next_request_number: Cell<u64>,
@@ -34,8 +34,8 @@
     in_flight_ids: InFlightIds,
 }
 
-impl Front {
-    /// A front without connections, for a process that may hold `descriptors` file descriptors and accepts up
+impl Frontend {
+    /// A frontend without connections, for a process that may hold `descriptors` file descriptors and accepts up
     /// to `max_connections` connections of clients.
     pub fn new(routes: Routes, ready: Rc<Readiness>, descriptors: usize, max_connections: usize) -> Self {
         Self {
--- a/crates/cache-balancer/src/fronts/http1/request/tests.rs
+++ b/crates/cache-balancer/src/frontend/http1/request/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::fronts::http1::Class;
+use crate::frontend::http1::ClassRoute;
 use balancer_core::{RequestClass, Settings};
 use tokio::sync::mpsc;
 
@@ -9,7 +9,7 @@
     let settings = Settings { classes: vec![class], ..Settings::default() };
     let (driver, _) = mpsc::unbounded_channel();
     Routes {
-        classes: Class::all(&settings, &driver).collect(),
+        classes: ClassRoute::for_pool(&settings, &driver).collect(),
         tenants: tenants.iter().map(|name| (*name).into()).collect(),
     }
 }
--- a/crates/cache-balancer/src/fronts/http1/routes.rs
+++ b/crates/cache-balancer/src/frontend/http1/routes.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// A request class, as far as a front has to know it.
-pub struct Class {
+/// A request class, as far as a frontend has to know it.
+pub struct ClassRoute {
     name: Name,
     pub(super) id: ClassId,
     /// No client of this class waits longer.
@@ -15,9 +15,9 @@
     pub(super) driver: UnboundedSender<DriverInput>,
 }
 
-impl Class {
+impl ClassRoute {
     /// All classes of a pool, with the queue of its driver.
-    pub fn all<'a>(
+    pub fn for_pool<'a>(
         settings: &'a Settings,
         driver: &'a UnboundedSender<DriverInput>,
     ) -> impl Iterator<Item = Self> + 'a {
@@ -33,14 +33,14 @@
 /// The classes and tenants of a configuration. A reload replaces them as a whole.
 pub struct Routes {
     /// The classes of all pools.
-    pub classes: Vec<Class>,
+    pub classes: Vec<ClassRoute>,
     /// The tenants; their places are their ids.
     pub tenants: Vec<Name>,
 }
 
 impl Routes {
     /// The class of this name.
-    pub(super) fn class(&self, name: &str) -> Option<&Class> {
+    pub(super) fn class(&self, name: &str) -> Option<&ClassRoute> {
         self.classes.iter().find(|class| class.name.as_str() == name)
     }
 
--- a/crates/cache-balancer/src/fronts/http1/tests.rs
+++ b/crates/cache-balancer/src/frontend/http1/tests.rs
@@ -5,9 +5,9 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-fn front() -> Rc<Front> {
+fn frontend() -> Rc<Frontend> {
     let routes = Routes { classes: Vec::new(), tenants: Vec::new() };
-    Rc::new(Front::new(routes, Rc::new(Readiness::new(Vec::new())), 256, 116))
+    Rc::new(Frontend::new(routes, Rc::new(Readiness::new(Vec::new())), 256, 116))
 }
 
 /// A connection that the system had accepted for the node was reset with its listener as the node closed: it
@@ -19,14 +19,14 @@
         listener.set_nonblocking(true).expect("a socket for the runtime");
         let address = listener.local_addr().expect("its address");
         let listener = Rc::new(TcpListener::from_std(listener).expect("a socket of the runtime"));
-        let (front, (_stage, closing)) = (front(), watch::channel(ShutdownPhase::Closing));
+        let (frontend, (_stage, closing)) = (frontend(), watch::channel(ShutdownPhase::Closing));
         let mut clients: Vec<_> =
             (0..3).map(|_| std::net::TcpStream::connect(address).expect("a client")).collect();
         for client in &mut clients {
             client.write_all(b"GET /nowhere HTTP/1.1\r\nHost: s\r\n\r\n").expect("a socket that takes it");
         }
         // Nothing is awaited until here: the runtime has not polled since they came.
-        serve(listener, closing, front.clone()).await;
+        serve(listener, closing, frontend.clone()).await;
         let read = tokio::task::spawn_blocking(move || {
             let mut read = String::new();
             for client in &mut clients {
@@ -36,7 +36,7 @@
             read
         });
         assert_eq!(read.await.expect("a reader").matches("HTTP/1.1 404").count(), 3);
-        front.table.drained().await;
+        frontend.table.drained().await;
     };
     tokio::task::LocalSet::new().run_until(all).await;
 }
--- a/crates/cache-balancer/src/main.rs
+++ b/crates/cache-balancer/src/main.rs
@@ -8,7 +8,7 @@
 mod driver;
 mod endpoint_list;
 mod fleet;
-mod fronts;
+mod frontend;
 mod handover;
 mod hollow;
 mod input;
--- a/crates/testbed/src/sockets/cache_server/mod.rs
+++ b/crates/testbed/src/sockets/cache_server/mod.rs
@@ -16,7 +16,7 @@
 use crate::models::cache_server::{JobId, ServerOutput};
 use crate::models::CacheServer;
 use crate::placement;
-use arrival_time::note_arrivals;
+use arrival_time::enable_arrival_timestamps;
 use balancer_core::{Endpoint, EndpointState, Timestamp};
 use std::collections::HashMap;
 use std::io;
@@ -65,7 +65,7 @@
     let listener =
         TcpListener::bind(address.unwrap_or_else(|| SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))).await?;
     // Attempts on connections that are not accepted yet count from their arrival, too.
-    note_arrivals(&listener);
+    enable_arrival_timestamps(&listener);
     Ok(listener)
 }
 
