--- a/crates/arrival-time/src/lib.rs
+++ b/crates/arrival-time/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads from a TCP socket, and how long the bytes have waited in the system before they were read.
+//! Reads from a TCP socket and reports how long the bytes have waited in the kernel.
 //!
-//! A process that is held up (it is starting, or has no processor time) reads late what came in time. A time limit that
-//! counts from the read is then too long by the wait. Linux notes when each packet arrives (`SO_TIMESTAMPNS`, see socket(7))
-//! and tells with `recvmsg` when the last of the bytes read did.
+//! A process that is starting or gets no processor time reads bytes some time after they arrived. A time
+//! limit that counts from the read is then too long by that wait. Linux can record the arrival time of each
+//! packet (`SO_TIMESTAMPNS`, see socket(7)), and `recvmsg` returns that of the last bytes read.
 
 use nix::cmsg_space;
 use nix::sys::socket::{recvmsg, setsockopt, sockopt, ControlMessageOwned, MsgFlags};
@@ -13,41 +13,43 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// The longest wait that is believed. A longer one is more likely a step of the system's clock.
+/// Maximum plausible wait. A longer one is more likely a step of the system clock, and is reported as zero.
 pub const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// Asks the system to note arrivals on this socket from now on, and on the connections that a listening one accepts.
-/// Returns `false` if it cannot. With the first such socket of a machine, the system may begin some milliseconds later.
+/// Enables arrival timestamps on this socket, and on the connections that it accepts if it is a listener.
+/// Returns `false` if the kernel does not support them. The kernel may start to record them some milliseconds
+/// after the first such socket of the machine has enabled them.
 pub fn enable_arrival_timestamps(socket: &impl AsFd) -> bool {
     setsockopt(socket, sockopt::ReceiveTimestampns, &true).is_ok()
 }
 
-/// Reads from one socket.
+/// Reads bytes and their arrival timestamps from one socket.
 #[derive(Debug)]
 pub struct ArrivalReader {
-    /// Holds the timestamp of a read; `None` if the system notes none for this socket.
+    /// Buffer for the timestamp of a read, or `None` if the socket does not support timestamps.
     control: Option<Vec<u8>>,
 }
 
-/// What a read returned.
+/// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Received {
-    /// The number of bytes; 0 at the end of the stream.
+    /// The number of bytes read, or 0 at the end of the stream.
     pub bytes: usize,
-    /// How long the last of them have waited in the system; zero if it does not tell.
+    /// How long the last of the bytes have waited in the kernel, or zero if that is unknown.
     pub waited: Duration,
 }
 
 impl ArrivalReader {
-    /// A reader of this socket, whose arrivals are noted from now on. Where the system cannot, reads tell no wait.
+    /// Creates a reader of this socket and enables arrival timestamps on it. If they are not supported, reads
+    /// report a wait of zero.
     pub fn new(socket: &TcpStream) -> Self {
         Self { control: enable_arrival_timestamps(socket).then(|| cmsg_space!(TimeSpec)) }
     }
 
-    /// Reads what is there.
+    /// Reads the available bytes without blocking.
     ///
     /// # Errors
-    /// As [`TcpStream::try_read`], [`io::ErrorKind::WouldBlock`] if nothing is.
+    /// Same as [`TcpStream::try_read`]: [`io::ErrorKind::WouldBlock`] if no bytes are available.
     pub fn try_read(&mut self, socket: &TcpStream, buffer: &mut [u8]) -> io::Result<Received> {
         let Some(control) = &mut self.control else {
             return Ok(Received { bytes: socket.try_read(buffer)?, waited: Duration::ZERO });
@@ -61,14 +63,14 @@
                     _ => None,
                 })
             });
-            // The bytes are read, whatever came beside them.
-            Ok(Received { bytes: message.bytes, waited: arrived_at.map(waited).unwrap_or_default() })
+            // The bytes have been read, so a missing or unreadable timestamp is not an error.
+            Ok(Received { bytes: message.bytes, waited: arrived_at.map(time_since).unwrap_or_default() })
         })
     }
 }
 
-/// The time since an arrival, by the system's clock; zero if that is implausible.
-fn waited(arrived_at: TimeSpec) -> Duration {
+/// Returns the time since an arrival by the system clock, or zero if it is implausible.
+fn time_since(arrived_at: TimeSpec) -> Duration {
     let arrived_at = UNIX_EPOCH.checked_add(Duration::from(arrived_at));
     let elapsed = arrived_at.and_then(|at| SystemTime::now().duration_since(at).ok());
     elapsed.filter(|elapsed| *elapsed <= MAX_WAIT).unwrap_or_default()
--- a/crates/arrival-time/tests/waits.rs
+++ b/crates/arrival-time/tests/waits.rs
@@ -1,4 +1,4 @@
-//! Waits of bytes before they are read.
+//! Tests of the reported waits of bytes before they are read.
 
 use arrival_time::{enable_arrival_timestamps, ArrivalReader, MAX_WAIT};
 use std::io::ErrorKind;
@@ -7,15 +7,16 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const WAIT: Duration = Duration::from_millis(200);
-/// The most connections until the system notes arrivals.
+/// Maximum number of connections until the kernel records arrival times.
 const MAX_ATTEMPTS: usize = 1_000;
 
-/// A listener whose connections are known to have their arrivals noted: the system may take a moment to begin.
-async fn noting_listener() -> TcpListener {
+/// Returns a listener with arrival timestamps, after checking that the kernel records them: it may start to
+/// do so with some delay.
+async fn listener_with_timestamps() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     assert!(enable_arrival_timestamps(&listener));
-    let is_noted = async || {
-        let (mut client, server) = connection(&listener).await;
+    let has_timestamp = async || {
+        let (mut client, server) = connect(&listener).await;
         client.write_all(b"x").await.unwrap();
         std::thread::sleep(Duration::from_millis(1));
         server.readable().await.unwrap();
@@ -23,22 +24,23 @@
         received.waited > Duration::ZERO
     };
     for _ in 0..MAX_ATTEMPTS {
-        if is_noted().await {
+        if has_timestamp().await {
             return listener;
         }
     }
-    panic!("no arrival noted in {MAX_ATTEMPTS} connections");
+    panic!("no arrival timestamp in {MAX_ATTEMPTS} connections");
 }
 
-async fn connection(listener: &TcpListener) -> (TcpStream, TcpStream) {
+/// Opens a connection. Returns the client's end and the accepted one.
+async fn connect(listener: &TcpListener) -> (TcpStream, TcpStream) {
     let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     (client, listener.accept().await.unwrap().0)
 }
 
-/// A process that was held up took bytes for new that had come long before.
+/// Guards against a suspended process that treats bytes as new that arrived long before.
 #[tokio::test]
-async fn bytes_tell_how_long_they_have_waited() {
-    let (mut client, server) = connection(&noting_listener().await).await;
+async fn the_wait_of_unread_bytes_is_reported() {
+    let (mut client, server) = connect(&listener_with_timestamps().await).await;
     let mut reader = ArrivalReader::new(&server);
     let before = Instant::now();
     client.write_all(b"late").await.unwrap();
@@ -50,10 +52,10 @@
     assert!(received.waited >= WAIT && received.waited <= before.elapsed(), "{received:?}");
 }
 
-/// A starting process has connections that came before it accepts any.
+/// A starting process accepts connections on which bytes have already arrived.
 #[tokio::test]
-async fn bytes_that_came_before_the_accept_tell_their_wait() {
-    let listener = noting_listener().await;
+async fn the_wait_of_bytes_received_before_the_accept_is_reported() {
+    let listener = listener_with_timestamps().await;
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     client.write_all(b"early").await.unwrap();
     std::thread::sleep(WAIT);
@@ -63,10 +65,10 @@
     assert!(reader.try_read(&server, &mut [0; 16]).unwrap().waited >= WAIT);
 }
 
-/// The wait of the last bytes counts: a request is there once its last byte is.
+/// The wait of the last bytes is reported because a request is complete only with its last byte.
 #[tokio::test]
-async fn the_last_bytes_count() {
-    let (mut client, server) = connection(&noting_listener().await).await;
+async fn the_wait_of_the_last_bytes_is_reported() {
+    let (mut client, server) = connect(&listener_with_timestamps().await).await;
     let mut reader = ArrivalReader::new(&server);
     client.write_all(b"first").await.unwrap();
     std::thread::sleep(WAIT);
@@ -79,8 +81,8 @@
 }
 
 #[tokio::test]
-async fn an_empty_socket_blocks_and_a_closed_one_ends() {
-    let (client, server) = connection(&noting_listener().await).await;
+async fn an_empty_socket_would_block_and_a_closed_one_returns_zero_bytes() {
+    let (client, server) = connect(&listener_with_timestamps().await).await;
     let mut reader = ArrivalReader::new(&server);
     let empty = reader.try_read(&server, &mut [0; 16]);
     assert_eq!(empty.unwrap_err().kind(), ErrorKind::WouldBlock);
--- a/crates/cache-balancer/src/frontend/connections/framing.rs
+++ b/crates/cache-balancer/src/frontend/connections/framing.rs
@@ -1,49 +1,50 @@
-//! Where a request ends in the bytes of its connection.
+//! Finds the end of a request in the byte stream of its connection.
 
 use std::cell::Cell;
 
-/// Where in a head the last byte stood, to find the empty line that ends it.
+/// Position of the last byte within a request head. It is used to find the empty line that ends the head.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum HeadPosition {
-    /// Before the first line: empty lines there are skipped (RFC 9112, section 2.2).
+    /// Before the first line. Empty lines here are skipped (RFC 9112, section 2.2).
     #[default]
     BeforeFirstLine,
     /// In a line that is not empty.
     InLine,
-    /// At the start of a line that may be the empty one.
+    /// At the start of a line, which may be the empty one that ends the head.
     LineStart,
 }
 
-/// Splits the bytes of a connection into the current request's and the next one's.
+/// Separates the bytes of the current request from those of the next one.
 ///
-/// Guarded against: hyper buffers all that it is given, and a next request in its buffer would be lost,
-/// unseen, with a connection that closes after the current response. It would show as a client whose
-/// pipelined request is never answered. hyper is given no byte beyond the current request.
+/// hyper must not get a byte beyond the current request. It buffers everything it is given, and if the
+/// connection closes after the current response, a next request in that buffer is lost without notice: the
+/// client's pipelined request is never answered.
 #[derive(Debug, Default)]
 pub(super) struct RequestFraming {
-    /// Bytes of the body that have not come yet; `None` while the head is read.
+    /// Number of body bytes that have not arrived yet, or `None` while the head is read.
     body_remaining: Cell<Option<usize>>,
     head: Cell<HeadPosition>,
 }
 
 impl RequestFraming {
-    /// The head has been read; a body of this many bytes follows.
-    pub(super) fn head_read(&self, body_bytes: usize) {
+    /// Records that the head has been read and that a body of `body_bytes` bytes follows.
+    pub(super) fn on_head_read(&self, body_bytes: usize) {
         self.body_remaining.set(Some(body_bytes));
     }
 
-    /// The response is written: the next byte begins a head.
-    pub(super) fn next_request(&self) {
+    /// Starts the next request after the current response has been written. The next byte belongs to a head.
+    pub(super) fn start_next_request(&self) {
         self.body_remaining.set(None);
     }
 
-    /// Whether the current request has come whole.
+    /// Returns whether the current request has arrived completely.
     pub(super) fn is_complete(&self) -> bool {
         self.body_remaining.get() == Some(0)
     }
 
-    /// How many of these bytes, which follow those before, belong to the current request.
-    pub(super) fn measure(&self, bytes: &[u8]) -> usize {
+    /// Advances over the next bytes of the connection and returns how many of them belong to the current
+    /// request.
+    pub(super) fn consume(&self, bytes: &[u8]) -> usize {
         if let Some(remaining) = self.body_remaining.get() {
             let taken = remaining.min(bytes.len());
             self.body_remaining.set(Some(remaining - taken));
--- a/crates/cache-balancer/src/frontend/connections/mod.rs
+++ b/crates/cache-balancer/src/frontend/connections/mod.rs
@@ -1,9 +1,9 @@
-//! The connections of clients: what phase each is in, how long it may stay in it, how many idle ones are
-//! kept, and which one is closed when a further client waits.
+//! Client connections: the phase of each, the timeouts of the phases, the limit on idle connections, and the
+//! choice of a connection to close when a further client waits.
 //!
-//! [`ConnectionTable`] has all connections, and closes them; a [`TrackedConnection`] is one of them while it
-//! is served; its [`ClientStream`](stream::ClientStream) is the socket, which reports to the table what
-//! passes on it.
+//! [`ConnectionTable`] contains all connections and requests their close. [`TrackedConnection`] is an entry
+//! of the table while the connection is served. [`ClientStream`](stream::ClientStream) wraps its socket and
+//! updates its phase on reads and writes.
 
 mod framing;
 mod state;
--- a/crates/cache-balancer/src/frontend/connections/state.rs
+++ b/crates/cache-balancer/src/frontend/connections/state.rs
@@ -1,4 +1,4 @@
-//! The state of one connection, and the counts over all of them.
+//! The state of one connection, and counts of all connections.
 
 use super::framing::RequestFraming;
 use socket2::SockRef;
@@ -11,37 +11,39 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A request must have come whole within this time: the first one from the connection's start, others from
-/// their first byte. A client must get an error or a close within 3 s, whatever it sends or leaves out.
+/// Time within which a request must have arrived completely, counted from the start of the connection for its
+/// first request and from the first byte for others. A client must get an error or a close within 3 s, even
+/// if it sends an incomplete request or nothing.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// A client that does not read its response holds its connection no longer than this.
+/// Maximum time in which a client must read its response. The connection is closed afterwards.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// An idle connection is closed after this time: many clients send one request and never close.
+/// Time after which an idle connection is closed. Many clients send one request and never close.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// A response that was written this long ago has reached its client.
-pub(super) const RESPONSE_DELIVERY: Duration = Duration::from_millis(500);
-/// How long a connection is read on after its last response.
+/// Time after which a written response is assumed to have reached its client.
+pub(super) const RESPONSE_DELIVERY_TIME: Duration = Duration::from_millis(500);
+/// Maximum time for which a connection is read after its last response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a connection is at.
+/// The phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Nothing has come yet.
+    /// No bytes have arrived yet.
     New,
     /// A request is being read.
     ReadingRequest,
-    /// A request is with the driver.
+    /// The driver is handling a request.
     Processing,
     /// A response is being written.
     WritingResponse,
-    /// All requests that came have their response.
+    /// All received requests have been answered.
     Idle,
-    /// The last response is written and the node's side closed; what still comes is discarded.
+    /// The last response is written and the sending direction is shut down. Further received bytes are
+    /// discarded.
     Lingering,
 }
 
 impl Phase {
-    /// How long a connection may stay in this phase; `None` where the driver's deadline ends it.
+    /// Returns the maximum time in this phase, or `None` if the driver ends it at the request's deadline.
     fn timeout(self) -> Option<Duration> {
         match self {
             Self::New | Self::ReadingRequest => Some(REQUEST_TIMEOUT),
@@ -53,17 +55,18 @@
     }
 }
 
-/// Counts over all connections. They are read at every response, where a walk over the table would cost too
-/// much.
+/// Counts of all connections. They are kept up to date because they are read for every response, where
+/// iterating over the table would cost too much.
 #[derive(Debug, Default)]
 pub(super) struct Usage {
-    /// The number of connections with a request under way.
+    /// The number of connections in phase [`Phase::Processing`] or [`Phase::WritingResponse`].
     pub(super) in_use: Cell<usize>,
-    /// Idle connections that were not asked to close, by number, the one idle for longest first.
+    /// Idle connections whose close was not requested, as the start of the idle phase and the connection
+    /// number, longest idle first.
     pub(super) idle: RefCell<BTreeSet<(Instant, u64)>>,
 }
 
-/// One connection.
+/// The state of one connection.
 #[derive(Debug)]
 pub(super) struct ConnectionState {
     pub(super) number: u64,
@@ -71,20 +74,21 @@
     pub(super) usage: Rc<Usage>,
     phase: Cell<Phase>,
     phase_since: Cell<Instant>,
-    /// When the last bytes of a request came.
+    /// When the last bytes of a request arrived.
     received_at: Cell<Instant>,
     pub(super) framing: RequestFraming,
-    /// Bytes came before the response to the last request was written: the next request has begun.
+    /// Whether bytes of the next request arrived before the current response was written.
     pub(super) pipelined: Cell<bool>,
-    /// More pipelined bytes came than are kept: some were discarded, and no further request is read.
+    /// Whether more pipelined bytes arrived than are kept. Some were discarded, so no further request is
+    /// read.
     pub(super) pipeline_overflowed: Cell<bool>,
-    /// It was asked to close.
+    /// Whether a close was requested.
     closing: Cell<bool>,
-    pub(super) close: Notify,
+    pub(super) close_requested: Notify,
 }
 
 impl ConnectionState {
-    /// A connection that has just been accepted.
+    /// Creates the state of a newly accepted connection.
     pub(super) fn new(number: u64, socket: TcpStream, usage: Rc<Usage>) -> Self {
         Self {
             number,
@@ -97,7 +101,7 @@
             pipelined: Cell::default(),
             pipeline_overflowed: Cell::default(),
             closing: Cell::default(),
-            close: Notify::new(),
+            close_requested: Notify::new(),
         }
     }
 
@@ -109,20 +113,20 @@
         self.phase_since.get()
     }
 
-    /// Whether it was asked to close and no request has come since.
+    /// Returns whether a close was requested and no request has arrived since.
     pub(super) fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Whether it has been in its phase for longer than it may.
+    /// Returns whether the current phase has exceeded its timeout.
     pub(super) fn is_timed_out(&self) -> bool {
         self.phase().timeout().is_some_and(|timeout| self.phase_since().elapsed() > timeout)
     }
 
-    /// Begins a phase.
+    /// Enters a phase and updates the counts.
     pub(super) fn enter(&self, phase: Phase) {
         let now = Instant::now();
-        self.uncount();
+        self.remove_from_counts();
         match phase {
             Phase::Processing | Phase::WritingResponse => self.usage.in_use.set(self.usage.in_use.get() + 1),
             Phase::Idle if !self.closing.get() => {
@@ -134,65 +138,68 @@
         self.phase_since.set(now);
     }
 
-    /// When the last bytes of a request came.
+    /// Returns when the last bytes of a request arrived.
     pub(super) fn received_at(&self) -> Instant {
         self.received_at.get()
     }
 
-    /// Bytes of a request were read that had waited in the system for this time.
-    pub(super) fn bytes_received(&self, waited: Duration) {
+    /// Records the arrival of request bytes that were read just now and had waited in the kernel for
+    /// `waited`.
+    pub(super) fn record_arrival(&self, waited: Duration) {
         let now = Instant::now();
         self.received_at.set(now.checked_sub(waited).unwrap_or(now));
     }
 
-    /// The first bytes have come. The time of the first request runs on from the connection's start.
-    pub(super) fn first_bytes_read(&self) {
+    /// Enters [`Phase::ReadingRequest`] for the first request. Its timeout still counts from the start of the
+    /// connection.
+    pub(super) fn begin_first_request(&self) {
         self.phase.set(Phase::ReadingRequest);
     }
 
-    /// Removes it from the counts.
-    pub(super) fn uncount(&self) {
+    /// Removes the connection from the counts of its current phase.
+    pub(super) fn remove_from_counts(&self) {
         match self.phase() {
             Phase::Processing | Phase::WritingResponse => self.usage.in_use.set(self.usage.in_use.get() - 1),
-            Phase::Idle => self.uncount_idle(),
+            Phase::Idle => self.remove_from_idle(),
             _ => {}
         }
     }
 
-    fn uncount_idle(&self) {
+    fn remove_from_idle(&self) {
         self.usage.idle.borrow_mut().remove(&(self.phase_since(), self.number));
     }
 
-    /// Whether the socket has unread bytes.
+    /// Returns whether the socket has unread bytes.
     ///
-    /// Guarded against: a request arrives in the very moment in which its connection would be closed, and the
-    /// runtime has not polled for it yet. The system has acknowledged it, so its client would see a reset
-    /// instead of a response. The socket itself is asked, so nothing that the system has taken is missed. The
-    /// end of the stream, or a reset, is nothing to be read.
-    pub(super) fn has_unread(&self) -> bool {
+    /// The socket is peeked directly because the runtime may not have polled it yet: a request can arrive
+    /// just before its connection is closed. The kernel has acknowledged that request, so its client would
+    /// see a reset instead of a response. The end of the stream and a reset do not count as unread bytes.
+    pub(super) fn has_unread_bytes(&self) -> bool {
         SockRef::from(&*self.socket).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|bytes| bytes > 0)
     }
 
-    /// Asks it to close. From now on it counts as one that will be gone.
-    pub(super) fn ask_to_close(&self) {
-        self.uncount_idle();
+    /// Requests the close of the connection. It no longer counts as idle.
+    pub(super) fn request_close(&self) {
+        self.remove_from_idle();
         self.closing.set(true);
-        self.close.notify_one();
+        self.close_requested.notify_one();
     }
 
-    /// Whether a response may still be on its way to the client, in a phase between two requests.
+    /// Returns whether a response may still be on its way to the client. Applies to the phases between two
+    /// requests.
     pub(super) fn responded_recently(&self) -> bool {
-        self.phase() != Phase::New && self.phase_since().elapsed() < RESPONSE_DELIVERY
+        self.phase() != Phase::New && self.phase_since().elapsed() < RESPONSE_DELIVERY_TIME
     }
 
-    /// It is about to be closed between two requests, with no response on its way: it need not be read on.
-    pub(super) fn close_at_once(&self) {
-        self.uncount_idle();
+    /// Marks the connection as closing between two requests with no response on its way, so that it is not
+    /// read any further after the close.
+    pub(super) fn close_without_lingering(&self) {
+        self.remove_from_idle();
         self.closing.set(true);
     }
 
-    /// It was asked to close and stays open: a request has come meanwhile.
-    pub(super) fn stay_open(&self) {
+    /// Cancels a requested close because a request has arrived meanwhile.
+    pub(super) fn cancel_close(&self) {
         self.closing.set(false);
         if self.phase() == Phase::Idle {
             self.usage.idle.borrow_mut().insert((self.phase_since(), self.number));
--- a/crates/cache-balancer/src/frontend/connections/stream.rs
+++ b/crates/cache-balancer/src/frontend/connections/stream.rs
@@ -1,4 +1,5 @@
-//! The socket of a client: hands one request at a time to hyper, and sees the client disconnect meanwhile.
+//! Wraps a client's socket: passes one request at a time to hyper, and detects a disconnection of the client
+//! while the request is handled.
 
 use super::state::{ConnectionState, Phase};
 use arrival_time::{ArrivalReader, Received};
@@ -13,38 +14,40 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The number of bytes that are read from a socket at once.
+/// Maximum number of bytes per read from a socket.
 const READ_CHUNK_BYTES: usize = 8 << 10;
-/// The number of pipelined bytes that are kept while a request is under way: the longest head. What a client
-/// sends beyond that is read and discarded, and its connection closes with the response: unless its bytes are
-/// read, the end of its stream does not reach this machine, and its disconnection stays unseen.
+/// Maximum number of pipelined bytes that are kept while a request is in flight, equal to the longest head.
+/// Further bytes are read and discarded, and the connection closes after the response. They have to be read
+/// because the client's flow control window would otherwise fill, and the end of its stream would not arrive
+/// here: its disconnection would go undetected.
 const MAX_PIPELINED_BYTES: usize = 16 << 10;
-/// The number of bytes that are discarded for that. A client that sends more while it waits for a response
-/// takes from the node what others could have, for as long as it likes: it counts as disconnected.
+/// Maximum number of pipelined bytes that are discarded while a request is in flight. A client that sends
+/// more is treated as disconnected, because it could take up the node's time at the expense of others for as
+/// long as it likes.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
-/// The number of bytes that are discarded after the last response.
+/// Maximum number of bytes that are read and discarded after the last response.
 const MAX_LINGER_BYTES: usize = 256 << 10;
 
-/// A client's socket, which records in the connection's state what passes on it.
+/// A client's socket that updates the connection's state on reads and writes.
 pub struct ClientStream {
     socket: Rc<TcpStream>,
     reader: ArrivalReader,
     state: Rc<ConnectionState>,
-    /// Pipelined bytes, until the current response is written.
+    /// Pipelined bytes, kept until the current response is written.
     pipelined: BytesMut,
-    /// The number of bytes discarded while lingering, or beyond what is kept of pipelined ones.
+    /// The number of bytes discarded while lingering, or of pipelined bytes beyond those that are kept.
     discarded: usize,
 }
 
 impl ClientStream {
-    /// The socket of a connection.
+    /// Wraps the socket of a connection.
     pub(super) fn new(state: Rc<ConnectionState>) -> Self {
         let socket = state.socket.clone();
         let reader = ArrivalReader::new(&socket);
         Self { socket, reader, state, pipelined: BytesMut::new(), discarded: 0 }
     }
 
-    fn poll_bytes(&mut self, cx: &mut Context<'_>, bytes: &mut [u8]) -> Poll<io::Result<Received>> {
+    fn poll_socket_read(&mut self, cx: &mut Context<'_>, bytes: &mut [u8]) -> Poll<io::Result<Received>> {
         loop {
             ready!(self.socket.poll_read_ready(cx))?;
             match self.reader.try_read(&self.socket, bytes) {
@@ -54,7 +57,7 @@
         }
     }
 
-    fn poll_written(
+    fn poll_socket_write(
         &self,
         cx: &mut Context<'_>,
         mut write: impl FnMut() -> io::Result<usize>,
@@ -68,17 +71,17 @@
         }
     }
 
-    /// Reads on while a request is under way. Ready only at the end of the stream, or where it is taken for
-    /// one.
+    /// Reads from the socket while a request is in flight. Completes only when the client has disconnected,
+    /// or is treated as disconnected because it sent more than [`MAX_DISCARDED_BYTES`].
     ///
-    /// Guarded against: a client that disconnects before its response is not seen, and attempts for it go on.
-    /// hyper, given pipelined bytes, would not look further; so they are kept here and the socket is read to
-    /// its end.
+    /// Attempts for a client must stop when it disconnects before its response. hyper stops reading once it
+    /// has pipelined bytes and would not see the disconnection, so the bytes are kept here and the socket is
+    /// read to its end.
     fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.state.pipelined.set(self.state.pipelined.get() || !self.pipelined.is_empty());
         loop {
-            // While the response is written it is decided whether the connection stays open: what can't be
-            // kept stays in the socket.
+            // Whether the connection stays open is already decided while the response is written. Bytes that
+            // cannot be kept then stay in the socket.
             let writing = self.state.phase() == Phase::WritingResponse;
             let free = MAX_PIPELINED_BYTES.saturating_sub(self.pipelined.len());
             let chunk = if writing { free.min(READ_CHUNK_BYTES) } else { READ_CHUNK_BYTES };
@@ -86,7 +89,7 @@
                 return Poll::Pending;
             }
             let mut bytes = [0; READ_CHUNK_BYTES];
-            let read = ready!(self.poll_bytes(cx, &mut bytes[..chunk]))?.bytes;
+            let read = ready!(self.poll_socket_read(cx, &mut bytes[..chunk]))?.bytes;
             if read == 0 {
                 return Poll::Ready(Ok(()));
             }
@@ -103,10 +106,10 @@
         }
     }
 
-    /// Hands hyper bytes of the current request that came before its turn.
+    /// Passes hyper the pipelined bytes that belong to the current request.
     fn read_pipelined(&mut self, buf: &mut ReadBufCursor<'_>, max_bytes: usize) {
         let offered = max_bytes.min(self.pipelined.len());
-        let taken = self.state.framing.measure(&self.pipelined[..offered]);
+        let taken = self.state.framing.consume(&self.pipelined[..offered]);
         buf.put_slice(&self.pipelined[..taken]);
         self.pipelined.advance(taken);
     }
@@ -124,10 +127,10 @@
         let max_bytes = buf.remaining().min(READ_CHUNK_BYTES);
         if self.pipelined.is_empty() {
             let mut bytes = [0; READ_CHUNK_BYTES];
-            let received = ready!(self.poll_bytes(cx, &mut bytes[..max_bytes]))?;
-            self.state.bytes_received(received.waited);
+            let received = ready!(self.poll_socket_read(cx, &mut bytes[..max_bytes]))?;
+            self.state.record_arrival(received.waited);
             let read = &bytes[..received.bytes];
-            let (current, next) = read.split_at(self.state.framing.measure(read));
+            let (current, next) = read.split_at(self.state.framing.consume(read));
             buf.put_slice(current);
             self.pipelined.extend_from_slice(next);
             if current.is_empty() {
@@ -135,10 +138,10 @@
             }
         } else {
             self.read_pipelined(&mut buf, max_bytes);
-            self.state.bytes_received(Duration::ZERO);
+            self.state.record_arrival(Duration::ZERO);
         }
         match self.state.phase() {
-            Phase::New => self.state.first_bytes_read(),
+            Phase::New => self.state.begin_first_request(),
             Phase::Idle => self.state.enter(Phase::ReadingRequest),
             _ => {}
         }
@@ -148,32 +151,32 @@
 
 impl Write for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_written(cx, || self.socket.try_write(buf))
+        self.poll_socket_write(cx, || self.socket.try_write(buf))
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // hyper flushes the socket only once all of a response is written; the socket itself buffers nothing.
+        // hyper flushes only after a complete response has been written. The socket itself buffers nothing.
         if self.state.phase() == Phase::WritingResponse {
-            self.state.framing.next_request();
+            self.state.framing.start_next_request();
             let next = if self.state.pipelined.get() { Phase::ReadingRequest } else { Phase::Idle };
             self.state.enter(next);
             if !self.pipelined.is_empty() {
-                // The last read returned pending: hyper does not read again without a wake-up.
+                // The last read returned `Pending`, so hyper does not read again without a wake-up.
                 cx.waker().wake_by_ref();
             }
         }
         Poll::Ready(Ok(()))
     }
 
-    /// Closes the node's side, then discards what comes until the client closes its own.
+    /// Shuts down the sending direction, then discards received bytes until the client closes its side.
     ///
-    /// Guarded against: closed with bytes unread, TCP resets a connection, and the reset can overtake the
-    /// response (RFC 9112, section 9.6), which the client then never sees. Read to the end, there is nothing
-    /// to reset for.
+    /// TCP resets a connection that is closed with unread bytes, and the reset can overtake the response (RFC
+    /// 9112, section 9.6), which the client then never sees. A connection that was read to its end is not
+    /// reset.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.state.phase() != Phase::Lingering {
             SockRef::from(&*self.socket).shutdown(Shutdown::Write)?;
-            // Asked to close between two requests, it has no response on its way.
+            // A connection whose close was requested between two requests has no response on its way.
             if self.state.is_closing() {
                 return Poll::Ready(Ok(()));
             }
@@ -182,7 +185,7 @@
         }
         let mut bytes = [0; READ_CHUNK_BYTES];
         while self.discarded < MAX_LINGER_BYTES {
-            match ready!(self.poll_bytes(cx, &mut bytes))?.bytes {
+            match ready!(self.poll_socket_read(cx, &mut bytes))?.bytes {
                 0 => break,
                 read => self.discarded += read,
             }
@@ -199,6 +202,6 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_written(cx, || self.socket.try_write_vectored(bufs))
+        self.poll_socket_write(cx, || self.socket.try_write_vectored(bufs))
     }
 }
--- a/crates/cache-balancer/src/frontend/connections/tracked.rs
+++ b/crates/cache-balancer/src/frontend/connections/tracked.rs
@@ -1,4 +1,4 @@
-//! A connection while it is served.
+//! A table entry for a connection that is being served.
 
 use super::state::{ConnectionState, Phase};
 use super::stream::ClientStream;
@@ -12,11 +12,11 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// When the node closes, a connection that has sent nothing yet is given this time from its start: its first
-/// request is on its way.
+/// Minimum time from its start for which a connection without any received bytes stays open when the node
+/// closes, because its first request is likely to be on its way.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(100);
 
-/// A connection in the table, for as long as it is served.
+/// A connection that is in the table until this value is dropped.
 pub struct TrackedConnection {
     table: Rc<ConnectionTable>,
     pub(super) state: Rc<ConnectionState>,
@@ -25,50 +25,52 @@
 impl TrackedConnection {
     /// Adds a connection to the table.
     pub fn new(table: Rc<ConnectionTable>, socket: TcpStream) -> Self {
-        // It fails only where the client has disconnected already, as the first read then shows.
+        // This fails only if the client has already disconnected, which the first read reports.
         let _ = socket.set_nodelay(true);
         let state = table.insert(socket);
         Self { table, state }
     }
 
-    /// A request's head has been read; a body of this many bytes may follow.
-    pub fn head_read(&self, body_bytes: usize) {
+    /// Records that a request's head has been read and that a body of `body_bytes` bytes follows.
+    pub fn on_head_read(&self, body_bytes: usize) {
         self.state.pipelined.set(false);
-        self.state.framing.head_read(body_bytes);
+        self.state.framing.on_head_read(body_bytes);
         if !matches!(self.state.phase(), Phase::New | Phase::ReadingRequest) {
             self.state.enter(Phase::ReadingRequest);
         }
     }
 
-    /// When the last bytes of the current request came: before they were read, if the node was held up.
+    /// Returns when the last bytes of the current request arrived. That is before they were read if the
+    /// process was starting or suspended.
     pub fn received_at(&self) -> Instant {
         self.state.received_at()
     }
 
-    /// A request has come whole.
-    pub fn request_read(&self) {
+    /// Records that the current request has been read completely.
+    pub fn on_request_read(&self) {
         self.state.enter(Phase::Processing);
     }
 
-    /// The response to the request is about to be written.
-    pub fn response_ready(&self) {
+    /// Records that the response to the current request is about to be written.
+    pub fn on_response_ready(&self) {
         self.state.enter(Phase::WritingResponse);
     }
 
-    /// Whether the connection may stay open after the current response. One on which the next request has
-    /// begun must: that request has been accepted. One on which more has come than is kept cannot.
+    /// Returns whether the connection stays open after the current response. It must if the next request has
+    /// begun, since that request counts as accepted. It cannot if pipelined bytes were discarded.
     pub fn may_stay_open(&self) -> bool {
-        !self.state.pipeline_overflowed.get() && (self.state.pipelined.get() || self.table.keeps_one_more())
+        !self.state.pipeline_overflowed.get() && (self.state.pipelined.get() || self.table.may_keep_idle())
     }
 
-    /// The socket, which reports to the table what passes on it.
+    /// Returns the socket as a stream that updates the connection's phase on reads and writes.
     pub fn stream(&self) -> ClientStream {
         ClientStream::new(self.state.clone())
     }
 
-    /// Drives a connection to its end. When the node closes, accepted requests are completed. A connection
-    /// that is asked to close is dropped in the middle of a message, and otherwise closed by `close`, unless
-    /// a request has arrived on it.
+    /// Drives the connection to its end. Accepted requests are completed when the node closes.
+    ///
+    /// On a requested close, the connection is dropped if a message is being read or written. Otherwise it is
+    /// closed with `close`, unless a request has arrived on it.
     pub async fn drive<C>(
         &self,
         serving: C,
@@ -84,8 +86,8 @@
         loop {
             tokio::select! {
                 biased;
-                // An error here is a client that disconnected or spoke no HTTP: hyper has sent what response
-                // it can.
+                // An error here means that the client disconnected or did not speak HTTP. hyper has already
+                // sent a response if it could.
                 _ = &mut serving => return,
                 _ = &mut node_closing, if !node_closed => {
                     node_closed = true;
@@ -98,24 +100,24 @@
                     in_grace = false;
                     self.close_for_shutdown(serving.as_mut(), &close);
                 }
-                () = self.state.close.notified() => match self.state.phase() {
+                () = self.state.close_requested.notified() => match self.state.phase() {
                     Phase::ReadingRequest | Phase::WritingResponse | Phase::Lingering => return,
-                    Phase::New | Phase::Idle if self.state.has_unread() => self.state.stay_open(),
+                    Phase::New | Phase::Idle if self.state.has_unread_bytes() => self.state.cancel_close(),
                     _ => close(serving.as_mut()),
                 },
             }
         }
     }
 
-    /// Closes it as the node shuts down. A request that has begun to come is waited for as at any time, and
-    /// its response closes the connection: hyper would drop what it has read of it, and what stands in the
-    /// socket.
+    /// Closes the connection as the node shuts down. If a request has begun to arrive, the connection waits
+    /// for the rest of it under the usual timeout and closes with its response. Closed at once, hyper would
+    /// drop the part that it has read and the bytes in the socket.
     fn close_for_shutdown<C>(&self, serving: Pin<&mut C>, close: &impl Fn(Pin<&mut C>)) {
         match self.state.phase() {
             Phase::ReadingRequest => {}
-            Phase::New | Phase::Idle if self.state.has_unread() => {}
+            Phase::New | Phase::Idle if self.state.has_unread_bytes() => {}
             Phase::New | Phase::Idle if !self.state.responded_recently() => {
-                self.state.close_at_once();
+                self.state.close_without_lingering();
                 close(serving);
             }
             _ => close(serving),
--- a/crates/cache-balancer/src/frontend/http1/connection.rs
+++ b/crates/cache-balancer/src/frontend/http1/connection.rs
@@ -1,7 +1,7 @@
-//! Serves the requests of one connection.
+//! Serves the requests of one client connection.
 
 use super::forward::forward;
-use super::request::{check_transfer, key_of, read_body, RequestError, RequestHead};
+use super::request::{check_method_and_framing, key_from_path, read_body, RequestError, RequestHead};
 use super::response::{self, HttpResponse};
 use super::Frontend;
 use crate::frontend::connections::TrackedConnection;
@@ -16,12 +16,12 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// The longest request head, in bytes; a longer one gets status 431. With a body each it is the most that
-/// connections can make the node hold.
+/// Maximum size of a request head in bytes. A longer one gets status 431. Together with the maximum
+/// size of a body, this bounds the memory that a connection can make the node use.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 const HEALTH_PATH: &str = "/healthz";
 
-/// Serves a connection to its end.
+/// Serves a connection until it ends.
 pub(super) async fn serve_connection(
     connection: TrackedConnection,
     shutdown_phase: watch::Receiver<ShutdownPhase>,
@@ -29,11 +29,11 @@
 ) {
     let (connection, frontend, shutdown_phase) = (&connection, &*frontend, &shutdown_phase);
     let service = service_fn(|request: Request<Incoming>| {
-        // Not in the future: hyper reads on before it polls that for the first time.
-        connection.head_read(request.body().size_hint().lower() as usize);
+        // Called outside the future: hyper continues to read before it first polls the future.
+        connection.on_head_read(request.body().size_hint().lower() as usize);
         async move {
             let response = respond(frontend, connection, shutdown_phase, request).await;
-            connection.response_ready();
+            connection.on_response_ready();
             Ok::<_, Infallible>(response)
         }
     });
@@ -53,8 +53,8 @@
         Ok(response) => (response, true),
         Err(error) => (error.response(), false),
     };
-    // A client whose request is invalid sends the next one at once: not on this connection, where its
-    // requests would take the node's time without a pause.
+    // The connection is closed after an invalid request. Its client would send the next one at once, and a
+    // stream of invalid requests on one connection would take the node's time without a pause.
     if !valid || *shutdown_phase.borrow() >= ShutdownPhase::StandingBy || !connection.may_stay_open() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -67,25 +67,27 @@
     shutdown_phase: &watch::Receiver<ShutdownPhase>,
     request: Request<Incoming>,
 ) -> Result<HttpResponse, RequestError> {
-    // Its client counts from there, and not from when this process came to read it.
+    // The client's time limit runs from the arrival of the request, not from the time at which this process
+    // read it.
     let received_at = connection.received_at();
     let (head, body) = request.into_parts();
     let target = head.uri.path_and_query().cloned().ok_or(RequestError::NoPath)?;
     if target.path() == HEALTH_PATH {
-        return health(frontend, *shutdown_phase.borrow(), &head.method);
+        return health_response(frontend, *shutdown_phase.borrow(), &head.method);
     }
-    let key = key_of(target.path()).ok_or(RequestError::UnknownPath)?;
-    check_transfer(&head)?;
+    let key = key_from_path(target.path()).ok_or(RequestError::UnknownPath)?;
+    check_method_and_framing(&head)?;
     let routes = frontend.routes();
     let mut request_head = RequestHead::read(&routes, &head.headers)?;
     let body = read_body(body).await?;
-    // It is accepted now, and not when its head came: a reload may have changed the routes meanwhile.
+    // A reload may have changed the routes while the body was read. The request is accepted only now, so it
+    // uses the current ones.
     if !Rc::ptr_eq(&routes, &frontend.routes()) {
         request_head = RequestHead::read(&frontend.routes(), &head.headers)?;
     }
-    // Forwarded, a second request of this id would pass for a copy of the first.
+    // A cache server would take a second request with this id for a copy of the first.
     let id = frontend.in_flight_ids.insert(request_head.id).ok_or(RequestError::IdInFlight)?;
-    connection.request_read();
+    connection.on_request_read();
     let message = ForwardedRequest {
         method: head.method,
         target,
@@ -94,17 +96,17 @@
         body,
         pending: ResponsePending::new(),
     };
-    Ok(forward(frontend.request_number(), received_at, key, request_head.terms, message).await)
+    Ok(forward(frontend.allocate_request_number(), received_at, key, request_head.metadata, message).await)
 }
 
-/// Whether the node is ready, for the platform's health checks.
-fn health(
+/// Responds to the platform's health check with the node's readiness.
+fn health_response(
     frontend: &Frontend,
     shutdown_phase: ShutdownPhase,
     method: &Method,
 ) -> Result<HttpResponse, RequestError> {
     match *method {
-        Method::GET if frontend.ready.reached() && shutdown_phase < ShutdownPhase::StandingBy => {
+        Method::GET if frontend.readiness.reached() && shutdown_phase < ShutdownPhase::StandingBy => {
             Ok(response::text(StatusCode::OK, "ready"))
         }
         Method::GET => Ok(response::text(StatusCode::SERVICE_UNAVAILABLE, "not ready")),
--- a/crates/cache-balancer/src/frontend/http1/forward.rs
+++ b/crates/cache-balancer/src/frontend/http1/forward.rs
@@ -1,6 +1,6 @@
 //! Passes an accepted request to the driver and waits for its final response.
 
-use super::request::RequestTerms;
+use super::request::RequestMetadata;
 use super::response::{self, HttpResponse};
 use crate::input::{AcceptedRequest, DriverInput, FinalResponse, RequestNumber};
 use crate::upstream::{ForwardedRequest, ResponsePending};
@@ -9,8 +9,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Reports a client that disconnects before its response: hyper drops the response's future with the
-/// connection.
+/// Reports a client that disconnects before its response. hyper drops the response future, and this guard in
+/// it, with the connection.
 struct DisconnectGuard {
     number: RequestNumber,
     pending: ResponsePending,
@@ -21,20 +21,20 @@
 impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if !self.responded {
-            // Cleared here and not when the driver handles its input: no attempt starts in between.
+            // Cleared here and not when the driver handles the input, so that no attempt starts in between.
             self.pending.clear();
-            // The driver may have ended with all its requests.
+            // Sending fails if the driver has completed all its requests and ended.
             let _ = self.driver.send(DriverInput::ClientDisconnected(self.number));
         }
     }
 }
 
-/// Passes a request to its driver; the final response, as HTTP.
+/// Passes a request to the driver of its pool and returns the final response as HTTP.
 pub(super) async fn forward(
     number: RequestNumber,
     received_at: Instant,
     key: u64,
-    terms: RequestTerms,
+    metadata: RequestMetadata,
     message: ForwardedRequest,
 ) -> HttpResponse {
     let pending = message.pending.clone();
@@ -42,20 +42,21 @@
     let accepted = AcceptedRequest {
         number,
         received_at,
-        client_timeout: terms.client_timeout,
-        class: terms.class,
-        tenant: terms.tenant,
+        client_timeout: metadata.client_timeout,
+        class: metadata.class,
+        tenant: metadata.tenant,
         key: Some(key),
-        expected_work: terms.expected_work,
+        expected_work: metadata.expected_work,
         write: message.method == Method::PUT,
-        client_retry: terms.client_retry,
+        client_retry: metadata.client_retry,
         message,
         response: sender,
     };
-    // The driver ends only when nothing refers to it any more; without one the request fails all the same.
-    let _ = terms.driver.send(DriverInput::RequestAccepted(Box::new(accepted)));
-    let mut guard = DisconnectGuard { number, pending, driver: terms.driver, responded: false };
+    // The driver ends only when nothing refers to it any more. If it has ended, the receiver below returns an
+    // error and the request fails.
+    let _ = metadata.driver.send(DriverInput::RequestAccepted(Box::new(accepted)));
+    let mut guard = DisconnectGuard { number, pending, driver: metadata.driver, responded: false };
     let result = receiver.await.unwrap_or(FinalResponse::Failed);
     guard.responded = true;
-    response::of(result)
+    response::from_result(result)
 }
--- a/crates/cache-balancer/src/frontend/http1/listener.rs
+++ b/crates/cache-balancer/src/frontend/http1/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections.
+//! Accepts client connections.
 
 use super::connection::serve_connection;
 use super::Frontend;
@@ -14,42 +14,45 @@
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, timeout};
 
-/// The pause after a failed accept (no descriptor left, say): tried again at once, it would fail and spin.
+/// Delay after a failed accept, for example when no file descriptor is left. An immediate retry would fail
+/// again and spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The largest number of connections that the system holds unaccepted: the backlog that tokio asks for. It is
-/// also used for inherited sockets, whose own backlog may differ.
+/// Maximum number of connections in the kernel's accept queue: the backlog that tokio requests. The value is
+/// also assumed for inherited sockets, whose backlog may differ.
 const LISTEN_BACKLOG: usize = 1024;
-/// The pause before a full table, in which no connection can be evicted yet, is tried again.
+/// Delay before another eviction attempt when the table is full and no connection can be evicted yet.
 const FULL_TABLE_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// A connection that was asked to make room has done so by then, or a request has arrived on it.
+/// Maximum wait for an evicted connection to close. It stays open if a request has arrived on it.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Accepts and serves connections until `shutdown_phase` is [`ShutdownPhase::Closing`] or
-/// [`ShutdownPhase::HandedOver`]. All listeners together hold the frontend's connection permits; further connections
-/// wait unaccepted.
+/// [`ShutdownPhase::HandedOver`]. All listeners share the frontend's connection permits. When none is free,
+/// further connections wait in the kernel's accept queue.
 pub async fn serve(
     listener: Rc<TcpListener>,
     shutdown_phase: watch::Receiver<ShutdownPhase>,
     frontend: Rc<Frontend>,
 ) {
-    let mut watched = shutdown_phase.clone();
+    let mut phase_changes = shutdown_phase.clone();
     loop {
-        let now = *watched.borrow_and_update();
-        match now {
+        let phase = *phase_changes.borrow_and_update();
+        match phase {
             ShutdownPhase::Serving | ShutdownPhase::Draining => {}
             ShutdownPhase::Paused | ShutdownPhase::StandingBy => {
-                // The sender goes only when the node stops.
-                let _ = watched.changed().await;
+                // The sender is dropped only when the node stops.
+                let _ = phase_changes.changed().await;
                 continue;
             }
             ShutdownPhase::HandedOver => return,
             ShutdownPhase::Closing => break,
         }
         let accepted = tokio::select! {
-            // A connection that has been accepted by then is served: it comes before the change of the phase.
+            // The accept is polled before the phase change, so that an accepted connection is served.
             biased;
-            accepted = accept(&listener, &frontend.connection_permits, &frontend.table) => accepted,
-            _ = watched.changed() => continue,
+            accepted = accept_with_permit(&listener, &frontend.connection_permits, &frontend.table) => {
+                accepted
+            }
+            _ = phase_changes.changed() => continue,
         };
         match accepted {
             Ok((stream, permit)) => spawn_connection(stream, permit, &shutdown_phase, &frontend),
@@ -63,10 +66,10 @@
     serve_backlog(&listener, &shutdown_phase, &frontend).await;
 }
 
-/// Serves the connections that wait in the system's queue as the node closes, as permits become free.
+/// Serves the connections that are in the kernel's accept queue when the node closes, as permits become free.
 ///
-/// Guarded against: the system has completed their handshake, so their clients may have sent a request, and
-/// would see a reset when the listener closes. The number of accepts is bounded by the length of the queue.
+/// The kernel has completed their handshakes, so their clients may have sent a request already, and would see
+/// a reset when the listener closes. The number of accepts is bounded by the length of the queue.
 async fn serve_backlog(
     listener: &TcpListener,
     shutdown_phase: &watch::Receiver<ShutdownPhase>,
@@ -74,7 +77,7 @@
 ) {
     for _ in 0..LISTEN_BACKLOG {
         let Ok(permit) = frontend.connection_permits.clone().acquire_owned().await else { break };
-        match accept_queued(listener) {
+        match accept_from_kernel(listener) {
             Ok(stream) => spawn_connection(stream, permit, shutdown_phase, frontend),
             Err(error) if error.kind() == ErrorKind::WouldBlock => break,
             Err(_) => {}
@@ -82,8 +85,8 @@
     }
 }
 
-/// Accepts from the system and not by the runtime, which does not know of what came since it was last polled.
-fn accept_queued(listener: &TcpListener) -> io::Result<TcpStream> {
+/// Calls accept(2) directly. The runtime does not report connections that arrived since it last polled.
+fn accept_from_kernel(listener: &TcpListener) -> io::Result<TcpStream> {
     let (socket, _) = SockRef::from(listener).accept()?;
     socket.set_nonblocking(true)?;
     TcpStream::from_std(socket.into())
@@ -96,7 +99,8 @@
     frontend: &Rc<Frontend>,
 ) {
     let (shutdown_phase, frontend) = (shutdown_phase.clone(), frontend.clone());
-    // It enters the table at once: an eviction before its task is first polled must see it.
+    // The connection enters the table here and not in its task, so that an eviction before the task is first
+    // polled sees it.
     let connection = TrackedConnection::new(frontend.table.clone(), stream);
     tokio::task::spawn_local(async move {
         serve_connection(connection, shutdown_phase, frontend).await;
@@ -106,10 +110,11 @@
 
 /// Waits for a permit, then for a connection.
 ///
-/// The permit comes first, and idle connections are evicted for it before a client is seen to wait: the
-/// system completes handshakes and takes requests on connections that the node has not accepted, so a client
-/// in the queue of a full table would wait in vain while others keep connections that they do not use.
-async fn accept(
+/// The permit is acquired first, and connections are evicted for it even if no client waits yet. The kernel
+/// completes handshakes and takes requests on connections that the node has not accepted. Without the
+/// eviction, a client in the accept queue of a full table would wait in vain while others keep connections
+/// that they do not use.
+async fn accept_with_permit(
     listener: &TcpListener,
     permits: &Arc<Semaphore>,
     table: &ConnectionTable,
@@ -118,8 +123,8 @@
         while permits.available_permits() == 0 && !table.evict_one() {
             sleep(FULL_TABLE_RETRY_DELAY).await;
         }
-        // The connection that was asked to close stays open if a request arrives on it just then: another has
-        // to.
+        // An evicted connection stays open if a request arrives on it at that moment. After the timeout
+        // another one is evicted.
         if let Ok(permit) = timeout(EVICTION_TIMEOUT, permits.clone().acquire_owned()).await {
             break permit.map_err(io::Error::other)?;
         }
--- a/crates/cache-balancer/src/frontend/http1/mod.rs
+++ b/crates/cache-balancer/src/frontend/http1/mod.rs
@@ -1,5 +1,5 @@
-//! The HTTP/1.1 frontend: accepts connections, reads requests, passes them to the driver of their pool, writes
-//! the responses and reports clients that disconnect.
+//! The HTTP/1.1 frontend: accepts connections, reads requests, passes each to the driver of its pool, writes
+//! the responses, and reports clients that disconnect.
 
 mod connection;
 mod forward;
@@ -20,27 +20,27 @@
 use std::sync::Arc;
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// What all connections of clients share.
+/// State shared by all listeners and client connections.
 pub struct Frontend {
     routes: RefCell<Rc<Routes>>,
-    ready: Rc<Readiness>,
+    readiness: Rc<Readiness>,
     next_request_number: Cell<u64>,
-    /// The connections of clients.
+    /// The table of client connections.
     pub table: Rc<ConnectionTable>,
     max_connections: Cell<usize>,
-    /// One permit for each connection that may be open.
+    /// Holds one permit for each connection that may be open.
     connection_permits: Arc<Semaphore>,
-    /// The ids of the requests in flight.
+    /// The client-assigned ids of the requests in flight.
     in_flight_ids: InFlightIds,
 }
 
 impl Frontend {
-    /// A frontend without connections, for a process that may hold `descriptors` file descriptors and accepts up
-    /// to `max_connections` connections of clients.
-    pub fn new(routes: Routes, ready: Rc<Readiness>, descriptors: usize, max_connections: usize) -> Self {
+    /// Creates a frontend without connections, for a process that may hold `descriptors` file descriptors and
+    /// accepts up to `max_connections` client connections.
+    pub fn new(routes: Routes, readiness: Rc<Readiness>, descriptors: usize, max_connections: usize) -> Self {
         Self {
             routes: RefCell::new(Rc::new(routes)),
-            ready,
+            readiness,
             next_request_number: Cell::new(0),
             table: Rc::new(ConnectionTable::new(descriptors, max_connections)),
             max_connections: Cell::new(max_connections),
@@ -49,20 +49,22 @@
         }
     }
 
-    /// Sets the routes of requests that are accepted from here on.
+    /// Replaces the routes. Requests accepted from now on use the new ones.
     pub fn set_routes(&self, routes: Routes) {
         *self.routes.borrow_mut() = Rc::new(routes);
     }
 
-    /// Sets both limits. Connections that are open above them stay; their permits go as they end.
+    /// Sets both limits. Connections above a lowered limit stay open, and their permits are removed as they
+    /// end.
     pub fn resize(&self, descriptors: usize, max_connections: usize) {
         self.table.resize(descriptors, max_connections);
-        let before = self.max_connections.replace(max_connections);
-        self.connection_permits.add_permits(max_connections.saturating_sub(before));
-        let (surplus, permits) = (before.saturating_sub(max_connections), self.connection_permits.clone());
+        let previous_max = self.max_connections.replace(max_connections);
+        self.connection_permits.add_permits(max_connections.saturating_sub(previous_max));
+        let (surplus, permits) =
+            (previous_max.saturating_sub(max_connections), self.connection_permits.clone());
         tokio::task::spawn_local(async move {
-            // One by one, in turn with clients that wait to be accepted: all at once, these would wait for
-            // the last.
+            // Permits are acquired one at a time, in turn with waiting clients. Acquired all at once, they
+            // would block every client that waits to be accepted until the last of them became free.
             for _ in 0..surplus {
                 // The semaphore is never closed.
                 permits.acquire().await.into_iter().for_each(SemaphorePermit::forget);
@@ -74,7 +76,7 @@
         self.routes.borrow().clone()
     }
 
-    fn request_number(&self) -> RequestNumber {
+    fn allocate_request_number(&self) -> RequestNumber {
         RequestNumber(self.next_request_number.replace(self.next_request_number.get() + 1))
     }
 }
--- a/crates/cache-balancer/src/frontend/http1/request.rs
+++ b/crates/cache-balancer/src/frontend/http1/request.rs
@@ -1,4 +1,4 @@
-//! Reads a request: its path, headers and body, and what is wrong with them.
+//! Parses and validates the path, headers and body of a request.
 
 use super::response::{self, HttpResponse};
 use super::routes::Routes;
@@ -17,61 +17,61 @@
 use thiserror::Error;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// The request class.
+/// Header that names the request class.
 const REQ_KIND: HeaderName = HeaderName::from_static("req-kind");
-/// The tenant.
+/// Header that names the tenant.
 const REQ_OWNER: HeaderName = HeaderName::from_static("req-owner");
-/// `1` for a client's retry.
+/// Header that is `1` if the request is a client's retry.
 const REQ_RETRY: HeaderName = HeaderName::from_static("req-retry");
-/// The service time that the client expects, in microseconds.
+/// Header with the service time that the client expects, in microseconds.
 const REQ_COST: HeaderName = HeaderName::from_static("req-cost");
 const API_PREFIX: &str = "/api/";
 
-/// Why a request is not accepted. The text is the body of the response.
+/// Reason why a request is rejected as invalid. The display text is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum RequestError {
-    /// Its target has no path.
+    /// The request target has no path.
     #[error("no path")]
     NoPath,
-    /// There is nothing at its path.
+    /// The path is neither the health check nor the path of a key.
     #[error("no such path")]
     UnknownPath,
-    /// Its path has other methods.
+    /// The path does not support the method.
     #[error("no such method")]
     MethodNotAllowed {
-        /// These, as the `Allow` header lists them.
+        /// The supported methods, as the value of the `Allow` header.
         allowed: &'static str,
     },
-    /// It has a `Transfer-Encoding`.
+    /// The request has a `Transfer-Encoding` header.
     #[error("a body needs a Content-Length")]
     LengthRequired,
-    /// Its headers are not as expected.
+    /// A header is missing or invalid.
     #[error(transparent)]
     Head(#[from] HeadError),
-    /// Its body has more than [`MAX_BODY_BYTES`].
+    /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("the body is larger than 64 KiB")]
     BodyTooLarge,
-    /// Its body ended before its announced length.
+    /// The body ended before its `Content-Length`.
     #[error("the body broke off")]
     BodyIncomplete,
-    /// A request with its id is in flight.
+    /// Another request with the same id is in flight.
     #[error("Req-Id is open already")]
     IdInFlight,
 }
 
-/// What is wrong with the headers of a request.
+/// Reason why the headers of a request are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum HeadError {
-    /// This header is missing.
+    /// The named header is missing.
     #[error("no {0}")]
     Missing(&'static str),
-    /// The configuration does not know this header's value.
+    /// The named header's value does not occur in the configuration.
     #[error("unknown {0}")]
     Unknown(&'static str),
-    /// This header is no number in its range.
+    /// The named header's value is not a number within the accepted range.
     #[error("unreadable {0}")]
     InvalidNumber(&'static str),
-    /// A header is no text.
+    /// The value of a header is not visible ASCII text.
     #[error("unreadable header")]
     NotText,
     /// A header occurs more than once.
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The response that the client gets.
+    /// Builds the response to the client.
     pub(super) fn response(self) -> HttpResponse {
         let mut response = response::text(self.status(), self.to_string());
         if let Self::MethodNotAllowed { allowed } = self {
@@ -101,20 +101,20 @@
     }
 }
 
-/// The headers of a request.
+/// The parsed headers of a request.
 pub(super) struct RequestHead {
-    /// The client's id of the request.
+    /// The id that the client assigned to the request.
     pub(super) id: HeaderValue,
     pub(super) idempotency_key: Option<HeaderValue>,
-    pub(super) terms: RequestTerms,
+    pub(super) metadata: RequestMetadata,
 }
 
-/// What the decisions need to know of a request.
-pub(super) struct RequestTerms {
-    /// How long the client waits.
+/// Attributes of a request that the balancing decisions use.
+pub(super) struct RequestMetadata {
+    /// Time limit of the client, at most the deadline of its class.
     pub(super) client_timeout: Duration,
     pub(super) class: ClassId,
-    /// To the driver of the class's pool.
+    /// The input queue of the driver of the class's pool.
     pub(super) driver: UnboundedSender<DriverInput>,
     pub(super) tenant: Option<TenantId>,
     pub(super) expected_work: Option<Duration>,
@@ -122,35 +122,37 @@
 }
 
 impl RequestHead {
-    /// Reads headers, with the classes and tenants of these routes.
+    /// Parses the headers, and looks up class and tenant in `routes`.
     pub(super) fn read(routes: &Routes, headers: &HeaderMap) -> Result<Self, HeadError> {
-        let id = single(headers, &REQ_ID)?.filter(|id| !id.is_empty()).ok_or(HeadError::Missing("Req-Id"))?;
-        let class = text(headers, &REQ_KIND)?.ok_or(HeadError::Missing("Req-Kind"))?;
+        let id = single_header(headers, &REQ_ID)?
+            .filter(|id| !id.is_empty())
+            .ok_or(HeadError::Missing("Req-Id"))?;
+        let class = header_text(headers, &REQ_KIND)?.ok_or(HeadError::Missing("Req-Kind"))?;
         let class = routes.class(class).ok_or(HeadError::Unknown("Req-Kind"))?;
-        let tenant = tenant(routes, headers)?;
-        // A number of 32 bits is under 50 days and safe to add to a clock.
-        let deadline_ms: u32 = number(headers, &REQ_DEADLINE, "Req-Deadline-Ms")?
+        let tenant = read_tenant(routes, headers)?;
+        // 32 bits of milliseconds are under 50 days, which can be added to an `Instant` without overflow.
+        let deadline_ms: u32 = header_number(headers, &REQ_DEADLINE, "Req-Deadline-Ms")?
             .ok_or(HeadError::Missing("Req-Deadline-Ms"))?;
-        let expected_work_us: Option<u32> = number(headers, &REQ_COST, "Req-Cost")?;
+        let expected_work_us: Option<u32> = header_number(headers, &REQ_COST, "Req-Cost")?;
         Ok(Self {
             id: id.clone(),
-            idempotency_key: single(headers, &IDEMPOTENCY_KEY)?.cloned(),
-            terms: RequestTerms {
-                // Capped: the node keeps the request's body and connection for this time.
+            idempotency_key: single_header(headers, &IDEMPOTENCY_KEY)?.cloned(),
+            metadata: RequestMetadata {
+                // Capped, because the node keeps the request's body and connection for this time.
                 client_timeout: Duration::from_millis(deadline_ms.into()).min(class.deadline),
                 class: class.id,
                 driver: class.driver.clone(),
                 tenant,
                 expected_work: expected_work_us.map(|us| Duration::from_micros(us.into())),
-                client_retry: text(headers, &REQ_RETRY)? == Some("1"),
+                client_retry: header_text(headers, &REQ_RETRY)? == Some("1"),
             },
         })
     }
 }
 
-fn tenant(routes: &Routes, headers: &HeaderMap) -> Result<Option<TenantId>, HeadError> {
-    let owner = text(headers, &REQ_OWNER)?;
-    // Where the configuration has no tenants, the header has no meaning.
+fn read_tenant(routes: &Routes, headers: &HeaderMap) -> Result<Option<TenantId>, HeadError> {
+    let owner = header_text(headers, &REQ_OWNER)?;
+    // The header is ignored if the configuration has no tenants.
     if routes.tenants.is_empty() {
         return Ok(None);
     }
@@ -158,31 +160,35 @@
     routes.tenant(owner).map(Some).ok_or(HeadError::Unknown("Req-Owner"))
 }
 
-/// The value of a header. One that occurs twice is an error: client and server could each go by another one.
-fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a HeaderValue>, HeadError> {
+/// Returns the value of a header. A header that occurs twice is an error: client and cache server could each
+/// use a different one of the two values.
+fn single_header<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<&'a HeaderValue>, HeadError> {
     let mut values = headers.get_all(name).iter();
     let first = values.next();
     values.next().map_or(Ok(first), |_| Err(HeadError::Repeated))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, HeadError> {
-    single(headers, name)?.map(|value| value.to_str().map_err(|_| HeadError::NotText)).transpose()
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, HeadError> {
+    single_header(headers, name)?.map(|value| value.to_str().map_err(|_| HeadError::NotText)).transpose()
 }
 
-fn number<T: FromStr>(
+fn header_number<T: FromStr>(
     headers: &HeaderMap,
     name: &HeaderName,
     display_name: &'static str,
 ) -> Result<Option<T>, HeadError> {
     let parse = |text: &str| text.parse().map_err(|_| HeadError::InvalidNumber(display_name));
-    text(headers, name)?.map(parse).transpose()
+    header_text(headers, name)?.map(parse).transpose()
 }
 
-/// Checks a request's method, and that its body has a length.
+/// Checks the method, and rejects a `Transfer-Encoding`.
 ///
-/// hyper drops a `Content-Length` beside a `Transfer-Encoding`; where the two disagree, the body may hide a
-/// second request from one of two parsers.
-pub(super) fn check_transfer(head: &Parts) -> Result<(), RequestError> {
+/// hyper drops a `Content-Length` beside a `Transfer-Encoding`. If the two disagree, two parsers can see
+/// different ends of the body, and one of them can read a second request in it (request smuggling).
+pub(super) fn check_method_and_framing(head: &Parts) -> Result<(), RequestError> {
     if head.method != Method::GET && head.method != Method::PUT {
         return Err(RequestError::MethodNotAllowed { allowed: "GET, PUT" });
     }
@@ -192,9 +198,9 @@
     Ok(())
 }
 
-/// Reads a whole body, of at most [`MAX_BODY_BYTES`].
+/// Reads the whole body, up to [`MAX_BODY_BYTES`].
 pub(super) async fn read_body(body: Incoming) -> Result<Bytes, RequestError> {
-    // One that is announced as too large is not read.
+    // A body whose `Content-Length` is too large is not read.
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(RequestError::BodyTooLarge);
     }
@@ -205,9 +211,9 @@
     }
 }
 
-/// The key that a path names, or `None` if it names none. Keys are 64-bit numbers in hexadecimal; any other
-/// name counts as its hash, which is the same at every node.
-pub(super) fn key_of(path: &str) -> Option<u64> {
+/// Returns the key in the last segment of a path, or `None` if the path contains none. A key is a 64-bit
+/// number in hexadecimal. Any other name is hashed, with the same result on every node.
+pub(super) fn key_from_path(path: &str) -> Option<u64> {
     let name = path.strip_prefix(API_PREFIX)?.rsplit('/').next().filter(|name| !name.is_empty())?;
     Some(u64::from_str_radix(name, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
--- a/crates/cache-balancer/src/frontend/http1/request/tests.rs
+++ b/crates/cache-balancer/src/frontend/http1/request/tests.rs
@@ -3,7 +3,7 @@
 use balancer_core::{RequestClass, Settings};
 use tokio::sync::mpsc;
 
-fn routes(tenants: &[&str]) -> Routes {
+fn routes_with_tenants(tenants: &[&str]) -> Routes {
     let class =
         RequestClass { name: "read".into(), deadline: Duration::from_millis(500), ..RequestClass::default() };
     let settings = Settings { classes: vec![class], ..Settings::default() };
@@ -14,8 +14,8 @@
     }
 }
 
-/// A valid head with these changes: `None` removes a header, a second value is added to it.
-fn head(changes: &[(&'static str, Option<&[u8]>)]) -> HeaderMap {
+/// Returns valid headers with these changes: `None` removes a header, and a value is added to those it has.
+fn headers_with_changes(changes: &[(&'static str, Option<&[u8]>)]) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for (name, value) in [("req-id", "1"), ("req-kind", "read"), ("req-deadline-ms", "900")] {
         headers.insert(name, HeaderValue::from_static(value));
@@ -23,7 +23,7 @@
     for (name, value) in changes {
         match value {
             Some(value) => {
-                headers.append(*name, HeaderValue::from_bytes(value).expect("a header's bytes"));
+                headers.append(*name, HeaderValue::from_bytes(value).expect("a valid header value"));
             }
             None => drop(headers.remove(*name)),
         }
@@ -31,62 +31,75 @@
     headers
 }
 
-/// A head with another value of one header.
-fn with(name: &'static str, value: &[u8]) -> HeaderMap {
-    let mut headers = head(&[(name, None)]);
-    headers.insert(name, HeaderValue::from_bytes(value).expect("a header's bytes"));
+/// Returns valid headers with the value of one header replaced.
+fn headers_with(name: &'static str, value: &[u8]) -> HeaderMap {
+    let mut headers = headers_with_changes(&[(name, None)]);
+    headers.insert(name, HeaderValue::from_bytes(value).expect("a valid header value"));
     headers
 }
 
 #[test]
-fn what_is_wrong_with_a_head_is_named() {
+fn each_invalid_header_has_its_error() {
     let cases = [
-        (head(&[("req-id", None)]), HeadError::Missing("Req-Id")),
-        (with("req-id", b""), HeadError::Missing("Req-Id")),
-        (head(&[("req-id", Some(b"2"))]), HeadError::Repeated),
-        (head(&[("req-kind", None)]), HeadError::Missing("Req-Kind")),
-        (with("req-kind", b"other"), HeadError::Unknown("Req-Kind")),
-        (with("req-kind", b"\xff"), HeadError::NotText),
-        (head(&[("req-deadline-ms", None)]), HeadError::Missing("Req-Deadline-Ms")),
-        (with("req-deadline-ms", b"-1"), HeadError::InvalidNumber("Req-Deadline-Ms")),
-        (with("req-deadline-ms", b"4294967296"), HeadError::InvalidNumber("Req-Deadline-Ms")),
-        (head(&[("req-cost", Some(b"much"))]), HeadError::InvalidNumber("Req-Cost")),
-        (head(&[("idempotency-key", Some(b"a")), ("idempotency-key", Some(b"b"))]), HeadError::Repeated),
-        (head(&[("req-retry", Some(b"1")), ("req-retry", Some(b"1"))]), HeadError::Repeated),
+        (headers_with_changes(&[("req-id", None)]), HeadError::Missing("Req-Id")),
+        (headers_with("req-id", b""), HeadError::Missing("Req-Id")),
+        (headers_with_changes(&[("req-id", Some(b"2"))]), HeadError::Repeated),
+        (headers_with_changes(&[("req-kind", None)]), HeadError::Missing("Req-Kind")),
+        (headers_with("req-kind", b"other"), HeadError::Unknown("Req-Kind")),
+        (headers_with("req-kind", b"\xff"), HeadError::NotText),
+        (headers_with_changes(&[("req-deadline-ms", None)]), HeadError::Missing("Req-Deadline-Ms")),
+        (headers_with("req-deadline-ms", b"-1"), HeadError::InvalidNumber("Req-Deadline-Ms")),
+        (headers_with("req-deadline-ms", b"4294967296"), HeadError::InvalidNumber("Req-Deadline-Ms")),
+        (headers_with_changes(&[("req-cost", Some(b"much"))]), HeadError::InvalidNumber("Req-Cost")),
+        (
+            headers_with_changes(&[("idempotency-key", Some(b"a")), ("idempotency-key", Some(b"b"))]),
+            HeadError::Repeated,
+        ),
+        (headers_with_changes(&[("req-retry", Some(b"1")), ("req-retry", Some(b"1"))]), HeadError::Repeated),
     ];
     for (headers, expected) in cases {
-        assert_eq!(RequestHead::read(&routes(&[]), &headers).err(), Some(expected), "{headers:?}");
+        assert_eq!(
+            RequestHead::read(&routes_with_tenants(&[]), &headers).err(),
+            Some(expected),
+            "{headers:?}"
+        );
     }
-    let owner = |value: &[u8]| head(&[("req-owner", Some(value))]);
-    let tenants = routes(&["one", "two"]);
-    assert_eq!(RequestHead::read(&tenants, &head(&[])).err(), Some(HeadError::Missing("Req-Owner")));
+    let owner = |value: &[u8]| headers_with_changes(&[("req-owner", Some(value))]);
+    let tenants = routes_with_tenants(&["one", "two"]);
+    assert_eq!(
+        RequestHead::read(&tenants, &headers_with_changes(&[])).err(),
+        Some(HeadError::Missing("Req-Owner"))
+    );
     assert_eq!(RequestHead::read(&tenants, &owner(b"three")).err(), Some(HeadError::Unknown("Req-Owner")));
 }
 
 #[test]
-fn a_head_gives_the_terms_of_its_request() {
+fn valid_headers_are_parsed() {
     let full = [
         ("req-owner", Some(&b"two"[..])),
         ("req-cost", Some(b"1500")),
         ("req-retry", Some(b"1")),
         ("idempotency-key", Some(b"k")),
     ];
-    let read = RequestHead::read(&routes(&["one", "two"]), &head(&full)).expect("a valid head");
+    let read = RequestHead::read(&routes_with_tenants(&["one", "two"]), &headers_with_changes(&full))
+        .expect("valid headers");
     assert_eq!((read.id, read.idempotency_key), ("1".parse().unwrap(), Some("k".parse().unwrap())));
-    assert_eq!((read.terms.class, read.terms.tenant), (ClassId(0), Some(TenantId(1))));
-    assert_eq!(read.terms.expected_work, Some(Duration::from_micros(1_500)));
-    assert!(read.terms.client_retry);
-    // No client waits longer than its class allows.
-    assert_eq!(read.terms.client_timeout, Duration::from_millis(500));
-    // Where there are no tenants, the header has no meaning.
-    let read = RequestHead::read(&routes(&[]), &head(&full)).expect("a valid head");
-    assert_eq!(read.terms.tenant, None);
-    let short = RequestHead::read(&routes(&[]), &with("req-deadline-ms", b"20")).expect("a valid head");
-    assert_eq!(short.terms.client_timeout, Duration::from_millis(20));
-    assert!(!short.terms.client_retry);
+    assert_eq!((read.metadata.class, read.metadata.tenant), (ClassId(0), Some(TenantId(1))));
+    assert_eq!(read.metadata.expected_work, Some(Duration::from_micros(1_500)));
+    assert!(read.metadata.client_retry);
+    // The client's time limit is capped at the deadline of the class.
+    assert_eq!(read.metadata.client_timeout, Duration::from_millis(500));
+    // The tenant header is ignored if the configuration has no tenants.
+    let read =
+        RequestHead::read(&routes_with_tenants(&[]), &headers_with_changes(&full)).expect("valid headers");
+    assert_eq!(read.metadata.tenant, None);
+    let short = RequestHead::read(&routes_with_tenants(&[]), &headers_with("req-deadline-ms", b"20"))
+        .expect("valid headers");
+    assert_eq!(short.metadata.client_timeout, Duration::from_millis(20));
+    assert!(!short.metadata.client_retry);
 }
 
-/// Clients read these: they are part of the protocol.
+/// Status and text are part of the protocol with clients.
 #[test]
 fn each_error_has_its_status_and_text() {
     let cases = [
@@ -111,13 +124,14 @@
     }
 }
 
-/// All nodes must come to the same number for a name, or they would send its requests to different servers.
+/// All nodes must derive the same key from a name. Otherwise they send its requests to different cache
+/// servers.
 #[test]
 fn a_key_is_a_hexadecimal_number_or_the_hash_of_its_name() {
-    assert_eq!(key_of("/api/00000000000000ff"), Some(0xff));
-    assert_eq!(key_of("/api/users/7f3a"), Some(0x7f3a));
-    assert_eq!(key_of("/api/ffffffffffffffff"), Some(u64::MAX));
-    assert_eq!(key_of("/api/a-name"), key_of("/api/other/a-name"));
-    assert_ne!(key_of("/api/a-name"), key_of("/api/another-name"));
-    assert_eq!([key_of("/api/"), key_of("/api/a/"), key_of("/other/1")], [None; 3]);
+    assert_eq!(key_from_path("/api/00000000000000ff"), Some(0xff));
+    assert_eq!(key_from_path("/api/users/7f3a"), Some(0x7f3a));
+    assert_eq!(key_from_path("/api/ffffffffffffffff"), Some(u64::MAX));
+    assert_eq!(key_from_path("/api/a-name"), key_from_path("/api/other/a-name"));
+    assert_ne!(key_from_path("/api/a-name"), key_from_path("/api/another-name"));
+    assert_eq!([key_from_path("/api/"), key_from_path("/api/a/"), key_from_path("/other/1")], [None; 3]);
 }
--- a/crates/cache-balancer/src/frontend/http1/response.rs
+++ b/crates/cache-balancer/src/frontend/http1/response.rs
@@ -1,4 +1,4 @@
-//! Writes responses.
+//! Builds the responses to clients.
 
 use crate::input::FinalResponse;
 use bytes::Bytes;
@@ -6,18 +6,18 @@
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// A response to a client.
+/// An HTTP response to a client.
 pub(super) type HttpResponse = Response<Full<Bytes>>;
 
-/// A response of the node's own.
+/// Builds a response with a text of the node itself as its body.
 pub(super) fn text(status: StatusCode, text: impl Into<Bytes>) -> HttpResponse {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
 }
 
-/// The response for a final response of the driver.
-pub(super) fn of(result: FinalResponse) -> HttpResponse {
+/// Converts the driver's final response to HTTP.
+pub(super) fn from_result(result: FinalResponse) -> HttpResponse {
     match result {
         FinalResponse::Served(body) => Response::new(Full::new(body)),
         FinalResponse::Rejected { retry_after } => {
--- a/crates/cache-balancer/src/frontend/http1/routes.rs
+++ b/crates/cache-balancer/src/frontend/http1/routes.rs
@@ -1,22 +1,22 @@
-//! Where requests go, by their class.
+//! Routes requests to the driver of their pool, by request class.
 
 use crate::input::DriverInput;
 use balancer_core::{ClassId, Name, Settings, TenantId};
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// A request class, as far as a frontend has to know it.
+/// The settings of a request class that the frontend needs, and the driver that handles the class.
 pub struct ClassRoute {
     name: Name,
     pub(super) id: ClassId,
-    /// No client of this class waits longer.
+    /// Upper bound of a client's time limit in this class.
     pub(super) deadline: Duration,
-    /// To the driver of its pool.
+    /// The input queue of the driver of the class's pool.
     pub(super) driver: UnboundedSender<DriverInput>,
 }
 
 impl ClassRoute {
-    /// All classes of a pool, with the queue of its driver.
+    /// Returns a route for each class of a pool, with the input queue of the pool's driver.
     pub fn for_pool<'a>(
         settings: &'a Settings,
         driver: &'a UnboundedSender<DriverInput>,
@@ -30,21 +30,21 @@
     }
 }
 
-/// The classes and tenants of a configuration. A reload replaces them as a whole.
+/// The request classes and tenants of a configuration. A reload replaces them as a whole.
 pub struct Routes {
-    /// The classes of all pools.
+    /// The request classes of all pools.
     pub classes: Vec<ClassRoute>,
-    /// The tenants; their places are their ids.
+    /// The tenants, indexed by tenant id.
     pub tenants: Vec<Name>,
 }
 
 impl Routes {
-    /// The class of this name.
+    /// Returns the class with this name.
     pub(super) fn class(&self, name: &str) -> Option<&ClassRoute> {
         self.classes.iter().find(|class| class.name.as_str() == name)
     }
 
-    /// The tenant of this name.
+    /// Returns the id of the tenant with this name.
     pub(super) fn tenant(&self, name: &str) -> Option<TenantId> {
         self.tenants.iter().position(|tenant| tenant.as_str() == name).map(TenantId)
     }
--- a/crates/cache-balancer/src/frontend/mod.rs
+++ b/crates/cache-balancer/src/frontend/mod.rs
@@ -1,5 +1,5 @@
-//! The fronts: what clients speak. One module for each protocol, and the table of connections that they
-//! share.
+//! The client side of a node: one module for each protocol that clients use, and the table of client
+//! connections that the protocols share.
 
 pub mod connections;
 pub mod http1;
