--- a/crates/cache-balancer/tests/answers.rs
+++ b/crates/cache-balancer/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Responses of cache servers that break off, and bytes on idle connections.
+//! Tests of truncated responses of cache servers and of unexpected bytes on idle connections.
 
 mod common;
 
@@ -10,9 +10,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// Starts a server that passes each request's number, from 1, and its connection to `behavior`, which returns whether
-/// the connection stays open. Returns its address, the ids of the requests, and a gate that opens once it has
-/// ended a connection.
+/// Starts a server that passes the number of each request, from 1, and its connection to `behavior`, which
+/// returns whether the connection stays open. Returns the server's address, the ids of the received requests,
+/// and a gate that opens once the server has closed a connection.
 fn scripted(
     behavior: impl Fn(usize, &mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<Mutex<Vec<String>>>, Gate) {
@@ -58,9 +58,9 @@
     false
 }
 
-/// The status, the body and the number of attempts of a request of this class, with two servers that do the
-/// same.
-fn outcome(class: &str, behavior: fn(usize, &mut TcpStream) -> bool) -> (u16, String, usize) {
+/// Sends a request of this class to a node with two servers of the same behavior. Returns the status and the
+/// body of the response, and the number of attempts.
+fn send_request(class: &str, behavior: fn(usize, &mut TcpStream) -> bool) -> (u16, String, usize) {
     let servers = [scripted(behavior), scripted(behavior)];
     let [one, two] = servers.each_ref().map(|(address, ..)| *address);
     let discovery = Discovery::start(&[endpoint("s-1", one, "ready"), endpoint("s-2", two, "ready")]);
@@ -70,57 +70,57 @@
     (answer.status(), String::from_utf8(answer.body).unwrap(), attempts)
 }
 
-/// A response without a length is whole when its connection closes. A reset is no such close: taken for one,
-/// half a response was passed on as a whole one.
+/// A response without a length is complete when its connection closes. Guards against a reset that counts as
+/// such a close, so that half a response was forwarded as a complete one.
 #[test]
-fn a_response_without_a_length_ends_with_its_connection_and_not_with_a_reset() {
-    let whole = |_: usize, stream: &mut TcpStream| {
+fn a_response_without_a_length_ends_with_a_close_but_not_with_a_reset() {
+    let complete = |_: usize, stream: &mut TcpStream| {
         write(stream, "HTTP/1.1 200 OK\r\n\r\nvalue");
         false
     };
-    assert_eq!(outcome("read", whole), (200, "value".into(), 1));
-    let broken = |_: usize, stream: &mut TcpStream| {
+    assert_eq!(send_request("read", complete), (200, "value".into(), 1));
+    let truncated = |_: usize, stream: &mut TcpStream| {
         write(stream, "HTTP/1.1 200 OK\r\n\r\nval");
         reset(stream)
     };
-    let (status, body, attempts) = outcome("read", broken);
+    let (status, body, attempts) = send_request("read", truncated);
     assert_eq!((status == 200, body.contains("val"), attempts), (false, false, 2));
-    // An unsafe request has run, and is not retried.
-    let (status, body, attempts) = outcome("once", broken);
+    // An unsafe request may have run and is not retried.
+    let (status, body, attempts) = send_request("once", truncated);
     assert_eq!((status, body.contains("val"), attempts), (502, false, 1));
 }
 
-/// The request has run by the time at which its server begins to respond. An attempt that counts as not sent
-/// here is retried, and an unsafe request runs twice; one that is not seen to end waits until its request's
+/// A server that has begun to respond has run the request. If the attempt counted as not sent, it would be
+/// retried and an unsafe request would run twice. If its end went unnoticed, the request would wait until its
 /// deadline.
 #[test]
-fn a_response_that_breaks_off_in_its_head_is_an_attempt_that_may_have_run() {
-    let halves: [fn(usize, &mut TcpStream) -> bool; 3] = [
+fn a_truncated_response_head_counts_as_an_attempt_that_may_have_run() {
+    let truncated_heads: [fn(usize, &mut TcpStream) -> bool; 3] = [
         |_, stream| close_after(stream, "H"),
         |_, stream| close_after(stream, "HTTP/1.1 2"),
         |_, stream| write(stream, "HTTP/1.1 200 OK\r\nContent-Le") && reset(stream),
     ];
-    for half in halves {
-        let (status, _, attempts) = outcome("once", half);
+    for truncated_head in truncated_heads {
+        let (status, _, attempts) = send_request("once", truncated_head);
         assert_eq!((status, attempts), (502, 1));
     }
 }
 
-/// A server writes to an idle connection: half a line, a second response, noise, then perhaps a close or a
-/// reset. The next request must neither get these bytes as its response nor fail because of them. A request
-/// that is written without a look at the socket brings both back.
+/// A server writes to an idle connection (half a line, a second response or arbitrary bytes), and in some
+/// cases closes or resets it. The next request must neither get these bytes as its response nor fail because
+/// of them. Both faults return if a request is written without checking the socket for unread bytes first.
 #[test]
-fn bytes_on_an_idle_connection_end_it_and_cost_no_request() {
-    type Then = fn(&mut TcpStream) -> bool;
-    let cases: [Then; 5] = [
+fn unexpected_bytes_on_an_idle_connection_close_it_and_fail_no_request() {
+    type IdleAction = fn(&mut TcpStream) -> bool;
+    let cases: [IdleAction; 5] = [
         |stream| write(stream, "HTTP/1.1 2"),
         |stream| close_after(stream, "HTTP/1.1 2"),
         |stream| write(stream, &response("200 OK", "", "not yours")),
         |stream| write(stream, "\0\0\0") && reset(stream),
         |stream| reset(stream),
     ];
-    for (case, then) in cases.into_iter().enumerate() {
-        // The bytes come once the response has been read: the connection is idle then.
+    for (case, idle_action) in cases.into_iter().enumerate() {
+        // The bytes are sent after the response has been read, when the connection is idle.
         let gate = Gate::default();
         let written = Gate::default();
         let (opened, done) = (gate.clone(), written.clone());
@@ -129,11 +129,11 @@
                 return true;
             }
             opened.wait();
-            let goes_on = then(stream);
-            if goes_on {
+            let stays_open = idle_action(stream);
+            if stays_open {
                 done.open();
             }
-            goes_on
+            stays_open
         });
         let discovery = Discovery::start(&[endpoint("s-1", address, "ready")]);
         let node = Node::start_ready(&config(discovery.address));
--- a/crates/cache-balancer/tests/clients.rs
+++ b/crates/cache-balancer/tests/clients.rs
@@ -1,4 +1,4 @@
-//! The node towards its clients, on loopback sockets.
+//! Tests of the node's behaviour towards its clients, on loopback sockets.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::sync::atomic::Ordering;
 
-/// Only the client and the cache server may interpret path, body and idempotency key.
+/// The node must not interpret or change path, body and idempotency key: only client and cache server may.
 #[test]
 fn a_request_and_its_response_are_forwarded_unchanged() {
     let server = CacheServer::start(|_| {
@@ -32,9 +32,9 @@
     assert!(received[0].body == body.as_bytes());
 }
 
-/// A request that is not checked here can end the node, or is left to the cache server.
+/// Without a check by the node, an invalid request could crash it or reach a cache server.
 #[test]
-fn an_invalid_request_gets_its_status_and_reaches_no_cache_server() {
+fn an_invalid_request_is_rejected_with_its_status_and_not_forwarded() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
@@ -71,7 +71,8 @@
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-/// A node that is ready without a server to send to gets clients, and rejects all of them.
+/// If a node reported readiness without a ready cache server, it would get clients and reject all their
+/// requests.
 #[test]
 fn a_node_is_ready_once_it_knows_a_ready_server() {
     let server = CacheServer::serving("value");
@@ -88,17 +89,16 @@
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-/// A rejection that is delayed until the deadline, or that does not say when to retry, has clients retry at
-/// a bad time.
+/// Clients retry at a bad time if a rejection is delayed until the deadline or does not say when to retry.
 #[test]
-fn a_rejection_comes_at_once_and_has_a_retry_after() {
+fn a_rejection_is_immediate_and_has_a_retry_after() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     discovery.notify(false, &[server.entry("s-1", "draining")]);
     discovery.wait_until_notified(2);
     let mut client = node.client();
-    // The client would wait for an hour: any response was not delayed until its deadline.
+    // The deadline is an hour away, so a response that arrives was not delayed until it.
     let refused = client.request(&read_request("read", 1, 3_600_000));
     assert_eq!(refused.status(), 503);
     let after: f64 = refused.header("retry-after").expect("Retry-After").parse().unwrap();
@@ -106,10 +106,10 @@
     assert_eq!(server.request_count(), 0);
 }
 
-/// A server that never responds must cost its request one failure, in time, and nothing of the next request:
-/// neither its connection nor its response.
+/// A server that never responds must fail its request within the client's deadline, and must not affect the
+/// connection or the response of the next request.
 #[test]
-fn a_silent_server_ends_in_one_failure_before_the_client_gives_up() {
+fn a_silent_server_fails_only_its_request_and_within_the_deadline() {
     let server = CacheServer::start(|request| match request.header("req-id") {
         Some("1") => ServerBehavior::NoResponse,
         _ => ServerBehavior::Respond(response("200 OK", "", "value")),
@@ -119,33 +119,33 @@
     let mut client = node.client();
     let failed = client.request(&read_request("read", 1, 300));
     assert!(failed.status() >= 400, "{failed:?}");
-    // The same connection stays open, and its next response belongs to the next request.
+    // The client's connection stays open, and its next response belongs to the next request.
     assert_eq!(client.request(&read_request("read", 2, 20_000)).body, b"value");
-    // The attempt was cancelled: its connection is closed.
+    // The attempt was cancelled, so its connection is closed.
     wait_for("the cancelled attempt's connection to close", || server.closed.load(Ordering::SeqCst) == 1);
 }
 
-/// Clients that hold idle connections could keep all others out of a full table.
+/// Clients with idle connections must not shut out others when the table is full.
 #[test]
 fn idle_connections_are_evicted_when_the_table_is_full() {
     let (server, _discovery, node) = node_with_descriptor_limit(40);
     let mut clients: Vec<_> = (0..30).map(|_| node.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
         let text = read_request("read", i as u64, 20_000);
-        // One that was closed before it was used: a client opens another and sends again.
-        let mut answered = client.try_request(&text);
-        if answered.is_none() {
+        // The connection may have been evicted before its first use. The client then opens another.
+        let mut answer = client.try_request(&text);
+        if answer.is_none() {
             *client = node.client();
-            answered = client.try_request(&text);
+            answer = client.try_request(&text);
         }
-        assert_eq!(answered.expect("a response").status(), 200, "client {i}");
+        assert_eq!(answer.expect("a response").status(), 200, "client {i}");
     }
     assert_eq!(server.request_count(), 30);
 }
 
-/// An attempt breaks after its client has disconnected. A retry would be wasted work.
+/// An attempt fails after its client has disconnected. A retry would be wasted work.
 #[test]
-fn no_attempt_is_made_for_a_client_that_disconnected() {
+fn no_retry_is_made_for_a_client_that_disconnected() {
     let gate = Gate::default();
     let [one, two] = [(); 2].map(|()| CacheServer::disconnecting_first_request(&gate));
     let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
@@ -162,67 +162,69 @@
     assert_eq!(one.request_count() + two.request_count(), 11);
 }
 
-/// A read with these header lines besides its own, and with this behind its head.
-fn odd(key: u64, headers: &str, rest: &str) -> String {
-    read_request("read", key, 20_000).replace("\r\n\r\n", &format!("\r\n{headers}\r\n{rest}"))
+/// Returns a read of `key` with additional header lines, and with `body` after its head.
+fn read_with(key: u64, headers: &str, body: &str) -> String {
+    read_request("read", key, 20_000).replace("\r\n\r\n", &format!("\r\n{headers}\r\n{body}"))
 }
 
-/// A request can hide in the body of another if the node and a parser before it read its length in different
-/// ways. A connection that stays open after such a request would read the hidden one as the next.
+/// Guards against request smuggling: a request can hide in the body of another if the node and a parser
+/// before it disagree on the length of that body. If the connection stayed open, the hidden request would be
+/// read as the next.
 #[test]
-fn a_request_of_doubtful_framing_is_rejected_and_its_connection_closed() {
+fn a_request_with_ambiguous_framing_is_rejected_and_its_connection_closed() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let hidden = read_request("read", 99, 20_000);
     let length = format!("Content-Length: {}\r\n", hidden.len() + 5);
     let cases = [
-        odd(1, &format!("{length}Transfer-Encoding: chunked\r\n"), &format!("0\r\n\r\n{hidden}")),
-        odd(2, &format!("Transfer-Encoding: chunked\r\n{length}"), &format!("0\r\n\r\n{hidden}")),
-        odd(3, "Transfer-Encoding: chunked\r\n", "1\r\nv\r\n0\r\n\r\n"),
-        odd(4, "Content-Length: 1\r\nContent-Length: 2\r\n", "vv"),
-        odd(5, "Content-Length: -1\r\n", ""),
-        odd(6, "Content-Length: +1\r\n", "v"),
-        odd(7, "Content-Length: 99999999999999999999\r\n", "v"),
-        odd(8, "Content-Length: 60000000\r\n", "v"),
-        odd(9, "Req-Id: 10\r\n", ""),
-        odd(10, "Req-Deadline-Ms: 1\r\n", ""),
-        odd(11, "", "").replace("Req-Kind: read", "Req-Kind: none"),
+        read_with(1, &format!("{length}Transfer-Encoding: chunked\r\n"), &format!("0\r\n\r\n{hidden}")),
+        read_with(2, &format!("Transfer-Encoding: chunked\r\n{length}"), &format!("0\r\n\r\n{hidden}")),
+        read_with(3, "Transfer-Encoding: chunked\r\n", "1\r\nv\r\n0\r\n\r\n"),
+        read_with(4, "Content-Length: 1\r\nContent-Length: 2\r\n", "vv"),
+        read_with(5, "Content-Length: -1\r\n", ""),
+        read_with(6, "Content-Length: +1\r\n", "v"),
+        read_with(7, "Content-Length: 99999999999999999999\r\n", "v"),
+        read_with(8, "Content-Length: 60000000\r\n", "v"),
+        read_with(9, "Req-Id: 10\r\n", ""),
+        read_with(10, "Req-Deadline-Ms: 1\r\n", ""),
+        read_with(11, "", "").replace("Req-Kind: read", "Req-Kind: none"),
     ];
     for text in cases {
         let mut client = node.client();
-        let answered = client.request(&text);
-        assert!((400..500).contains(&answered.status()), "{} to {text}", answered.status());
+        let answer = client.request(&text);
+        assert!((400..500).contains(&answer.status()), "{} to {text}", answer.status());
         assert_eq!(client.receive(), None, "still open after {text}");
     }
     assert_eq!(server.request_count(), 0);
 }
 
-/// Forwarded, a second request of the same id passes for a copy of the first, and gets its response.
+/// A cache server takes a second request with the same id for a copy of the first, and answers it with the
+/// same response.
 #[test]
-fn an_id_in_flight_is_rejected_and_free_again_afterwards() {
+fn an_id_in_flight_is_rejected_and_can_be_used_again_afterwards() {
     let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let mut first = node.client();
     first.send(&read_request("read", 1, 20_000));
     wait_for("the attempt", || server.request_count() == 1);
-    let answered = node.read("read", 1);
-    assert!((400..500).contains(&answered.status()), "{}", answered.status());
+    let answer = node.read("read", 1);
+    assert!((400..500).contains(&answer.status()), "{}", answer.status());
     gate.open();
     assert_eq!(first.receive().expect("a response").status(), 200);
     assert_eq!(node.read("read", 1).status(), 200);
     assert_eq!(server.request_count(), 2);
 }
 
-/// Clients that send nothing, half a head or half a body hold a connection each for as long as they like.
+/// Clients that send nothing, half a head or half a body could otherwise hold a connection indefinitely.
 #[test]
-fn an_incomplete_request_is_closed_within_its_time() {
+fn an_incomplete_request_times_out() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let start = std::time::Instant::now();
-    let texts = ["", "GET /api/1 HTTP/1.1\r\nHost:", &odd(1, "Content-Length: 10\r\n", "half")];
+    let texts = ["", "GET /api/1 HTTP/1.1\r\nHost:", &read_with(1, "Content-Length: 10\r\n", "half")];
     let mut clients: Vec<_> = texts.iter().map(|_| node.client()).collect();
     for (client, text) in clients.iter_mut().zip(texts) {
         client.send(text);
@@ -230,34 +232,34 @@
     for (client, text) in clients.iter_mut().zip(texts) {
         assert_eq!(client.receive(), None, "{text}");
     }
-    // A wide margin over 2 s, and well under the minute that nothing at all would take here.
+    // A wide margin over the limit of 2 s, and well under the minute after which a receive times out.
     assert!(start.elapsed() < TIMEOUT / 2, "{:?}", start.elapsed());
     assert_eq!(server.request_count(), 0);
 }
 
-/// A flood of connections that send nothing fills the table. Usual clients must keep theirs, and a new one
-/// must be accepted and not be evicted before its first request.
+/// A flood of connections that send nothing fills the table. Ordinary clients must keep their connections,
+/// and a new client must be accepted and not be evicted before its first request.
 #[test]
-fn a_silent_flood_is_evicted_before_the_usual_clients() {
+fn silent_connections_are_evicted_before_those_of_ordinary_clients() {
     let (server, _discovery, node) = node_with_descriptor_limit(40);
-    let mut usual = node.client();
-    assert_eq!(usual.request(&read_request("read", 1, 20_000)).status(), 200);
+    let mut ordinary = node.client();
+    assert_eq!(ordinary.request(&read_request("read", 1, 20_000)).status(), 200);
     let _flood: Vec<_> = (0..24).map(|_| node.client()).collect();
     let mut new = node.client();
     assert_eq!(new.request(&read_request("read", 2, 20_000)).status(), 200);
-    assert_eq!(usual.request(&read_request("read", 3, 20_000)).status(), 200);
+    assert_eq!(ordinary.request(&read_request("read", 3, 20_000)).status(), 200);
     assert_eq!(server.request_count(), 3);
 }
 
-/// The largest number of connections that were open at once, of clients that connect one after the other, send one
-/// request and keep the connection until the node closes it. Each must be served.
+/// Connects clients one after the other. Each sends one request, which must be served, and keeps its
+/// connection until the node closes it. Returns the largest number of connections that were open at once.
 fn max_open_connections(node: &Node, clients: u64) -> usize {
     let (mut open, mut most) = (Vec::new(), 0);
     for key in 0..clients {
         let mut client = node.client();
-        let answered = client.request(&read_request("read", key, 20_000));
-        assert_eq!(answered.status(), 200, "client {key}");
-        if answered.header("connection") != Some("close") {
+        let answer = client.request(&read_request("read", key, 20_000));
+        assert_eq!(answer.status(), 200, "client {key}");
+        if answer.header("connection") != Some("close") {
             open.push(client);
         }
         open.retain(Client::is_open);
@@ -266,19 +268,19 @@
     most
 }
 
-/// A platform gives its clients a third of a node's descriptors. Clients that send one request and never
-/// close could hold all of these, and the next one would be shut out.
+/// The platform gives clients a third of a node's descriptors. Clients that send one request and never close
+/// their connections could use up all of these and shut out the next client.
 #[test]
-fn clients_that_never_close_keep_no_further_client_out() {
+fn connections_that_clients_never_close_do_not_shut_out_new_clients() {
     let (server, _discovery, node) = node_with_descriptor_limit(96);
     let most = max_open_connections(&node, 200);
     assert!((8..=16).contains(&most), "{most} of 32 connections taken by clients that don't use them");
     assert_eq!(server.request_count(), 200);
 }
 
-/// The same with a flood of connections that send nothing, which holds what is left of the table.
+/// Same as above, while a flood of connections that send nothing fills the rest of the table.
 #[test]
-fn clients_that_never_close_and_a_silent_flood_keep_no_client_out() {
+fn unclosed_and_silent_connections_together_do_not_shut_out_new_clients() {
     let (server, _discovery, node) = node_with_descriptor_limit(96);
     let _flood: Vec<_> = (0..100).map(|_| node.client()).collect();
     let most = max_open_connections(&node, 100);
@@ -286,21 +288,21 @@
     assert_eq!(server.request_count(), 100);
 }
 
-/// While connections are few, a client must not pay for a new one.
+/// While there are few connections, clients must not have to reconnect.
 #[test]
-fn a_client_that_sends_on_keeps_its_connection() {
+fn an_active_client_keeps_its_connection() {
     let (server, _discovery, node) = node_with_descriptor_limit(96);
     let mut clients: Vec<_> = (0..8).map(|_| node.client()).collect();
     for round in 0..20 {
         for (i, client) in clients.iter_mut().enumerate() {
-            let answered = client.request(&read_request("read", round * 8 + i as u64, 20_000));
-            assert_eq!((answered.status(), answered.header("connection")), (200, None));
+            let answer = client.request(&read_request("read", round * 8 + i as u64, 20_000));
+            assert_eq!((answer.status(), answer.header("connection")), (200, None));
         }
     }
     assert_eq!(server.request_count(), 160);
 }
 
-/// A pipelined request has been accepted. It could be lost with the connection that the response before it closes.
+/// A pipelined request counts as accepted. It would be lost if the previous response closed the connection.
 #[test]
 fn a_pipelined_request_is_served_before_its_connection_closes() {
     let (server, _discovery, node) = node_with_descriptor_limit(40);
@@ -325,31 +327,32 @@
     let (server, _discovery, node) = node_with_descriptor_limit(96);
     let mut client = node.client();
     let length = 128 << 10;
-    client.send(&odd(1, &format!("Content-Length: {length}\r\n"), "").replace("GET", "PUT"));
+    client.send(&read_with(1, &format!("Content-Length: {length}\r\n"), "").replace("GET", "PUT"));
     assert_eq!(client.receive().expect("a response").status(), 413);
     assert_eq!(client.receive(), None);
     for _ in 0..16 {
         client.send(&"v".repeat(length / 16));
-        // Long enough for a reset to come back, far shorter than a connection lingers.
+        // Long enough for a reset to arrive, and far shorter than the time for which a connection lingers.
         std::thread::sleep(std::time::Duration::from_millis(2));
     }
     assert_eq!(server.request_count(), 0);
 }
 
-/// Unused connections took up the whole limit of idle connections, so those of later clients were closed.
+/// Guards against unused connections that used up the limit of idle ones, so that those of later clients were
+/// closed.
 #[test]
-fn the_longest_idle_connection_is_closed_for_one_just_used() {
+fn the_longest_idle_connection_is_closed_in_favour_of_one_just_used() {
     let (_server, _discovery, node) = node_with_descriptor_limit(42);
-    // Nine connections: four may be idle, beside a request in flight or not.
+    // Clients can hold nine connections, of which four may be idle, with or without one request in flight.
     let mut keys = 0..;
-    let mut ask = |client: &mut Client| {
-        let answered = client.request(&read_request("read", keys.next().unwrap(), 20_000));
-        answered.header("connection") != Some("close")
+    let mut request_keeps_open = |client: &mut Client| {
+        let answer = client.request(&read_request("read", keys.next().unwrap(), 20_000));
+        answer.header("connection") != Some("close")
     };
     let mut idle: Vec<_> = (0..4).map(|_| node.client()).collect();
-    assert!(idle.iter_mut().all(&mut ask));
-    // Until the first of them has been idle for long enough, each further one is asked to close.
-    wait_for("a place among the idle connections", || ask(&mut node.client()));
+    assert!(idle.iter_mut().all(&mut request_keeps_open));
+    // The node closes every further connection until the first of these has been idle for long enough.
+    wait_for("a connection that is kept open", || request_keeps_open(&mut node.client()));
     assert_eq!(idle[0].receive(), None);
-    assert!(idle[1..].iter().all(Client::is_open), "one is closed for one");
+    assert!(idle[1..].iter().all(Client::is_open), "more than one connection was closed");
 }
--- a/crates/cache-balancer/tests/common/client.rs
+++ b/crates/cache-balancer/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! A client on one connection.
+//! A test client with one connection.
 
 use super::http::Message;
 use super::wait::TIMEOUT;
@@ -21,12 +21,12 @@
         TcpStream::connect(address).unwrap().into()
     }
 
-    /// Sends a request, or a part of one.
+    /// Sends a request or a part of one.
     pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Shuts down the sending direction: the node sees that the client has disconnected.
+    /// Shuts down the sending direction, which the node treats as a disconnection.
     pub fn close_sending_side(&self) {
         self.0.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
     }
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether the node has left the connection open, as far as this end knows.
+    /// Returns whether the connection is open and has no unread bytes, as far as this end knows.
     pub fn is_open(&self) -> bool {
         let stream = self.0.get_ref();
         stream.set_nonblocking(true).unwrap();
--- a/crates/cache-balancer/tests/common/http.rs
+++ b/crates/cache-balancer/tests/common/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages as text.
+//! Reads and writes HTTP/1.1 messages for tests.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read};
@@ -9,16 +9,17 @@
 /// An HTTP message as it was received.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Message {
-    /// The start line: of a request or of a response.
+    /// The request line or status line.
     pub start_line: String,
-    /// The headers, by lower-case name.
+    /// The header values by lower-case name.
     pub headers: HashMap<String, String>,
-    /// The body, as long as `Content-Length` says.
+    /// The body, of the length in `Content-Length`.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Reads one message; `None` where the connection ends first. A body that breaks off is an error.
+    /// Reads one message, or returns `None` if the connection ends before its head is complete. An incomplete
+    /// body is an error.
     pub fn read(stream: &mut BufReader<TcpStream>) -> std::io::Result<Option<Self>> {
         let mut message = Self::default();
         loop {
@@ -41,19 +42,19 @@
         Ok(Some(message))
     }
 
-    /// A header, by lower-case name.
+    /// Returns the value of a header by its lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 
-    /// The status of a response.
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).unwrap().parse().unwrap()
     }
 }
 
-/// Accepts connections in the background and passes each request on them to `respond`, which writes the response and
-/// returns whether the connection stays open. The listener is open until the test process ends.
+/// Accepts connections in the background and passes each request to `respond`, which writes the response and
+/// returns whether the connection stays open. The listener stays open until the test process ends.
 pub fn serve_requests(
     listener: TcpListener,
     respond: impl Fn(&Message, &mut TcpStream) -> bool + Send + Sync + 'static,
@@ -74,12 +75,12 @@
     });
 }
 
-/// A response with this status, these header lines (each ended by CRLF) and this body.
+/// Formats a response with this status, these header lines (each terminated by CRLF) and this body.
 pub fn response(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A read of `key` by a request class, with the key as request id and a deadline in milliseconds.
+/// Formats a read of `key` in a request class, with the key as request id and a deadline in milliseconds.
 pub fn read_request(class: &str, key: u64, deadline_ms: u64) -> String {
     format!(
         "GET /api/{key:016x} HTTP/1.1\r\nHost: s\r\nReq-Id: {key:x}\r\nReq-Kind: {class}\r\n\
@@ -87,7 +88,7 @@
     )
 }
 
-/// A write of `key` by class `keyed`, with an idempotency key and a deadline in milliseconds.
+/// Formats a write of `key` in class `keyed`, with an idempotency key and a deadline in milliseconds.
 pub fn write_request(key: u64, deadline_ms: u64) -> String {
     read_request("keyed", key, deadline_ms)
         .replace("GET", "PUT")
--- a/crates/cache-balancer/tests/departures.rs
+++ b/crates/cache-balancer/tests/departures.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect, on sockets: no attempt starts for one that has, however the node learns of it and
-//! wherever its request is just then.
+//! Tests that no attempt starts for a client that has disconnected, for each way in which the node detects
+//! the disconnection and each state of the request.
 
 mod common;
 mod unreachable;
@@ -11,15 +11,15 @@
 use std::time::Duration;
 use unreachable::Unreachable;
 
-/// Disconnects a client, and waits until the node has seen it.
+/// Disconnects a client and waits until the node has detected it.
 fn disconnect(mut client: Client) {
     client.close_sending_side();
-    // The node closes its side once it has seen the client's end.
+    // The node closes its side once it has read the end of the client's stream.
     assert_eq!(client.receive(), None);
 }
 
-/// The first head that comes on this connection, or what comes before the node closes it.
-fn first_head(stream: &mut TcpStream) -> String {
+/// Reads the first request head on this connection, or the bytes before the node closes it.
+fn read_first_head(stream: &mut TcpStream) -> String {
     let mut read = Vec::new();
     let mut byte = [0];
     while !read.ends_with(b"\r\n\r\n") && stream.read(&mut byte).unwrap() > 0 {
@@ -28,10 +28,10 @@
     String::from_utf8(read).unwrap()
 }
 
-/// An attempt set out in time and started when its connection came up, long after its client had
-/// disconnected.
+/// Guards against an attempt that started as soon as its connection was established, long after its client
+/// had disconnected.
 #[test]
-fn no_attempt_starts_for_a_client_that_left_while_it_was_connecting() {
+fn no_attempt_starts_if_the_client_disconnects_while_it_is_connecting() {
     let server = Unreachable::start();
     let discovery = Discovery::start(&[endpoint("s-1", server.address, "ready")]);
     let node = Node::start_ready(&config(discovery.address));
@@ -42,21 +42,21 @@
     let mut connection = server.accept_first();
     let mut next = node.client();
     next.send(&read_request("read", 2, 60_000));
-    // The connection that was made for the client that left carries the next one's request.
-    assert!(first_head(&mut connection).contains("req-id: 2\r\n"));
+    // The connection that was opened for the first client's attempt carries the next client's request.
+    assert!(read_first_head(&mut connection).contains("req-id: 2\r\n"));
 }
 
-/// The same with a retry: the first attempt breaks, and its client disconnects while the retry's connection
-/// is made.
+/// Same as above for a retry: the first attempt fails, and the client disconnects while the retry is
+/// connecting.
 #[test]
-fn no_retry_starts_for_a_client_that_left_while_it_was_connecting() {
+fn no_retry_starts_if_the_client_disconnects_while_it_is_connecting() {
     let unreachable = Unreachable::start();
     let broken = CacheServer::start(|_| ServerBehavior::RespondAndClose(String::new()));
     let discovery =
         Discovery::start(&[broken.entry("s-1", "ready"), endpoint("s-2", unreachable.address, "ready")]);
     let node = Node::start_ready(&config(discovery.address));
-    // Keys whose own server is the unreachable one get there at once: their clients leave too, and so does
-    // that of the first key that comes by way of the broken one.
+    // The first attempt for some keys goes to the unreachable server. Their clients disconnect too, up to the
+    // first key whose attempt fails at the broken server and whose retry is connecting.
     for key in 1.. {
         let mut client = node.client();
         client.send(&read_request("read", key, 60_000));
@@ -69,14 +69,14 @@
     let mut connection = unreachable.accept_first();
     let mut next = node.client();
     next.send(&read_request("read", 0xffff, 60_000));
-    let head = first_head(&mut connection);
+    let head = read_first_head(&mut connection);
     assert!(head.is_empty() || head.contains("req-id: ffff\r\n"), "{head}");
 }
 
-/// A client was not seen to disconnect because of what it had pipelined: bytes of a next request, many
-/// requests, or more than the node keeps. The end of its stream stood behind unread bytes.
+/// Guards against an undetected disconnection: the end of the stream was behind unread pipelined bytes. These
+/// were a part of a next request, many requests, or more than the node keeps.
 #[test]
-fn a_disconnection_is_seen_behind_whatever_was_pipelined() {
+fn a_disconnection_is_detected_behind_pipelined_bytes() {
     let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
@@ -90,16 +90,16 @@
         disconnect(client);
     }
     gate.open();
-    // Nothing of what they pipelined has been forwarded: the next request is the next one there.
+    // None of the pipelined requests has been forwarded: the server receives this request next.
     assert_eq!(node.read("read", 0xffff).status(), 200);
     let received = server.received.lock().unwrap();
     let ids: Vec<_> = received.iter().map(|message| message.header("req-id").unwrap().to_owned()).collect();
     assert_eq!(ids, ["1", "2", "3", "4", "5", "ffff"]);
 }
 
-/// A client had the node read without end while its request was in flight.
+/// Guards against a client that made the node read indefinitely while its request was in flight.
 #[test]
-fn a_client_that_pipelines_without_end_is_closed_before_its_response() {
+fn a_client_that_pipelines_too_much_is_disconnected_before_its_response() {
     let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
@@ -107,17 +107,17 @@
     client.send(&read_request("read", 1, 60_000));
     wait_for("the attempt", || server.request_count() == 1);
     let next = read_request("read", 2, 60_000).repeat(1_000);
-    // Far more than the systems at both ends hold.
+    // Far more than the socket buffers at both ends can hold.
     let closed = (0..1_000).any(|_| client.0.get_mut().write_all(next.as_bytes()).is_err());
-    assert!(closed, "the node goes on reading");
+    assert!(closed, "the node continues to read");
     gate.open();
     assert_eq!(node.read("read", 3).status(), 200);
     assert_eq!(server.request_count(), 2);
 }
 
-/// Half a body is no request: forwarded, it would write half a value.
+/// A request with half a body must not be forwarded, since it would write half a value.
 #[test]
-fn a_client_that_leaves_within_a_body_has_no_request_forwarded() {
+fn a_request_is_not_forwarded_if_the_client_disconnects_within_its_body() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
@@ -130,9 +130,9 @@
     assert_eq!(server.request_count(), 1);
 }
 
-/// A reset is a disconnection too. It comes before the attempt breaks, which would be retried otherwise.
+/// A reset counts as a disconnection. It arrives before the attempt fails, which would otherwise be retried.
 #[test]
-fn no_attempt_is_made_for_a_client_that_reset_its_connection() {
+fn no_retry_is_made_for_a_client_that_reset_its_connection() {
     let gate = Gate::default();
     let [one, two] = [(); 2].map(|()| CacheServer::disconnecting_first_request(&gate));
     let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
@@ -150,16 +150,16 @@
     assert_eq!(one.request_count() + two.request_count(), 11);
 }
 
-/// A client connected, sent its request and disconnected before the node accepted it. Its request was
-/// forwarded all the same.
+/// Guards against the forwarding of a request whose client connected, sent it and disconnected before the
+/// node accepted the connection.
 #[test]
-fn a_client_that_left_before_it_was_accepted_has_nothing_forwarded() {
+fn a_request_is_not_forwarded_if_the_client_disconnects_before_the_accept() {
     let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut small = config(discovery.address);
     small["limits"]["sockets"] = serde_json::json!(40);
     let node = Node::start_ready(&small);
-    // Eight connections are accepted.
+    // The node accepts at most eight connections.
     let mut holding: Vec<_> = (1..=8).map(|_| node.client()).collect();
     for (key, client) in (1..).zip(&mut holding) {
         client.send(&read_request("read", key, 60_000));
@@ -174,7 +174,7 @@
         assert_eq!(client.receive().expect("a response").status(), 200);
     }
     drop(holding);
-    // The others were before it in the system's queue.
+    // The other clients were ahead of this one in the accept queue.
     assert_eq!(node.read("read", 200).status(), 200);
     assert_eq!(server.request_count(), 9);
 }
--- a/crates/cache-balancer/tests/descriptors.rs
+++ b/crates/cache-balancer/tests/descriptors.rs
@@ -1,4 +1,5 @@
-//! A node whose clients fill its descriptors while discovery is away keeps what it needs for itself.
+//! Tests that a node keeps enough file descriptors for its own needs when clients use up theirs while
+//! discovery is unavailable.
 
 mod common;
 
@@ -7,14 +8,14 @@
 use std::net::SocketAddr;
 use std::process::Command;
 
-/// The descriptors of a node in these tests.
+/// Limit of file descriptors of a node in these tests.
 const DESCRIPTORS: usize = 64;
-/// The connections of clients that such a node holds, and those to cache servers.
+/// Maximum number of client connections of such a node, and of its connections to cache servers.
 const CONNECTIONS: usize = (DESCRIPTORS - 24) / 2;
 
-/// A node whose limit of open descriptors (`ulimit`) is that of its configuration, with an endpoint list
-/// and a discovery that is not there yet.
-fn bounded(discovery: SocketAddr, servers: &[CacheServer]) -> Node {
+/// Starts a node whose `ulimit` for open files equals the limit in its configuration. The node knows
+/// `servers`, and discovery is not available yet.
+fn start_with_ulimit(discovery: SocketAddr, servers: &[CacheServer]) -> Node {
     let endpoints = servers.iter().enumerate();
     let endpoints: Vec<_> = endpoints.map(|(i, server)| server.entry(&format!("s-1{i}"), "ready")).collect();
     let mut config = config(discovery);
@@ -22,25 +23,27 @@
     config["known"] = json!({"seq": 0, "whole": true, "hosts": endpoints});
     let path = write_config(&config.to_string());
     let program = command().get_program().to_owned();
-    let mut bounded = Command::new("sh");
-    bounded.arg("-c").arg(format!("ulimit -n {DESCRIPTORS} && exec \"$0\"")).arg(program);
-    bounded.env("LB_CONFIG", &path);
+    let mut shell = Command::new("sh");
+    shell.arg("-c").arg(format!("ulimit -n {DESCRIPTORS} && exec \"$0\"")).arg(program);
+    shell.env("LB_CONFIG", &path);
     for variable in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
-        bounded.env_remove(variable);
+        shell.env_remove(variable);
     }
-    Node::spawn(bounded, path)
+    Node::spawn(shell, path)
 }
 
-fn descriptors(node: &Node) -> usize {
+/// Returns the number of open descriptors of a node.
+fn open_descriptors(node: &Node) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count()
 }
 
-/// Waits until the node has the list of `discovery`, moves discovery by a reload to one with a second server,
-/// and has the node serve from that.
+/// Waits until the node has the list of `discovery`, moves it by a reload to a discovery with the server
+/// `second`, and checks that this server gets the next request. `before` is the number of requests that it
+/// has received.
 fn move_discovery(node: &Node, discovery: Discovery, second: &CacheServer, before: usize) {
     discovery.wait_until_notified(1);
-    assert!(descriptors(node) <= DESCRIPTORS);
-    // A new configuration is read besides, and moves discovery.
+    assert!(open_descriptors(node) <= DESCRIPTORS);
+    // Reading the new configuration needs a descriptor, too.
     let moved = Discovery::start(&[second.entry("s-2", "ready")]);
     let text = std::fs::read_to_string(node.config()).unwrap();
     let mut config: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -52,35 +55,36 @@
     assert_eq!(node.read("read", 0xffff).status(), 200);
     assert_eq!(second.request_count(), before + 1);
     let failed = node.logged("os error 24");
-    assert_eq!(failed, 0, "a descriptor was needed and there was none");
+    assert_eq!(failed, 0, "the node ran out of descriptors (EMFILE)");
 }
 
-/// Clients left no descriptor for the call to discovery, for a new configuration or for a new client.
+/// Guards against clients that leave no descriptor for the call to discovery, a new configuration or a new
+/// client.
 #[test]
-fn idle_clients_leave_the_node_the_descriptors_that_it_needs() {
+fn idle_clients_leave_enough_descriptors_for_the_node() {
     let (first, second) = (CacheServer::serving("value"), CacheServer::serving("value"));
-    let away = unique_address();
-    let node = bounded(away, &[first]);
-    // More than are accepted: some wait in the system's queue. Some have sent one request, the others
-    // nothing.
-    let mut rest = Vec::new();
+    let discovery_address = unique_address();
+    let node = start_with_ulimit(discovery_address, &[first]);
+    // More clients than the node accepts, so that some wait in the accept queue. Some have sent one request,
+    // the others nothing.
+    let mut clients = Vec::new();
     for key in 1..=CONNECTIONS as u64 {
         let mut client = node.client();
         assert_eq!(client.request(&read_request("read", key, 20_000)).status(), 200);
-        rest.push(client);
-        rest.push(node.client());
-        rest.push(node.client());
+        clients.push(client);
+        clients.push(node.client());
+        clients.push(node.client());
     }
     let endpoints = [second.entry("s-2", "ready")];
-    move_discovery(&node, Discovery::start_at(away, &endpoints), &second, 0);
-    drop(rest);
+    move_discovery(&node, Discovery::start_at(discovery_address, &endpoints), &second, 0);
+    drop(clients);
 }
 
-/// The same where every connection is in use on both sides.
+/// Same as above, with every connection to clients and cache servers in use.
 #[test]
-fn requests_in_flight_leave_the_node_the_descriptors_that_it_needs() {
+fn requests_in_flight_leave_enough_descriptors_for_the_node() {
     let gate = Gate::default();
-    // A number at which none of them is overloaded.
+    // With this many servers, none is overloaded.
     let servers: Vec<_> = (0..8)
         .map(|_| {
             let opened = gate.clone();
@@ -91,26 +95,27 @@
         })
         .collect();
     let second = CacheServer::serving("value");
-    let away = unique_address();
-    let node = bounded(away, &servers);
+    let discovery_address = unique_address();
+    let node = start_with_ulimit(discovery_address, &servers);
     let mut waiting: Vec<_> = (0..3 * CONNECTIONS).map(|_| node.client()).collect();
     for (key, client) in (1..).zip(&mut waiting) {
         client.send(&read_request("read", key, 60_000));
     }
     let received = || servers.iter().map(CacheServer::request_count).sum::<usize>();
     wait_for("an attempt for every connection", || received() >= CONNECTIONS);
-    let discovery = Discovery::start_at(away, &[second.entry("s-2", "ready")]);
+    let discovery = Discovery::start_at(discovery_address, &[second.entry("s-2", "ready")]);
     discovery.wait_until_notified(1);
-    assert!(descriptors(&node) <= DESCRIPTORS);
-    assert_eq!(received(), CONNECTIONS, "the other requests wait in the system's queue");
+    assert!(open_descriptors(&node) <= DESCRIPTORS);
+    assert_eq!(received(), CONNECTIONS, "the other requests wait in the accept queue");
     gate.open();
-    // Those that waited in the queue may be rejected: all come at once to the one server that is left.
+    // Requests that waited in the accept queue may be rejected, because all of them go to the one remaining
+    // server at the same time.
     let answers: Vec<_> =
         waiting.iter_mut().map(|client| client.receive().expect("a response").status()).collect();
     assert_eq!(answers[..CONNECTIONS], [200; CONNECTIONS]);
     assert!(answers[CONNECTIONS..].iter().all(|status| [200, 503].contains(status)), "{answers:?}");
     drop(waiting);
-    // Requests after the list went to its server.
+    // The requests after the new list went to its server.
     let before = second.request_count();
     move_discovery(&node, discovery, &second, before);
 }
--- a/crates/cache-balancer/tests/held_up.rs
+++ b/crates/cache-balancer/tests/held_up.rs
@@ -1,4 +1,5 @@
-//! A node that is held up, as one is that starts or has no processor time: its clients' time runs on.
+//! Tests that the time limits of requests keep running while the node process does not run, as during its
+//! start or without processor time. The tests suspend the process with SIGSTOP.
 
 mod common;
 
@@ -6,49 +7,54 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long the node is held up after a request was sent.
-const HELD_UP: Duration = Duration::from_millis(600);
+/// How long the node stays suspended after a request was sent.
+const SUSPENDED_FOR: Duration = Duration::from_millis(600);
 
-/// Sends a request while the node is held up, on the connection that `client` gives.
-fn send_while_held_up(node: &Node, client: impl FnOnce() -> Client, request: &str) -> Client {
+/// Sends a request while the node is suspended, on the connection that `client` returns.
+fn send_while_suspended(node: &Node, client: impl FnOnce() -> Client, request: &str) -> Client {
     node.signal("-STOP");
     let mut client = client();
     client.send(request);
-    thread::sleep(HELD_UP);
+    thread::sleep(SUSPENDED_FOR);
     node.signal("-CONT");
     client
 }
 
-/// The time limit of a request counted from its read: one that had waited before was answered late by the wait.
+/// Guards against a time limit that counts from the read of a request. The response was late by the time for
+/// which the request had waited unread.
 #[test]
-fn the_time_that_a_request_has_waited_unread_is_not_given_to_the_cache_server() {
+fn the_time_limit_of_the_cache_server_excludes_the_time_before_the_read() {
     let (server, gate) = CacheServer::gated("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let deadline_ms = 20_000;
-    let mut used = node.client();
-    assert_eq!(used.request("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
-    // On an open connection, and on one that waits to be accepted.
-    let used = send_while_held_up(&node, || used, &read_request("read", 1, deadline_ms));
-    let fresh = send_while_held_up(&node, || node.client(), &read_request("read", 2, deadline_ms));
+    let mut open = node.client();
+    assert_eq!(open.request("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+    // One request is on an open connection, the other on one that waits to be accepted.
+    let open = send_while_suspended(&node, || open, &read_request("read", 1, deadline_ms));
+    let fresh = send_while_suspended(&node, || node.client(), &read_request("read", 2, deadline_ms));
     wait_for("both attempts", || server.request_count() == 2);
     for request in server.received.lock().unwrap().iter() {
-        let told_ms: u64 = request.header("req-deadline-ms").unwrap().parse().unwrap();
-        assert!(u128::from(told_ms) <= u128::from(deadline_ms) - HELD_UP.as_millis(), "{told_ms} ms");
+        let remaining_ms: u64 = request.header("req-deadline-ms").unwrap().parse().unwrap();
+        assert!(
+            u128::from(remaining_ms) <= u128::from(deadline_ms) - SUSPENDED_FOR.as_millis(),
+            "{remaining_ms} ms"
+        );
     }
     gate.open();
-    for mut client in [used, fresh] {
-        assert_eq!(client.receive().expect("its answer").status(), 200);
+    for mut client in [open, fresh] {
+        assert_eq!(client.receive().expect("a response").status(), 200);
     }
 }
 
-/// A request that waited longer than its client was sent to a cache server all the same, for nobody.
+/// Guards against a request that is sent to a cache server although its client's time limit expired before it
+/// was read.
 #[test]
-fn a_request_whose_time_ran_out_unread_is_answered_and_not_forwarded() {
+fn a_request_that_expired_before_the_read_is_answered_and_not_forwarded() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
-    let mut client = send_while_held_up(&node, || node.client(), &read_request("read", 1, 300));
-    assert_ne!(client.receive().expect("its answer").status(), 200);
+    let mut client = send_while_suspended(&node, || node.client(), &read_request("read", 1, 300));
+    assert_ne!(client.receive().expect("a response").status(), 200);
     assert_eq!(server.request_count(), 0);
 }
