--- a/crates/cache-balancer/src/frontend/connections/state.rs
+++ b/crates/cache-balancer/src/frontend/connections/state.rs
@@ -15,7 +15,7 @@
 /// first request and from the first byte for others. A client must get an error or a close within 3 s, even
 /// if it sends an incomplete request or nothing.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum time in which a client must read its response. The connection is closed afterwards.
+/// Time within which a client must read its response. The connection is closed afterwards.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time after which an idle connection is closed. Many clients send one request and never close.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/cache-balancer/src/frontend/connections/stream.rs
+++ b/crates/cache-balancer/src/frontend/connections/stream.rs
@@ -17,9 +17,8 @@
 /// Maximum number of bytes per read from a socket.
 const READ_CHUNK_BYTES: usize = 8 << 10;
 /// Maximum number of pipelined bytes that are kept while a request is in flight, equal to the longest head.
-/// Further bytes are read and discarded, and the connection closes after the response. They have to be read
-/// because the client's flow control window would otherwise fill, and the end of its stream would not arrive
-/// here: its disconnection would go undetected.
+/// Further bytes are read and discarded, and the connection closes after the response. Unless they are read,
+/// TCP flow control holds back the end of the client's stream, and its disconnection goes undetected.
 const MAX_PIPELINED_BYTES: usize = 16 << 10;
 /// Maximum number of pipelined bytes that are discarded while a request is in flight. A client that sends
 /// more is treated as disconnected, because it could take up the node's time at the expense of others for as
--- a/crates/cache-balancer/src/frontend/connections/tests.rs
+++ b/crates/cache-balancer/src/frontend/connections/tests.rs
@@ -148,8 +148,7 @@
 #[tokio::test]
 async fn a_request_that_arrives_as_its_idle_connection_closes_is_served() {
     let all = async {
-        // The node closes while the whole request is in the socket, a part of it is, and a part of it has
-        // been read.
+        // As the node closes, the whole request is in the socket, a part of it is, or a part has been read.
         for (sent_before, read_before) in [(REQUEST.len(), false), (7, false), (7, true)] {
             let served = ServedConnection::start();
             served.send(REQUEST);
@@ -167,7 +166,7 @@
                 "{sent_before} bytes sent before, read: {read_before}"
             );
         }
-        // The connection is evicted or has timed out.
+        // The close is requested as by an eviction or a timeout.
         let served = ServedConnection::start();
         served.send(REQUEST);
         served.wait_until(1, Phase::Idle).await;
