--- a/crates/balancer-core/src/balance/cached_keys.rs
+++ b/crates/balancer-core/src/balance/cached_keys.rs
@@ -2,7 +2,7 @@
 //! answered.
 
 use crate::hashing::mix;
-use crate::learned_state::ago;
+use crate::learned_state::timestamp_from_age;
 use crate::time::Timestamp;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -112,6 +112,6 @@
     pub fn restored(marks: &[Vec<u64>; 2], age: u64, now: Timestamp) -> Self {
         let [current, previous] =
             marks.each_ref().map(|marks| marks.iter().take(MAX_KEYS).copied().collect());
-        Self { current, previous, since: ago(now, age) }
+        Self { current, previous, since: timestamp_from_age(now, age) }
     }
 }
--- a/crates/balancer-core/src/balance/servers.rs
+++ b/crates/balancer-core/src/balance/servers.rs
@@ -7,7 +7,7 @@
 use super::slow_start::{warm_up_fraction, WarmUpSends};
 use crate::endpoints::{Endpoint, EndpointState};
 use crate::hashing::{hash_text, mix};
-use crate::learned_state::{ago, micros, LearnedKind, LearnedServer};
+use crate::learned_state::{micros, timestamp_from_age, LearnedKind, LearnedServer};
 use crate::names::{Name, ServerId};
 use crate::settings::{CacheMode, Settings};
 use crate::time::Timestamp;
@@ -79,7 +79,7 @@
         self.outlier_detection.restore(&learned.breaker, &learned.class_breakers, class_names, now);
         self.warm_up_sends.restore(learned.warm_up_sends, now);
         self.concurrency.restore(learned.concurrency_limit);
-        self.empty_queue_at = learned.empty_queue_age.map(|age| ago(now, age));
+        self.empty_queue_at = learned.empty_queue_age.map(|age| timestamp_from_age(now, age));
     }
 }
 
--- a/crates/balancer-core/src/learned_state.rs
+++ b/crates/balancer-core/src/learned_state.rs
@@ -114,6 +114,6 @@
 }
 
 /// The time that lies `age` microseconds before `now`.
-pub(crate) fn ago(now: Timestamp, age: u64) -> Timestamp {
+pub(crate) fn timestamp_from_age(now: Timestamp, age: u64) -> Timestamp {
     Timestamp::from_micros(now.as_micros().saturating_sub(age))
 }
