--- a/crates/balancer-core/src/admission.rs
+++ b/crates/balancer-core/src/admission.rs
@@ -1,18 +1,21 @@
-//! Admission control: how much of the demand a node admits, and what it rejects first.
+//! Admission control: how much of the demand a node admits, and which requests it rejects first.
 //!
-//! One of hundreds of nodes cannot know how full a server is that it sends a request to every ten seconds. What it can know is
-//! the state of the fleet: the results of *all* its attempts, whatever their server, are a fair sample of all nodes' attempts. So the
-//! controller has one level for the whole fleet.
+//! In a fleet of hundreds of nodes, each node sends a given server a request about every ten seconds, which
+//! is too rarely to know how full that server is. The results of *all* attempts of the node, to any server,
+//! are however a fair sample of the attempts of all nodes. The controller therefore keeps a single level for
+//! the whole fleet.
 //!
-//! The level falls by a fraction of itself with each attempt that was late or found the queue full, and rises by a step
-//! with each answer in time (Chiu and Jain, "Analysis of the Increase and Decrease Algorithms for Congestion Avoidance",
-//! 1989: nodes that share a bottleneck converge to fair shares without communication). Steps are taken by result and not by
-//! time, so the level at which increases and decreases balance depends little on how many results a node sees: N nodes
-//! together admit about what one that sees all would. A node that sees few results gets there more slowly, and
-//! `PRIOR_ANSWERS` weigh more there.
+//! The level decreases by a fraction of itself with each attempt that was late or found the queue full, and
+//! increases by a fixed step with each answer in time (Chiu and Jain, "Analysis of the Increase and Decrease
+//! Algorithms for Congestion Avoidance", 1989: nodes that share a bottleneck converge to fair shares without
+//! communication). Each result changes the level, independent of time, so the level at which increases and
+//! decreases balance depends little on the number of results that a node sees: N nodes together admit about
+//! as much as a single node that sees all results. A node that sees few results converges more slowly, and
+//! `PRIOR_ANSWERS` have more influence on it.
 //!
-//! What is not admitted is what has the least priority weight for its work, so that the most weight is served by the
-//! capacity there is. A minimum of each class is admitted, since its results are evidence too.
+//! Requests with the least priority weight per unit of work are rejected first, so that the available
+//! capacity serves as much weight as possible. A minimum fraction of each class is always admitted, because
+//! the results of every class are needed as evidence.
 
 use crate::decay::ExponentialDecay;
 use crate::hashing::{mix, unit_interval};
@@ -22,33 +25,36 @@
 
 /// Time constant with which evidence decays.
 const EVIDENCE_TIME_CONSTANT: Duration = Duration::from_secs(2);
-/// Fraction of itself that the level loses with a full queue.
+/// Fraction by which a full queue decreases the level.
 const DECREASE_FACTOR: f64 = 0.06;
-/// Step up with an answer in time, where no attempt fails. It shrinks in proportion to the failure rate, down to
-/// `INCREASE_MIN`, which holds from about `FAILURE_RATE_OF_MIN_INCREASE` on.
+/// Increase of the level with each answer in time at a failure rate of zero. The increase shrinks linearly
+/// with the failure rate and reaches `INCREASE_MIN` at about `FAILURE_RATE_OF_MIN_INCREASE`.
 const INCREASE: f64 = 0.04;
 const INCREASE_MIN: f64 = 0.003;
 const FAILURE_RATE_OF_MIN_INCREASE: f64 = 0.12;
-/// What each result counts against the level. A late answer most often comes from a server that works and is overloaded.
-/// A time-out may as well come from one that is down or unreachable, and rejecting requests for that protects no server.
+/// Weight of each result in decreasing the level. A late answer usually comes from a server that is up and
+/// overloaded. A time-out may also come from a server that is down or unreachable, in which case rejecting
+/// requests protects no server.
 const LATE_WEIGHT: f64 = 0.7;
 const TIMED_OUT_WEIGHT: f64 = 0.15;
 const QUEUE_FULL_WEIGHT: f64 = 1.0;
-/// Answers in time that are assumed before there are any, so that a node's first failure rejects nothing.
+/// Number of answers in time that are assumed initially, so that a node's first failure does not reject
+/// requests.
 const PRIOR_ANSWERS: f64 = 5.0;
-/// The lowest level.
+/// Minimum of the level.
 const LEVEL_MIN: f64 = 0.1;
-/// Fraction of the demand of each class that is admitted in any case; or the level, where that is lower.
+/// Fraction of the demand of each class that is always admitted. The level itself applies where it is lower.
 const CLASS_MIN_FRACTION: f64 = 0.15;
-/// For this time a key has the same random number at all nodes: clients that are rejected retry sooner.
+/// Time for which all nodes use the same random number for a key. Rejected clients retry sooner than this.
 const SHARED_RANDOM_PERIOD: Duration = Duration::from_secs(1);
 
-/// What the result of an attempt shows of the load of the fleet. Connections that failed or broke show nothing of it.
+/// What the result of an attempt indicates about the load of the fleet. Failed or broken connections indicate
+/// nothing and have no variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadSignal {
     /// Answered in time.
     Answered,
-    /// Answered late, or nearly so.
+    /// Answered late or close to the limit.
     Late,
     /// Not answered in time.
     TimedOut,
@@ -57,7 +63,7 @@
 }
 
 impl LoadSignal {
-    /// What it counts against the level, from 0 to 1.
+    /// Returns the weight of the signal in decreasing the level, from 0 to 1.
     fn weight(self) -> f64 {
         match self {
             Self::Answered => 0.0,
@@ -68,16 +74,16 @@
     }
 }
 
-/// One node's level of admission, and the evidence for it.
+/// Tracks the admission level of one node and the evidence for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionController {
     /// The admitted fraction of the demand.
     level: f64,
     /// Number of attempts that ended, decaying over [`EVIDENCE_TIME_CONSTANT`].
     attempts: f64,
-    /// What they count against the level, decaying likewise.
+    /// Sum of the weights of their results, decaying likewise.
     failures: f64,
-    /// By class: the work of the requests, in the caller's unit, decaying likewise.
+    /// Work of the requests of each class, in the caller's unit, decaying likewise.
     demand: Vec<f64>,
     decay: ExponentialDecay,
 }
@@ -96,26 +102,28 @@
 }
 
 impl AdmissionController {
-    /// A controller at the level of another one, clamped to the valid range; at 1 where it is no finite number.
+    /// Returns a controller that starts at `level`, clamped to the valid range. A level that is not finite
+    /// counts as 1.
     pub fn at_level(level: f64) -> Self {
         let level = if level.is_finite() { level.clamp(LEVEL_MIN, 1.0) } else { 1.0 };
         Self { level, ..Self::default() }
     }
 
-    /// The admitted fraction of the demand, from above 0 to 1.
+    /// Returns the admitted fraction of the demand, greater than 0 and at most 1.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Moves the demand counted by class to the classes of new settings. `former` has the position that each of them had
-    /// before, if it was there.
-    pub fn reassign_classes(&mut self, former: &[Option<usize>]) {
-        let demand =
-            |former: &Option<usize>| former.and_then(|index| self.demand.get(index).copied()).unwrap_or(0.0);
-        self.demand = former.iter().map(demand).collect();
+    /// Reorders the demand by class after the settings have changed. `previous_indexes` holds the previous
+    /// index of each class, or `None` for a new class.
+    pub fn reassign_classes(&mut self, previous_indexes: &[Option<usize>]) {
+        let demand = |previous: &Option<usize>| {
+            previous.and_then(|index| self.demand.get(index).copied()).unwrap_or(0.0)
+        };
+        self.demand = previous_indexes.iter().map(demand).collect();
     }
 
-    /// Counts the result of an attempt.
+    /// Records the result of an attempt and adjusts the level.
     pub fn record(&mut self, now: Timestamp, signal: LoadSignal) {
         self.decay(now);
         let weight = signal.weight();
@@ -127,8 +135,9 @@
             (self.level * (1.0 - DECREASE_FACTOR * weight) + (1.0 - weight) * increase).clamp(LEVEL_MIN, 1.0);
     }
 
-    /// Whether a request of this class is admitted; it counts as demand either way. `work` has what a request of each class
-    /// costs, all in one unit; `random` is the request's number between 0 and 1, uniformly distributed.
+    /// Returns whether a request of this class is admitted. The request counts as demand in either case.
+    /// `work` holds the cost of a request of each class, in the same unit for all classes. `random` is a
+    /// number drawn for the request, uniformly distributed between 0 and 1.
     pub fn admits(
         &mut self,
         now: Timestamp,
@@ -146,14 +155,15 @@
         random * self.demand[class] >= self.demand_to_reject(class, classes, work)
     }
 
-    /// How much of the demand of this class is to be rejected: what is left to reject after the classes with less weight
-    /// for their work, up to all but the minimum of the class.
+    /// Returns how much of the demand of this class is to be rejected: the amount that remains to be rejected
+    /// after the classes with less weight per unit of work, limited so that the minimum of this class is
+    /// still admitted.
     fn demand_to_reject(&self, class: usize, classes: &[RequestClass], work: &[f64]) -> f64 {
-        let weight_for_work =
+        let weight_per_work =
             |class: usize| classes[class].priority_weight / work[class].max(f64::MIN_POSITIVE);
-        // Equal classes are rejected in their order.
+        // Classes of equal weight per unit of work are rejected in their order in the settings.
         let rejected_before = (0..classes.len())
-            .filter(|&other| (weight_for_work(other), other) < (weight_for_work(class), class));
+            .filter(|&other| (weight_per_work(other), other) < (weight_per_work(class), class));
         let rejectable_fraction = 1.0 - CLASS_MIN_FRACTION.min(self.level);
         let rejected = rejected_before.map(|other| self.demand[other] * rejectable_fraction).sum::<f64>();
         let to_reject = (1.0 - self.level) * self.demand.iter().sum::<f64>() - rejected;
@@ -168,15 +178,18 @@
     }
 }
 
-/// The random number between 0 and 1 by which a request of this key and class is admitted at `now`. It is the same at all
-/// nodes for a period, so that a client that is rejected by one is not admitted by the next, and the same load returns
-/// through it; and another one in the next period, so that no key is rejected for good.
+/// Returns the random number between 0 and 1 that decides on the admission of a request with this key and
+/// class at `now`.
+///
+/// All nodes use the same number during a period. Otherwise a client that one node rejects would be admitted
+/// by the next node, and the rejected load would come back that way. The number changes with each period, so
+/// that no key is rejected permanently.
 pub fn shared_random(now: Timestamp, key: u64, class: usize) -> f64 {
     let period = now.as_micros() / SHARED_RANDOM_PERIOD.as_micros() as u64;
     unit_interval(mix(key ^ mix(period) ^ class as u64))
 }
 
-/// Time until requests have other numbers by [`shared_random`].
+/// Returns the time until the numbers of [`shared_random`] change.
 pub fn time_to_next_period(now: Timestamp) -> Duration {
     let period = SHARED_RANDOM_PERIOD.as_micros() as u64;
     Duration::from_micros(period - now.as_micros() % period)
--- a/crates/balancer-core/src/api.rs
+++ b/crates/balancer-core/src/api.rs
@@ -1,4 +1,5 @@
-//! The interface of a [`Balancer`](crate::Balancer) under one path: its settings, events and actions, and their types.
+//! Re-exports the interface of a [`Balancer`](crate::Balancer): settings, events, actions and the types they
+//! use.
 
 pub use crate::endpoints::{Endpoint, EndpointState, EndpointUpdate};
 pub use crate::events::{Action, Event};
--- a/crates/balancer-core/src/balance/assessment.rs
+++ b/crates/balancer-core/src/balance/assessment.rs
@@ -1,60 +1,64 @@
-//! What the result of an attempt shows: of its server, of its class at that server, and of the fleet's load.
+//! Assesses what the result of an attempt indicates about its server, its class at that server, and the load
+//! of the fleet.
 
 use super::circuit_breaker::CallResult;
 use crate::admission::LoadSignal;
 use crate::requests::AttemptStatus;
 
-/// What is known about an attempt that has ended, besides its status.
+/// Information about an attempt that has ended, in addition to its status.
 #[derive(Clone, Copy, Debug)]
 pub struct Evidence {
-    /// Whether the answer came within its objective, or the part of it that counts as in time.
+    /// Whether the latency of the answer is within the limit that counts as in time, which is at most the
+    /// latency objective.
     pub in_time: bool,
     /// Whether the server reported idle cores with the answer.
     pub spare_cpu: bool,
-    /// Whether the server's queue was empty by its last report before this answer.
+    /// Whether the server's last report before this answer showed an empty queue.
     pub queue_was_empty: bool,
     /// Whether the server reported an empty queue with the answer; `None` without a report.
     pub queue_is_empty: Option<bool>,
-    /// Whether this node sends a server requests often enough for its reports of queues to explain its
-    /// latency.
+    /// Whether this node sends requests to a server often enough for the server's queue reports to explain
+    /// its latency.
     pub queue_explains_latency: bool,
-    /// Whether a failure is the origin's: the server fetched the value from it, or the origin is overloaded.
+    /// Whether a failure is attributed to the origin: the server fetched the value from the origin, or the
+    /// origin is overloaded.
     pub origin_at_fault: bool,
 }
 
-/// What the result of an attempt shows. Each result is exactly one of these.
+/// Classification of the result of an attempt. Each result has exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Assessment {
     /// Served in time.
     InTime,
-    /// Served late by a server with idle cores: the work takes long, and no request waits.
+    /// Served late by a server with idle cores. The work itself takes long, and no request waits.
     LateWithSpareCpu,
-    /// Served late by a server with an empty queue and busy cores: most likely the work takes long.
+    /// Served late by a server with an empty queue and busy cores. Most likely the work itself takes long.
     LateWithEmptyQueue,
-    /// Served late by a server that has too much to do.
+    /// Served late by an overloaded server.
     LateUnderLoad,
     /// Rejected because the server's queue is full.
     QueueFull,
-    /// Rejected although the server's queue is empty: this class is rejected there, and how much is sent to
-    /// the server changes nothing.
+    /// Rejected although the server's queue is empty. The server rejects this class, and sending it fewer
+    /// requests does not change that.
     ClassRejected,
-    /// Not answered in time, most likely for the server's load.
+    /// Not answered in time, most likely because of the server's load.
     TimedOut,
-    /// Not answered in time by a server whose queue was empty: not for its load (a miss may wait for the
-    /// origin). Ejecting the server would not help, and its keys would be missed elsewhere.
+    /// Not answered in time by a server whose queue was empty. The server's load is not the cause (a miss may
+    /// wait for the origin). Ejecting the server would not help, and its keys would be misses at other
+    /// servers.
     TimedOutWithEmptyQueue,
-    /// A fetch from the origin that was not answered in time.
+    /// Fetch from the origin that was not answered in time.
     FetchTimedOut,
-    /// A fetch from the origin that failed: another server would fetch from the same origin.
+    /// Fetch from the origin that failed. Any other server would fetch from the same origin.
     FetchFailed,
-    /// Failed at the server, or on the way to it.
+    /// Failed at the server or on the connection to it.
     Failed,
     /// Cancelled by this node, or never sent.
     NotCompleted,
 }
 
 impl Assessment {
-    /// What a status shows, given this evidence.
+    /// Classifies the result of an attempt by its status and the evidence.
     pub fn of(status: AttemptStatus, evidence: &Evidence) -> Self {
         match status {
             AttemptStatus::Ok | AttemptStatus::Miss => Self::of_answer(evidence),
@@ -85,17 +89,17 @@
         }
     }
 
-    /// Whether the server answered, in time or late.
+    /// Returns whether the server answered, in time or late.
     pub fn is_answer(self) -> bool {
         matches!(self, Self::InTime | Self::LateWithSpareCpu | Self::LateWithEmptyQueue | Self::LateUnderLoad)
     }
 
-    /// Whether the server answered, and the answer shows no queue.
+    /// Returns whether the server answered and the answer does not indicate a queue.
     pub fn shows_no_queue(self) -> bool {
         self.is_answer() && self != Self::LateUnderLoad
     }
 
-    /// The result for the breaker of the server.
+    /// Returns the result for the circuit breaker of the server.
     pub fn server_result(self) -> CallResult {
         match self {
             Self::InTime | Self::LateWithSpareCpu | Self::LateWithEmptyQueue | Self::LateUnderLoad => {
@@ -110,8 +114,8 @@
         }
     }
 
-    /// The result for the breaker of the class at the server. Failures other than a rejection of the class
-    /// may be the origin's, or the server's as a whole.
+    /// Returns the result for the circuit breaker of the class at the server. Failures other than a rejection
+    /// of the class are inconclusive, since they may be failures of the origin or of the server as a whole.
     pub fn class_result(self) -> CallResult {
         match self {
             _ if self.is_answer() => CallResult::Success,
@@ -120,7 +124,7 @@
         }
     }
 
-    /// The result for the breaker of the origin, of an attempt that fetched from it.
+    /// Returns the result for the circuit breaker of the origin, for an attempt that fetched from the origin.
     pub fn origin_result(self) -> CallResult {
         if self.is_answer() {
             CallResult::Success
@@ -129,7 +133,8 @@
         }
     }
 
-    /// Whether a value that the server reported as a hit is still cached there, as far as the result shows.
+    /// Returns whether a value that the server reported as a hit still counts as cached there after this
+    /// result.
     pub fn confirms_hit(self) -> bool {
         !matches!(
             self,
@@ -137,7 +142,7 @@
         )
     }
 
-    /// What admission control is to count, if anything.
+    /// Returns the signal for admission control, if the result is one.
     pub fn load_signal(self) -> Option<LoadSignal> {
         match self {
             Self::InTime | Self::LateWithSpareCpu | Self::LateWithEmptyQueue => Some(LoadSignal::Answered),
--- a/crates/balancer-core/src/balance/attempt_results.rs
+++ b/crates/balancer-core/src/balance/attempt_results.rs
@@ -1,5 +1,5 @@
-//! What the balancer learns from the result of an attempt about the server, of its class there, of its kind,
-//! of the origin and of the fleet's load.
+//! Records the result of an attempt in the state of its server, its class at that server, the kind of the
+//! server, the origin and the load of the fleet.
 
 use super::assessment::{Assessment, Evidence};
 use super::circuit_breaker::CallResult;
@@ -12,14 +12,14 @@
 use crate::settings::CacheMode;
 use crate::time::Timestamp;
 
-/// A server with a CPU utilization below this has idle cores.
+/// CPU utilization below which a server has idle cores.
 const SPARE_CPU_UTILIZATION: f64 = 0.8;
-/// Up to this many nodes, each sends a server requests often enough for its reports of queues to explain its
-/// latency.
+/// Maximum number of nodes at which each node sends requests to a server often enough for the server's queue
+/// reports to explain its latency.
 const MAX_NODES_FOR_QUEUE_REPORTS: u32 = 100;
-/// A reported queue shorter than this is empty, in requests.
-const EMPTY_QUEUE_BELOW: f64 = 1.0;
-/// Least expected work of a request, in seconds.
+/// Reported queue length, in requests, below which a queue counts as empty.
+const EMPTY_QUEUE_THRESHOLD: f64 = 1.0;
+/// Minimum of the expected work of a request, in seconds.
 const EXPECTED_WORK_MIN_SECONDS: f64 = 1e-6;
 
 /// An attempt that has ended.
@@ -31,12 +31,12 @@
     class: usize,
     /// Whether the server reported that it fetched the value from the origin.
     fetched: bool,
-    /// Expected work in seconds, or the latency objective where no work is stated; above 0.
+    /// Expected work in seconds, or the latency objective if the request states no work; greater than 0.
     expected_seconds: f64,
 }
 
 impl Balancer {
-    /// Takes in the result of an attempt, and dispatches its request again.
+    /// Records the result of an attempt and dispatches its request again.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Timestamp,
@@ -55,8 +55,8 @@
         self.mark_cached(server, &pending, outcome);
         let fetched =
             outcome.cache_result == Some(CacheResult::Miss) && self.settings.mode == CacheMode::Through;
-        // Before `record_load`, which replaces the server's last report of its queue: the evidence includes
-        // what that report said before this answer.
+        // The evidence includes the server's last queue report before this answer, so it is collected before
+        // `record_load` replaces that report.
         let evidence = self.evidence(now, server, &pending, outcome, fetched || origin_overloaded);
         self.request_costs.record_work(&pending.request);
         let expected = pending.request.expected_work.unwrap_or(pending.class().latency_objective);
@@ -83,14 +83,14 @@
         self.dispatch(now, pending, actions);
     }
 
-    /// Marks the key of a request as cached by the server that has served it.
+    /// Marks the key of a request as cached by the server that served it.
     fn mark_cached(&mut self, server: Option<usize>, pending: &PendingRequest, outcome: &AttemptOutcome) {
         if let (Some(index), Some(key), AttemptStatus::Ok) = (server, pending.request.key, outcome.status) {
             self.cache_marks.insert(key, self.servers[index].incarnation());
         }
     }
 
-    /// What is known about the attempt besides its status.
+    /// Collects the information about the attempt in addition to its status.
     fn evidence(
         &self,
         now: Timestamp,
@@ -107,14 +107,14 @@
             in_time: outcome.elapsed <= in_time_limit,
             spare_cpu: load.cpu_utilization.is_some_and(|utilization| utilization < SPARE_CPU_UTILIZATION),
             queue_was_empty,
-            queue_is_empty: load.queue_length.map(|length| length < EMPTY_QUEUE_BELOW),
+            queue_is_empty: load.queue_length.map(|length| length < EMPTY_QUEUE_THRESHOLD),
             queue_explains_latency: self.settings.nodes <= MAX_NODES_FOR_QUEUE_REPORTS,
             origin_at_fault,
         }
     }
 
-    /// Records which keys are cached, and the result for the breaker of the origin, where servers report
-    /// misses.
+    /// Records whether the key is cached, if the server reported a hit or a miss, and the result for the
+    /// circuit breaker of the origin. For that breaker only fetches are conclusive.
     fn record_origin(&mut self, now: Timestamp, key: u64, ended: &EndedAttempt, actions: &mut Vec<Action>) {
         let assessment = ended.assessment;
         if ended.fetched {
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Records how fast servers of this kind are. Fetches show the origin's speed, and warming servers are
-    /// slower.
+    /// Records the latency for the speed of servers of this kind. Fetches are left out because they show the
+    /// speed of the origin, and warming servers because they are slower.
     fn record_kind(&mut self, now: Timestamp, index: usize, ended: &EndedAttempt) {
         let server = &self.servers[index];
         let shows_speed = matches!(ended.outcome.status, AttemptStatus::Ok | AttemptStatus::TimedOut)
@@ -152,7 +152,7 @@
         if assessment.shows_no_queue() {
             self.slow_start.on_prompt_answer();
         }
-        // A miss that the balancer itself goes on to fetch is no answer yet.
+        // A miss whose value the balancer itself fetches next is not an answer yet.
         let is_miss = ended.outcome.status == AttemptStatus::Miss;
         if let Some(signal) = assessment.load_signal().filter(|_| !is_miss) {
             self.admission.record(now, signal);
@@ -164,7 +164,7 @@
         server.concurrency.on_result(assessment);
     }
 
-    /// Ejects the class from the server where it fails there and not elsewhere.
+    /// Ejects the class from the server if the class fails there and not at other servers.
     fn record_class(
         &mut self,
         now: Timestamp,
@@ -182,8 +182,9 @@
         }
     }
 
-    /// Ejects the server where it fails and others do not. Where others fail as well, the breaker stays as it
-    /// is, and a failed trial keeps its place: see [`CircuitBreaker::on_result`].
+    /// Ejects the server if it fails and other servers do not. If other servers fail as well, the state of
+    /// the breaker does not change, and a failed trial still counts as admitted: see
+    /// [`CircuitBreaker::on_result`].
     ///
     /// [`CircuitBreaker::on_result`]: super::circuit_breaker::CircuitBreaker::on_result
     fn record_server(
--- a/crates/balancer-core/src/balance/circuit_breaker.rs
+++ b/crates/balancer-core/src/balance/circuit_breaker.rs
@@ -1,34 +1,36 @@
-//! The circuit breaker: it opens when too many calls fail, and closes again after trials that succeed.
+//! Circuit breaker that opens when too many calls fail and closes again after successful trials.
 
 use crate::learned_state::{micros, LearnedBreaker, MAX_COUNT};
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Fewest calls of a window that open a breaker. A server to which this node rarely sends needs fewer, for
-/// errors only, and is then ejected for a part of the cooldown: see `OutlierDetection::on_server_result`.
+/// Minimum number of calls in a window for a breaker to open. Fewer errors (but not time-outs or full queues)
+/// suffice for a server to which this node rarely sends; that server is then ejected for a part of the
+/// cooldown: see `OutlierDetection::on_server_result`.
 pub const MIN_CALLS: u32 = 3;
-/// Fraction of failed calls that opens a breaker.
+/// Fraction of failed calls at which a breaker opens.
 pub const FAILURE_THRESHOLD: f64 = 0.6;
-/// A window decides nothing before it has this fraction of the calls of the window before. The first few
-/// calls of a busy server are no sample: where one call in eight fails, two of the first three do every few
-/// windows, and the server's keys would be missed elsewhere for a whole cooldown. The price is that a busy
-/// server that dies takes half a second's calls rather than three.
+/// A breaker does not open before the window has the number of calls of the previous window divided by this.
+///
+/// The first few calls of a busy server are too small a sample: if one call in eight fails, two of the first
+/// three fail every few windows, and the server's keys would be misses at other servers for a whole cooldown.
+/// The cost is that a busy server that fails is sent the calls of half a second rather than three calls.
 const MIN_CALLS_DIVISOR: u32 = 10;
-/// How long an open breaker blocks before it admits trials.
+/// Time for which an open breaker blocks calls before it admits trials.
 pub const COOLDOWN: Duration = Duration::from_secs(6);
-/// Trials that must all succeed to close a breaker.
+/// Number of trials that must all succeed for a breaker to close.
 const TRIALS: u32 = 3;
-/// Epoch of calls that no breaker counts.
+/// Epoch of calls whose results are ignored by every breaker.
 pub const IGNORED_EPOCH: u32 = u32::MAX;
 
-/// The result of a call, for the breaker that guards it.
+/// The result of a call, for the breaker that guards the called server, class or origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResult {
-    /// What the breaker guards did its part.
+    /// The guarded target works.
     Success,
-    /// It did not.
+    /// The guarded target failed.
     Failure,
-    /// The result does not show whether it did.
+    /// The result does not show whether the guarded target works.
     Inconclusive,
 }
 
@@ -39,19 +41,20 @@
     Closed,
     /// Calls are blocked until this time.
     Open {
-        /// The end of the cooldown.
+        /// End of the cooldown.
         until: Timestamp,
     },
     /// A few trials are admitted.
     HalfOpen {
-        /// Trials that are in flight or have succeeded.
+        /// Number of trials that were admitted, without those that ended with an inconclusive result.
         admitted: u32,
-        /// Trials that have succeeded.
+        /// Number of trials that have succeeded.
         succeeded: u32,
     },
 }
 
-/// A circuit breaker. Its caller opens it, since what it guards may fail for a cause that is not its own.
+/// A circuit breaker. The caller decides whether to open it, since the guarded target may fail for a common
+/// cause.
 #[derive(Debug)]
 pub struct CircuitBreaker {
     state: BreakerState,
@@ -64,7 +67,7 @@
 }
 
 impl CircuitBreaker {
-    /// A closed breaker that counts calls over windows of this length.
+    /// Returns a closed breaker that counts calls over windows of this length.
     pub fn new(window: Duration, now: Timestamp) -> Self {
         Self {
             state: BreakerState::Closed,
@@ -77,23 +80,23 @@
         }
     }
 
-    /// Its present state.
+    /// Returns the current state.
     pub fn state(&self) -> BreakerState {
         self.state
     }
 
-    /// Number of state changes so far. The result of a call counts only in the epoch in which the call was
-    /// sent: results of calls that were sent earlier are no evidence of the present state.
+    /// Returns the number of state changes so far. The result of a call counts only in the epoch in which the
+    /// call was sent, because results of earlier calls are no evidence about the current state.
     pub fn epoch(&self) -> u32 {
         self.epoch
     }
 
-    /// Calls of the present window.
+    /// Returns the number of calls in the current window.
     pub fn calls(&self) -> u32 {
         self.calls
     }
 
-    /// Calls and failures of the present window; `None` where it has ended.
+    /// Returns the numbers of calls and failures in the current window, or `None` if the window has ended.
     pub fn recent_calls(&self, now: Timestamp) -> Option<(u32, u32)> {
         (now < self.window_ends).then_some((self.calls, self.failures))
     }
@@ -103,7 +106,7 @@
         self.enter(BreakerState::Open { until }, now);
     }
 
-    /// Admits all calls, and forgets the failures.
+    /// Admits all calls and resets the counts of the window.
     pub fn close(&mut self, now: Timestamp) {
         self.enter(BreakerState::Closed, now);
     }
@@ -113,7 +116,7 @@
         *self = Self { state, epoch, previous_window_calls, ..Self::new(self.window, now) };
     }
 
-    /// Whether a call may be sent now.
+    /// Returns whether a call may be sent now.
     pub fn admits(&self, now: Timestamp) -> bool {
         match self.state {
             BreakerState::Closed => true,
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Counts a call that is sent, as a trial where the breaker is not closed.
+    /// Counts a call that is sent. After the cooldown and in the half-open state, the call is a trial.
     pub fn on_send(&mut self, now: Timestamp) {
         match &mut self.state {
             BreakerState::Open { until } if now >= *until => {
@@ -134,20 +137,21 @@
     }
 
     /// Counts the result of a call that was sent in `epoch`. Returns whether the breaker should open: after a
-    /// failed trial, or when enough calls of a window have failed. `min_calls` is the fewest calls that
-    /// suffice for that.
+    /// failed trial, or when enough calls of a window have failed. `min_calls` is the minimum number of calls
+    /// in the window for that.
     ///
-    /// A caller that does not open it, because other servers fail as well, leaves the failed trial's place
-    /// taken. After `TRIALS` such trials [`Self::admits`] is false until the breaker is opened, closed or
-    /// replaced. Of a server's breaker: until its next incarnation, its removal from the list or a state
-    /// hand-over, unless attempts that are sent past the breaker, as a last resort, succeed often enough to
-    /// close it or fail alone.
+    /// If the caller does not open the breaker, because other servers fail as well, the failed trial still
+    /// counts as admitted. After `TRIALS` such trials [`Self::admits`] returns false until the breaker is
+    /// opened, closed or replaced. The breaker of a server stays in this state until the server's next
+    /// incarnation, its removal from the list or a state hand-over, unless attempts that bypass the breaker
+    /// as a last resort succeed often enough to close it, or fail while other servers do not.
     pub fn on_result(&mut self, epoch: u32, result: CallResult, min_calls: u32, now: Timestamp) -> bool {
         if epoch != self.epoch {
             return false;
         }
         match (&mut self.state, result) {
-            // The trial gives its place back. Kept, the places of three lost trials would block for good.
+            // An inconclusive trial allows another one. Otherwise three of them would block the target for
+            // good.
             (BreakerState::HalfOpen { admitted, .. }, CallResult::Inconclusive) => *admitted -= 1,
             (BreakerState::HalfOpen { .. }, CallResult::Failure) => return true,
             (BreakerState::HalfOpen { succeeded, .. }, CallResult::Success) => {
@@ -163,8 +167,8 @@
         false
     }
 
-    /// Counts a call of the closed state. Returns whether the failures of its window suffice to open the
-    /// breaker.
+    /// Counts the result of a call in the closed state. Returns whether the failures of its window suffice to
+    /// open the breaker.
     fn count(&mut self, failed: bool, min_calls: u32, now: Timestamp) -> bool {
         if now >= self.window_ends {
             self.previous_window_calls = self.calls;
@@ -178,7 +182,7 @@
             && f64::from(self.failures) >= FAILURE_THRESHOLD * f64::from(self.calls)
     }
 
-    /// Its state, for a successor.
+    /// Returns the state for a successor.
     pub fn learned(&self, now: Timestamp) -> LearnedBreaker {
         let open_remaining = match self.state {
             BreakerState::Closed => None,
@@ -194,17 +198,17 @@
         }
     }
 
-    /// A breaker in the state that a predecessor learned.
+    /// Returns a breaker in the state that a predecessor learned.
     pub fn restored(learned: &LearnedBreaker, window: Duration, now: Timestamp) -> Self {
         let mut breaker = Self::new(window, now);
-        let after = |remaining: u64, longest: Duration| now + Duration::from_micros(remaining).min(longest);
+        let end = |remaining: u64, max: Duration| now + Duration::from_micros(remaining).min(max);
         match learned.open_remaining {
-            // Twice the cooldown is longer than any, jitter included.
+            // No cooldown, including its jitter, is longer than twice `COOLDOWN`.
             Some(remaining) => {
-                breaker.state = BreakerState::Open { until: after(remaining, COOLDOWN * 2) };
+                breaker.state = BreakerState::Open { until: end(remaining, COOLDOWN * 2) };
             }
             None => {
-                breaker.window_ends = after(learned.window_remaining, window);
+                breaker.window_ends = end(learned.window_remaining, window);
                 breaker.calls = learned.calls.min(MAX_COUNT);
                 breaker.failures = learned.failures.min(breaker.calls);
             }
--- a/crates/balancer-core/src/balance/dispatch.rs
+++ b/crates/balancer-core/src/balance/dispatch.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request with no attempt in flight: it is sent, queued, rejected or failed.
+//! Dispatches requests without an attempt in flight: each is sent, queued, rejected or failed.
 
 use super::circuit_breaker::BreakerState;
 use super::queue::QueueTimes;
@@ -14,12 +14,13 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Fraction of the fetch limit up to which a request whose fetch has failed may be fetched again: only while
-/// the origin has capacity to spare.
+/// Fraction of the fetch limit up to which a request may be fetched again after a failed fetch, so that
+/// repeated fetches use only spare capacity of the origin.
 const REFETCH_FRACTION: f64 = 0.5;
 
 impl Balancer {
-    /// Sends, queues, rejects or fails a request, unless an attempt of it is in flight.
+    /// Sends, queues, rejects or fails a request. Stores it unchanged if it has an attempt in flight, and
+    /// drops it if it is finished.
     pub(super) fn dispatch(&mut self, now: Timestamp, pending: PendingRequest, actions: &mut Vec<Action>) {
         if pending.has_attempt_in_flight() {
             return self.store(pending);
@@ -48,12 +49,12 @@
         }
     }
 
-    /// Keeps a request until the end of its attempt or its next try.
+    /// Stores a request until its attempt ends or its next try is due.
     pub(super) fn store(&mut self, pending: PendingRequest) {
         self.pending.insert(pending.request.id.clone(), pending);
     }
 
-    /// What selects servers now.
+    /// Returns a selector of servers over the current state.
     pub(super) fn selector(&self, now: Timestamp) -> Selector<'_> {
         Selector {
             now,
@@ -67,12 +68,12 @@
         }
     }
 
-    /// Whether this is a read of a key that its server holds, by the last answer.
+    /// Returns whether this is a read of a key that was cached at its server according to the last answer.
     fn is_cached(&self, request: &Request) -> bool {
         !request.write && self.cached_keys.contains(placement_key(request))
     }
 
-    /// Whether the breaker of the origin lets the request through. What is cached does not need the origin.
+    /// Returns whether the origin's circuit breaker admits the request. Cached keys do not need the origin.
     fn origin_admits(&self, now: Timestamp, request: &Request) -> bool {
         self.is_cached(request) || self.origin_breaker.admits(now)
     }
@@ -86,14 +87,14 @@
         }
     }
 
-    /// Asks admission control about a new request. Returns its `Retry-After` where it is rejected, and `None`
-    /// where it is admitted or not new.
+    /// Applies admission control to a new request. Returns the `Retry-After` of a rejected request, or `None`
+    /// if the request is admitted or not new.
     ///
-    /// A fleet that is overloaded as a whole recovers only if enough is rejected before it is sent, and the
-    /// same keys at all nodes: a rejected client sends its request to another node at once, which would admit
-    /// it otherwise.
+    /// A fleet that is overloaded as a whole recovers only if enough requests are rejected before they are
+    /// sent, and if all nodes reject the same keys: a rejected client sends its request to another node at
+    /// once, which would otherwise admit it.
     fn admission_retry_after(&mut self, now: Timestamp, pending: &PendingRequest) -> Option<Duration> {
-        // A queued request, which has no attempt either, was admitted when it arrived.
+        // A queued request has no attempts either, but was already admitted when it arrived.
         let is_new = pending.attempts.is_empty() && pending.arrived_at == now;
         if !is_new || now >= pending.request.deadline {
             return None;
@@ -104,11 +105,12 @@
         if self.admission.admits(now, class, &self.settings.classes, mean_latencies, random) {
             return None;
         }
-        // No other node admits it in this period either, unless that node's level rises.
+        // No other node admits the request in this period either, unless that node's level rises.
         Some(time_to_next_period(now).min(pending.settings.max_retry_after))
     }
 
-    /// Queues a request for capacity while that leaves time for an answer within its objective.
+    /// Queues a request until there is capacity, as long as an answer within its latency objective is
+    /// possible. Otherwise rejects or fails it.
     fn queue_or_reject_or_fail(
         &mut self,
         now: Timestamp,
@@ -146,7 +148,7 @@
             id: pending.request.id.clone(),
             server: endpoint.id.clone(),
             timeout: pending.request.deadline.since(now),
-            // The connection may be established long after this.
+            // The connection may be established much later than now.
             start_within: pending.retry_window_end().map(|end| end.since(now)),
         };
         pending.attempts.push(Attempt {
@@ -161,9 +163,9 @@
         self.store(pending);
     }
 
-    /// Answers a request that is not sent again: the retry budget is spent, its deadline has passed, the
-    /// origin's breaker is open, its attempts are used up, or no server may or can take it in time. It is
-    /// rejected where its client may safely send it again before the deadline, and fails otherwise.
+    /// Answers a request that is not sent again, because the retry budget is spent, the deadline has passed,
+    /// the origin's breaker is open, its attempts are used up, or no server may or can serve it in time. The
+    /// request is rejected if the client may safely retry it before the deadline, and fails otherwise.
     fn reject_or_fail(&mut self, now: Timestamp, pending: PendingRequest, actions: &mut Vec<Action>) {
         if pending.is_safe_to_reject() && now < pending.request.deadline {
             let max = pending.settings.max_retry_after;
@@ -174,7 +176,8 @@
         }
     }
 
-    /// State of the breaker of the origin: of the endpoint where the origin is one, otherwise of the fetches.
+    /// Returns the state of the origin's circuit breaker: the breaker of the origin's endpoint if the origin
+    /// is an endpoint, and otherwise the breaker for fetches.
     fn origin_state(&self) -> BreakerState {
         let origin = self.servers.iter().find(|server| server.is_origin(&self.settings));
         origin.map_or(self.origin_breaker.state(), |origin| origin.outlier_detection.server_state())
--- a/crates/balancer-core/src/balance/origin_breaker.rs
+++ b/crates/balancer-core/src/balance/origin_breaker.rs
@@ -1,9 +1,8 @@
-//! The circuit breaker of the origin, where cache servers fetch from it and report misses.
+//! Circuit breaker of the origin, for fleets whose cache servers fetch from the origin and report misses.
 //!
-//! An origin whose queue is longer than clients wait serves none of them in time: each fetch that fails is
-//! sent again by its client, so the queue stays full. The breaker keeps misses off the origin until it has
-//! worked its queue down. Keys that are cached are served meanwhile, and no cache server is ejected for the
-//! failures.
+//! An origin whose queue is longer than its clients wait serves none of them in time: clients retry each
+//! failed fetch, so the queue stays full. The breaker blocks misses until the origin has worked off its
+//! queue. Cached keys are still served during that time, and no cache server is ejected for the failures.
 
 use super::circuit_breaker::{BreakerState, CallResult, CircuitBreaker, COOLDOWN, IGNORED_EPOCH, MIN_CALLS};
 use super::outlier_detection::SERVER_WINDOW;
@@ -11,35 +10,35 @@
 use crate::learned_state::LearnedBreaker;
 use crate::time::Timestamp;
 
-/// The cooldown is this fraction of the ordinary one, and a random part up to the second fraction more, so
-/// that the trials of many nodes do not meet.
+/// The cooldown is [`COOLDOWN`] times `COOLDOWN_MIN_FRACTION` plus a random number of at most
+/// `COOLDOWN_JITTER_FRACTION`, so that the trials of many nodes do not coincide.
 const COOLDOWN_MIN_FRACTION: f64 = 0.75;
 const COOLDOWN_JITTER_FRACTION: f64 = 0.5;
 
-/// The breaker of the origin.
+/// Circuit breaker of the origin.
 #[derive(Debug)]
 pub struct OriginBreaker {
     breaker: CircuitBreaker,
 }
 
 impl OriginBreaker {
-    /// A closed breaker.
+    /// Returns a closed breaker.
     pub fn new(now: Timestamp) -> Self {
         Self { breaker: CircuitBreaker::new(SERVER_WINDOW, now) }
     }
 
-    /// Its present state.
+    /// Returns the current state.
     pub fn state(&self) -> BreakerState {
         self.breaker.state()
     }
 
-    /// Whether a request that may need the origin may be sent now.
+    /// Returns whether a request that may need the origin may be sent now.
     pub fn admits(&self, now: Timestamp) -> bool {
         self.breaker.admits(now)
     }
 
-    /// Counts an attempt that is sent, and returns the epoch in which its result counts. An attempt for a
-    /// cached key is no trial of the origin: while the breaker is not closed, its result is ignored.
+    /// Counts an attempt that is sent and returns the epoch in which its result counts. An attempt for a
+    /// cached key is not a trial of the origin, so its result is ignored while the breaker is not closed.
     pub fn on_send(&mut self, is_cached: bool, now: Timestamp) -> u32 {
         if !is_cached {
             self.breaker.on_send(now);
@@ -51,7 +50,8 @@
         }
     }
 
-    /// Counts the result of an attempt. Returns whether the breaker has opened for it.
+    /// Counts the result of an attempt and opens the breaker if necessary. Returns whether the breaker
+    /// opened.
     pub fn on_result(&mut self, epoch: u32, result: CallResult, seed: u64, now: Timestamp) -> bool {
         let opens = self.breaker.on_result(epoch, result, MIN_CALLS, now);
         if opens {
@@ -61,12 +61,12 @@
         opens
     }
 
-    /// Its state, for a successor.
+    /// Returns the state for a successor.
     pub fn learned(&self, now: Timestamp) -> LearnedBreaker {
         self.breaker.learned(now)
     }
 
-    /// A breaker in the state that a predecessor learned.
+    /// Returns a breaker in the state that a predecessor learned.
     pub fn restored(learned: &LearnedBreaker, now: Timestamp) -> Self {
         Self { breaker: CircuitBreaker::restored(learned, SERVER_WINDOW, now) }
     }
--- a/crates/balancer-core/src/balance/outlier_detection.rs
+++ b/crates/balancer-core/src/balance/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! Outlier detection: a server, or one class of requests at a server, is ejected by a circuit breaker while
-//! it fails and the others do not.
+//! Outlier detection: a circuit breaker ejects a server, or one class of requests at a server, that fails
+//! while the other servers do not.
 
 use super::assessment::Assessment;
 use super::circuit_breaker::{BreakerState, CircuitBreaker, COOLDOWN, FAILURE_THRESHOLD, MIN_CALLS};
@@ -11,43 +11,43 @@
 
 /// Window over which a server's calls are counted.
 pub const SERVER_WINDOW: Duration = Duration::from_secs(5);
-/// Window over which the calls of one class at a server are counted. A class that is rejected by a server
-/// with an empty queue is no accident, and in a long window the calls served before would hide it.
+/// Window over which the calls of one class at a server are counted. A server with an empty queue does not
+/// reject a class by chance, and in a long window the calls served earlier would hide the rejections.
 const CLASS_WINDOW: Duration = Duration::from_secs(1);
-/// No server is ejected while this fraction or more of the recent calls to the other servers fails: the cause
-/// is not that one server's. Fewer than [`MIN_CALLS`] recent calls to them are no evidence of a common cause.
+/// Failure rate of the recent calls to the other servers from which on no server is ejected, since the cause
+/// is then common to the servers. Fewer than [`MIN_CALLS`] recent calls are no evidence of a common cause.
 const COMMON_FAILURE_RATE: f64 = FAILURE_THRESHOLD / 2.0;
 
-/// The breakers of one server.
+/// The circuit breakers of one server.
 ///
-/// A server may reject one class and serve the others: a release that does not know the class, or a quota of
-/// that class's own. Ejected as a whole it would lose the keys of all classes to servers that have not cached
-/// them, so each class has a breaker of its own. The cost: a class that is rejected for a moment only is
-/// missed elsewhere meanwhile.
+/// A server may reject one class and serve the others, for example because its release does not know the
+/// class or because the class has a separate quota. Ejecting the whole server would move the keys of all
+/// classes to servers that have not cached them, so each class has a separate breaker. The cost is that a
+/// class that is rejected only briefly has misses at other servers until the end of the cooldown.
 ///
-/// The breakers of classes open only where a node knows that the server's queue is empty, which no node does
-/// in a fleet of 16 nodes or more: see `Selector::empty_queue_is_known`.
+/// The breakers of classes open only if a node knows that the server's queue is empty. In a fleet of 16 or
+/// more nodes no node knows that: see `Selector::empty_queue_is_known`.
 #[derive(Debug)]
 pub struct OutlierDetection {
     server: CircuitBreaker,
-    /// By class.
+    /// Breakers by class index.
     classes: Vec<CircuitBreaker>,
     last_sent: Timestamp,
     /// Time between the last two sends.
     send_interval: Duration,
 }
 
-/// Epochs of a server's breakers when an attempt was sent to it.
+/// Epochs of a server's circuit breakers at the time an attempt was sent to it.
 #[derive(Clone, Copy, Debug)]
 pub struct Epochs {
-    /// Of the server's breaker.
+    /// Epoch of the server's breaker.
     pub server: u32,
-    /// Of the breaker of the attempt's class.
+    /// Epoch of the breaker of the attempt's class.
     pub class: u32,
 }
 
 impl OutlierDetection {
-    /// Closed breakers for a server and this many classes.
+    /// Returns closed breakers for a server and this many classes.
     pub fn new(classes: usize, now: Timestamp) -> Self {
         Self {
             server: CircuitBreaker::new(SERVER_WINDOW, now),
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Whether a request of this class may be sent to the server.
+    /// Returns whether a request of this class may be sent to the server.
     pub fn admits(&self, class: usize, now: Timestamp) -> bool {
         self.server.admits(now) && self.classes[class].admits(now)
     }
 
-    /// State of the breaker of the server as a whole.
+    /// Returns the state of the breaker of the server as a whole.
     pub fn server_state(&self) -> BreakerState {
         self.server.state()
     }
@@ -73,7 +73,7 @@
         self.classes.iter_mut().for_each(|breaker| breaker.close(now));
     }
 
-    /// Counts an attempt that is sent, and returns the epochs in which its result counts.
+    /// Counts an attempt that is sent and returns the epochs in which its result counts.
     pub fn on_send(&mut self, class: usize, now: Timestamp) -> Epochs {
         self.send_interval = now.since(self.last_sent);
         self.last_sent = now;
@@ -84,9 +84,9 @@
 
     /// Counts the result of an attempt for the server as a whole. Returns whether its breaker should open.
     pub fn on_server_result(&mut self, epochs: Epochs, assessment: Assessment, now: Timestamp) -> bool {
-        // One of many nodes may make fewer than `MIN_CALLS` calls in a window. For errors, as many as it
-        // makes suffice, and the server is ejected for a part of the cooldown. Not for time-outs and full
-        // queues, which all servers have under overload.
+        // In a large fleet a node may make fewer than `MIN_CALLS` calls to a server in a window. For errors,
+        // the calls that it makes suffice, and the server is ejected for a part of the cooldown. This does
+        // not apply to time-outs and full queues, which occur at all servers under overload.
         let min_calls = match assessment {
             Assessment::TimedOut | Assessment::QueueFull => MIN_CALLS,
             _ => self.min_calls_at_last_interval(),
@@ -105,8 +105,8 @@
         self.classes[class].on_result(epochs.class, assessment.class_result(), MIN_CALLS, now)
     }
 
-    /// Ejects the server: after a failed trial for the whole cooldown, otherwise for the fraction of it that
-    /// the calls of the window are of [`MIN_CALLS`].
+    /// Ejects the server. After a failed trial the ejection lasts the whole cooldown. Otherwise it lasts the
+    /// cooldown times the calls of the window divided by [`MIN_CALLS`], but at most the whole cooldown.
     pub fn eject_server(&mut self, now: Timestamp) {
         let evidence = match self.server.state() {
             BreakerState::Closed => self.server.calls().min(MIN_CALLS),
@@ -120,37 +120,38 @@
         self.classes[class].open(now + COOLDOWN, now);
     }
 
-    /// Moves the breakers of classes to the classes of new settings. `former` has the position that each of
-    /// them had before, if it was there.
-    pub fn reassign_classes(&mut self, former: &[Option<usize>], now: Timestamp) {
+    /// Reorders the breakers of classes after the settings have changed. `previous_indexes` holds the
+    /// previous index of each class, or `None` for a new class.
+    pub fn reassign_classes(&mut self, previous_indexes: &[Option<usize>], now: Timestamp) {
         let mut breakers: Vec<_> = std::mem::take(&mut self.classes).into_iter().map(Some).collect();
-        let breaker = |former: &Option<usize>| {
-            former
+        let breaker = |previous: &Option<usize>| {
+            previous
                 .and_then(|index| breakers[index].take())
                 .unwrap_or_else(|| CircuitBreaker::new(CLASS_WINDOW, now))
         };
-        self.classes = former.iter().map(breaker).collect();
+        self.classes = previous_indexes.iter().map(breaker).collect();
     }
 
-    /// Fewest calls that open the server's breaker for errors: those that a window has room for at the
-    /// interval of the last two sends, from 1 to [`MIN_CALLS`].
+    /// Returns the minimum number of calls for errors to open the server's breaker: the calls that fit into a
+    /// window at the interval of the last two sends, from 1 to [`MIN_CALLS`].
     fn min_calls_at_last_interval(&self) -> u32 {
         let calls = SERVER_WINDOW.as_secs_f64() / self.send_interval.as_secs_f64();
         calls.clamp(1.0, f64::from(MIN_CALLS)) as u32
     }
 
-    /// The state of the server's breaker, for a successor.
+    /// Returns the state of the server's breaker, for a successor.
     pub fn learned_server(&self, now: Timestamp) -> LearnedBreaker {
         self.server.learned(now)
     }
 
-    /// The state of the breakers of these classes, for a successor.
+    /// Returns the state of the breakers of these classes, for a successor.
     pub fn learned_classes(&self, names: &[Name], now: Timestamp) -> Vec<(String, LearnedBreaker)> {
         let classes = names.iter().zip(&self.classes);
         classes.map(|(name, breaker)| (name.to_string(), breaker.learned(now))).collect()
     }
 
-    /// Restores the state that a predecessor learned; a class that it did not know keeps its breaker.
+    /// Restores the state that a predecessor learned. Classes that the predecessor did not have keep their
+    /// breaker.
     pub fn restore(
         &mut self,
         server: &LearnedBreaker,
@@ -167,17 +168,18 @@
     }
 }
 
-/// Whether a server fails while the others do not. Many servers that fail together have a common cause, and
-/// ejecting them would push their keys onto the rest, until the last servers have to take them all. Where the
-/// others had too few calls to compare with, the server counts as an outlier.
+/// Returns whether a server fails while the others do not. If many servers fail together, the cause is
+/// common, and ejecting them would move their keys to the remaining servers until the last ones had to serve
+/// all keys. If the other servers had too few recent calls for a comparison, the server counts as an outlier.
 pub fn is_server_outlier(servers: &[Server], index: usize, now: Timestamp) -> bool {
     let others = other_servers(servers, index).map(|other| &other.outlier_detection.server);
     let (calls, failures) = recent_calls(others, now);
     calls < MIN_CALLS || f64::from(failures) < COMMON_FAILURE_RATE * f64::from(calls)
 }
 
-/// Whether the other servers take a class better than this one: where most reject it, no other is better.
-/// Without recent calls of the class to the others, none is known to be better.
+/// Returns whether fewer than [`FAILURE_THRESHOLD`] of the recent calls of a class to the other servers
+/// failed. Otherwise, or without recent calls, no other server is known to serve the class better than this
+/// one.
 pub fn is_class_outlier(servers: &[Server], index: usize, class: usize, now: Timestamp) -> bool {
     let others = other_servers(servers, index).map(|other| &other.outlier_detection.classes[class]);
     let (calls, failures) = recent_calls(others, now);
@@ -189,7 +191,7 @@
     servers.iter().filter(move |other| other.hash != hash)
 }
 
-/// Calls and failures of the windows that have not ended, added up.
+/// Returns the total numbers of calls and failures in the windows that have not ended.
 fn recent_calls<'a>(breakers: impl Iterator<Item = &'a CircuitBreaker>, now: Timestamp) -> (u32, u32) {
     let recent = breakers.filter_map(|breaker| breaker.recent_calls(now));
     recent.fold((0, 0), |total, (calls, failures)| (total.0 + calls, total.1 + failures))
--- a/crates/balancer-core/src/balance/retry_after.rs
+++ b/crates/balancer-core/src/balance/retry_after.rs
@@ -5,12 +5,12 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Time to wait where another node may have capacity at once, as a fraction of the latency objective.
+/// Time to wait if another node may already have capacity, as a fraction of the latency objective.
 const OBJECTIVE_FRACTION: f64 = 0.02;
 
-/// The time that a rejected client should stay away: while the breaker of the origin is open, until it admits
-/// its first trial; otherwise shortly, since its next request is likely to reach another node, which may have
-/// capacity.
+/// Returns the time that a rejected client should wait before it retries. While the origin's breaker is open,
+/// the client waits until the breaker admits its first trial. Otherwise the wait is short, because the retry
+/// is likely to reach another node, which may have capacity.
 pub fn retry_after(
     origin: BreakerState,
     class: &RequestClass,
--- a/crates/balancer-core/src/events.rs
+++ b/crates/balancer-core/src/events.rs
@@ -1,4 +1,4 @@
-//! Events that a [`Balancer`](crate::Balancer) handles, and the actions that it answers them with.
+//! Events that a [`Balancer`](crate::Balancer) handles and the actions that it returns.
 
 use crate::endpoints::{Endpoint, EndpointUpdate};
 use crate::learned_state::LearnedState;
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Something that happened.
+/// An event for the balancer to handle.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The node starts with its last endpoint list, which may be stale.
+    /// The node restored its last endpoint list at startup; the list may be stale.
     EndpointsRestored(Arc<[Endpoint]>),
     /// Discovery sent an update.
     EndpointsUpdated(EndpointUpdate),
@@ -19,67 +19,67 @@
     Request(Request),
     /// The answer to an attempt began to stream to the client. No decision uses it yet.
     ResponseStarted {
-        /// The request.
+        /// Request that the answer belongs to.
         id: RequestId,
     },
     /// An attempt ended.
     AttemptEnded(AttemptOutcome),
-    /// The client went away; it is owed no answer.
+    /// The client cancelled its request or disconnected; no answer is sent.
     RequestCancelled(RequestId),
-    /// The state learned by the predecessor whose place this process takes. It precedes the first request, and may
-    /// come again until there is one.
+    /// The predecessor of this process handed over its learned state. This event precedes the first request
+    /// and may be repeated until then.
     StateRestored(Arc<LearnedState>),
-    /// New settings are in force. Requests received before keep the settings they were received under, and the state
-    /// learned of servers stays, as does that of classes, by their names. `mode` and `weights_reflect_speed` change
-    /// for all requests.
+    /// The settings changed. Requests that arrived earlier keep the settings under which they arrived, except
+    /// for `mode` and `weights_reflect_speed`, which change for all requests. The state learned about servers
+    /// is kept, and so is the state learned about classes, which are matched by name.
     Reconfigured(Box<Settings>),
     /// A timer set by [`Action::SetTimer`] expired.
     TimerExpired,
     /// A health check ended. No decision uses it yet.
     HealthCheckEnded {
-        /// The server.
+        /// Server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// How the health check ended.
         status: AttemptStatus,
-        /// Time since it was sent.
+        /// Time since the health check was sent.
         elapsed: Duration,
-        /// The server's load.
+        /// Load that the server reported.
         load: LoadReport,
     },
 }
 
-/// Something that the node must do, in the order given.
+/// An action for the node to carry out. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     StartAttempt {
-        /// The request.
+        /// Request to send.
         id: RequestId,
-        /// The server to send it to.
+        /// Server to send the request to.
         server: ServerId,
-        /// Time after which the attempt has failed; the client's deadline bounds it as well.
+        /// Time after which the attempt has failed. The client's deadline limits the attempt as well.
         timeout: Duration,
-        /// The attempt starts within this time or not at all: past its idempotency window a retry would run a second
-        /// time. `None` if only `timeout` bounds it.
+        /// Time within which the attempt must start; later it must not be sent, because a retry after the end
+        /// of its idempotency window would run a second time. `None` if only `timeout` limits the attempt.
         start_within: Option<Duration>,
     },
-    /// Stop waiting for an attempt. No decision sends it yet.
+    /// Stop waiting for an attempt. No decision returns this action yet.
     CancelAttempt {
-        /// The request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt within the request.
         attempt: u32,
     },
-    /// Answer the client, finally: the request was not run and may be sent again.
+    /// Send the client the final answer that the request may be sent again without having its effect twice.
     Reject {
-        /// The request.
+        /// Request to answer.
         id: RequestId,
-        /// Time that the client should wait before it tries again; zero for no advice.
+        /// Time that the client should wait before it retries; zero for no advice.
         retry_after: Duration,
     },
-    /// Answer the client, finally: the request failed and may have run.
+    /// Send the client the final answer that the request failed and may have run.
     Fail {
-        /// The request.
+        /// Request to answer.
         id: RequestId,
     },
     /// Deliver [`Event::TimerExpired`] after this time.
@@ -87,18 +87,19 @@
         /// Time from now.
         after: Duration,
     },
-    /// Send a server a health check. No decision sends it yet.
+    /// Send a server a health check. No decision returns this action yet.
     CheckHealth {
-        /// The server.
+        /// Server to check.
         server: ServerId,
     },
-    /// Close the idle connections to a server. No decision sends it yet.
+    /// Close the idle connections to a server. No decision returns this action yet.
     CloseIdleConnections {
-        /// The server.
+        /// Server to which connections are closed.
         server: ServerId,
     },
-    /// Begin to watch the endpoint list. Sent only where one discovery service is polled by all nodes
-    /// ([`Settings::discovery_is_polled`]); the daemon polls that service, or else the agent on its machine, by itself.
+    /// Subscribe to the endpoint list. Returned only where all nodes poll one discovery service
+    /// ([`Settings::discovery_is_polled`]). The daemon does not depend on this action: it polls that service,
+    /// or the agent on its machine, by itself.
     SubscribeToEndpoints,
     /// Write a line to the log.
     Log(String),
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision of a load-balancing node, without I/O: events go in, actions come out, and equal events give equal
-//! actions.
+//! The decision logic of a load-balancing node, without I/O. The same sequence of events always produces the
+//! same actions.
 //!
-//! Start from three types: a [`Balancer`] is made from [`Settings`], takes in [`Event`]s, and answers with [`Action`]s that
-//! its caller carries out. It reads no clock: the caller passes the time.
+//! A [`Balancer`] is created from [`Settings`], handles [`Event`]s, and returns [`Action`]s for its caller to
+//! carry out. It does not read a clock: the caller passes the current time.
 //!
 //! ```
 //! use balancer_core::{Action, Balancer, Endpoint, EndpointUpdate, Event, Request, Settings, Timestamp};
@@ -16,7 +16,7 @@
 //! let endpoints = EndpointUpdate::Snapshot([Endpoint::new("cache-1")].into());
 //! balancer.handle(now, Event::EndpointsUpdated(endpoints), &mut actions);
 //!
-//! // A client has sent a request, whose answer is due within 400 ms.
+//! // A client has sent a request with a deadline 400 ms from now.
 //! let request = Request::new("request-1", now + Duration::from_millis(400));
 //! balancer.handle(now, Event::Request(request), &mut actions);
 //!
@@ -24,16 +24,18 @@
 //! assert_eq!((id.as_str(), server.as_str()), ("request-1", "cache-1"));
 //! ```
 //!
-//! The types of events, actions and settings are in [`events`], [`requests`], [`endpoints`], [`settings`], [`names`] and
-//! [`time`]; [`api`] has all of them. The other modules are one decision each:
+//! The types of events, actions and settings are defined in [`events`], [`requests`], [`endpoints`],
+//! [`settings`],
+//! [`names`] and [`time`], and re-exported by [`api`]. The other modules make the decisions:
 //!
-//! - [`balance`]: which server a request goes to, when it is retried, and when it is rejected; [`admission`]: how much of
-//!   the demand is admitted; [`hot_keys`]: how many replicas a key has; [`learned_state`]: what a successor restores;
-//! - [`graceful_restart`]: which process accepts clients while one takes the place of another;
+//! - [`balance`]: which server a request goes to, when it is retried, and when it is rejected; [`admission`]:
+//!   how much of the demand is admitted; [`hot_keys`]: how many replicas a key has; [`learned_state`]: the
+//!   state that a successor process restores;
+//! - [`graceful_restart`]: which process accepts clients while a process is being replaced by its successor;
 //! - [`discovery`]: when and where discovery is polled, and which endpoint lists are accepted;
-//! - [`supervisor`]: when the instances of a fleet are started, and restarted.
+//! - [`supervisor`]: when the instances of a fleet are started and restarted.
 //!
-//! [`platform`] maps the platform's own names of settings and load reports to these types.
+//! [`platform`] maps the platform's names of settings and load reports to these types.
 
 pub mod admission;
 pub mod api;
--- a/crates/balancer-core/src/names.rs
+++ b/crates/balancer-core/src/names.rs
@@ -1,4 +1,5 @@
-//! Names of servers, requests, zones, classes and tenants, as types of their own, so that none is taken for another.
+//! Distinct types for the names of servers, requests, zones, classes and tenants, so that they cannot be
+//! confused.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,7 +11,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -31,14 +32,15 @@
 }
 
 name_type!(
-    /// Identity of a server, as discovery lists it. Cheap to clone.
+    /// Id of a server in the endpoint list. Cheap to clone.
     ServerId
 );
 name_type!(
-    /// Identity of a request, which is never used twice. Cheap to clone.
+    /// Id of a request. No two requests have the same id. Cheap to clone.
     RequestId
 );
 name_type!(
-    /// Name of a zone, a kind of server, a class or a tenant; compared, never interpreted. Cheap to clone.
+    /// Name of a zone, a kind of server, a class or a tenant. Names are compared but not interpreted. Cheap
+    /// to clone.
     Name
 );
--- a/crates/balancer-core/src/settings.rs
+++ b/crates/balancer-core/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a node: request classes, tenants, and the guarantees and limits of the platform.
 //!
-//! The platform's own names for these are read in [`platform`](crate::platform) and nowhere else.
+//! Only [`platform`](crate::platform) reads the platform's names for these settings.
 
 use crate::names::Name;
 use std::time::Duration;
@@ -27,17 +27,17 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It carries an idempotency key: within `scope`, and for `window` from the first attempt that may have run, it
-    /// has no further effect.
+    /// The request carries an idempotency key. Within `scope`, repeated attempts have no further effect for
+    /// the duration of `window` from the first attempt that may have run.
     WithKey {
-        /// The servers that recognise the key.
+        /// Servers that recognise the key.
         scope: DeduplicationScope,
-        /// How long they do.
+        /// Time for which the servers recognise the key.
         window: Duration,
     },
-    /// It must not run twice.
+    /// The request must not run twice.
     NotIdempotent,
 }
 
@@ -48,18 +48,19 @@
     pub name: Name,
     /// Whether requests of the class may run more than once.
     pub idempotency: Idempotency,
-    /// An answer within this time has its full weight.
+    /// An answer within this time counts with its full weight.
     pub latency_objective: Duration,
     /// Time after which clients give up for good. No decision uses it yet: they use the deadline of the request.
     pub deadline: Duration,
     /// Weight of an answer relative to other classes.
     pub priority_weight: f64,
-    /// Part of `priority_weight`, from 0 to 1, that an answer past `latency_objective` still has. No decision uses it yet.
+    /// Fraction of `priority_weight`, from 0 to 1, with which an answer after `latency_objective` counts. No decision
+    /// uses it yet.
     pub late_weight_fraction: f64,
 }
 
 impl Default for RequestClass {
-    /// The most careful class: its requests are never retried.
+    /// Returns the most conservative class: its requests are retried only if they cannot have run.
     fn default() -> Self {
         Self {
             name: "".into(),
@@ -98,24 +99,26 @@
 pub struct Settings {
     /// Zone of this node. No decision uses it yet.
     pub zone: Option<Name>,
-    /// Number of nodes that share the cache servers; each takes its part of what all may do together.
+    /// Number of nodes that share the cache servers. Each node uses its share of the limits of the whole fleet.
     pub nodes: u32,
     /// Classes of requests.
     pub classes: Vec<RequestClass>,
     /// Tenants, if there are any. No decision uses it yet.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request over its tenant's quota, from 0 to 1, as a part of its class's. No decision uses it yet.
+    /// Fraction of the weight of its class, from 0 to 1, with which a request over its tenant's quota counts.
+    /// No decision uses it yet.
     pub over_quota_weight_fraction: f64,
-    /// Who fetches what a cache server does not hold.
+    /// Who fetches a value that a cache server does not hold.
     pub mode: CacheMode,
     /// Whether endpoint weights reflect the speed of a server, rather than only its number of cores.
     pub weights_reflect_speed: bool,
-    /// Which discovery the node polls. `true`: one service for all nodes, paced by their number. `false`: an agent on the
-    /// node's own machine, polled several times within each `drain_grace`.
+    /// Source of the endpoint list. `true`: one discovery service that all nodes poll, at a rate that depends on their
+    /// number. `false`: an agent on the node's own machine, polled several times within each `drain_grace`.
     pub discovery_is_polled: bool,
-    /// Whether discovery reports start times. If not, an endpoint that appears later counts as just started.
+    /// Whether discovery reports the start times of servers. If not, an endpoint that appears later counts as
+    /// just started.
     pub start_times_reported: bool,
-    /// Attempts a request may have, the first included.
+    /// Maximum number of attempts of a request, including the first.
     pub max_attempts: u32,
     /// Whether two attempts of a request may be in flight at once. No decision uses it yet.
     pub hedging_allowed: bool,
@@ -123,25 +126,27 @@
     pub cancellation_allowed: bool,
     /// Whether servers may be sent health checks. No decision uses it yet.
     pub health_checks_allowed: bool,
-    /// Longest `Retry-After` that clients honour; zero where they are sent none.
+    /// Longest `Retry-After` that clients honour; zero if none is sent to them.
     pub max_retry_after: Duration,
-    /// A connection that is not established within this time has failed.
+    /// Time after which a connection that is not established has failed.
     pub connect_timeout: Duration,
-    /// Servers close a connection that has been idle for this long.
+    /// Idle time after which servers close a connection.
     pub server_idle_timeout: Duration,
-    /// Part of its full capacity, from 0 to 1, that a server has right after its start.
+    /// Fraction of its full capacity, from 0 to 1, that a server has right after its start.
     pub slow_start_min_fraction: f64,
     /// Time after its start at which a server has reached its full capacity.
     pub slow_start_window: Duration,
-    /// A warming server collapses when it is sent more than this multiple of its present capacity.
+    /// Multiple of its current capacity above which the load makes a warming server collapse.
     pub slow_start_overload_factor: f64,
-    /// Time over which `slow_start_overload_factor` is counted.
+    /// Window over which the load for `slow_start_overload_factor` is counted.
     pub slow_start_overload_window: Duration,
-    /// While no watch is open, the held list is valid for this time from the last poll of discovery, four times as long if
-    /// that poll failed. After that, a change counts as notified this long after it was made.
+    /// While no watch is open, the current endpoint list is valid for this time after the last poll of
+    /// discovery, or four times as long if that poll failed. After that, a change counts as notified this
+    /// long after it was made.
     pub max_poll_interval: Duration,
-    /// Time after the notification that a server is draining from which no new attempt may be sent to it. The balancer
-    /// sends none from the notification itself on; discovery is polled often enough to be notified in time.
+    /// Time after the notification that a server is draining from which no new attempt may be sent to that server. The
+    /// balancer sends none from the notification itself on. Discovery is polled often enough for the notification to
+    /// arrive in time.
     pub drain_grace: Duration,
 }
 
