--- a/crates/balancer-core/tests/circuit_breaker.rs
+++ b/crates/balancer-core/tests/circuit_breaker.rs
@@ -1,18 +1,18 @@
-//! Circuit breakers: their transitions at each boundary, and which servers and classes they eject, seen through the
-//! attempts.
+//! Tests of circuit breakers: state transitions at each boundary, and which servers and classes are ejected,
+//! observed through the attempts that the balancer starts.
 
 mod common;
 use balancer_core::*;
 use common::*;
 
-/// A node with two servers, and the server of key 7.
+/// Returns a node with two servers, and the server of key 7.
 fn pair() -> (Node, ServerId) {
     let mut node = Node::with_servers(settings(), 2);
     let own = node.call(7, AttemptStatus::Ok).expect("served");
     (node, own)
 }
 
-/// Keys of one server, used in turn: one key alone would be hot, and have replicas at both servers.
+/// Keys of one server, used in turn. A single key would become hot and get replicas at both servers.
 struct Keys(Vec<u64>);
 
 impl Keys {
@@ -22,10 +22,12 @@
     }
 }
 
+/// Returns a node with two servers, the server of key 7, and other keys of that server, after the window of
+/// the first calls has ended.
 fn pair_with_keys() -> (Node, ServerId, Keys) {
     let (mut node, own) = pair();
     let keys = (100..130).filter(|key| node.call(*key, AttemptStatus::Ok).as_ref() == Some(&own)).collect();
-    // The window of these calls ends.
+    // End the window of these calls.
     node.advance(ms(5_000));
     (node, own, Keys(keys))
 }
@@ -37,7 +39,7 @@
             return;
         }
     }
-    panic!("twenty failures did not open the breaker");
+    panic!("20 failures did not open the breaker of {own}");
 }
 
 #[test]
@@ -45,8 +47,12 @@
     let mut node = Node::with_servers(settings(), 2);
     let own = node.call(7, AttemptStatus::Failed).expect("sent");
     assert_eq!(node.call(7, AttemptStatus::Failed), Some(own.clone()));
-    assert_eq!(node.call(7, AttemptStatus::Failed), Some(own.clone()), "the third call still goes there");
-    assert_ne!(node.call(7, AttemptStatus::Ok), Some(own), "three failures of three open it");
+    assert_eq!(
+        node.call(7, AttemptStatus::Failed),
+        Some(own.clone()),
+        "two failures do not open the breaker"
+    );
+    assert_ne!(node.call(7, AttemptStatus::Ok), Some(own), "three failures in three calls open the breaker");
 }
 
 #[test]
@@ -54,21 +60,22 @@
     let (mut node, own, mut keys) = pair_with_keys();
     node.call(keys.next(), AttemptStatus::Ok);
     for _ in 0..10 {
-        // Failures stay at half of the calls.
+        // Half of the calls fail.
         assert_eq!(node.call(keys.next(), AttemptStatus::Failed), Some(own.clone()));
         assert_eq!(node.call(keys.next(), AttemptStatus::Ok), Some(own.clone()));
     }
 }
 
 #[test]
-fn the_end_of_a_window_forgets_its_failures() {
+fn failures_do_not_count_after_the_end_of_their_window() {
     let (mut node, own) = pair();
     node.call(7, AttemptStatus::Ok);
     node.call(7, AttemptStatus::Failed);
     node.advance(ms(4_900));
-    assert_eq!(node.call(7, AttemptStatus::Failed), Some(own.clone()), "two of four");
+    assert_eq!(node.call(7, AttemptStatus::Failed), Some(own.clone()), "two of four calls failed");
     node.advance(ms(200));
-    // With the calls of the last window this failure would open the breaker, at 3 of 5.
+    // Together with the calls of the previous window, this failure would open the breaker: 3 of 5 calls
+    // failed.
     assert_eq!(node.call(7, AttemptStatus::Failed), Some(own.clone()));
     assert_eq!(node.call(7, AttemptStatus::Ok), Some(own));
 }
@@ -93,18 +100,18 @@
     node.advance(ms(6_000));
     let ids: Vec<RequestId> = (0..4).map(|_| node.request(0, 7, ms(400))).collect();
     let at_own = ids.iter().filter(|id| node.in_flight(id).expect("sent").1 == own).count();
-    assert_eq!(at_own, 3, "the fourth goes elsewhere");
+    assert_eq!(at_own, 3, "the fourth request goes to another server");
     node.answer(&ids[0], AttemptStatus::Failed);
     assert_ne!(node.call(7, AttemptStatus::Ok), Some(own.clone()), "reopened");
-    // Later successes of the other trials tell nothing of the reopened breaker.
+    // Later successes of the other trials do not affect the reopened breaker.
     node.answer(&ids[1], AttemptStatus::Ok);
     node.answer(&ids[2], AttemptStatus::Ok);
     assert_ne!(node.call(7, AttemptStatus::Ok), Some(own));
 }
 
-/// If trials that were cancelled kept their places, a half-open breaker would admit nothing for good.
+/// If cancelled trials still counted as admitted, a half-open breaker would block calls permanently.
 #[test]
-fn an_inconclusive_trial_gives_its_place_back() {
+fn an_inconclusive_trial_allows_another_trial() {
     let (mut node, own) = pair();
     eject(&mut node, &own);
     node.advance(ms(6_000));
@@ -116,16 +123,17 @@
 }
 
 #[test]
-fn results_of_attempts_of_an_earlier_state_do_not_count() {
+fn results_of_attempts_sent_in_an_earlier_state_do_not_count() {
     let (mut node, own) = pair();
-    let late = node.request(0, 7, ms(30_000));
+    let early = node.request(0, 7, ms(30_000));
     eject(&mut node, &own);
     node.advance(ms(6_000));
     for _ in 0..3 {
         node.call(7, AttemptStatus::Ok);
     }
-    // It was sent before the breaker opened: its failure must not count now that it is closed again.
-    node.answer(&late, AttemptStatus::Failed);
+    // This request was sent before the breaker opened, so its failure must not count after the breaker has
+    // closed.
+    node.answer(&early, AttemptStatus::Failed);
     node.call(7, AttemptStatus::Failed);
     node.call(7, AttemptStatus::Failed);
     assert_eq!(node.call(7, AttemptStatus::Ok), Some(own));
@@ -135,28 +143,28 @@
 fn a_restarted_server_starts_with_a_closed_breaker() {
     let (mut node, own) = pair();
     eject(&mut node, &own);
-    let long_ago = Timestamp::from_micros(node.now.as_micros() - 60_000_000);
-    node.apply_delta(vec![Endpoint { started_at: Some(long_ago), ..Endpoint::new(own.as_str()) }]);
+    let started_at = Timestamp::from_micros(node.now.as_micros() - 60_000_000);
+    node.apply_delta(vec![Endpoint { started_at: Some(started_at), ..Endpoint::new(own.as_str()) }]);
     assert_eq!(node.call(7, AttemptStatus::Ok), Some(own));
 }
 
 #[test]
-fn with_every_server_ejected_a_key_goes_to_its_own() {
+fn with_every_server_ejected_a_key_still_goes_to_its_own_server() {
     let mut node = Node::with_servers(settings(), 1);
     let own = node.call(7, AttemptStatus::Ok).expect("served");
     for _ in 0..30 {
         assert_eq!(
             node.call(7, AttemptStatus::ConnectError),
             Some(own.clone()),
-            "ejected or not, it is the only server"
+            "the only server is used even if it is ejected"
         );
     }
 }
 
-/// A common cause (an origin that is down, say) could open every breaker, one after the other, and the keys
-/// would pile up on the last server.
+/// A common cause, such as an origin that is down, must not open one breaker after the other until the last
+/// server gets all keys.
 #[test]
-fn most_of_the_fleet_stays_in_use_however_many_fail() {
+fn most_servers_stay_in_use_when_all_of_them_fail() {
     let mut node = Node::with_servers(settings(), 10);
     for key in 0..400 {
         node.call(key, AttemptStatus::Failed);
@@ -170,8 +178,8 @@
     assert!(used.len() >= 6, "only {} of 10 servers are in use", used.len());
 }
 
-/// A server that fails while the others do well is at fault itself, and is ejected. One that fails like all
-/// the others is not: its keys would be missed elsewhere, and fail there too.
+/// A server that fails while the others succeed is ejected. A server that fails like all others is not,
+/// because its keys would be misses at other servers and fail there too.
 #[test]
 fn a_server_that_fails_like_all_the_others_is_not_ejected() {
     let ejections = |others: AttemptStatus| {
@@ -192,8 +200,8 @@
     assert_eq!(ejections(AttemptStatus::Failed), 0);
 }
 
-/// Fetches that fail at every server are the origin's failure. Its breaker keeps misses and writes off it
-/// until it has worked its queue down. Keys that are cached are served meanwhile, and no server is ejected.
+/// Fetches that fail at every server are failures of the origin. The origin's breaker blocks misses and
+/// writes until the origin has worked off its queue. Cached keys are still served, and no server is ejected.
 #[test]
 fn failed_fetches_open_the_breaker_of_the_origin_and_of_no_server() {
     let mut node = Node::with_servers(settings(), 4);
@@ -211,9 +219,9 @@
         read(&mut node, key, AttemptStatus::Failed, CacheResult::Miss);
         node.advance(ms(10));
     }
-    let tripped = |node: &Node, of: &str| {
-        let line = |action: &&Action| matches!(action, Action::Log(line) if line.contains(of));
-        node.actions.iter().filter(line).count()
+    let tripped = |node: &Node, text: &str| {
+        let matches_text = |action: &&Action| matches!(action, Action::Log(line) if line.contains(text));
+        node.actions.iter().filter(matches_text).count()
     };
     assert_eq!((tripped(&node, "origin tripped"), tripped(&node, "tripped")), (1, 1));
     assert!(!read(&mut node, 200, AttemptStatus::Ok, CacheResult::Miss), "a probable miss is rejected");
@@ -223,15 +231,18 @@
     assert!(node.requests[&write].finished, "a write is rejected");
     node.advance(ms(9_000));
     for key in 300..303 {
-        assert!(read(&mut node, key, AttemptStatus::Ok, CacheResult::Miss), "a trial after the cooldown");
+        assert!(
+            read(&mut node, key, AttemptStatus::Ok, CacheResult::Miss),
+            "a trial is sent after the cooldown"
+        );
     }
-    assert!(read(&mut node, 303, AttemptStatus::Ok, CacheResult::Miss), "closed again");
+    assert!(read(&mut node, 303, AttemptStatus::Ok, CacheResult::Miss), "the breaker is closed again");
 }
 
-/// A half-open trial of the origin that times out tells nothing of it. If it kept its place, three of them
-/// would block the origin for good.
+/// A half-open trial of the origin that times out is inconclusive. If it still counted as admitted, three
+/// such trials would block the origin permanently.
 #[test]
-fn a_lost_trial_does_not_block_the_origin_for_good() {
+fn timed_out_trials_do_not_block_the_origin() {
     let mut node = Node::with_servers(settings(), 4);
     for key in 100..108 {
         let id = node.request(0, key, ms(400));
@@ -248,8 +259,8 @@
     assert!(node.in_flight(&id).is_some());
 }
 
-/// Where one call in eight fails, two of a window's first three do every few windows. If that ejected the
-/// server, its keys would be missed elsewhere for a whole cooldown each time.
+/// If one call in eight fails, two of the first three calls fail every few windows. If that ejected the
+/// server, its keys would be misses at other servers for a whole cooldown each time.
 #[test]
 fn a_busy_servers_first_calls_of_a_window_do_not_open_its_breaker() {
     let (mut node, own, mut keys) = pair_with_keys();
@@ -264,14 +275,14 @@
     assert_ne!(
         node.call(keys.next(), AttemptStatus::Ok),
         Some(own),
-        "a tenth of the last window's calls suffices"
+        "failures of a tenth of the previous window's calls open the breaker"
     );
 }
 
-/// A server that rejects one class costs each such request an attempt. What it served before would hide that
-/// for the rest of a long window; and ejected as a whole, it would lose the keys of all classes.
+/// A server that rejects one class costs each request of that class an attempt. In a long window, earlier
+/// successful calls would hide the rejections. Ejecting the whole server would move the keys of all classes.
 #[test]
-fn a_class_that_an_idle_server_rejects_is_soon_ejected_there_and_alone() {
+fn a_class_rejected_by_an_idle_server_is_ejected_there_without_the_other_classes() {
     let (mut node, own, mut keys) = pair_with_keys();
     node.load.queue_length = Some(0.0);
     let mut call = |node: &mut Node, status| {
@@ -290,32 +301,41 @@
     let rejected = (0..50).take_while(|_| call(&mut node, AttemptStatus::QueueFull) == own).count();
     assert!((3..=6).contains(&rejected), "{rejected} were rejected before the breaker opened");
     for _ in 0..20 {
-        assert_eq!(node.call(keys.next(), AttemptStatus::Ok), Some(own.clone()), "another class");
+        assert_eq!(
+            node.call(keys.next(), AttemptStatus::Ok),
+            Some(own.clone()),
+            "another class is not ejected"
+        );
     }
 }
 
-/// Each of a hundred nodes would call a broken server three times before it stops, and lose as many requests.
+/// If three errors were necessary, each of a hundred nodes would lose three requests at a broken server
+/// before ejecting it.
 #[test]
-fn one_error_of_a_rarely_met_server_ejects_it_for_part_of_the_cooldown() {
+fn one_error_of_a_rarely_used_server_ejects_it_for_part_of_the_cooldown() {
     let mut node = Node::with_servers(settings(), 4);
     let own = node.call(7, AttemptStatus::Ok).expect("sent");
     node.advance(ms(6_000));
     assert_eq!(node.call(7, AttemptStatus::Failed), Some(own.clone()));
-    assert_ne!(node.call(7, AttemptStatus::Ok), Some(own.clone()), "its only call of a window failed");
+    assert_ne!(node.call(7, AttemptStatus::Ok), Some(own.clone()), "the only call in the window failed");
     node.advance(ms(2_000));
-    assert_eq!(node.call(7, AttemptStatus::Failed), Some(own.clone()), "a third of the cooldown");
+    assert_eq!(
+        node.call(7, AttemptStatus::Failed),
+        Some(own.clone()),
+        "the ejection lasts a third of the cooldown"
+    );
     node.advance(ms(5_990));
     assert_ne!(
         node.call(7, AttemptStatus::Ok),
         Some(own.clone()),
-        "a failed trial is certain: the whole cooldown"
+        "the ejection after a failed trial lasts the whole cooldown"
     );
     node.advance(ms(10));
     assert_eq!(node.call(7, AttemptStatus::Ok), Some(own));
 }
 
-/// Under overload attempts time out at all servers. If one time-out ejected a rarely met server, nodes would
-/// eject most of the fleet.
+/// Under overload, attempts time out at all servers. If one time-out ejected a rarely used server, nodes
+/// would eject most of the fleet.
 #[test]
 fn one_time_out_ejects_no_server() {
     let mut node = Node::with_servers(settings(), 4);
--- a/crates/balancer-core/tests/common/mod.rs
+++ b/crates/balancer-core/tests/common/mod.rs
@@ -1,37 +1,39 @@
-//! A node around a `Balancer`: it applies the actions to its records and checks rules 1 to 3 from outside.
+//! A simulated node around a `Balancer`. It records the effects of the actions and checks rules 1 to 3.
 //!
-//! Rule 1: each request gets exactly one final answer in time. Rule 2: no request has its effect twice. Rule 3: nothing
-//! new is sent to a server that is draining or removed. (Rule 4, the budget of warming servers, is checked by the tests
-//! of it.)
+//! - Rule 1: each request gets exactly one final answer in time.
+//! - Rule 2: no request has its effect twice.
+//! - Rule 3: no new requests are sent to a server that is draining or removed.
+//!
+//! Rule 4, the budget of warming servers, is checked by the tests of slow start.
 
-#![allow(dead_code, reason = "each test file compiles this module for itself and uses a part of it")]
+#![allow(dead_code, reason = "each test file compiles this module separately and uses a part of it")]
 
 use balancer_core::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A duration in milliseconds.
+/// Returns a duration of `n` milliseconds.
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
 /// An attempt that the balancer has started.
 pub struct SentAttempt {
-    /// The server, as it was listed then.
+    /// List entry of the server at the time the attempt was sent.
     pub endpoint: Endpoint,
     pub sent_at: Timestamp,
     pub times_out_at: Timestamp,
-    /// How it ended; `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub status: Option<AttemptStatus>,
 }
 
-/// A request that the balancer was handed.
+/// A request that was sent to the balancer.
 pub struct TrackedRequest {
     pub request: Request,
-    /// The settings when it arrived, by which it is judged.
+    /// Settings at the arrival of the request. The rules are checked against these settings.
     pub settings: Settings,
     pub attempts: Vec<SentAttempt>,
-    /// Whether it has its final answer, or its client has gone.
+    /// Whether the request has its final answer or its client has gone.
     pub finished: bool,
 }
 
@@ -40,7 +42,8 @@
         self.request.class.map_or_else(RequestClass::default, |id| self.settings.classes[id.0].clone())
     }
 
-    /// Whether it may be sent again to any server, whatever became of earlier attempts.
+    /// Returns whether the request may be sent again to any server, regardless of the results of earlier
+    /// attempts.
     fn is_safe_everywhere(&self) -> bool {
         matches!(
             self.class().idempotency,
@@ -48,20 +51,26 @@
         )
     }
 
-    /// Checks that an attempt at this server, sent now and started within this time, has no second effect.
+    /// Checks that an attempt at this server, sent now and started within `start_within`, has no second
+    /// effect.
     fn check_effect_once(&self, now: Timestamp, endpoint: &Endpoint, start_within: Option<Duration>) {
         let idempotency = self.class().idempotency;
         for earlier in self.attempts.iter().filter(|attempt| may_have_run(attempt)) {
             match idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NotIdempotent => panic!("rule 2: a request that is not idempotent sent again"),
+                Idempotency::NotIdempotent => {
+                    panic!("rule 2: a request that is not idempotent was sent again")
+                }
                 Idempotency::WithKey { scope, window } => {
-                    assert!(now < earlier.sent_at + window, "rule 2: sent again after its window");
+                    assert!(now < earlier.sent_at + window, "rule 2: a retry was sent after its window");
                     let latest_start = now + start_within.expect("a retry has a latest start");
-                    assert!(latest_start <= earlier.sent_at + window, "rule 2: may start after its window");
+                    assert!(
+                        latest_start <= earlier.sent_at + window,
+                        "rule 2: a retry may start after its window"
+                    );
                     assert!(
                         is_in_scope(scope, &earlier.endpoint, endpoint),
-                        "rule 2: sent again outside its scope"
+                        "rule 2: a retry was sent outside its scope"
                     );
                 }
             }
@@ -77,20 +86,20 @@
     }
 }
 
-/// A node: the balancer, its clock and its records.
+/// A node with its balancer, its clock and records of requests and actions.
 pub struct Node {
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: Timestamp,
-    /// The endpoint list, and servers that were on it.
+    /// The endpoint list, including servers that were removed by a delta.
     pub endpoints: BTreeMap<ServerId, Endpoint>,
     pub requests: BTreeMap<RequestId, TrackedRequest>,
     pub timers: BTreeSet<Timestamp>,
     /// All actions so far.
     pub actions: Vec<Action>,
-    /// The load that servers report with each answer.
+    /// Load that servers report with each answer.
     pub load: LoadReport,
-    requests_made: u32,
+    request_count: u32,
 }
 
 impl Node {
@@ -106,16 +115,16 @@
             timers: BTreeSet::new(),
             actions: Vec::new(),
             load: LoadReport::default(),
-            requests_made: 0,
+            request_count: 0,
         }
     }
 
-    /// A node with `count` warm servers, named a, b, c and so on.
+    /// Returns a node with `count` warm servers, named a, b, c and so on, and seed 1.
     pub fn with_servers(settings: Settings, count: u8) -> Self {
         Self::with_seed_and_servers(settings, 1, count)
     }
 
-    /// The same with another seed than 1.
+    /// Returns a node with `count` warm servers and the given seed.
     pub fn with_seed_and_servers(settings: Settings, seed: u64, count: u8) -> Self {
         let mut node = Self::new(settings, seed);
         let endpoints = (0..count).map(|i| Endpoint::new(&char::from(b'a' + i).to_string()));
@@ -123,14 +132,14 @@
         node
     }
 
-    /// Discovery sends this complete list.
+    /// Passes a complete endpoint list from discovery to the balancer.
     pub fn apply_snapshot(&mut self, endpoints: Vec<Endpoint>) {
         self.endpoints.clear();
         self.record_endpoints(&endpoints);
         self.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints.into())));
     }
 
-    /// Discovery sends these changes of the list.
+    /// Passes changes of the endpoint list from discovery to the balancer.
     pub fn apply_delta(&mut self, endpoints: Vec<Endpoint>) {
         self.record_endpoints(&endpoints);
         self.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(endpoints.into())));
@@ -141,13 +150,13 @@
         self.endpoints.extend(by_id);
     }
 
-    /// These settings are in force from now on.
+    /// Changes the settings.
     pub fn reconfigure(&mut self, settings: Settings) {
         self.settings = settings.clone();
         self.handle(Event::Reconfigured(Box::new(settings)));
     }
 
-    /// Hands the balancer an event, applies its actions and returns them.
+    /// Passes an event to the balancer, applies its actions and returns them.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -168,7 +177,7 @@
                 let may_have_run = request.attempts.iter().any(may_have_run);
                 assert!(
                     request.is_safe_everywhere() || !may_have_run,
-                    "rule 2: rejected, yet it may have run"
+                    "rule 2: a request was rejected that may have run"
                 );
             }
             Action::Fail { id } => {
@@ -179,7 +188,7 @@
             }
             Action::CancelAttempt { id, attempt } => {
                 let sent = self.requests[id].attempts.len();
-                assert!(sent > *attempt as usize, "cancelled an attempt that was never sent");
+                assert!(sent > *attempt as usize, "an attempt was cancelled that was never sent");
             }
             Action::CheckHealth { .. }
             | Action::CloseIdleConnections { .. }
@@ -196,64 +205,67 @@
         start_within: Option<Duration>,
     ) {
         let now = self.now;
-        let endpoint = self.endpoints.get(server).expect("a send to a server no list has named").clone();
-        assert_eq!(endpoint.state, EndpointState::Ready, "rule 3: a send to a draining server");
-        let request = self.requests.get_mut(id).expect("a send for an unknown request");
-        assert!(!request.finished, "rule 1: a send for a finished request");
+        let endpoint = self.endpoints.get(server).expect("attempts are only sent to listed servers").clone();
+        assert_eq!(endpoint.state, EndpointState::Ready, "rule 3: an attempt was sent to {server}");
+        let request = self.requests.get_mut(id).expect("attempts are only sent for known requests");
+        assert!(!request.finished, "rule 1: an attempt was sent for a finished request");
         let settings = &request.settings;
-        assert!(request.attempts.len() < settings.max_attempts as usize, "more attempts than allowed");
+        assert!(
+            request.attempts.len() < settings.max_attempts as usize,
+            "more attempts than the settings allow"
+        );
         let in_flight = request.attempts.iter().filter(|attempt| attempt.status.is_none()).count();
         let hedged = settings.hedging_allowed && in_flight == 1;
-        assert!(in_flight == 0 || hedged, "too many attempts in flight at once");
+        assert!(in_flight == 0 || hedged, "too many attempts of a request are in flight");
         request.check_effect_once(now, &endpoint, start_within);
         let times_out_at = (now + timeout).min(request.request.deadline);
         request.attempts.push(SentAttempt { endpoint, sent_at: now, times_out_at, status: None });
     }
 
-    /// A request gets its final answer.
+    /// Records the final answer to a request.
     fn finish(&mut self, id: &RequestId) -> &TrackedRequest {
-        let request = self.requests.get_mut(id).expect("a final answer to an unknown request");
-        assert!(!request.finished, "rule 1: a second final answer");
+        let request = self.requests.get_mut(id).expect("final answers are only given to known requests");
+        assert!(!request.finished, "rule 1: a second final answer was given");
         request.finished = true;
         request
     }
 
-    /// A client sends a request of the class with this index, with this key and this time to its deadline.
+    /// Sends a client request with this class index, key and time to its deadline. Returns its id.
     pub fn request(&mut self, class: usize, key: u64, time_to_deadline: Duration) -> RequestId {
-        self.requests_made += 1;
-        let request = Request::new(&format!("r{}", self.requests_made), self.now + time_to_deadline);
+        self.request_count += 1;
+        let request = Request::new(&format!("r{}", self.request_count), self.now + time_to_deadline);
         self.submit(Request { class: Some(ClassId(class)), key: Some(key), ..request })
     }
 
-    /// A client sends this request.
+    /// Sends this client request. Returns its id.
     pub fn submit(&mut self, request: Request) -> RequestId {
         let id = request.id.clone();
         let settings = self.settings.clone();
-        let open =
+        let tracked =
             TrackedRequest { request: request.clone(), settings, attempts: Vec::new(), finished: false };
-        self.requests.insert(id.clone(), open);
+        self.requests.insert(id.clone(), tracked);
         self.handle(Event::Request(request));
         id
     }
 
-    /// Number and server of the request's attempt in flight, if there is one.
+    /// Returns the number and server of the request's first attempt in flight, if there is one.
     pub fn in_flight(&self, id: &RequestId) -> Option<(u32, ServerId)> {
         let attempts = &self.requests[id].attempts;
         let number = attempts.iter().position(|attempt| attempt.status.is_none())?;
         Some((number as u32, attempts[number].endpoint.id.clone()))
     }
 
-    /// The requests that have an attempt in flight.
+    /// Returns the requests that have an attempt in flight.
     pub fn ids_in_flight(&self) -> Vec<RequestId> {
         self.requests.keys().filter(|id| self.in_flight(id).is_some()).cloned().collect()
     }
 
-    /// An attempt ends with this status.
+    /// Ends an attempt with this status.
     pub fn end_attempt(&mut self, id: &RequestId, attempt: u32, status: AttemptStatus) -> Vec<Action> {
         self.end_attempt_with(id, attempt, status, None)
     }
 
-    /// An attempt ends with this status, and the server reports how it came by the answer.
+    /// Ends an attempt with this status and cache result.
     pub fn end_attempt_with(
         &mut self,
         id: &RequestId,
@@ -262,12 +274,12 @@
         cache_result: Option<CacheResult>,
     ) -> Vec<Action> {
         let now = self.now;
-        let open = self.requests.get_mut(id).expect("known");
-        let sent = &mut open.attempts[attempt as usize];
+        let request = self.requests.get_mut(id).expect("a known request");
+        let sent = &mut request.attempts[attempt as usize];
         sent.status = Some(status);
         let (server, elapsed) = (sent.endpoint.id.clone(), now.since(sent.sent_at));
-        open.finished |= status == AttemptStatus::Ok;
-        let (request_finished, load) = (open.finished, self.load);
+        request.finished |= status == AttemptStatus::Ok;
+        let (request_finished, load) = (request.finished, self.load);
         self.handle(Event::AttemptEnded(AttemptOutcome {
             id: id.clone(),
             attempt,
@@ -280,14 +292,14 @@
         }))
     }
 
-    /// The attempt in flight ends with this status.
+    /// Ends the attempt in flight with this status.
     pub fn answer(&mut self, id: &RequestId, status: AttemptStatus) -> Vec<Action> {
         let (attempt, _) = self.in_flight(id).expect("an attempt in flight");
         self.end_attempt(id, attempt, status)
     }
 
-    /// A read of `key`, answered with `status` by the first server that it is sent to, and served by the next one if it
-    /// is retried. Returns the first server.
+    /// Sends a read of `key`. The first server answers with `status`; if the request is retried, the next
+    /// server serves it. Returns the first server, or `None` if the request was not sent.
     pub fn call(&mut self, key: u64, status: AttemptStatus) -> Option<ServerId> {
         let id = self.request(0, key, ms(400));
         let (attempt, server) = self.in_flight(&id)?;
@@ -298,18 +310,18 @@
         Some(server)
     }
 
-    /// Lets time pass: timers expire and attempts time out when due.
+    /// Advances the clock by `time`. Timers expire and attempts time out when due.
     pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
-            let attempts = self.requests.iter().flat_map(|(id, open)| {
-                let in_flight = open.attempts.iter().enumerate().filter(|(_, sent)| sent.status.is_none());
+            let attempts = self.requests.iter().flat_map(|(id, request)| {
+                let in_flight = request.attempts.iter().enumerate().filter(|(_, sent)| sent.status.is_none());
                 in_flight.map(move |(i, sent)| (sent.times_out_at, Some((id.clone(), i as u32))))
             });
             let timer = self.timers.first().map(|&at| (at, None));
-            let Some((at, what)) = attempts.chain(timer).min().filter(|(at, _)| *at <= end) else { break };
+            let Some((at, attempt)) = attempts.chain(timer).min().filter(|(at, _)| *at <= end) else { break };
             self.now = self.now.max(at);
-            match what {
+            match attempt {
                 Some((id, attempt)) => {
                     self.end_attempt(&id, attempt, AttemptStatus::TimedOut);
                 }
@@ -320,13 +332,13 @@
             }
         }
         self.now = end;
-        self.check_none_lost();
+        self.check_deadlines();
     }
 
-    /// Checks that no request is left without a final answer past its deadline.
-    pub fn check_none_lost(&self) {
-        for (id, open) in &self.requests {
-            let overdue = !open.finished && self.now > open.request.deadline;
+    /// Checks that no request is without a final answer after its deadline.
+    pub fn check_deadlines(&self) {
+        for (id, request) in &self.requests {
+            let overdue = !request.finished && self.now > request.request.deadline;
             assert!(!overdue, "rule 1: {id} has no final answer in time");
         }
     }
@@ -336,8 +348,8 @@
     !sent.status.is_some_and(AttemptStatus::never_ran)
 }
 
-/// Three classes with a latency objective of 150 ms: read (idempotent), keyed (with an idempotency key that holds for
-/// one second) and unsafe (not idempotent).
+/// Returns settings with three classes with a latency objective of 150 ms: read (idempotent), keyed (with an
+/// idempotency key that is valid for one second) and unsafe (not idempotent).
 pub fn settings() -> Settings {
     let class = |name: &str, idempotency| RequestClass {
         name: name.into(),
@@ -362,7 +374,7 @@
     }
 }
 
-/// Settings of a fleet whose balancers fetch misses, and its origin.
+/// Returns the settings of a fleet in cache-aside mode, whose balancers fetch misses, and its origin.
 pub fn aside() -> (Settings, Endpoint) {
     let mode = CacheMode::Aside { origin_kind: "origin".into() };
     let origin = Endpoint { kind: Some("origin".into()), ..Endpoint::new("zz-origin") };
--- a/crates/balancer-core/tests/fault_of_everything.rs
+++ b/crates/balancer-core/tests/fault_of_everything.rs
@@ -1,5 +1,5 @@
-//! A fault of all servers at once (the origin, a switch, a zone) that meets a half-open breaker. When it is over, each
-//! server serves again.
+//! Tests of a fault that affects all servers at once (the origin, a switch, a zone) while a circuit breaker
+//! is half-open. After the fault, each server must be used again.
 
 mod common;
 
@@ -12,21 +12,22 @@
 const STEP: Duration = Duration::from_millis(500);
 const KEYS: std::ops::Range<u64> = 100..160;
 
-/// A node of a fleet of this many.
+/// Returns a node of a fleet of `nodes` nodes.
 fn node_of(nodes: u32) -> Node {
     Node::with_servers(Settings { nodes, max_attempts: 2, ..settings() }, SERVERS)
 }
 
-/// Makes calls of key 7 fail at its server alone until that is ejected. Returns the server.
+/// Makes calls of key 7 fail, only at its own server, until that server is ejected. Returns the server.
 fn eject(node: &mut Node, status: AttemptStatus) -> ServerId {
     let own = node.call(7, AttemptStatus::Ok).expect("served");
     let ejected = (0..60).any(|_| node.call(7, status).as_ref() != Some(&own));
-    assert!(ejected, "{own} is still sent to");
+    assert!(ejected, "{own} is still used after 60 failed calls");
     own
 }
 
-/// The fault: for this long, every attempt at `own` ends with `status`, and at the others each but one of `served_one_in`.
-/// So the others are not ejected, and what fails is not `own` alone.
+/// Simulates the fault for this time: every attempt at `own` ends with `status`, and so do the attempts at
+/// the other servers, except for one in `served_one_in`. So the other servers are not ejected, and `own` is
+/// not the only server that fails.
 fn fault(node: &mut Node, own: &ServerId, status: AttemptStatus, served_one_in: u32, time: Duration) {
     let end = node.now + time;
     let mut attempts = 0;
@@ -43,7 +44,7 @@
     }
 }
 
-/// Whether key 7 is served by its own server again after at most this time of calls that succeed.
+/// Returns whether key 7 is sent to its own server again after this time of successful calls.
 fn serves_again_within(node: &mut Node, own: &ServerId, time: Duration) -> bool {
     let end = node.now + time;
     while node.now < end {
@@ -55,8 +56,8 @@
     node.call(7, AttemptStatus::Ok).as_ref() == Some(own)
 }
 
-/// A failed trial kept its place for good where other servers failed as well: after three, the server was sent nothing
-/// until it was restarted, though it had recovered.
+/// If other servers fail as well, failed trials count as admitted permanently. After three of them, the
+/// server receives no requests until its restart, even though it has recovered.
 #[test]
 fn a_server_that_was_on_trial_in_a_fault_of_everything_serves_again() {
     let is_blocked = |nodes: &u32| {
@@ -70,7 +71,7 @@
     assert!(blocked.is_empty(), "the server is sent nothing in fleets of {blocked:?} nodes");
 }
 
-/// The same for the breaker of one class at one server.
+/// The same failure as above, for the breaker of one class at one server.
 #[test]
 fn a_class_that_was_on_trial_in_a_fault_of_everything_is_served_again() {
     let mut node = Node::with_servers(settings(), 3);
@@ -81,7 +82,8 @@
     assert!(serves_again_within(&mut node, &own, COOLDOWN * 2), "{own}");
 }
 
-/// The trials of a fault of everything stay a trickle: a server with three free places at a time gets no more for it.
+/// During a fault of all servers, a server with a half-open breaker must get at most three trials in one
+/// cooldown.
 #[test]
 fn a_server_on_trial_gets_no_more_than_its_trials_in_a_fault_of_everything() {
     let mut node = node_of(1);
@@ -93,9 +95,10 @@
     assert!((1..=3).contains(&trials), "{trials} attempts in one cooldown");
 }
 
-/// A guard: trials are not part of the state that a successor takes over, so they do not block it.
+/// Trials are not part of the state that a successor restores, so failed trials do not block the server at
+/// the successor.
 #[test]
-fn a_successor_serves_from_a_server_that_was_on_trial_in_a_fault_of_everything() {
+fn a_successor_uses_a_server_whose_trials_failed_in_a_common_fault() {
     let mut node = node_of(1);
     let own = eject(&mut node, AttemptStatus::Failed);
     node.advance(COOLDOWN);
--- a/crates/balancer-core/tests/learned_state.rs
+++ b/crates/balancer-core/tests/learned_state.rs
@@ -1,4 +1,4 @@
-//! What a balancer has learned and its successor takes on.
+//! Tests of the learned state that a balancer hands over to its successor.
 
 mod common;
 
@@ -6,15 +6,15 @@
 use common::{ms, settings, Node};
 use std::sync::Arc;
 
-/// The successor of this node's balancer, with the same list, another seed and a clock of its own. It takes on the learned state
-/// if `restores`.
+/// Returns a successor of this node with the same endpoint list, a different seed and a different clock. It
+/// restores the learned state if `restores` is true.
 fn successor(before: &Node, restores: bool) -> Node {
     let mut node = Node::new(before.settings.clone(), 2);
     node.now = Timestamp::from_micros(77_000_000_000);
     node.apply_snapshot(before.endpoints.values().cloned().collect());
     if restores {
         let learned = before.balancer.learned_state(before.now);
-        // It is handed over as JSON.
+        // The state is handed over as JSON.
         let text = serde_json::to_string(&learned).unwrap();
         assert_eq!(serde_json::from_str::<LearnedState>(&text).unwrap(), learned);
         node.handle(Event::StateRestored(Arc::new(learned)));
@@ -22,7 +22,7 @@
     node
 }
 
-/// Opens the breaker of the server that the key goes to. Returns the server.
+/// Opens the breaker of the server of this key. Returns the server.
 fn eject(node: &mut Node, key: u64) -> ServerId {
     let own = node.call(key, AttemptStatus::Reset).expect("sent");
     for _ in 0..8 {
@@ -37,7 +37,7 @@
     let own = eject(&mut before, 7);
     before.advance(ms(2_000));
     let mut fresh = successor(&before, false);
-    assert_eq!(fresh.call(7, AttemptStatus::Ok), Some(own.clone()), "a new node sends there");
+    assert_eq!(fresh.call(7, AttemptStatus::Ok), Some(own.clone()), "a new node uses the server");
     let mut node = successor(&before, true);
     assert_ne!(node.call(7, AttemptStatus::Ok), Some(own.clone()));
     node.advance(ms(3_900));
@@ -58,33 +58,33 @@
     }
 }
 
-/// If what was learned of a server were applied to the incarnation that has started since under its id,
-/// that one would be ejected for the faults of the one before.
+/// If the state learned about a server were applied to a later incarnation with the same id, the new
+/// incarnation would be ejected for failures of the previous one.
 #[test]
-fn a_restarted_server_is_not_held_to_what_was_learned_before() {
+fn state_of_an_earlier_incarnation_is_not_restored() {
     let mut before = Node::with_servers(settings(), 4);
     let own = eject(&mut before, 7);
     let learned = before.balancer.learned_state(before.now);
     let mut node = Node::new(before.settings.clone(), 2);
-    let long_ago = Timestamp::from_micros(1_000_000);
-    let started =
-        |entry: &Endpoint| Endpoint { started_at: (entry.id == own).then_some(long_ago), ..entry.clone() };
-    node.apply_snapshot(before.endpoints.values().map(started).collect());
+    let started_at = Timestamp::from_micros(1_000_000);
+    let restarted =
+        |entry: &Endpoint| Endpoint { started_at: (entry.id == own).then_some(started_at), ..entry.clone() };
+    node.apply_snapshot(before.endpoints.values().map(restarted).collect());
     node.handle(Event::StateRestored(Arc::new(learned)));
     assert_eq!(node.call(7, AttemptStatus::Ok), Some(own));
 }
 
-/// If the requests that the predecessor sent a warming server were forgotten, the server would get its
-/// allowance twice, from the old process and from the new one.
+/// If the successor did not count the requests that its predecessor sent to a warming server, the server
+/// would receive its allowance twice, once from each process.
 #[test]
-fn requests_sent_to_a_warming_server_count_on() {
+fn a_successor_counts_requests_already_sent_to_a_warming_server() {
     let settings =
         Settings { nodes: 1, slow_start_min_fraction: 0.3, slow_start_window: ms(60_000), ..settings() };
     let mut before = Node::new(settings, 1);
     let warming = Endpoint { started_at: Some(before.now), ..Endpoint::new("cold") };
     let warm = Endpoint { weight: 0.001, ..Endpoint::new("warm") };
     before.apply_snapshot(vec![warming, warm]);
-    // The allowance of a warming server is earned by prompt answers.
+    // Prompt answers increase the allowance of a warming server.
     for key in 0..200 {
         before.call(key, AttemptStatus::Ok);
     }
@@ -104,8 +104,8 @@
 }
 
 #[test]
-fn a_successor_goes_on_as_its_predecessor_would() {
-    // With an equal seed and clock it takes the same decisions.
+fn a_successor_makes_the_same_decisions_as_its_predecessor() {
+    // The decisions are the same if the seed and the clock are the same.
     let mut before = Node::with_servers(settings(), 5);
     let run = |node: &mut Node, from: u64| {
         let mut servers = Vec::new();
@@ -127,16 +127,16 @@
     assert_eq!(run(&mut before, 200), run(&mut successor, 200));
 }
 
-/// A damaged hand-over may hold invalid numbers: a limit that is none, times beyond the end of
-/// any clock. The successor must still answer every request.
+/// A corrupted hand-over may contain invalid numbers, such as negative limits or times out of range. The
+/// successor must still answer every request.
 #[test]
 fn every_request_is_answered_after_numbers_out_of_range() {
     let before = Node::with_servers(settings(), 3);
-    let text = serde_json::to_value(before.balancer.learned_state(before.now)).unwrap();
-    let mut damaged = text.clone();
-    damage(&mut damaged);
-    assert_ne!(damaged, text);
-    let learned: LearnedState = serde_json::from_value(damaged).expect("of the same shape");
+    let valid = serde_json::to_value(before.balancer.learned_state(before.now)).unwrap();
+    let mut corrupted = valid.clone();
+    replace_numbers(&mut corrupted);
+    assert_ne!(corrupted, valid);
+    let learned: LearnedState = serde_json::from_value(corrupted).expect("the same fields and types");
     let mut node = Node::with_servers(settings(), 3);
     node.handle(Event::StateRestored(Arc::new(learned)));
     for key in 0..300 {
@@ -147,21 +147,22 @@
     assert!((0..300).filter(|&key| node.call(key, AttemptStatus::Ok).is_some()).count() > 250);
 }
 
-/// Replaces every number by an extreme one that fits.
-fn damage(value: &mut serde_json::Value) {
+/// Replaces every number by an extreme one of the same type.
+fn replace_numbers(value: &mut serde_json::Value) {
     match value {
         serde_json::Value::Number(number) if number.is_f64() => *value = (-1e300).into(),
         serde_json::Value::Number(_) => *value = u32::MAX.into(),
-        serde_json::Value::Array(items) => items.iter_mut().for_each(damage),
-        serde_json::Value::Object(fields) => fields.values_mut().for_each(damage),
+        serde_json::Value::Array(items) => items.iter_mut().for_each(replace_numbers),
+        serde_json::Value::Object(fields) => fields.values_mut().for_each(replace_numbers),
         _ => {}
     }
 }
 
-/// Processes of other versions read and write the learned state. If a name changed with the code, a predecessor and a
-/// successor of two versions could not hand over, and the successor would have to learn everything anew.
+/// Processes of other versions read and write the learned state. If a rename in the code changed a serialized
+/// name, a process could not hand over to a successor of another version, which would start without learned
+/// state.
 #[test]
-fn serialized_names_are_those_that_other_versions_read() {
+fn serialized_names_are_compatible_with_other_versions() {
     let mut node = Node::with_servers(settings(), 1);
     node.call(7, AttemptStatus::Ok);
     let learned = serde_json::to_value(node.balancer.learned_state(node.now)).unwrap();
--- a/crates/balancer-core/tests/module_graph.rs
+++ b/crates/balancer-core/tests/module_graph.rs
@@ -1,13 +1,15 @@
-//! The modules of this crate import each other in one direction only, so each can be read without those above it.
+//! Checks that the imports between the modules of this crate have no cycle, so that each module can be read
+//! without the modules that import it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::Path;
 
-/// By module at the crate's root: the modules it imports. Files in a module's own directory belong to it.
+/// Maps each top-level module to the modules it imports. Files in the directory of a module belong to that
+/// module.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
-/// Rust files in `directory` and below, with their text.
+/// Returns the top-level module and the text of each Rust file in `directory` and its subdirectories.
 fn sources(directory: &Path) -> Vec<(String, String)> {
     let mut sources = Vec::new();
     for entry in fs::read_dir(directory).expect("a readable directory") {
@@ -25,7 +27,7 @@
     sources
 }
 
-/// First names of the paths in `text` that start at the crate's root; comments are left out.
+/// Returns the first segment after `crate::` of each path in `text`, without comments.
 fn imported(text: &str) -> BTreeSet<String> {
     let code = text.lines().map(|line| line.split("//").next().unwrap_or_default());
     let paths = code.flat_map(|line| line.split("crate::").skip(1).collect::<Vec<_>>());
@@ -33,8 +35,8 @@
     paths.map(first).collect()
 }
 
-/// The graph of the sources given, the crate's root left out, which names all of them.
-fn graph(sources: &[(String, String)]) -> Imports {
+/// Returns the import graph of the sources, without the crate's root, which declares all modules.
+fn import_graph(sources: &[(String, String)]) -> Imports {
     let mut imports = Imports::new();
     for (module, text) in sources.iter().filter(|(module, _)| module != "lib") {
         let others = imported(text).into_iter().filter(|other| other != module);
@@ -43,12 +45,13 @@
     imports
 }
 
-/// What is left once modules that import nothing that is left are taken away, again and again: empty without a cycle.
-fn cyclic(mut imports: Imports) -> Imports {
+/// Repeatedly removes modules that import none of the remaining modules, and returns the rest: the modules
+/// that are in a cycle or import one that is.
+fn cyclic_modules(mut imports: Imports) -> Imports {
     loop {
-        let left: BTreeSet<String> = imports.keys().cloned().collect();
+        let remaining: BTreeSet<String> = imports.keys().cloned().collect();
         let before = imports.len();
-        imports.retain(|_, imported| !imported.is_disjoint(&left));
+        imports.retain(|_, imported| !imported.is_disjoint(&remaining));
         if imports.len() == before {
             return imports;
         }
@@ -56,25 +59,22 @@
 }
 
 #[test]
-fn modules_import_each_other_in_no_cycle() {
-    let imports = graph(&sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src")));
+fn module_imports_have_no_cycle() {
+    let imports = import_graph(&sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src")));
     let edges: usize = imports.values().map(BTreeSet::len).sum();
-    assert!(imports.len() > 8 && edges > imports.len(), "the imports are not found any more: {imports:?}");
+    assert!(imports.len() > 8 && edges > imports.len(), "too few imports were found: {imports:?}");
     for (module, imported) in &imports {
         for other in imported {
-            // A path through the root's re-exports would hide where it leads.
-            assert!(imports.contains_key(other), "{module} imports crate::{other}, which is no module");
+            // A path through the root's re-exports would hide the imported module.
+            assert!(imports.contains_key(other), "{module} imports crate::{other}, which is not a module");
         }
     }
-    let cyclic = cyclic(imports);
-    assert!(
-        cyclic.is_empty(),
-        "these modules import each other in a cycle, or import one that does: {cyclic:?}"
-    );
+    let cyclic = cyclic_modules(imports);
+    assert!(cyclic.is_empty(), "these modules are in an import cycle or import a module that is: {cyclic:?}");
 }
 
 #[test]
-fn a_cycle_over_several_modules_is_found_and_a_diamond_is_none() {
+fn cycles_are_found_and_diamonds_are_not_reported() {
     let source = |module: &str, text: &str| (module.to_owned(), text.to_owned());
     let diamond = [
         source("top", "use crate::left::A;\nuse crate::right::{B, C};\n"),
@@ -82,8 +82,8 @@
         source("right", "fn f() -> crate::base::D {} // crate::top"),
         source("base", "use std::fmt;"),
     ];
-    assert_eq!(cyclic(graph(&diamond)), Imports::new());
+    assert_eq!(cyclic_modules(import_graph(&diamond)), Imports::new());
     let mut cycle = diamond.to_vec();
     cycle.push(source("base", "pub use crate::top::E;"));
-    assert_eq!(cyclic(graph(&cycle)).len(), 4);
+    assert_eq!(cyclic_modules(import_graph(&cycle)).len(), 4);
 }
--- a/crates/balancer-core/tests/reconfigure.rs
+++ b/crates/balancer-core/tests/reconfigure.rs
@@ -1,11 +1,11 @@
-//! Reloads: requests keep the settings under which they arrived, and what is known of servers stays.
+//! Tests of reloads: requests keep the settings under which they arrived, and the state of servers is kept.
 
 mod common;
 
 use balancer_core::*;
 use common::{ms, settings, Node};
 
-/// Settings with these of the classes read, keyed and unsafe, in this order.
+/// Returns settings with the given classes in this order; 0 is read, 1 keyed and 2 unsafe.
 fn with_classes(order: &[usize]) -> Settings {
     let all = settings();
     Settings { classes: order.iter().map(|&i| all.classes[i].clone()).collect(), ..all }
@@ -43,13 +43,13 @@
     assert_eq!(attempts_started(&node.answer(&after, AttemptStatus::Reset)), 1);
 }
 
-/// Requests refer to classes by their place in the settings. When the order changes or a class is gone, the
-/// same place means another class, by whose idempotency a request might be run twice.
+/// Requests refer to classes by index. After classes are reordered or removed, the same index refers to
+/// another class, and by the idempotency of that class a request might run twice.
 #[test]
-fn a_request_keeps_its_class_when_that_is_removed_or_moved() {
+fn a_request_keeps_its_class_when_classes_are_removed_or_reordered() {
     let mut node = Node::with_servers(settings(), 4);
     let (read, not_idempotent) = (node.request(0, 7, ms(400)), node.request(2, 8, ms(400)));
-    // The first class is removed, and its index is that of the unsafe one now.
+    // The first class is removed, and its index now refers to the unsafe class.
     node.reconfigure(with_classes(&[2, 1]));
     assert_eq!(attempts_started(&node.answer(&read, AttemptStatus::Reset)), 1);
     let actions = node.answer(&not_idempotent, AttemptStatus::Reset);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn attempts_and_retry_after_are_by_the_settings_at_arrival() {
+fn max_attempts_and_retry_after_follow_the_settings_at_arrival() {
     let mut node = Node::with_servers(Settings { max_attempts: 2, ..settings() }, 4);
     let before = node.request(0, 7, ms(400));
     node.reconfigure(Settings { max_attempts: 1, max_retry_after: ms(0), ..settings() });
@@ -75,13 +75,13 @@
     assert_eq!(retry_after(&node.answer(&after, AttemptStatus::ConnectError)), ms(0));
 }
 
-/// Opens the breaker of the server that this key goes to. Returns the server.
+/// Opens the breaker of the server of this key. Returns the server.
 fn eject(node: &mut Node, key: u64) -> ServerId {
     let first = node.call(key, AttemptStatus::Reset).expect("sent");
     for _ in 0..2 {
         node.call(key, AttemptStatus::Reset);
     }
-    assert_ne!(node.call(key, AttemptStatus::Ok), Some(first.clone()), "its breaker is open");
+    assert_ne!(node.call(key, AttemptStatus::Ok), Some(first.clone()), "the breaker of {first} is open");
     first
 }
 
@@ -97,14 +97,15 @@
     assert_eq!(node.call(7, AttemptStatus::Ok), Some(server));
 }
 
-/// The breakers of classes are found by their place in the settings. When the order changes, one must not go
-/// on counting for another class.
+/// The breakers of classes are found by index. After classes are reordered, a breaker must not count the
+/// results of another class.
 #[test]
 fn rejections_of_a_class_count_for_the_class_of_that_name() {
     let mut node = Node::with_servers(settings(), 2);
     node.load = LoadReport { queue_length: Some(0.0), ..LoadReport::default() };
     let own = node.call(7, AttemptStatus::Ok).expect("sent");
-    // A request of this class, rejected by the key's own server. Returns the server that it went to first.
+    // Sends a request of this class, which only the key's own server rejects. Returns the first server that
+    // it was sent to.
     let call = |node: &mut Node, class: usize| {
         let id = node.request(class, 7, ms(400));
         let (_, server) = node.in_flight(&id).expect("sent");
@@ -120,11 +121,11 @@
     }
     assert_ne!(call(&mut node, 1), own, "the breaker of the class is open");
     node.reconfigure(with_classes(&[1, 0]));
-    assert_ne!(call(&mut node, 0), own, "the keyed class is the first one now");
+    assert_ne!(call(&mut node, 0), own, "the breaker of the keyed class, now the first, is still open");
     let read = node.request(1, 7, ms(400));
     assert_eq!(node.in_flight(&read).expect("sent").1, own);
     node.answer(&read, AttemptStatus::Ok);
-    // Removed and added again, it is a class of which nothing is known.
+    // A class that was removed and added again starts with a closed breaker.
     node.reconfigure(with_classes(&[0]));
     node.reconfigure(with_classes(&[1]));
     let id = node.request(0, 7, ms(400));
@@ -132,8 +133,8 @@
     node.answer(&id, AttemptStatus::Ok);
 }
 
-/// A request whose class is removed counts as one of no class from then on. The results of attempts that were
-/// sent before must not open the breaker of those requests.
+/// A request whose class is removed counts as a request without a class from then on. The results of its
+/// earlier attempts must not open the breaker for requests without a class.
 #[test]
 fn results_of_a_removed_class_count_for_no_other_class() {
     let mut node = Node::with_servers(settings(), 2);
@@ -141,7 +142,8 @@
     let own = node.call(7, AttemptStatus::Ok).expect("sent");
     let ids: Vec<_> = (0..6).map(|_| node.request(1, 7, ms(400))).collect();
     node.reconfigure(with_classes(&[0]));
-    // The other server serves requests of no class: if it did not, this one would be no outlier.
+    // The other server serves requests without a class. Otherwise the key's own server would not be an
+    // outlier.
     let elsewhere = (0..).find(|&key| node.call(key, AttemptStatus::Ok).is_some_and(|server| server != own));
     let unnamed = |node: &mut Node, id: &str, key| {
         let request = Request { key, ..Request::new(id, node.now + ms(400)) };
@@ -157,11 +159,15 @@
         }
     }
     let id = unnamed(&mut node, "unnamed", Some(7));
-    assert_eq!(node.in_flight(&id).expect("sent").1, own, "the breaker for requests of no class is closed");
+    assert_eq!(
+        node.in_flight(&id).expect("sent").1,
+        own,
+        "the breaker for requests without a class is closed"
+    );
 }
 
 #[test]
-fn a_list_that_has_to_be_subscribed_to_is_subscribed_to_once() {
+fn a_polled_endpoint_list_is_subscribed_to_once() {
     let mut node = Node::with_servers(settings(), 2);
     let subscriptions = |actions: Vec<Action>| {
         actions.iter().filter(|action| **action == Action::SubscribeToEndpoints).count()
@@ -169,13 +175,13 @@
     let polled = Settings { discovery_is_polled: true, ..settings() };
     assert_eq!(subscriptions(node.handle(Event::Reconfigured(Box::new(polled.clone())))), 1);
     assert_eq!(subscriptions(node.handle(Event::Reconfigured(Box::new(polled.clone())))), 0);
-    // After another source in between, it has to be subscribed to again.
+    // After a change to another source and back, the node has to subscribe again.
     assert_eq!(subscriptions(node.handle(Event::Reconfigured(Box::new(settings())))), 0);
     assert_eq!(subscriptions(node.handle(Event::Reconfigured(Box::new(polled)))), 1);
 }
 
-/// Equal events must give equal actions, with reloads among them. A reload that resets anything would show as
-/// a difference.
+/// Reloads of unchanged settings must not change any action. A reload that resets state would cause a
+/// difference.
 #[test]
 fn a_reload_of_the_same_settings_changes_no_action() {
     let run = |reconfigured: bool| {
--- a/crates/balancer-core/tests/retry_budget.rs
+++ b/crates/balancer-core/tests/retry_budget.rs
@@ -1,12 +1,12 @@
-//! The retry budget: which retries it pays for, and what pays into it.
+//! Tests of the retry budget: which retries it limits, and which attempts add to it.
 
 mod common;
 use balancer_core::*;
 use common::*;
 
-/// Every request tried on every server multiplies the load just when there is too much of it.
+/// Trying each request on several servers multiplies the load when it is already too high.
 #[test]
-fn retries_stop_when_their_budget_is_spent() {
+fn retries_stop_when_the_budget_is_spent() {
     let mut node = Node::with_servers(settings(), 8);
     let mut sends = 0;
     for key in 0..300 {
@@ -20,8 +20,9 @@
     assert!(sends <= 300 + 300 / 5 + 10, "{sends} sends for 300 requests");
 }
 
-/// Nodes that hold an old list meet each removed server by themselves. A retry elsewhere costs no server
-/// anything; rejected for want of budget, the client would only come again.
+/// Each node with an outdated endpoint list has to find out by itself that a server was removed. A connection
+/// that fails puts no load on a server, so its retry is free. If the request were rejected for lack of
+/// budget, the client would only send it again.
 #[test]
 fn retries_after_connect_errors_need_no_budget() {
     let mut node = Node::with_servers(settings(), 26);
@@ -29,7 +30,7 @@
         let id = node.request(0, key, ms(400));
         for attempts_left in (0..3).rev() {
             let (attempt, server) = node.in_flight(&id).expect("sent, and retried");
-            // Half of the servers on the list are gone.
+            // Half of the listed servers no longer exist.
             if server.as_str() < "n" && attempts_left > 0 {
                 node.end_attempt(&id, attempt, AttemptStatus::ConnectError);
             } else {
@@ -40,10 +41,10 @@
     }
 }
 
-/// If attempts after connect errors paid into the budget, failed connections would pay for retries that
-/// overloaded servers are to be spared.
+/// If attempts after connect errors added to the budget, failed connections would pay for retries at
+/// overloaded servers.
 #[test]
-fn connect_errors_pay_nothing_into_the_retry_budget() {
+fn attempts_after_connect_errors_add_nothing_to_the_budget() {
     let mut node = Node::with_servers(settings(), 26);
     let mut retries = |connect_errors: usize| {
         let mut retried = 0;
@@ -60,7 +61,7 @@
         }
         retried
     };
-    // The saved balance is spent first. After that, every fifth request can be retried.
+    // The first run spends the initial balance. After that, one request in five can be retried.
     retries(0);
     let (without, with) = (retries(0), retries(2));
     assert!((18..=22).contains(&without), "{without}");
--- a/crates/balancer-core/tests/rules.rs
+++ b/crates/balancer-core/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Rules 1 to 3, each on its own and under arbitrary legal sequences of events with fixed seeds.
+//! Tests of rules 1 to 3 (see `common`), individually and under random valid sequences of events with fixed
+//! seeds.
 
 mod common;
 use balancer_core::*;
@@ -10,10 +11,10 @@
     let mut node = Node::with_servers(settings(), 3);
     let id = node.request(2, 7, ms(400));
     node.answer(&id, AttemptStatus::QueueFull);
-    let (attempt, _) = node.in_flight(&id).expect("it never ran, and is retried");
+    let (attempt, _) = node.in_flight(&id).expect("a request that never ran is retried");
     assert_eq!(attempt, 1);
     let actions = node.answer(&id, AttemptStatus::TimedOut);
-    assert_eq!(actions, [Action::Fail { id }], "it may have run: neither retried nor rejected");
+    assert_eq!(actions, [Action::Fail { id }], "a request that may have run is neither retried nor rejected");
 }
 
 #[test]
@@ -22,7 +23,7 @@
     let id = node.request(1, 7, ms(5_000));
     node.advance(ms(500));
     node.answer(&id, AttemptStatus::Failed);
-    assert!(node.in_flight(&id).is_some(), "within the window it is retried");
+    assert!(node.in_flight(&id).is_some(), "the request is retried within its window");
     node.advance(ms(600));
     node.answer(&id, AttemptStatus::Failed);
     assert!(node.in_flight(&id).is_none(), "the first attempt is 1.1 s old");
@@ -42,7 +43,7 @@
     for key in 0..30 {
         let id = node.request(1, key, ms(400));
         node.answer(&id, AttemptStatus::Failed);
-        // `Node` checks the cell. Here only that the rule is not kept by giving up.
+        // `Node` checks the cell. This test checks that requests are retried at all.
         retried += usize::from(node.in_flight(&id).is_some());
         if node.in_flight(&id).is_some() {
             node.answer(&id, AttemptStatus::Ok);
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn a_draining_or_removed_server_is_sent_nothing_new() {
+fn a_draining_or_removed_server_receives_no_new_requests() {
     let mut node = Node::with_servers(settings(), 2);
     let own = node.call(7, AttemptStatus::Ok).expect("served");
     let own_in = |state| Endpoint { state, ..Endpoint::new(own.as_str()) };
@@ -62,11 +63,11 @@
     node.apply_delta(vec![own_in(EndpointState::Removed)]);
     assert_ne!(node.call(7, AttemptStatus::Ok), Some(own.clone()));
     node.apply_delta(vec![own_in(EndpointState::Ready)]);
-    assert_eq!(node.call(7, AttemptStatus::Ok), Some(own), "an id that returns is used again");
+    assert_eq!(node.call(7, AttemptStatus::Ok), Some(own), "a server that is listed again is used again");
 }
 
 #[test]
-fn with_no_server_a_request_is_answered_at_once() {
+fn a_request_is_answered_immediately_without_servers() {
     let mut node = Node::new(settings(), 1);
     for class in 0..3 {
         let id = node.request(class, 7, ms(400));
@@ -78,27 +79,27 @@
 }
 
 #[test]
-fn a_request_past_its_deadline_fails_at_once() {
+fn a_request_past_its_deadline_is_answered_immediately() {
     let mut node = Node::with_servers(settings(), 2);
     let id = node.request(0, 7, Duration::ZERO);
     assert!(node.requests[&id].finished && node.requests[&id].attempts.is_empty());
 }
 
 #[test]
-fn a_request_of_no_class_is_not_idempotent() {
+fn a_request_without_a_class_is_not_idempotent() {
     let mut node = Node::with_servers(settings(), 2);
     let id = node.submit(Request::new("odd", node.now + ms(400)));
     assert_eq!(node.answer(&id, AttemptStatus::Failed), [Action::Fail { id }]);
 }
 
 #[test]
-fn events_of_requests_that_are_gone_have_no_effect() {
+fn events_of_finished_requests_have_no_effect() {
     let mut node = Node::with_servers(settings(), 2);
     let id = node.request(0, 7, ms(400));
     node.requests.get_mut(&id).expect("known").finished = true;
     assert_eq!(node.handle(Event::RequestCancelled(id.clone())), []);
     assert_eq!(node.handle(Event::RequestCancelled(id.clone())), []);
-    // A result that comes late must not revive the request.
+    // A late result must not restart the request.
     assert_eq!(node.answer(&id, AttemptStatus::Failed), []);
     assert_eq!(node.handle(Event::TimerExpired), []);
     assert_eq!(node.handle(Event::ResponseStarted { id: "unknown".into() }), []);
@@ -108,15 +109,18 @@
 fn a_failed_subscription_is_tried_again() {
     let mut node = Node::new(Settings { discovery_is_polled: true, ..settings() }, 1);
     assert!(node.handle(Event::EndpointsRestored(Vec::new().into())).contains(&Action::SubscribeToEndpoints));
-    assert_eq!(node.handle(Event::TimerExpired), [], "once is enough");
-    let again = node.handle(Event::EndpointsUpdated(EndpointUpdate::Unavailable));
-    assert!(matches!(&again[..], [Action::SetTimer { .. }]), "after a while, not at once: {again:?}");
+    assert_eq!(node.handle(Event::TimerExpired), [], "no second subscription without a failure");
+    let actions = node.handle(Event::EndpointsUpdated(EndpointUpdate::Unavailable));
+    assert!(
+        matches!(&actions[..], [Action::SetTimer { .. }]),
+        "the subscription is retried after a delay: {actions:?}"
+    );
     node.advance(ms(5_000));
     assert_eq!(node.actions.iter().filter(|action| **action == Action::SubscribeToEndpoints).count(), 2);
 }
 
-/// Arbitrary events of a fleet whose servers and requests are drawn by seed; returns the actions.
-fn arbitrary(seed: u64) -> Vec<Action> {
+/// Runs a node through random events, servers and requests that the seed determines. Returns the actions.
+fn run_arbitrary_events(seed: u64) -> Vec<Action> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (settings, origin) = arbitrary_settings(&mut rng);
     let mut node = Node::new(settings, seed);
@@ -127,7 +131,7 @@
     node.actions
 }
 
-/// Settings, and the origin that is on each list.
+/// Returns settings, and the origin, which is on each endpoint list.
 fn arbitrary_settings(rng: &mut fastrand::Rng) -> (Settings, Endpoint) {
     let scopes = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell];
     let (mut settings, origin) = if rng.bool() { aside() } else { (settings(), Endpoint::new("zz")) };
@@ -210,7 +214,7 @@
 fn arbitrary_legal_events_break_no_rule() {
     for seed in 0..150 {
         let _seed = SeedOfFailure(seed);
-        arbitrary(seed);
+        run_arbitrary_events(seed);
     }
 }
 
@@ -220,7 +224,7 @@
 impl Drop for SeedOfFailure {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("seed {} breaks a rule", self.0);
+            eprintln!("the run with seed {} panicked", self.0);
         }
     }
 }
@@ -228,12 +232,12 @@
 #[test]
 fn equal_events_give_equal_actions() {
     for seed in [3, 58] {
-        assert_eq!(arbitrary(seed), arbitrary(seed));
+        assert_eq!(run_arbitrary_events(seed), run_arbitrary_events(seed));
     }
 }
 
 #[test]
-fn a_result_of_an_attempt_that_was_never_sent_loses_no_request() {
+fn a_result_of_an_unknown_attempt_does_not_lose_the_request() {
     let mut node = Node::with_servers(settings(), 2);
     let id = node.request(0, 7, ms(400));
     let (_, server) = node.in_flight(&id).expect("sent");
--- a/crates/balancer-core/tests/settings_edges.rs
+++ b/crates/balancer-core/tests/settings_edges.rs
@@ -1,5 +1,5 @@
-//! Settings at their edges. A setting from outside must not stop a node: each event is handled, with a bounded number of
-//! actions.
+//! Tests of extreme settings. External settings must not make a node hang: each event must be handled with a
+//! bounded number of actions.
 
 use balancer_core::*;
 use proptest::prelude::*;
@@ -7,13 +7,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// Far longer than any event takes.
+/// Time limit for all events of a run; far longer than they take.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// The most actions for one event of a node with few requests.
+/// Maximum number of actions for one event of a node with few requests.
 const MAX_ACTIONS: usize = 20;
 const EVENTS: u64 = 40;
 
-/// A time at or near an edge.
+/// Generates durations at or near the ends of their range.
 fn edge_time() -> impl Strategy<Value = Duration> {
     let micros = prop_oneof![Just(0), Just(1), Just(9), Just(10), 0..20_000_u64, Just(u64::MAX / 1_000_000)];
     micros.prop_map(Duration::from_micros)
@@ -46,7 +46,8 @@
     )
 }
 
-/// Requests that meet servers without room, with every timer that is asked for. Returns the most actions of one event.
+/// Sends requests that are never answered, so that the servers run out of capacity, with an expired timer
+/// after each. Returns the maximum number of actions of one event.
 fn most_actions(settings: Settings, time_left: Duration) -> usize {
     let mut balancer = Balancer::new(settings, 1);
     let mut now = Timestamp::from_micros(3_000_000_000);
@@ -67,16 +68,17 @@
     most
 }
 
-/// Runs this in a thread of its own, since it may never return.
+/// Runs `run` in a separate thread, since it may never return, and panics after [`TIMEOUT`].
 fn within_time<T: Send + 'static>(run: impl FnOnce() -> T + Send + 'static) -> T {
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || sender.send(run()));
-    receiver.recv_timeout(TIMEOUT).expect("handle() returns")
+    receiver.recv_timeout(TIMEOUT).expect("all events are handled within the time limit")
 }
 
-/// With an objective of 0 a queued request was tried again at the same moment, without end.
+/// With a latency objective of 0, the next try of a queued request was due immediately, which caused an
+/// endless loop.
 #[test]
-fn a_latency_objective_of_zero_does_not_stop_the_node() {
+fn a_latency_objective_of_zero_does_not_block_the_node() {
     let class = RequestClass { latency_objective: Duration::ZERO, ..RequestClass::default() };
     let settings = Settings { classes: vec![class], max_attempts: 1, nodes: 16, ..Settings::default() };
     let most = within_time(move || most_actions(settings, Duration::from_millis(400)));
@@ -84,7 +86,7 @@
 }
 
 proptest! {
-    // A case that does not return is not made smaller: each try would take the whole time.
+    // Cases that time out are not shrunk, since each try would take the whole time limit.
     #![proptest_config(ProptestConfig { max_shrink_iters: 0, ..ProptestConfig::default() })]
     #[test]
     fn each_event_is_handled_with_few_actions(settings in edge_settings(), time_left in edge_time()) {
