--- a/crates/balancer-core/src/admission.rs
+++ b/crates/balancer-core/src/admission.rs
@@ -6,12 +6,12 @@
 //! the whole fleet.
 //!
 //! The level decreases by a fraction of itself with each attempt that was late or found the queue full, and
-//! increases by a fixed step with each answer in time (Chiu and Jain, "Analysis of the Increase and Decrease
-//! Algorithms for Congestion Avoidance", 1989: nodes that share a bottleneck converge to fair shares without
-//! communication). Each result changes the level, independent of time, so the level at which increases and
-//! decreases balance depends little on the number of results that a node sees: N nodes together admit about
-//! as much as a single node that sees all results. A node that sees few results converges more slowly, and
-//! `PRIOR_ANSWERS` have more influence on it.
+//! increases by an additive step with each answer in time (Chiu and Jain, "Analysis of the Increase and
+//! Decrease Algorithms for Congestion Avoidance", 1989: nodes that share a bottleneck converge to fair shares
+//! without communication). The level changes with each result and not with time, so the level at which
+//! increases and decreases balance depends little on the number of results that a node sees: N nodes together
+//! admit about as much as a single node that sees all results. A node that sees few results converges more
+//! slowly, and `PRIOR_ANSWERS` have more influence on it.
 //!
 //! Requests with the least priority weight per unit of work are rejected first, so that the available
 //! capacity serves as much weight as possible. A minimum fraction of each class is always admitted, because
--- a/crates/balancer-core/src/balance/circuit_breaker.rs
+++ b/crates/balancer-core/src/balance/circuit_breaker.rs
@@ -53,8 +53,8 @@
     },
 }
 
-/// A circuit breaker. The caller decides whether to open it, since the guarded target may fail for a common
-/// cause.
+/// A circuit breaker. The caller decides whether to open it, since the guarded target may fail for a cause
+/// outside of the target.
 #[derive(Debug)]
 pub struct CircuitBreaker {
     state: BreakerState,
--- a/crates/balancer-core/src/balance/origin_breaker.rs
+++ b/crates/balancer-core/src/balance/origin_breaker.rs
@@ -10,7 +10,7 @@
 use crate::learned_state::LearnedBreaker;
 use crate::time::Timestamp;
 
-/// The cooldown is [`COOLDOWN`] times `COOLDOWN_MIN_FRACTION` plus a random number of at most
+/// The cooldown is a fraction of [`COOLDOWN`]: this minimum plus a random part of up to
 /// `COOLDOWN_JITTER_FRACTION`, so that the trials of many nodes do not coincide.
 const COOLDOWN_MIN_FRACTION: f64 = 0.75;
 const COOLDOWN_JITTER_FRACTION: f64 = 0.5;
