--- a/crates/balancer-core/src/discovery/backoff.rs
+++ b/crates/balancer-core/src/discovery/backoff.rs
@@ -201,7 +201,7 @@
     if failures == 0 {
         return Duration::ZERO;
     }
-    if !settings.is_polled {
+    if !settings.is_shared_service {
         return local_agent::pause(settings);
     }
     backoff(nodes, failures, next, 1.0).min(limit).mul_f64(unit_fraction(jitter))
--- a/crates/balancer-core/src/discovery/pacing.rs
+++ b/crates/balancer-core/src/discovery/pacing.rs
@@ -21,7 +21,7 @@
     pub drain_grace: Duration,
     /// [`Settings::discovery_is_polled`]. Both are polled: one service for all nodes, paced by their number, or else an
     /// agent on the node's own machine, several times within each drain grace.
-    pub is_polled: bool,
+    pub is_shared_service: bool,
 }
 
 impl From<&Settings> for PollSettings {
@@ -30,7 +30,7 @@
             nodes: settings.nodes,
             max_poll_interval: settings.max_poll_interval,
             drain_grace: settings.drain_grace,
-            is_polled: settings.discovery_is_polled,
+            is_shared_service: settings.discovery_is_polled,
         }
     }
 }
@@ -74,7 +74,7 @@
         let replicas = u32::try_from(replicas.max(1)).unwrap_or(u32::MAX);
         let nodes = settings.nodes.div_ceil(replicas);
         // An agent on the node's own machine has no capacity that nodes share.
-        let capacity = capacity.filter(|_| settings.is_polled);
+        let capacity = capacity.filter(|_| settings.is_shared_service);
         let share = capacity.map(|capacity| ReplicaShare { nodes, capacity, list_lines });
         Self { settings: PollSettings { nodes, ..settings }, share }
     }
--- a/crates/balancer-core/src/discovery/poll_schedule.rs
+++ b/crates/balancer-core/src/discovery/poll_schedule.rs
@@ -73,7 +73,7 @@
     /// The next poll. `jitter` is a random number from 0 to 1.
     pub fn next_poll(&self, pacing: impl Into<PollPacing>, kind: PollKind, jitter: f64) -> Poll {
         let pacing = pacing.into();
-        if !pacing.settings.is_polled {
+        if !pacing.settings.is_shared_service {
             return local_agent::next_poll(pacing.settings, kind);
         }
         match kind {
--- a/crates/balancer-core/tests/poll_schedule.rs
+++ b/crates/balancer-core/tests/poll_schedule.rs
@@ -104,7 +104,7 @@
 fn a_local_agent_is_polled_again_within_any_drain_grace() {
     for grace in [50, 150, 500, 3_000] {
         let drain_grace = Duration::from_millis(grace);
-        let settings = PollSettings { is_polled: false, drain_grace, ..settings(350) };
+        let settings = PollSettings { is_shared_service: false, drain_grace, ..settings(350) };
         let mut schedule = PollSchedule::default();
         for failures in 0..40 {
             let kind = if failures % 3 > 0 { Watch } else { Snapshot };
@@ -115,7 +115,7 @@
         }
     }
     // A grace of zero cannot be met; it must not lead to polls without a pause.
-    let none = PollSettings { is_polled: false, drain_grace: Duration::ZERO, ..settings(1) };
+    let none = PollSettings { is_shared_service: false, drain_grace: Duration::ZERO, ..settings(1) };
     let poll = PollSchedule::default().next_poll(none, Watch, 0.0);
     assert!(poll.wait >= Duration::from_millis(5) && poll.timeout > poll.wait);
 }
--- a/crates/balancer-core/tests/reference/single_address_schedule.rs
+++ b/crates/balancer-core/tests/reference/single_address_schedule.rs
@@ -34,7 +34,7 @@
     pub max_poll_interval: Duration,
     pub drain_grace: Duration,
     /// One service for all nodes, else an agent on the node's own machine.
-    pub is_polled: bool,
+    pub is_shared_service: bool,
 }
 
 impl Settings {
@@ -71,7 +71,7 @@
 impl Schedule {
     /// The next poll: a watch or a snapshot.
     pub fn next_poll(&self, settings: Settings, is_watch: bool, jitter: f64) -> Poll {
-        if !settings.is_polled {
+        if !settings.is_shared_service {
             let wait = if is_watch { settings.grace_fraction(AGENT_WAIT_DIVISOR) } else { Duration::ZERO };
             return Poll { wait, timeout: wait + settings.grace_fraction(AGENT_TIMEOUT_MARGIN_DIVISOR) };
         }
@@ -133,7 +133,7 @@
         jitter: f64,
         limit: Duration,
     ) -> Duration {
-        match (settings.is_polled, failures) {
+        match (settings.is_shared_service, failures) {
             (_, 0) => Duration::ZERO,
             (false, _) => settings.grace_fraction(AGENT_PAUSE_DIVISOR),
             (true, _) => {
--- a/crates/balancer-core/tests/single_address.rs
+++ b/crates/balancer-core/tests/single_address.rs
@@ -47,13 +47,13 @@
     #[test]
     fn one_address_without_a_capacity_is_polled_as_before_replicas(
         nodes in 1..10_000_u32,
-        is_polled in prop::bool::weighted(0.9),
+        is_shared_service in prop::bool::weighted(0.9),
         (within, grace) in (1..60_000_u64, 0..3_000_u64),
         ends in prop::collection::vec((0..6_u8, 0.0..1.0_f64, 0.0..1.0_f64, any::<bool>()), 1..80),
     ) {
         let (max_poll_interval, drain_grace) = (Duration::from_millis(within), Duration::from_millis(grace));
-        let settings = PollSettings { nodes, max_poll_interval, drain_grace, is_polled };
-        let reference_settings = reference::Settings { nodes, max_poll_interval, drain_grace, is_polled };
+        let settings = PollSettings { nodes, max_poll_interval, drain_grace, is_shared_service };
+        let reference_settings = reference::Settings { nodes, max_poll_interval, drain_grace, is_shared_service };
         let mut client = DiscoveryClient::new(ReplicaSelection::new("n0", vec!["127.0.0.1:7100".into()]));
         let mut reference = reference::Schedule::default();
         let pacing = |client: &DiscoveryClient| {
--- a/crates/balancer-core/tests/support/poll_settings.rs
+++ b/crates/balancer-core/tests/support/poll_settings.rs
@@ -9,6 +9,6 @@
         nodes,
         max_poll_interval: Duration::from_secs(10),
         drain_grace: Duration::from_millis(500),
-        is_polled: true,
+        is_shared_service: true,
     }
 }
--- a/crates/testbed/src/scale/virtual_time/client.rs
+++ b/crates/testbed/src/scale/virtual_time/client.rs
@@ -205,7 +205,7 @@
             nodes,
             max_poll_interval: MAX_POLL_INTERVAL,
             drain_grace: DRAIN_GRACE,
-            is_polled: true,
+            is_shared_service: true,
         }
     }
 
