--- a/crates/balancer-core/src/discovery/client.rs
+++ b/crates/balancer-core/src/discovery/client.rs
@@ -1,5 +1,5 @@
-//! What a node does after each poll: how long it pauses, and which replica it polls next. With one replica this is
-//! [`PollSchedule`] and nothing more.
+//! Decides after each poll how long a node pauses and which replica it polls next. With a single replica it only
+//! delegates to [`PollSchedule`].
 
 use super::pacing::PollPacing;
 use super::poll_schedule::{Poll, PollKind, PollOutcome, PollSchedule};
@@ -8,28 +8,29 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Nodes that lost one replica together poll the next within this time, each after a random part of it.
+/// Longest pause before a failover. Nodes that lost a replica together each wait for a random part of it, so that
+/// they do not all poll the next replica at once.
 const MAX_FAILOVER_PAUSE: Duration = Duration::from_millis(200);
 
 /// Random numbers from 0 to 1 for one decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Jitter {
-    /// For the pause before the next poll.
+    /// Determines the pause before the next poll.
     pub pause: f64,
-    /// For the hold-down of a preferred replica that failed.
+    /// Determines the hold-down of a preferred replica that failed.
     pub hold_down: f64,
 }
 
-/// What follows a poll.
+/// The pause after a poll and the replica of the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NextPoll {
     /// The pause before the next poll.
     pub pause: Duration,
-    /// The replica of the next poll, relative to that of the last.
+    /// The replica of the next poll, relative to that of the previous poll.
     pub transition: ReplicaTransition,
 }
 
-/// The client of discovery's replicas, without I/O.
+/// The client of the replicas of discovery, without I/O.
 #[derive(Clone, Debug)]
 pub struct DiscoveryClient {
     replicas: ReplicaSelection,
@@ -37,22 +38,22 @@
 }
 
 impl DiscoveryClient {
-    /// A client that has not polled yet.
+    /// Creates a client that has not polled yet.
     pub fn new(replicas: ReplicaSelection) -> Self {
         Self { replicas, schedule: PollSchedule::default() }
     }
 
-    /// The replicas in this node's order of preference.
+    /// Returns the replicas in this node's order of preference.
     pub fn replicas(&self) -> &ReplicaSelection {
         &self.replicas
     }
 
-    /// The next poll, which goes to the current replica. `jitter` is a random number from 0 to 1.
+    /// Returns the next poll, which goes to the current replica. `jitter` is a random number from 0 to 1.
     pub fn next_poll(&self, pacing: PollPacing, kind: PollKind, jitter: f64) -> Poll {
         self.schedule.next_poll(pacing, kind, jitter)
     }
 
-    /// How long the rest of an answer may take once it has begun; `None` where no capacity is stated.
+    /// Returns how long the rest of an answer may take once it has begun, or `None` if no capacity is configured.
     pub fn answer_allowance(&self, pacing: PollPacing) -> Option<Duration> {
         self.schedule.answer_allowance(pacing)
     }
--- a/crates/balancer-core/src/discovery/list_validator.rs
+++ b/crates/balancer-core/src/discovery/list_validator.rs
@@ -1,16 +1,17 @@
-//! Whether a list that discovery sent is accepted, and which kind of list is requested next. A list that cannot be right is
-//! rejected: the current one stays in use, and the poll that brought it counts as failed.
+//! Validates the lists that discovery sends, and decides which kind of list is requested next. An invalid list is
+//! rejected: the current list stays in use, and the poll that returned the invalid one counts as failed.
 //!
-//! A list that is empty, or older than the current one, is suspicious rather than wrong: fleets are really shut down, and a
-//! discovery may lose its versions and count from the start. Received several times in a row it is accepted. Envoy's panic
-//! threshold and Eureka's self-preservation do the same with a fraction of the fleet as the bound; here a list that shrinks
-//! the fleet to a few servers is accepted at once, since nothing new may go to a server that a list lacks.
+//! A list that is empty, or older than the current one, is suspicious rather than invalid: fleets really are shut
+//! down, and a discovery may lose its versions and start counting again. If it is received several times in a row, it
+//! is accepted. Envoy's panic threshold and Eureka's self-preservation do the same with a fraction of the fleet as
+//! the bound; here a list that shrinks the fleet to a few servers is accepted at once, since a server that is missing
+//! from a list must get no new requests.
 //!
-//! Where replicas of one service are polled, repetition by one of them proves nothing: an empty list takes three replicas, or
-//! all where there are fewer, and an older one takes all of them. Three suspicious snapshots are needed there as well. Any
-//! smaller number of replicas may lag behind together after a network partition, and a replica that cannot be reached may be
-//! the one with the newer list. The other replicas are asked for changes, as before: a snapshot for each node is more than
-//! they could send.
+//! With several replicas of one service, repetition by one of them proves nothing: an empty list must come from three
+//! replicas (from all, if there are fewer), and an older list from all of them. Three suspicious snapshots are needed
+//! as well. Any smaller number of replicas may lag behind together after a network partition, and an unreachable
+//! replica may be the one with the newer list. The other replicas are still polled for changes, since they could not
+//! send a snapshot to every node.
 
 use super::poll_schedule::PollKind;
 use super::suppressed_servers::SuppressedServers;
@@ -18,16 +19,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// A suspicious list is accepted as the last of this many suspicious snapshots, with no list accepted in between. Where
-/// replicas are polled, enough of them must have sent a suspicious list as well.
+/// Number of suspicious snapshots, with no accepted list in between, the last of which is accepted. With several
+/// replicas, enough of them must have sent a suspicious list as well.
 const REPEATS_TO_ACCEPT: u32 = 3;
 
-/// An entry of a list, as far as validation depends on it.
+/// The parts of a list entry that validation depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListEntry<'a> {
-    /// The server.
+    /// The id of the server.
     pub id: &'a str,
-    /// Its reported state.
+    /// The reported state of the server.
     pub state: EndpointState,
     /// Whether the entry has an address.
     pub has_address: bool,
@@ -38,16 +39,16 @@
 pub struct ReceivedList<'a> {
     /// Its version.
     pub version: u64,
-    /// Whether this is the full list, rather than the changes since the version that was requested.
+    /// Whether this is the full list rather than the changes since the requested version.
     pub is_snapshot: bool,
     /// Its entries, in order.
     pub entries: &'a [ListEntry<'a>],
 }
 
-/// Why a list is rejected. Indices count from 0, as in the list.
+/// The reason why a list is rejected. Indices start at 0.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ListError {
-    /// Two entries of a snapshot have one id, and nothing tells which is right.
+    /// Two entries of a snapshot have the same id, and it is unknown which one is right.
     #[error("hosts[{second}]: {id} again, which stands at hosts[{first}] already")]
     DuplicateId {
         /// The index of the first entry.
@@ -57,7 +58,7 @@
         /// The id.
         id: String,
     },
-    /// A snapshot is empty, while ready servers are known.
+    /// A snapshot is empty although ready servers are known.
     #[error("hosts: empty, where {known_ready} ready servers are known")]
     Empty {
         /// The number of ready servers known.
@@ -71,20 +72,20 @@
         /// The version of the current list.
         current: u64,
     },
-    /// Changes came where a snapshot was requested.
-    #[error("whole: false, where the whole list was asked for")]
+    /// Changes were received although a snapshot was requested.
+    #[error("whole: expected true, since the whole list was requested; found false")]
     UnexpectedDelta,
 }
 
-/// What is wrong with a list that is accepted all the same.
+/// A problem in a list that is accepted nevertheless.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ListWarning {
-    /// A server is ready and has no address: nothing is sent there.
+    /// A server is ready but has no address, so no requests are sent to it.
     #[error("hosts[{index}]: {id} is ready and has no address; expected one in dial")]
     MissingAddress {
         /// The index of the entry.
         index: usize,
-        /// The server.
+        /// The id of the server.
         id: String,
     },
     /// A suspicious list was received repeatedly.
@@ -105,7 +106,7 @@
 pub struct ListSource<'a> {
     /// The replica's name.
     pub replica: &'a str,
-    /// The number of replicas that share the sequence of versions, this one included.
+    /// The number of replicas that share the sequence of versions, including this one.
     pub replicas: usize,
 }
 
@@ -113,12 +114,12 @@
     /// A discovery service without replicas.
     pub const SINGLE: Self = Self { replica: "", replicas: 1 };
 
-    fn has_neighbours(self) -> bool {
+    fn is_replicated(self) -> bool {
         self.replicas > 1
     }
 
-    /// The number of replicas that have to send a suspicious list before it is accepted, beside [`REPEATS_TO_ACCEPT`]
-    /// snapshots from any of them; `None` for a list that never is.
+    /// Returns how many replicas must send a suspicious list before it is accepted, in addition to
+    /// [`REPEATS_TO_ACCEPT`] snapshots from any of them. Returns `None` for a list that is never accepted.
     fn required_replicas(self, error: &ListError) -> Option<usize> {
         match error {
             ListError::Empty { .. } => Some(self.replicas.min(REPEATS_TO_ACCEPT as usize)),
@@ -128,33 +129,35 @@
     }
 }
 
-/// Validates lists against the current one. It knows the version of the current list and which servers are ready, not the list.
+/// Validates lists against the current one. Stores the version of the current list and which servers are ready, not
+/// the list itself.
 #[derive(Clone, Debug, Default)]
 pub struct ListValidator {
     /// The version of the current list.
     current_version: Option<u64>,
-    /// The next poll requests a snapshot, whatever list is current.
+    /// Whether the next poll requests a snapshot regardless of the current list.
     snapshot_needed: bool,
     ready: BTreeSet<String>,
-    /// Suspicious snapshots since a list was accepted.
+    /// Number of suspicious snapshots since a list was last accepted.
     suspicious_snapshots: u32,
-    /// The replicas that sent a suspicious list since one was accepted.
+    /// The replicas that sent a suspicious list since a list was last accepted.
     suspicious_sources: BTreeSet<String>,
     suppressed: SuppressedServers,
 }
 
 impl ListValidator {
-    /// Starts from a list of this version and these ready servers; `None` where the version cannot be compared with others.
+    /// Creates a validator whose current list has this version and these ready servers. `version` is `None` if it
+    /// cannot be compared with other versions.
     pub fn new(version: Option<u64>, ready: impl IntoIterator<Item = String>) -> Self {
         Self { current_version: version, ready: ready.into_iter().collect(), ..Self::default() }
     }
 
-    /// The version after which the next poll requests changes; `None` for a snapshot.
+    /// Returns the version after which the next poll requests changes, or `None` if it requests a snapshot.
     pub fn watch_from(&self) -> Option<u64> {
         self.current_version.filter(|_| !self.snapshot_needed)
     }
 
-    /// The kind of the next poll.
+    /// Returns the kind of the next poll.
     pub fn next_poll_kind(&self) -> PollKind {
         match self.watch_from() {
             Some(_) => PollKind::Watch,
@@ -162,25 +165,26 @@
         }
     }
 
-    /// Another service is polled from here on: the current version means nothing there.
+    /// Records that another service is polled from now on. The current version has no meaning there.
     pub fn service_replaced(&mut self) {
         *self = Self::new(None, std::mem::take(&mut self.ready));
     }
 
-    /// Other replicas of the same service are polled from here on: the current list stays valid, and suspicious lists so far no
-    /// longer count.
+    /// Records that other replicas of the same service are polled from now on. The current list stays valid, and the
+    /// suspicious lists received so far no longer count.
     pub fn replicas_replaced(&mut self) {
         self.suspicious_snapshots = 0;
         self.suspicious_sources.clear();
     }
 
-    /// Records servers that were reported as leaving in an answer that was not accepted. `version` is that of the answer, as
-    /// far as it could be read.
+    /// Records servers that were reported as leaving in an answer that was not accepted. `version` is the version of
+    /// that answer, if it could be read.
     ///
-    /// A single service is asked for a snapshot next, which settles it. Of several replicas the others may not know yet:
-    /// until a list as new as the answer is accepted, these servers are [`Self::suppressed`].
+    /// A single service is polled for a snapshot next, which resolves the conflict. With several replicas, the others
+    /// may not know of the change yet: these servers are [`Self::suppressed`] until a list at least as new as the
+    /// answer is accepted.
     pub fn leaving_reported(&mut self, source: ListSource, version: Option<u64>, ids: BTreeSet<String>) {
-        if !source.has_neighbours() {
+        if !source.is_replicated() {
             self.snapshot_needed = true;
             return;
         }
@@ -188,29 +192,29 @@
         self.suppressed.add(ids, version, self.current_version);
     }
 
-    /// The servers that get no new work although the list accepted last may say that they are ready: a replica reported that
-    /// they are leaving, and that list is older.
+    /// Returns the servers that get no new requests although the last accepted list may say that they are ready: a
+    /// replica reported that they are leaving, and that list is older.
     pub fn suppressed(&self) -> &BTreeSet<String> {
         self.suppressed.ids()
     }
 
-    /// Whether there is a current list of a known version.
+    /// Returns whether there is a current list of a known version.
     pub fn has_list(&self) -> bool {
         self.current_version.is_some()
     }
 
-    /// The number of ready servers of the current list.
+    /// Returns the number of ready servers in the current list.
     pub fn ready_count(&self) -> usize {
         self.ready.len()
     }
 
-    /// Whether this server is known to be ready.
+    /// Returns whether this server is known to be ready.
     pub fn is_ready(&self, id: &str) -> bool {
         self.ready.contains(id)
     }
 
-    /// Accepts a list, which then is the current one, or returns why it is rejected. Of several changes to one server the last
-    /// counts: they are listed in order.
+    /// Accepts a list, which becomes the current one, or returns why it is rejected. If a list has several changes to
+    /// one server, the last one counts, since they are listed in order.
     pub fn validate(
         &mut self,
         source: ListSource,
@@ -221,7 +225,7 @@
             if !self.accepts_suspicious(source, list, &error) {
                 return Err(error);
             }
-            warnings.push(if source.has_neighbours() {
+            warnings.push(if source.is_replicated() {
                 ListWarning::AcceptedFromReplicas { error, replicas: self.suspicious_sources.len() }
             } else {
                 ListWarning::AcceptedAfterRepeats(error)
@@ -232,7 +236,7 @@
         Ok(warnings)
     }
 
-    /// Counts a suspicious list. Returns whether it is accepted by now; if not, decides what is requested next.
+    /// Counts a suspicious list and returns whether it is now accepted. If not, decides what is requested next.
     fn accepts_suspicious(&mut self, source: ListSource, list: &ReceivedList, error: &ListError) -> bool {
         let required = source.required_replicas(error);
         if required.is_some() {
@@ -243,14 +247,14 @@
         if list.is_snapshot && self.suspicious_snapshots >= REPEATS_TO_ACCEPT && enough_sources {
             return true;
         }
-        // A snapshot settles it. A watch would not: a discovery that counts from the start has no changes to report until it
-        // passes the current version. Another replica may well have some.
-        self.snapshot_needed |= !source.has_neighbours() || enough_sources;
+        // A snapshot shows whether the list is right. A watch would not: a discovery that restarted its count has no
+        // changes to report until it passes the current version. Another replica may well have changes.
+        self.snapshot_needed |= !source.is_replicated() || enough_sources;
         false
     }
 
     fn accept(&mut self, list: &ReceivedList) {
-        // A node without a list learns only now which versions are plausible.
+        // For a node without a list, this is the first version that tells which ones are plausible.
         self.suppressed.limit_version(self.current_version.or(Some(list.version)));
         (self.current_version, self.suspicious_snapshots) = (Some(list.version), 0);
         self.suspicious_sources.clear();
@@ -268,7 +272,7 @@
         }
     }
 
-    /// Checks a list against itself and the current one.
+    /// Checks that a list is consistent, and compares it with the current one.
     fn check(&self, list: &ReceivedList) -> Result<(), ListError> {
         if !list.is_snapshot && self.watch_from().is_none() {
             return Err(ListError::UnexpectedDelta);
@@ -297,7 +301,7 @@
     Ok(())
 }
 
-/// Ready servers without an address.
+/// Returns a warning for each ready server without an address.
 fn missing_addresses<'a>(entries: &'a [ListEntry]) -> impl Iterator<Item = ListWarning> + 'a {
     let missing = |entry: &ListEntry| entry.state == EndpointState::Ready && !entry.has_address;
     let entries = entries.iter().enumerate().filter(move |(_, entry)| missing(entry));
--- a/crates/balancer-core/src/discovery/local_agent.rs
+++ b/crates/balancer-core/src/discovery/local_agent.rs
@@ -1,18 +1,20 @@
-//! Polls to an agent on the node's own machine, which answers at once and at no cost to other nodes.
+//! Computes the wait, timeout and pause of polls to an agent on the node's own machine, which answers at once and at
+//! no cost to other nodes.
 //!
-//! What the agent learns counts as notified at that moment, also while it does not answer. So the wait of a poll, the margin
-//! of its timeout and the pause before the next poll together stay within the drain grace.
+//! The node counts as notified of a change as soon as the agent has it, even while the agent does not answer. The
+//! wait of a poll, the margin of its timeout and the pause before the next poll therefore together stay within the
+//! drain grace.
 
 use super::pacing::PollSettings;
 use super::poll_schedule::{Poll, PollKind};
 use std::time::Duration;
 
-/// Divisors of the drain grace: 1/5 + 1/5 + 1/10 of it leaves half for the next poll.
+/// Divisors of the drain grace. The three parts (1/5 + 1/5 + 1/10) leave half of it for the next poll.
 const WAIT_DIVISOR: u32 = 5;
 const TIMEOUT_MARGIN_DIVISOR: u32 = 5;
 const PAUSE_DIVISOR: u32 = 10;
 
-/// The next poll.
+/// Returns the next poll.
 pub(super) fn next_poll(settings: PollSettings, kind: PollKind) -> Poll {
     let wait = match kind {
         PollKind::Watch => settings.grace_fraction(WAIT_DIVISOR),
@@ -21,7 +23,7 @@
     Poll { wait, timeout: wait + settings.grace_fraction(TIMEOUT_MARGIN_DIVISOR) }
 }
 
-/// The pause after a poll that failed, or that did not wait as requested.
+/// Returns the pause after a poll that failed or did not wait as requested.
 pub(super) fn pause(settings: PollSettings) -> Duration {
     settings.grace_fraction(PAUSE_DIVISOR)
 }
--- a/crates/balancer-core/src/discovery/mod.rs
+++ b/crates/balancer-core/src/discovery/mod.rs
@@ -1,18 +1,18 @@
 //! The client of the discovery service, without I/O and without a clock.
 //!
-//! Start from [`DiscoveryClient`]: it names the replica to poll, the wait and the timeout of the poll, and the pause before
-//! the next one. [`ListValidator`] tells whether a list that a poll brought is accepted. A driver makes the calls and reports
-//! how they ended.
+//! Start with [`DiscoveryClient`]: it decides which replica to poll, the wait and the timeout of the poll, and the
+//! pause before the next one. [`ListValidator`] decides whether a received list is accepted. The caller performs the
+//! polls and reports their outcomes.
 //!
 //! | file | decides |
 //! | --- | --- |
-//! | `client` | what follows a poll: a pause, and the replica of the next poll |
+//! | `client` | the pause after a poll, and the replica of the next poll |
 //! | `poll_schedule` | the wait, timeout and pause of polls to one replica |
 //! | `watch` | the wait and timeout of a long poll |
-//! | `backoff` | the pause after polls that failed |
-//! | `local_agent` | the same for an agent on the node's own machine |
-//! | `pacing` | what the times depend on: settings, and the stated capacity of a replica |
-//! | `replica_capacity` | times that follow from that capacity |
+//! | `backoff` | the pause after failed polls |
+//! | `local_agent` | the wait, timeout and pause of polls to an agent on the node's own machine |
+//! | `pacing` | the inputs of these times: settings, and the configured capacity of a replica |
+//! | `replica_capacity` | the times that follow from that capacity |
 //! | `replica_selection`, `rendezvous` | which replica is polled: order, failover, hold-down and return |
 //! | `list_validator`, `suppressed_servers` | which lists are accepted |
 
@@ -37,7 +37,7 @@
 pub use replica_selection::{ReplicaResponse, ReplicaSelection, ReplicaSetChange, ReplicaTransition};
 pub use watch::MISSED_EVENT_DEADLINE;
 
-/// A random number as a factor from 0 to 1, whatever was drawn; NaN counts as 1.
+/// Clamps a random number to the range from 0 to 1. NaN becomes 1.
 fn unit_fraction(random: f64) -> f64 {
     if random.is_nan() {
         1.0
--- a/crates/balancer-core/src/discovery/pacing.rs
+++ b/crates/balancer-core/src/discovery/pacing.rs
@@ -1,13 +1,13 @@
-//! What the times of polls depend on.
+//! The inputs that determine the timing of polls.
 
 use super::backoff::WATCH_COST;
 use super::replica_capacity::{ReplicaCapacity, ReplicaShare};
 use crate::settings::Settings;
 use std::time::Duration;
 
-/// How often within the drain grace the part of an answer that has arrived is read.
+/// Number of times per drain grace that the received part of an answer is read.
 const PARTIAL_READS_PER_GRACE: u32 = 4;
-/// A fraction of the drain grace is never shorter, so that a grace of zero does not lead to polls without a pause.
+/// Minimum of a fraction of the drain grace, so that a grace of zero does not lead to polls without a pause.
 const MIN_GRACE_FRACTION: Duration = Duration::from_millis(5);
 
 /// The settings that polls depend on.
@@ -19,8 +19,9 @@
     pub max_poll_interval: Duration,
     /// [`Settings::drain_grace`].
     pub drain_grace: Duration,
-    /// [`Settings::discovery_is_polled`]. Both are polled: one service for all nodes, paced by their number, or else an
-    /// agent on the node's own machine, several times within each drain grace.
+    /// Whether all nodes poll one service, at a pace that depends on their number
+    /// ([`Settings::discovery_is_polled`]). Otherwise each node polls an agent on its own machine, several times
+    /// within each drain grace.
     pub is_shared_service: bool,
 }
 
@@ -36,24 +37,24 @@
 }
 
 impl PollSettings {
-    /// How often the part of an answer that has arrived is read: what discovery has written counts as notified, also while
-    /// the rest is outstanding.
+    /// Returns the interval at which the received part of an answer is read: the node counts as notified of what
+    /// discovery has written, even while the rest is outstanding.
     pub fn partial_read_interval(self) -> Duration {
         self.grace_fraction(PARTIAL_READS_PER_GRACE)
     }
 
-    /// The drain grace divided by `divisor`.
+    /// Returns the drain grace divided by `divisor`, but no less than [`MIN_GRACE_FRACTION`].
     pub(super) fn grace_fraction(self, divisor: u32) -> Duration {
         (self.drain_grace / divisor).max(MIN_GRACE_FRACTION)
     }
 }
 
-/// What the polls of a node are paced by.
+/// Determines the pace of a node's polls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PollPacing {
-    /// The settings; `nodes` are those that poll one replica.
+    /// The settings; `nodes` is the number of nodes that poll one replica.
     pub settings: PollSettings,
-    /// The stated capacity of one replica and the nodes that share it; `None` where the operator states no capacity.
+    /// The capacity of one replica and the nodes that share it; `None` if the operator configures no capacity.
     pub share: Option<ReplicaShare>,
 }
 
@@ -64,7 +65,8 @@
 }
 
 impl PollPacing {
-    /// Paces polls to one of `replicas` that share the nodes evenly. `list_lines` are those of the list that the node holds.
+    /// Paces polls to one of `replicas` replicas, among which the nodes are divided evenly. `list_lines` is the
+    /// length of the list that the node holds, in lines.
     pub fn new(
         settings: PollSettings,
         replicas: usize,
@@ -79,15 +81,16 @@
         Self { settings: PollSettings { nodes, ..settings }, share }
     }
 
-    /// The shortest time for which nodes avoid their preferred replica after it failed.
+    /// Returns the minimum time for which nodes avoid their preferred replica after it failed.
     pub fn min_hold_down(self) -> Duration {
         let capacity = ReplicaCapacity { lines_per_second: 1.0, call_lines: WATCH_COST.as_secs_f64() };
         let assumed = ReplicaShare { nodes: self.settings.nodes, capacity, list_lines: None };
         self.share.unwrap_or(assumed).min_hold_down()
     }
 
-    /// How long the rest of an answer may take once it has begun, after `timeouts` snapshot polls that timed out since the
-    /// last answer or lost watch. `None` where no capacity is stated: the time does not depend on the answer's length.
+    /// Returns how long the rest of an answer may take once it has begun. `timeouts` is the number of snapshot polls
+    /// that timed out since the last answer or lost watch. Returns `None` if no capacity is configured: the time then
+    /// does not depend on the length of the answer.
     pub(super) fn answer_allowance(self, timeouts: u32) -> Option<Duration> {
         self.share.map(|share| share.answer_allowance(timeouts))
     }
--- a/crates/balancer-core/src/discovery/poll_schedule.rs
+++ b/crates/balancer-core/src/discovery/poll_schedule.rs
@@ -1,11 +1,11 @@
-//! When one replica of discovery is polled: the wait and timeout of each poll, and the pause before the next.
+//! Schedules the polls to one replica of discovery: the wait and timeout of each poll, and the pause before the next.
 
 use super::backoff::{self, Backoff, FailedPoll};
 use super::pacing::PollPacing;
 use super::{local_agent, watch};
 use std::time::Duration;
 
-/// The timeout of a snapshot poll, beside the time that sending the list takes: discovery gives up queued polls after 3 s.
+/// Timeout of a snapshot poll, not including the time to send the list. Discovery gives up queued polls after 3 s.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(3500);
 
 /// What a poll requests.
@@ -17,17 +17,17 @@
     Watch,
 }
 
-/// A poll.
+/// The wait and timeout of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// How long discovery is requested to wait for changes; zero for a snapshot.
+    /// How long discovery is asked to wait for changes; zero for a snapshot.
     pub wait: Duration,
-    /// The time from the request after which the poll fails without an answer.
+    /// The time after the request at which the poll fails if there is no complete answer.
     pub timeout: Duration,
 }
 
 impl Poll {
-    /// Whether this is a long poll.
+    /// Returns whether this is a long poll.
     fn is_watch(self) -> bool {
         !self.wait.is_zero()
     }
@@ -36,41 +36,41 @@
 /// How a poll ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollOutcome {
-    /// With a list that was accepted.
+    /// A list was received and accepted.
     Answered {
         /// The time from the request to the answer.
         took: Duration,
         /// Whether the list has any entry.
         has_changes: bool,
     },
-    /// No complete answer came within [`Poll::timeout`].
+    /// No complete answer was received within [`Poll::timeout`].
     TimedOut,
     /// No connection to discovery could be opened.
     Unreachable {
-        /// How long that was tried.
+        /// The time spent on connection attempts.
         took: Duration,
     },
-    /// With status 503: discovery is overloaded.
+    /// Discovery answered with status 503: it is overloaded.
     Overloaded {
         /// The time from the request to the answer.
         took: Duration,
     },
-    /// In any other way: another status, a broken connection, or a list that was rejected.
+    /// The poll failed in another way: another status, a broken connection, or a list that was rejected.
     Failed,
 }
 
-/// The schedule of polls to one replica. The default has not polled yet.
+/// The schedule of polls to one replica. The default value has not polled yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PollSchedule {
     backoff: Backoff,
-    /// Answers in a row that neither waited as requested nor had changes.
+    /// Consecutive answers that neither waited as requested nor had changes.
     early_answers: u32,
-    /// Another replica is polled than the last that answered, and has not answered yet.
+    /// Whether the polled replica has changed since the last answer.
     replica_changed: bool,
 }
 
 impl PollSchedule {
-    /// The next poll. `jitter` is a random number from 0 to 1.
+    /// Returns the next poll. `jitter` is a random number from 0 to 1.
     pub fn next_poll(&self, pacing: impl Into<PollPacing>, kind: PollKind, jitter: f64) -> Poll {
         let pacing = pacing.into();
         if !pacing.settings.is_shared_service {
@@ -88,21 +88,21 @@
         }
     }
 
-    /// How long the rest of an answer may take once it has begun. `None` where no capacity is stated: the answer then ends
-    /// within [`Poll::timeout`].
+    /// Returns how long the rest of an answer may take once it has begun. Returns `None` if no capacity is
+    /// configured: the answer then ends within [`Poll::timeout`].
     pub fn answer_allowance(&self, pacing: impl Into<PollPacing>) -> Option<Duration> {
         pacing.into().answer_allowance(self.backoff.timeouts())
     }
 
-    /// Records that the next poll goes to another replica than the last that answered: a network fault that dropped the
+    /// Records that the next poll does not go to the replica that answered last. A network fault that dropped the
     /// last watch may drop the next one too.
     pub fn replica_changed(&mut self) {
         self.replica_changed = true;
     }
 
-    /// Records the outcome of a poll after which another replica is polled at once, without the pause of a backoff. Of
-    /// snapshot polls, time-outs and the time without a list count, unless discovery answered that it is overloaded. A lost
-    /// watch counts only as a change of replica.
+    /// Records the outcome of a poll after which another replica is polled at once, without the pause of a backoff.
+    /// For snapshot polls, timeouts and the time without a list count, unless discovery answered that it is
+    /// overloaded. A lost watch counts only as a change of replica.
     pub fn failed_over(&mut self, poll: Poll, outcome: PollOutcome) {
         let failed = FailedPoll::new(poll, outcome).filter(|failed| !failed.is_overload());
         if let Some(failed) = failed.filter(|_| !poll.is_watch()) {
@@ -127,8 +127,8 @@
                 let early = poll.is_watch() && !has_changes && watch::returned_early(poll.wait, took);
                 self.answered(pacing, early, jitter)
             }
-            // The random waits of the watches spread the nodes already, and discovery did not refuse anything. A snapshot
-            // poll that times out shows a busy discovery instead.
+            // No pause is needed: the random waits of the watches already spread the nodes, and discovery did not
+            // refuse anything. A snapshot poll that times out shows a busy discovery instead.
             PollOutcome::TimedOut if poll.is_watch() => {
                 *self = Self { backoff: Backoff::after_lost_watch(), ..Self::default() };
                 Duration::ZERO
@@ -143,8 +143,8 @@
         }
     }
 
-    /// The pause after an answer. The first early one is followed at once; a discovery that never waits is polled with a
-    /// backoff, well within the time for which its last answer is valid.
+    /// Returns the pause after an answer. After the first early answer the next poll is sent at once. A discovery
+    /// that never waits is polled with a backoff, well within the time for which its last answer is valid.
     fn answered(&mut self, pacing: PollPacing, early: bool, jitter: f64) -> Duration {
         let early_answers = if early { self.early_answers.saturating_add(1) } else { 0 };
         *self = Self { early_answers, ..Self::default() };
--- a/crates/balancer-core/src/discovery/replica_selection.rs
+++ b/crates/balancer-core/src/discovery/replica_selection.rs
@@ -1,52 +1,53 @@
-//! Which replica of the discovery service a node polls.
+//! Selects the replica of the discovery service that a node polls.
 //!
-//! Each node has an order of preference of its own (see `rendezvous`). The first replica is its preferred one, the rest its
-//! order of failover. [`ReplicaSelection`] holds the order, tells after each poll which replica the next one goes to, and
-//! when the node returns to its preferred replica.
+//! Each node has its own order of preference (see `rendezvous`): its preferred replica, then the others in order of
+//! failover. [`ReplicaSelection`] holds this order. After each poll it decides which replica is polled next, and when
+//! the node returns to its preferred replica.
 
 use super::rendezvous::preference_order;
 use super::unit_fraction;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// The number of overload answers in a row after which another replica is polled. The other has its own nodes to answer: it is
-/// not flooded because a replica was overloaded once, and is polled only after the pause of a backoff.
+/// Number of consecutive overload answers after which another replica is polled. That replica has its own nodes to
+/// answer, so it is not polled after a single overload answer, and only after the pause of a backoff.
 const OVERLOADS_BEFORE_FAILOVER: u32 = 2;
-/// A hold-down doubles with each failed return, up to this many times.
+/// Maximum number of doublings of the hold-down, which doubles with each failed return.
 const MAX_HOLD_DOWN_DOUBLINGS: u32 = 4;
 
-/// The outcome of a poll, as far as the selection depends on it.
+/// The parts of a poll's outcome that the selection depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaResponse {
-    /// A list came and was accepted.
+    /// A list was received and accepted.
     Answered,
     /// The replica answered that it is overloaded.
     Overloaded,
-    /// Anything else: not reached, timed out, broken off, no list, or a list that was rejected.
+    /// Anything else: unreachable, timed out, answer cut off, no list, or a list that was rejected.
     Failed,
 }
 
-/// Where the next poll goes.
+/// The replica of the next poll, relative to that of the previous poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaTransition {
-    /// To the same replica.
+    /// The same replica is polled.
     Stay,
-    /// To the next replica, without the pause of a backoff.
+    /// The next replica is polled, without the pause of a backoff.
     FailOver,
-    /// To the next replica, after the pause of a backoff: all replicas failed in a row, or one was overloaded repeatedly.
+    /// The next replica is polled after the pause of a backoff: all replicas failed in a row, or one was overloaded
+    /// repeatedly.
     FailOverAfterBackoff,
-    /// To the preferred replica, which had failed. The replica that was polled until now still works.
+    /// The preferred replica, which had failed, is polled again. The replica that was polled until now still works.
     ReturnToPreferred,
 }
 
-/// Which replicas a replacement of the set left in place.
+/// Which replicas remained when the set was replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaSetChange {
-    /// The current one: its watch goes on.
+    /// The current replica remained: its watch continues.
     CurrentRemains,
-    /// Only others: versions of the list stay comparable, the watch does not go on.
+    /// Only other replicas remained: versions of the list stay comparable, but the watch does not continue.
     OthersRemain,
-    /// None: versions of the list mean nothing to the new replicas.
+    /// No replica remained: versions of the list have no meaning to the new replicas.
     NoneRemains,
 }
 
@@ -54,31 +55,31 @@
 #[derive(Clone, Debug)]
 pub struct ReplicaSelection {
     node: String,
-    /// In the order in which they were given.
+    /// The names of the replicas, in the order given.
     names: Vec<String>,
     /// Indices of `names`, the preferred replica first.
     order: Vec<usize>,
-    /// The index in `order` of the replica that is polled.
+    /// Index in `order` of the replica that is polled.
     current: usize,
-    /// For each index of `order`: the last poll there failed other than by overload.
+    /// For each index of `order`: whether the last poll of that replica failed other than by overload.
     last_poll_failed: Vec<bool>,
-    /// Replicas in a row that failed.
+    /// Number of consecutive replicas that failed.
     failures_in_row: usize,
-    /// Overload answers in a row by the current replica.
+    /// Number of consecutive overload answers of the current replica.
     overloads_in_row: u32,
-    /// During a return: the index in `order` of the replica that worked before it.
+    /// During a return to the preferred replica: index in `order` of the replica that was polled before.
     fallback: Option<usize>,
-    /// When the node returns to its preferred replica.
+    /// Time at which the node returns to its preferred replica.
     return_at: Option<Timestamp>,
-    /// Until then a failure of the preferred replica counts as a failed return.
+    /// Time until which a failure of the preferred replica counts as a failed return.
     return_confirmed_at: Option<Timestamp>,
-    /// Failed returns in a row.
+    /// Number of consecutive failed returns.
     failed_returns: u32,
 }
 
 impl ReplicaSelection {
-    /// The replicas in the order of preference of `node`, which does not depend on the order of `names`. At least one name is
-    /// expected: a node without any has nothing to poll.
+    /// Orders the replicas by the preference of `node`, which does not depend on the order of `names`. At least one
+    /// name is expected: a node without any has nothing to poll.
     pub fn new(node: &str, names: Vec<String>) -> Self {
         let order = preference_order(node, &names);
         let last_poll_failed = vec![false; order.len()];
@@ -97,33 +98,35 @@
         }
     }
 
-    /// The index, among the names as they were given, of the replica that is polled.
+    /// Returns the index of the polled replica among the names as given.
     pub fn current(&self) -> usize {
         self.order.get(self.current).copied().unwrap_or(0)
     }
 
-    /// Indices of the names as they were given: the preferred replica, then the others in order of failover.
+    /// Returns indices of the names as given: the preferred replica, then the others in order of failover.
     pub fn order(&self) -> &[usize] {
         &self.order
     }
 
-    /// The number of replicas.
+    /// Returns the number of replicas.
     pub fn count(&self) -> usize {
         self.names.len()
     }
 
-    /// The number of replicas that share the nodes: those whose last poll by this node did not fail, and at least 1.
+    /// Returns the number of replicas that share the nodes: those whose last poll by this node did not fail, but at
+    /// least 1.
     pub fn available(&self) -> usize {
         self.last_poll_failed.iter().filter(|failed| !**failed).count().max(1)
     }
 
-    /// Whether the node polls its preferred replica on trial, after that had failed.
+    /// Returns whether the node polls its preferred replica again for the first time after a failure.
     pub fn is_returning(&self) -> bool {
         self.fallback.is_some()
     }
 
-    /// Records the response to a poll of the current replica. `min_hold_down` is the shortest time for which a preferred
-    /// replica that failed is avoided; `jitter`, a random number from 0 to 1, adds up to as much again.
+    /// Records the response to a poll of the current replica. `min_hold_down` is the minimum time for which a
+    /// preferred replica that failed is avoided. `jitter`, a random number from 0 to 1, adds up to the same time
+    /// again.
     pub fn poll_ended(
         &mut self,
         now: Timestamp,
@@ -161,7 +164,7 @@
     fn answered(&mut self, now: Timestamp, min_hold_down: Duration, jitter: f64) -> ReplicaTransition {
         (self.failures_in_row, self.overloads_in_row) = (0, 0);
         if self.fallback.take().is_some() {
-            // A preferred replica that fails again soon after a return has not recovered.
+            // A preferred replica that fails soon after a return has not recovered.
             self.return_confirmed_at = Some(now + self.hold_down(min_hold_down, jitter));
         }
         if self.current == 0 {
@@ -210,7 +213,7 @@
         ReplicaTransition::FailOverAfterBackoff
     }
 
-    /// Goes to the next replica in order.
+    /// Makes the next replica in order the current one.
     fn advance(&mut self, now: Timestamp, min_hold_down: Duration, jitter: f64) {
         self.overloads_in_row = 0;
         if self.current == 0 {
@@ -220,7 +223,7 @@
         self.current = (self.current + 1) % self.count();
     }
 
-    /// How long the preferred replica is avoided from now on.
+    /// Returns how long the preferred replica is avoided from now on.
     fn hold_down(&self, min_hold_down: Duration, jitter: f64) -> Duration {
         let doublings = self.failed_returns.min(MAX_HOLD_DOWN_DOUBLINGS);
         let shortest = min_hold_down.saturating_mul(1 << doublings);
--- a/crates/balancer-core/src/graceful_restart/mod.rs
+++ b/crates/balancer-core/src/graceful_restart/mod.rs
@@ -1,12 +1,12 @@
-//! Graceful restart: one process takes the place of another without losing a request.
+//! Graceful restart: one process replaces another without losing a request.
 //!
-//! Start from [`Predecessor`], the process that serves, and [`Successor`], the process that replaces it. Both are state
-//! machines without I/O or a clock: events go in, actions come out. The daemon passes the sockets and carries the
-//! messages.
+//! Start with [`Predecessor`], the process that serves, and [`Successor`], the process that replaces it. Both are
+//! state machines without I/O or a clock: they take events and return actions. The daemon passes the sockets and
+//! carries the messages.
 //!
-//! The link between the two preserves order and ends when either process does (a stream socket within one machine). A
-//! link that ends while the process at its other end lives was lost. Each end is told which of the two happened
-//! ([`PredecessorEvent::SuccessorDied`] or [`PredecessorEvent::LinkLost`], and the same for the successor).
+//! The link between the two preserves order and ends when either process ends (a stream socket within one machine). A
+//! link that ends while the process at the other end is alive was lost. Each process is told which of the two
+//! happened ([`PredecessorEvent::SuccessorDied`] or [`PredecessorEvent::LinkLost`], and the same for the successor).
 //!
 //! ```text
 //! predecessor                          successor
@@ -33,8 +33,8 @@
 //! * While the predecessor stands by, the successor is on probation: if it dies, the predecessor rolls back and accepts
 //!   again.
 //! * At most one process accepts at a time, with one exception: a successor that hangs right after it began to accept
-//!   and resumes after the predecessor gave up on it. It learns of that by the next message it reads or by the signal
-//!   that fences it, and then exits.
+//!   and resumes after the predecessor gave up on it. The successor learns of that from the next message it reads, or
+//!   from the signal that fences it, and then exits.
 
 mod predecessor;
 mod successor;
--- a/crates/balancer-core/src/graceful_restart/predecessor.rs
+++ b/crates/balancer-core/src/graceful_restart/predecessor.rs
@@ -1,9 +1,10 @@
-//! The process that serves, and that a successor is about to replace.
+//! The predecessor's side of a graceful restart: the process that serves and that a successor replaces.
 
-/// Successors that die while they serve, or are about to, before further ones are rejected for a while.
+/// Number of successors that may die while they serve, or are about to serve, before further ones are rejected for a
+/// while.
 const MAX_SUCCESSOR_DEATHS: u8 = 2;
 
-/// What happens at the predecessor.
+/// An event at the predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PredecessorEvent {
     /// A successor requests a hand-over.
@@ -12,42 +13,44 @@
     SuccessorReady,
     /// The successor accepts connections.
     SuccessorAccepting,
-    /// The successor serves and needs no process on standby: it stops in order, or hands over to a process of its own.
+    /// The successor serves and no longer needs a process on standby: it shuts down gracefully, or hands over to a
+    /// successor of its own.
     Released,
-    /// The successor gives up, and lives.
+    /// The successor gives up but is alive.
     Declined,
     /// The successor has died.
     SuccessorDied,
-    /// The link has ended, and the successor lives.
+    /// The link has ended, but the successor is alive.
     LinkLost,
-    /// Until the hand-over is committed: the successor exceeded the time limit of this step (`[hand_over] within`). In
-    /// standby: the probation (`probation`) has passed and every request that this process accepted has ended. This is the
-    /// normal end of a hand-over.
+    /// Before the hand-over is committed: the successor exceeded the time limit of the current step (`[hand_over]
+    /// within`). On standby: the probation (`probation`) has passed and all requests that this process accepted have
+    /// ended, which is the normal end of a hand-over.
     TimedOut,
-    /// The backoff after deaths of successors (`bar`) has passed.
+    /// The backoff after deaths of successors (`bar`) has expired.
     BackoffExpired,
 }
 
-/// What the predecessor has to do.
+/// An action that the predecessor has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PredecessorAction {
-    /// Release the process on standby behind this one, if there is one ([`super::SuccessorEvent::HandoverStarted`]): if
-    /// this process dies from here on, its own successor takes over. Then send the sockets and the learned state. The
+    /// Release the process on standby for this one, if there is one ([`super::SuccessorEvent::HandoverStarted`]): if
+    /// this process dies from now on, its own successor takes over. Then send the sockets and the learned state. The
     /// time limit of the next step starts.
     Offer,
-    /// Stop accepting for now, and tell the successor to proceed, with the latest learned state. The time limit of the
-    /// next step starts.
+    /// Pause accepting and tell the successor to proceed, with the latest learned state. The time limit of the next
+    /// step starts.
     Pause,
-    /// Accept again after a pause.
+    /// Resume accepting after a pause.
     Resume,
-    /// Tell the successor that the hand-over is cancelled and why, and close the link: successors are rejected for a while,
-    /// it exceeded a time limit, or it sent a message out of order.
+    /// Tell the successor that the hand-over is cancelled and why, and close the link. The reason is that successors
+    /// are rejected for a while, that it exceeded a time limit, or that it sent a message out of order.
     Cancel,
-    /// Send the successor a termination signal, past the link: it may accept, and must not do so for good.
+    /// Send the successor a termination signal, which does not depend on the link: it may be accepting, and must not
+    /// continue.
     Fence,
     /// Tell the successor that it serves from now on. Finish the requests in flight, and keep the sockets open.
     Commit,
-    /// Accept again after standing by.
+    /// Resume accepting after standing by.
     Rollback,
     /// Deliver [`PredecessorEvent::BackoffExpired`] after the backoff (`bar`), and reject successors until then.
     BackOff,
@@ -55,19 +58,19 @@
     Depart,
 }
 
-/// The progress of a hand-over, at the predecessor.
+/// The state of a hand-over at the predecessor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum PredecessorState {
     /// No hand-over is in progress.
     #[default]
     Serving,
-    /// A successor prepares.
+    /// A successor is preparing.
     Offered,
-    /// The successor was told to proceed; neither process accepts until it does.
+    /// The successor was told to proceed. No process accepts until the successor does.
     Paused,
-    /// The successor serves, on probation.
+    /// The successor serves on probation.
     StandingBy,
-    /// The successor serves for good.
+    /// The successor serves permanently.
     Departed,
 }
 
@@ -75,7 +78,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Predecessor {
     state: PredecessorState,
-    /// Successors that died while they served, or were about to, since the last backoff expired.
+    /// Number of successors that died while they served, or were about to serve, since the last backoff expired.
     successor_deaths: u8,
 }
 
@@ -91,9 +94,9 @@
         actions
     }
 
-    /// Handles a request to stop this process, and returns the actions to carry out before it does.
+    /// Handles a request to stop this process and returns the actions to carry out before it stops.
     ///
-    /// A successor that only prepares is cancelled. One that was told to proceed keeps the clients.
+    /// A successor that is still preparing is cancelled. One that was told to proceed keeps the clients.
     pub fn stop(&mut self) -> &'static [PredecessorAction] {
         match std::mem::replace(&mut self.state, PredecessorState::Departed) {
             PredecessorState::Offered => &[PredecessorAction::Cancel],
@@ -102,22 +105,24 @@
         }
     }
 
-    /// The progress of the hand-over.
+    /// Returns the state of the hand-over.
     pub const fn state(self) -> PredecessorState {
         self.state
     }
 
-    /// Whether a hand-over is in progress that is not committed yet. A reload of the configuration waits for its end.
+    /// Returns whether a hand-over is in progress that is not committed yet. A reload of the configuration waits
+    /// until it ends.
     pub const fn is_handing_over(self) -> bool {
         matches!(self.state, PredecessorState::Offered | PredecessorState::Paused)
     }
 
-    /// Whether successors are rejected until the backoff expires.
+    /// Returns whether successors are rejected until the backoff expires.
     pub const fn is_backing_off(self) -> bool {
         self.successor_deaths >= MAX_SUCCESSOR_DEATHS
     }
 
-    /// A successor that dies before it was told to proceed had no client, so its death says nothing about serving.
+    /// Counts the death of a successor that had clients. One that dies before it was told to proceed had none, so its
+    /// death says nothing about whether it can serve.
     fn count_death(&mut self, event: PredecessorEvent) {
         let had_clients = matches!(self.state, PredecessorState::Paused | PredecessorState::StandingBy);
         if event == PredecessorEvent::SuccessorDied && had_clients {
@@ -138,7 +143,7 @@
             (Serving, Requested) => (Offered, &[Offer]),
             (Offered, SuccessorReady) => (Paused, &[Pause]),
             (Offered, SuccessorDied | LinkLost | Declined) => (Serving, &[]),
-            // A message out of order comes from a successor that cannot be trusted with clients.
+            // A successor that sends a message out of order cannot be trusted with clients.
             (Offered, Requested | SuccessorAccepting | Released | TimedOut) => (Serving, &[Cancel]),
             (Paused, SuccessorAccepting) => (StandingBy, &[Commit]),
             (Paused, SuccessorDied) if backing_off => (Serving, &[Resume, BackOff]),
@@ -149,8 +154,9 @@
             (StandingBy, SuccessorDied) if backing_off => (Serving, &[Rollback, BackOff]),
             (StandingBy, SuccessorDied | Declined) => (Serving, &[Rollback]),
             (StandingBy, Released | TimedOut) => (Departed, &[Depart]),
-            // A link that is lost in standby changes nothing here: the successor keeps the clients. This process stands by
-            // until the probation ends, the successor's death is reported, or the successor ends it by a signal.
+            // A link that is lost on standby changes nothing here: the successor keeps the clients. This process
+            // stands by until the probation ends, the successor's death is reported, or the successor sends a
+            // termination signal.
             (state, _) => (state, &[]),
         }
     }
--- a/crates/balancer-core/src/graceful_restart/successor.rs
+++ b/crates/balancer-core/src/graceful_restart/successor.rs
@@ -1,21 +1,21 @@
-//! The process that replaces the one that serves.
+//! The successor's side of a graceful restart: the process that replaces the one that serves.
 
-/// What happens at the successor, which has received the sockets.
+/// An event at the successor, which has received the sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SuccessorEvent {
-    /// It is prepared to serve.
+    /// This process is prepared to serve.
     Prepared,
-    /// The predecessor has paused, and tells this process to proceed.
+    /// The predecessor has paused and tells this process to proceed.
     Proceed,
-    /// The predecessor stands by, and commits the hand-over.
+    /// The predecessor stands by and commits the hand-over.
     Committed,
-    /// The predecessor departs; this process serves for good.
+    /// The predecessor departs, so this process serves permanently.
     PredecessorDeparted,
-    /// The predecessor goes on by itself.
+    /// The predecessor cancelled the hand-over and serves on.
     Cancelled,
     /// The predecessor has died.
     PredecessorDied,
-    /// The link has ended, and the predecessor lives.
+    /// The link has ended, but the predecessor is alive.
     LinkLost,
     /// This process was told to stop.
     StopRequested,
@@ -23,7 +23,7 @@
     HandoverStarted,
 }
 
-/// What the successor has to do.
+/// An action that the successor has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SuccessorAction {
     /// Tell the predecessor that this process is prepared to serve.
@@ -32,36 +32,36 @@
     Accept,
     /// Tell the predecessor that this process accepts connections.
     SendAccepting,
-    /// Tell the predecessor that it need not stand by, and close the link. If the message cannot be sent, do as for
-    /// [`Self::TerminatePredecessor`].
+    /// Tell the predecessor that it need not stand by, and close the link. If the message cannot be sent, proceed as
+    /// for [`Self::TerminatePredecessor`].
     Release,
-    /// Tell the predecessor to go on by itself, and close the link.
+    /// Tell the predecessor to serve on without this process, and close the link.
     Decline,
-    /// This process serves from here on, and can hand over to a successor of its own.
+    /// Take over as the serving process, which can hand over to a successor of its own.
     TakeOwnership,
-    /// Send the predecessor a termination signal, past the link: it need not stand by.
+    /// Send the predecessor a termination signal, which does not depend on the link: it need not stand by.
     TerminatePredecessor,
     /// Stop accepting, finish the requests in flight, and exit.
     Drain,
-    /// Exit at once: this process has accepted no connection.
+    /// Exit at once, since this process has accepted no connection.
     Exit,
 }
 
-/// The progress of a hand-over, at the successor.
+/// The state of a hand-over at the successor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum SuccessorState {
-    /// It prepares to serve.
+    /// The process prepares to serve.
     #[default]
     Preparing,
-    /// It is prepared, and waits until it is told to proceed.
+    /// The process is prepared and waits until it is told to proceed.
     Ready,
-    /// It accepts connections. The predecessor may still cancel, if it waited too long.
+    /// The process accepts connections. The predecessor may still cancel if it waited too long.
     Accepting,
-    /// It serves, and the predecessor stands by.
+    /// The process serves while the predecessor stands by.
     OnProbation,
-    /// It serves for good.
+    /// The process serves permanently.
     Serving,
-    /// It has given up or was cancelled.
+    /// The process has given up or was cancelled.
     Ended,
 }
 
@@ -79,12 +79,12 @@
         actions
     }
 
-    /// The progress of the hand-over.
+    /// Returns the state of the hand-over.
     pub const fn state(self) -> SuccessorState {
         self.state
     }
 
-    /// Whether this process serves, on probation or for good.
+    /// Returns whether this process serves, on probation or permanently.
     pub const fn serves(self) -> bool {
         matches!(self.state, SuccessorState::OnProbation | SuccessorState::Serving)
     }
@@ -101,21 +101,21 @@
         use SuccessorState::{Accepting, Ended, OnProbation, Preparing, Ready, Serving};
         match (self.state, event) {
             (Preparing, Prepared) => (Ready, &[SendReady]),
-            // No process accepts: an unprepared one is better than none, as at any other start.
+            // No other process accepts: an unprepared process is better than none, as at any other start.
             (Preparing | Ready, PredecessorDied) => (Serving, &[Accept, TakeOwnership]),
             (Ready, Proceed) => (Accepting, &[Accept, SendAccepting]),
             (Accepting, Committed) => (OnProbation, &[TakeOwnership]),
-            // If the link is lost here instead, the predecessor stands by or fences this process: a signal tells, or the
-            // predecessor's death.
+            // If the link is lost in this state, nothing happens yet: the predecessor either stands by or fences this
+            // process. A signal or the predecessor's death tells which.
             (Accepting, PredecessorDied | PredecessorDeparted) => (Serving, &[TakeOwnership]),
             (Accepting, Cancelled) => (Ended, &[Drain]),
             (Accepting, StopRequested) => (Ended, &[Decline, Drain]),
             (Preparing | Ready, StopRequested) => (Ended, &[Decline, Exit]),
-            // The predecessor still serves. One that sends messages out of order is taken to do so, too.
+            // The predecessor still serves. One that sends messages out of order is assumed to serve as well.
             (Preparing | Ready, Cancelled | LinkLost | PredecessorDeparted | Committed)
             | (Preparing, Proceed) => (Ended, &[Exit]),
             (OnProbation, StopRequested | HandoverStarted) => (Serving, &[Release]),
-            // The predecessor could no longer be told that yet another process serves.
+            // Without the link, the predecessor could not be told later that yet another process serves.
             (OnProbation, LinkLost) => (Serving, &[TerminatePredecessor]),
             (OnProbation, PredecessorDied | PredecessorDeparted) => (Serving, &[]),
             (state, _) => (state, &[]),
--- a/crates/balancer-core/src/platform.rs
+++ b/crates/balancer-core/src/platform.rs
@@ -1,8 +1,8 @@
-//! Settings and load reports in the platform's own words, as they come on the simulator's wire and in a node's
-//! configuration. This is the one place where they are mapped to the terms of this crate.
+//! Parses settings and load reports in the platform's terms, as used on the simulator's wire and in the configuration
+//! of a node. Only this module maps them to the terms of this crate.
 //!
 //! [`read_settings`] reads the settings of a configuration, [`read_wire_settings`] those of a wire message, and
-//! [`read_load_report`] what a server reports of its load. [`Fields`] are the pairs of name and value that messages have.
+//! [`read_load_report`] the load report of a server. [`Fields`] holds the name-value pairs of a message.
 
 mod error;
 mod fields;
--- a/crates/balancer-core/src/platform/error.rs
+++ b/crates/balancer-core/src/platform/error.rs
@@ -2,41 +2,41 @@
 
 use thiserror::Error;
 
-/// Text of the platform that cannot be read.
+/// A message or setting of the platform that cannot be parsed.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// A field of a message that has the wrong type.
+    /// A field of a message has the wrong type.
     #[error("malformed line, unreadable {name}: {line}")]
     UnreadableField {
-        /// Name of the field.
+        /// The name of the field.
         name: String,
-        /// The message, or the beginning of it.
+        /// The message or its beginning.
         line: String,
     },
-    /// A field that a message must have.
+    /// A required field of a message is missing.
     #[error("malformed line, no {name}: {line}")]
     MissingField {
-        /// Name of the field.
+        /// The name of the field.
         name: String,
-        /// The message, or the beginning of it.
+        /// The message or its beginning.
         line: String,
     },
-    /// A setting with a value that it may not have.
+    /// A setting has a value that is not allowed.
     #[error("{name}: expected {expected}, found {found:?}")]
     InvalidSetting {
-        /// Its path.
+        /// The path of the setting.
         name: String,
-        /// What it may be.
+        /// The allowed values.
         expected: String,
-        /// Its value, or the beginning of it.
+        /// The value or its beginning.
         found: String,
     },
-    /// A setting that must be there.
+    /// A required setting is missing.
     #[error("{name}: expected {expected}, found nothing")]
     MissingSetting {
-        /// Its path.
+        /// The path of the setting.
         name: String,
-        /// What it may be.
+        /// The allowed values.
         expected: &'static str,
     },
 }
--- a/crates/balancer-core/src/platform/load_report.rs
+++ b/crates/balancer-core/src/platform/load_report.rs
@@ -1,11 +1,11 @@
-//! Load reports of servers.
+//! Parses load reports of servers.
 
 use crate::requests::LoadReport;
 use std::time::Duration;
 
-/// Reads a load report: its values have a comma between them, and `separator` between name and value. A value goes by its
-/// name on the wire or on the sockets. One that is no finite number from 0 up is left out, since a server that reports
-/// nonsense must not stop the node.
+/// Reads a load report: name-value pairs that are separated by commas, with `separator` between name and value. A
+/// value has one name on the wire and another on the sockets. A value that is not a finite number from 0 up is left
+/// out, since an invalid report of a server must not stop the node.
 pub fn read_load_report(text: &str, separator: char) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|part| part.split_once(separator)) {
--- a/crates/balancer-core/src/platform/settings.rs
+++ b/crates/balancer-core/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings, mapped to [`Settings`].
+//! Maps the platform's settings to [`Settings`].
 
 use super::error::PlatformError;
 use super::fields::{parse_flag, Fields};
@@ -8,64 +8,64 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Longest duration in settings: a year, which is safe to add to any point in time.
+/// Maximum duration in settings: a year, which can safely be added to any point in time.
 const MAX_DURATION: Duration = Duration::from_secs(366 * 24 * 3_600);
-/// Most characters of a value that an error shows.
+/// Maximum number of characters of a value that an error shows.
 const MAX_SHOWN_CHARS: usize = 60;
 
-/// What becomes of a value that has the right type and cannot be used: a number out of range, or an unknown word.
+/// How to treat a value that has the right type but is invalid: a number out of range, or an unknown word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum UnusableValue {
-    /// It is an error.
-    IsAnError,
-    /// The default takes its place.
-    BecomesTheDefault,
+enum InvalidValuePolicy {
+    /// Report an error.
+    Fail,
+    /// Use the default instead.
+    UseDefault,
 }
 
-/// A value as it was read.
+/// The result of parsing a value.
 enum Parsed<T> {
-    Usable(T),
-    /// Of the right type, and out of range or not known.
-    Unusable,
+    Valid(T),
+    /// The value has the right type, but is out of range or unknown.
+    Invalid,
     WrongType,
 }
 
 impl<T> Parsed<T> {
-    /// A value that is usable where this condition holds; `None` is of the wrong type.
-    fn usable_if(value: Option<T>, is_usable: impl Fn(&T) -> bool) -> Self {
+    /// Classifies a parsed value: valid if `is_valid` holds, and of the wrong type if it is `None`.
+    fn valid_if(value: Option<T>, is_valid: impl Fn(&T) -> bool) -> Self {
         match value {
-            Some(value) if is_usable(&value) => Self::Usable(value),
-            Some(_) => Self::Unusable,
+            Some(value) if is_valid(&value) => Self::Valid(value),
+            Some(_) => Self::Invalid,
             None => Self::WrongType,
         }
     }
 }
 
-/// Reads the settings of a configuration from their pairs of path and value.
+/// Reads the settings of a configuration from pairs of path and value.
 ///
 /// # Errors
 ///
-/// [`PlatformError::InvalidSetting`] for a value that cannot be used, [`PlatformError::MissingSetting`] for a class or tenant
+/// [`PlatformError::InvalidSetting`] for an invalid value, [`PlatformError::MissingSetting`] for a class or tenant
 /// without a name.
 pub fn read_settings(pairs: &[(String, String)]) -> Result<Settings, PlatformError> {
     let fields = Fields::of_pairs(pairs);
-    SettingsReader { fields: &fields, unusable: UnusableValue::IsAnError }.settings()
+    SettingsReader { fields: &fields, on_invalid: InvalidValuePolicy::Fail }.settings()
 }
 
-/// Reads the settings of a wire message. Defaults take the place of numbers out of range and of unknown words: an adapter
-/// that ended for them would end all instances with it.
+/// Reads the settings of a wire message. Numbers out of range and unknown words are replaced by defaults: an adapter
+/// that ended because of them would end all instances with it.
 ///
 /// # Errors
 ///
 /// [`PlatformError::InvalidSetting`] for a value of the wrong type, [`PlatformError::MissingSetting`] for a class or tenant
 /// without a name.
 pub fn read_wire_settings(fields: &Fields) -> Result<Settings, PlatformError> {
-    SettingsReader { fields, unusable: UnusableValue::BecomesTheDefault }.settings()
+    SettingsReader { fields, on_invalid: InvalidValuePolicy::UseDefault }.settings()
 }
 
 struct SettingsReader<'a> {
     fields: &'a Fields<'a>,
-    unusable: UnusableValue,
+    on_invalid: InvalidValuePolicy,
 }
 
 impl SettingsReader<'_> {
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Idempotency of a class; of what is not set, the most careful.
+    /// Reads the idempotency of a class. Unset values default to the safest assumption.
     fn idempotency(&self, class: i32) -> Result<Idempotency, PlatformError> {
         let path = |name: &str| format!("lanes.{class}.{name}");
         let window = self.duration_or(&path("repeat_window_us"), Duration::ZERO)?;
@@ -158,7 +158,7 @@
         Ok(Tenant { name, quota_per_second: quota.unwrap_or(f64::INFINITY) })
     }
 
-    /// Who fetches misses. `family_info.origin_kind` is the place of the origin's kind in the list `shapes`.
+    /// Reads who fetches misses. `family_info.origin_kind` is the index of the origin's kind in the list `shapes`.
     fn cache_mode(&self) -> Result<CacheMode, PlatformError> {
         let origin_kind = self.count::<i64>("family_info.origin_kind", -1)?.unwrap_or(-1);
         let mut kinds = self.fields.text("shapes").unwrap_or("").split(',');
@@ -169,7 +169,7 @@
         })
     }
 
-    /// The setting of this name; `None` where it is not set, or the default takes its place.
+    /// Reads a setting. Returns `None` if it is not set or the default is used instead of its value.
     fn setting<T>(
         &self,
         name: &str,
@@ -178,9 +178,9 @@
     ) -> Result<Option<T>, PlatformError> {
         let Some(text) = self.fields.text(name) else { return Ok(None) };
         match parse(text) {
-            Parsed::Usable(value) => Ok(Some(value)),
-            Parsed::Unusable if self.unusable == UnusableValue::BecomesTheDefault => Ok(None),
-            Parsed::Unusable | Parsed::WrongType => Err(PlatformError::InvalidSetting {
+            Parsed::Valid(value) => Ok(Some(value)),
+            Parsed::Invalid if self.on_invalid == InvalidValuePolicy::UseDefault => Ok(None),
+            Parsed::Invalid | Parsed::WrongType => Err(PlatformError::InvalidSetting {
                 name: name.to_owned(),
                 expected: expected.to_owned(),
                 found: text.chars().take(MAX_SHOWN_CHARS).collect(),
@@ -188,51 +188,51 @@
         }
     }
 
-    /// A whole number from `min` up.
+    /// Reads a whole number from `min` up.
     fn count<T>(&self, name: &str, min: T) -> Result<Option<T>, PlatformError>
     where
         T: FromStr + PartialOrd + Display + Copy,
     {
         let expected = format!("a whole number from {min} up");
-        self.setting(name, &expected, |text| Parsed::usable_if(text.parse::<T>().ok(), |count| *count >= min))
+        self.setting(name, &expected, |text| Parsed::valid_if(text.parse::<T>().ok(), |count| *count >= min))
     }
 
-    /// A number from 0 to `max`.
+    /// Reads a number from 0 to `max`.
     fn number(&self, name: &str, max: f64) -> Result<Option<f64>, PlatformError> {
         let upper = if max < f64::MAX { format!("to {max}") } else { "up".into() };
         let expected = format!("a number from 0 {upper}");
         self.setting(name, &expected, |text| {
-            Parsed::usable_if(text.parse::<f64>().ok(), |number| (0.0..=max).contains(number))
+            Parsed::valid_if(text.parse::<f64>().ok(), |number| (0.0..=max).contains(number))
         })
     }
 
-    /// A duration in microseconds; `default` where it is not set.
+    /// Reads a duration in microseconds. Returns `default` if it is not set.
     fn duration_or(&self, name: &str, default: Duration) -> Result<Duration, PlatformError> {
-        // Only a configuration has to keep to the longest duration: on the wire every number is a duration.
-        let is_bounded = self.unusable == UnusableValue::IsAnError;
+        // Only a configuration is limited to the maximum duration: on the wire every number is a valid duration.
+        let is_bounded = self.on_invalid == InvalidValuePolicy::Fail;
         let expected = "a whole number of microseconds, a year at the most";
         let duration = self.setting(name, expected, |text| {
             let duration = text.parse().ok().map(Duration::from_micros);
-            Parsed::usable_if(duration, |duration| !is_bounded || *duration <= MAX_DURATION)
+            Parsed::valid_if(duration, |duration| !is_bounded || *duration <= MAX_DURATION)
         })?;
         Ok(duration.unwrap_or(default))
     }
 
     fn flag(&self, name: &str) -> Result<Option<bool>, PlatformError> {
-        self.setting(name, "true or false", |text| Parsed::usable_if(parse_flag(text), |_| true))
+        self.setting(name, "true or false", |text| Parsed::valid_if(parse_flag(text), |_| true))
     }
 
-    /// The meaning of the word that is set, of these words.
+    /// Reads a setting that is one of `words`, and returns the meaning of its word.
     fn word<T: Copy>(&self, name: &str, words: &[(&str, T)]) -> Result<Option<T>, PlatformError> {
         let known: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
         let expected = format!("one of {}", known.join(", "));
         self.setting(name, &expected, |text| {
             let known = words.iter().find(|(word, _)| *word == text);
-            known.map_or(Parsed::Unusable, |(_, meaning)| Parsed::Usable(*meaning))
+            known.map_or(Parsed::Invalid, |(_, meaning)| Parsed::Valid(*meaning))
         })
     }
 
-    /// A name, which must be set.
+    /// Reads a name, which is required.
     fn name(&self, path: &str) -> Result<Name, PlatformError> {
         let missing = || PlatformError::MissingSetting { name: path.to_owned(), expected: "a name" };
         self.fields.text(path).filter(|text| !text.is_empty()).map(Name::from).ok_or_else(missing)
--- a/crates/balancer-core/src/supervisor/instance.rs
+++ b/crates/balancer-core/src/supervisor/instance.rs
@@ -1,51 +1,51 @@
-//! One instance of the fleet: the processes that belong to it, and when the next one starts.
+//! An instance of the fleet: the processes that belong to it, and when the next one starts.
 
 use super::messages::{InstanceState, InstanceStatus, Limits, ProcessId};
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// The restart backoff doubles this often at most, so that the factor cannot overflow.
+/// Maximum number of doublings of the restart backoff, so that the factor cannot overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// A process that serves, or prepares to.
+/// A process that serves or prepares to serve.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Process {
     pub id: ProcessId,
-    /// When it became ready.
+    /// When the process became ready.
     pub ready_at: Option<Timestamp>,
-    /// When it is killed, unless it becomes ready or sends a heartbeat before.
+    /// When the process is killed, unless it becomes ready or sends a heartbeat before.
     pub deadline: Timestamp,
 }
 
-/// A place in the fleet: a configuration and an address, in which processes come and go.
+/// A configuration and an address, under which one process runs after another.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Instance {
-    /// The process that serves, or is about to.
+    /// The process that serves or is about to serve.
     pub current: Option<Process>,
-    /// The process that is about to replace it.
+    /// The process that is about to replace the current one.
     pub successor: Option<Process>,
     /// When the next process starts.
     pub start_at: Option<Timestamp>,
-    /// It stays stopped.
+    /// Whether the instance stays stopped.
     pub stopped: bool,
-    /// The number of exits since a process was last stable.
+    /// Number of exits since a process was last stable.
     pub consecutive_failures: u32,
     pub failures: u64,
     pub upgrades: u64,
 }
 
 impl Instance {
-    /// An instance whose first process is due.
+    /// Creates an instance whose first process is due.
     pub fn due() -> Self {
         Self { start_at: Some(Timestamp::default()), ..Self::default() }
     }
 
-    /// The processes that serve or prepare to.
+    /// Returns the processes that serve or prepare to serve.
     pub fn processes(&self) -> impl Iterator<Item = Process> {
         self.current.into_iter().chain(self.successor)
     }
 
-    pub fn holds(&self, process: ProcessId) -> bool {
+    pub fn has_process(&self, process: ProcessId) -> bool {
         self.processes().any(|running| running.id == process)
     }
 
@@ -57,9 +57,9 @@
         self.current.is_some_and(|current| current.ready_at.is_some())
     }
 
-    /// Counts an exit, and returns the backoff before the next process starts.
+    /// Counts an exit and returns the backoff before the next process starts.
     ///
-    /// `ready_at` is when the process that exited became ready, if it did.
+    /// `ready_at` is the time at which the exited process became ready, if it did.
     pub fn record_failure(
         &mut self,
         now: Timestamp,
--- a/crates/balancer-core/src/supervisor/messages.rs
+++ b/crates/balancer-core/src/supervisor/messages.rs
@@ -1,30 +1,31 @@
-//! What goes into a [`super::Supervisor`] and what comes out.
+//! The input and output types of a [`super::Supervisor`].
 
 use crate::time::Timestamp;
 use std::fmt;
 use std::time::Duration;
 
-/// A process, by a number that is never used twice.
+/// The number of a process, which is never reused.
 pub type ProcessId = u64;
 
-/// An instance, by its place in the fleet, from 0 on.
+/// The index of an instance in the fleet, starting at 0.
 pub type InstanceId = usize;
 
-/// The time limits that hold for all instances.
+/// The time limits of all instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The wait before a process that exited by itself is restarted. It doubles with each further exit. Default: 200 ms.
+    /// The wait before a process that exited unexpectedly is restarted. It doubles with each further exit. Default:
+    /// 200 ms.
     pub restart_backoff: Duration,
     /// The upper bound of the restart backoff. Default: 10 s.
     pub max_restart_backoff: Duration,
-    /// A process that has served for this long resets the restart backoff. Default: 10 s.
+    /// The restart backoff is reset once a process has served for this long. Default: 10 s.
     pub stable_after: Duration,
-    /// A process that is not ready after this is killed. Default: 40 s.
+    /// A process that is not ready after this time is killed. Default: 40 s.
     pub readiness_timeout: Duration,
-    /// A process that was told to stop, or has handed over, is killed after this. Includes the time that it stands by.
-    /// Default: 20 s.
+    /// A process that was told to stop or has handed over is killed after this time, which includes its time on
+    /// standby. Default: 20 s.
     pub termination_timeout: Duration,
-    /// A serving process without a heartbeat for this long is killed. Default: 10 s.
+    /// A serving process that sends no heartbeat for this long is killed. Default: 10 s.
     pub watchdog_timeout: Duration,
 }
 
@@ -41,16 +42,16 @@
     }
 }
 
-/// What happens.
+/// An input of the supervisor: a report on a process, a command, or an expired timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// A process is ready to serve. A process reports it again after each reload, and after a rollback.
     Ready(ProcessId),
-    /// A process works.
+    /// A process sent a heartbeat.
     Heartbeat(ProcessId),
     /// A process has exited, or could not be started.
     Exited(ProcessId),
-    /// Replace all instances by graceful restart, one after the other.
+    /// Replace the process of each instance by graceful restart, one instance after the other.
     Upgrade,
     /// Stop this instance, and keep it stopped.
     Drain(InstanceId),
@@ -58,15 +59,15 @@
     DrainAll,
     /// Run this instance again.
     Start(InstanceId),
-    /// Have all instances read their configuration again.
+    /// Have all instances reload their configuration.
     Reload,
     /// Stop all instances at once.
     Stop,
-    /// Time has passed.
+    /// The timer set by [`Action::SetTimer`] has expired.
     TimerExpired,
 }
 
-/// What has to be done, in the order given.
+/// An action that the caller has to carry out, in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Start a process for this instance.
@@ -80,11 +81,11 @@
     Terminate(ProcessId),
     /// Kill a process.
     Kill(ProcessId),
-    /// Tell a process to read its configuration again.
+    /// Tell a process to reload its configuration.
     Reload(ProcessId),
-    /// Deliver [`Event::TimerExpired`] at this time. Replaces the timer set before.
+    /// Deliver [`Event::TimerExpired`] at this time. Replaces the previous timer.
     SetTimer(Timestamp),
-    /// Log this.
+    /// Log this notice.
     Log(Notice),
 }
 
@@ -100,28 +101,28 @@
         /// Its process.
         process: ProcessId,
     },
-    /// A successor serves.
+    /// A successor serves for the first time.
     TookOver {
         /// The instance.
         instance: InstanceId,
         /// The successor.
         process: ProcessId,
     },
-    /// A successor died on probation; the upgrade ends.
+    /// A successor died on probation, which ends the upgrade.
     RolledBack {
         /// The instance.
         instance: InstanceId,
-        /// The process that serves again.
+        /// The predecessor, which serves again.
         process: ProcessId,
     },
-    /// A successor exited before it served; the upgrade ends.
+    /// A successor exited before it served, which ends the upgrade.
     UpgradeFailed {
         /// The instance.
         instance: InstanceId,
         /// The successor.
         process: ProcessId,
     },
-    /// A process exited by itself.
+    /// A process exited unexpectedly.
     Restarting {
         /// The instance.
         instance: InstanceId,
@@ -153,32 +154,32 @@
             ),
             Self::Restarting { instance, process, backoff } => write!(
                 f,
-                "instance {instance}: process {process} exited by itself; another one starts in {backoff:?}"
+                "instance {instance}: process {process} exited unexpectedly; the next process starts in {backoff:?}"
             ),
             Self::Killed(process) => write!(f, "process {process} exceeded its time limit and is killed"),
         }
     }
 }
 
-/// What an instance is doing.
+/// The state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceState {
     /// A process prepares to serve.
     Starting,
     /// A process serves.
     Serving,
-    /// A process serves, and its successor prepares.
+    /// A process serves while its successor prepares.
     Upgrading,
-    /// Its process exited by itself, and another one starts after the backoff.
+    /// The process exited unexpectedly, and the next one starts after the backoff.
     BackingOff,
-    /// Its process was told to stop.
+    /// The process was told to stop.
     Draining,
-    /// It stays stopped.
+    /// The instance stays stopped.
     Stopped,
 }
 
 impl InstanceState {
-    /// The name that `cache-balancer fleet` prints.
+    /// Returns the name that `cache-balancer fleet` prints.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Starting => "starting",
@@ -191,14 +192,14 @@
     }
 }
 
-/// A report on one instance.
+/// The status of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceStatus {
-    /// What it is doing.
+    /// The state of the instance.
     pub state: InstanceState,
-    /// The process that serves, or is about to.
+    /// The process that serves or is about to serve.
     pub process: Option<ProcessId>,
-    /// The number of processes that exited by themselves.
+    /// The number of processes that exited unexpectedly.
     pub failures: u64,
     /// The number of processes that took over from another one.
     pub upgrades: u64,
--- a/crates/balancer-core/src/supervisor/mod.rs
+++ b/crates/balancer-core/src/supervisor/mod.rs
@@ -1,13 +1,13 @@
-//! A supervisor of a fleet of instances: when the process of each is started, restarted, replaced and stopped. Without
-//! I/O or a clock: the program starts the processes, reports what they do, and sends the signals.
+//! Supervises a fleet of instances: decides when the process of each is started, restarted, replaced and stopped.
+//! This module has no I/O and no clock: the caller starts the processes, reports their events and sends the signals.
 //!
-//! An instance is a place in the fleet (a configuration, an address); processes come and go in it. Start from
-//! [`Supervisor`]. Its rules:
+//! An instance is a configuration and an address, under which one process runs after another. Start with
+//! [`Supervisor`], which follows these rules:
 //!
-//! * A process that exits by itself is restarted after a backoff that doubles ([`Limits::restart_backoff`]).
+//! * A process that exits unexpectedly is restarted after a backoff that doubles ([`Limits::restart_backoff`]).
 //! * A process that is not ready in time, sends no heartbeat, or does not stop in time is killed.
-//! * A rolling upgrade replaces one instance at a time, each after the probation of the one before, so that a fault of
-//!   the new version shows at the first. It ends with the first successor that fails.
+//! * A rolling upgrade replaces the process of one instance at a time, each after the probation of the one before, so
+//!   that a fault of the new version shows at the first instance. It ends with the first successor that fails.
 
 mod instance;
 mod messages;
@@ -18,16 +18,17 @@
 use instance::{Instance, Process};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A process that was told to stop or has handed over. It is left alone until it exits or its time is up.
+/// A process that was told to stop or has handed over. It gets no further commands until it exits or its deadline
+/// passes.
 #[derive(Clone, Copy, Debug)]
 struct LeavingProcess {
-    /// When it is killed.
+    /// When the process is killed.
     deadline: Timestamp,
-    /// The instance that it handed over, where it may stand by: it serves again if its successor dies.
+    /// The instance that the process handed over and may stand by for: it serves again if its successor dies.
     standby_for: Option<InstanceId>,
 }
 
-/// The supervisor of a fleet, as a state machine.
+/// Supervises a fleet, as a state machine.
 #[derive(Debug)]
 pub struct Supervisor {
     limits: Limits,
@@ -36,14 +37,15 @@
     /// Processes that were killed and have not exited yet.
     killed: BTreeSet<ProcessId>,
     next_process: ProcessId,
-    /// The instances that the upgrade in progress still has to replace, in order.
+    /// The instances whose process the current upgrade still has to replace, in order.
     upgrade_queue: VecDeque<InstanceId>,
-    /// The instances that are still to be drained, the present one first.
+    /// The instances that are still to be drained. The first one is draining.
     drain_queue: VecDeque<InstanceId>,
 }
 
 impl Supervisor {
-    /// A supervisor of this number of instances, none of which runs yet: the first [`Event::TimerExpired`] starts them.
+    /// Creates a supervisor of this number of instances. None of them runs yet: the first [`Event::TimerExpired`]
+    /// starts them.
     pub fn new(instances: usize, limits: Limits) -> Self {
         Self {
             limits,
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Handles an event that happened at `now`, and appends the actions to carry out.
+    /// Handles an event that happened at `now` and appends the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Ready(process) => self.process_ready(now, process, actions),
@@ -77,19 +79,19 @@
         actions.extend(self.next_deadline().map(Action::SetTimer));
     }
 
-    /// The status of each instance, in order.
+    /// Returns the status of each instance, in order.
     pub fn statuses(&self) -> impl Iterator<Item = InstanceStatus> + '_ {
         self.instances.iter().map(Instance::status)
     }
 
-    /// Whether no process runs, and none will start by itself.
+    /// Returns whether no process runs and none is going to be started.
     pub fn is_finished(&self) -> bool {
         self.leaving.is_empty()
             && self.instances.iter().all(|instance| instance.stopped && instance.current.is_none())
     }
 
     fn instance_of(&self, process: ProcessId) -> Option<InstanceId> {
-        self.instances.iter().position(|instance| instance.holds(process))
+        self.instances.iter().position(|instance| instance.has_process(process))
     }
 
     fn process_ready(&mut self, now: Timestamp, process: ProcessId, actions: &mut Vec<Action>) {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// The process of an instance is ready, for the first time or again.
+    /// Records that the process of an instance is ready, for the first time or again.
     fn serve(&mut self, now: Timestamp, instance: InstanceId, process: ProcessId, actions: &mut Vec<Action>) {
         let deadline = now + self.limits.watchdog_timeout;
         let Some(current) = &mut self.instances[instance].current else { return };
@@ -113,7 +115,7 @@
         current.deadline = deadline;
     }
 
-    /// A successor is ready: it replaces the process that served, which stands by.
+    /// Makes a successor that is ready the current process. The process that served stands by.
     fn take_over(
         &mut self,
         now: Timestamp,
@@ -132,7 +134,8 @@
         actions.push(Action::Log(Notice::TookOver { instance, process }));
     }
 
-    /// A process that had handed over serves again: its successor has died, or is about to be reported dead.
+    /// Makes a process that had handed over the current one again: its successor has died or is about to be reported
+    /// dead.
     fn roll_back(&mut self, now: Timestamp, process: ProcessId, actions: &mut Vec<Action>) {
         let Some(instance) = self.leaving.get(&process).and_then(|leaving| leaving.standby_for) else {
             return;
@@ -146,11 +149,11 @@
         for other in successor.into_iter().chain(replaced) {
             self.terminate(now, other.id, actions);
         }
-        // What has failed here would fail at the other instances.
+        // The new version would fail at the other instances as well.
         self.upgrade_queue.clear();
         actions.push(Action::Log(Notice::RolledBack { instance, process }));
         if self.instances[instance].stopped {
-            // The stop went to the successor only.
+            // Only the successor was told to stop.
             self.instances[instance].stopped = false;
             self.stop_instance(now, instance, actions);
         }
@@ -176,12 +179,12 @@
         let state = &mut self.instances[instance];
         let ready_at = state.current.take().and_then(|current| current.ready_at);
         if was_leaving {
-            // It may have been started again meanwhile.
+            // A start may have been requested in the meantime.
             state.start_at = (!state.stopped).then_some(now);
             return;
         }
-        // With a successor, it may have handed over: the successor reports that once it serves, and an exit is reported
-        // first if no request was left to finish.
+        // A process with a successor may have handed over. The successor reports ready once it serves, but the exit
+        // is reported first if the process had no request left to finish.
         if state.stopped || state.successor.is_some() {
             return;
         }
@@ -189,7 +192,8 @@
         actions.push(Action::Log(Notice::Restarting { instance, process, backoff }));
     }
 
-    /// A successor exited before it served. The next one would fail as well: the upgrade ends.
+    /// Handles the exit of a successor that did not serve yet. Ends the upgrade, since the next successor would fail
+    /// as well.
     fn successor_failed(
         &mut self,
         now: Timestamp,
@@ -250,7 +254,7 @@
         self.leaving.insert(process, LeavingProcess { deadline, standby_for });
     }
 
-    /// Kills the processes that exceeded their time limit, each once.
+    /// Kills the processes that exceeded their time limit, each only once.
     fn kill_overdue(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let leaving = self.leaving.iter().map(|(process, leaving)| (*process, leaving.deadline));
         let running = self.running_processes().map(|process| (process.id, process.deadline));
@@ -266,12 +270,13 @@
         }
     }
 
-    /// The processes of instances that are not stopped.
+    /// Returns the processes of instances that are not stopped.
     fn running_processes(&self) -> impl Iterator<Item = Process> + '_ {
         self.instances.iter().filter(|instance| !instance.stopped).flat_map(Instance::processes)
     }
 
-    /// Starts the processes that are due. An instance that still drains holds the address, and waits.
+    /// Starts the processes that are due. An instance that is still draining holds its address, so its next process
+    /// has to wait.
     fn start_due(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         for instance in 0..self.instances.len() {
             let state = &self.instances[instance];
@@ -292,7 +297,7 @@
         Process { id: process, ready_at: None, deadline: now + self.limits.readiness_timeout }
     }
 
-    /// Drains the next instance once the process of the one before has exited.
+    /// Drains the next instance once the process of the previous one has exited.
     fn drain_next(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         while let Some(&instance) = self.drain_queue.front() {
             self.stop_instance(now, instance, actions);
@@ -311,14 +316,14 @@
         }
     }
 
-    /// Replaces the next instance, once the one before is replaced and its probation is over: a fault of the new version
-    /// shows at the first.
+    /// Starts the successor in the next instance, once the previous instance has its new process and the probation is
+    /// over: a fault of the new version shows at the first instance.
     fn upgrade_next(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if self.is_replacing() {
             return;
         }
         while let Some(instance) = self.upgrade_queue.pop_front() {
-            // An instance that does not serve starts as the new version by itself.
+            // An instance that does not serve starts with the new version anyway.
             if self.instances[instance].is_serving() {
                 let successor = self.start_process(now, instance, actions);
                 self.instances[instance].successor = Some(successor);
@@ -327,13 +332,13 @@
         }
     }
 
-    /// Whether a successor prepares, or is on probation.
+    /// Returns whether a successor prepares or is on probation.
     fn is_replacing(&self) -> bool {
         self.instances.iter().any(|instance| instance.successor.is_some())
             || self.leaving.values().any(|leaving| leaving.standby_for.is_some())
     }
 
-    /// When the next process is overdue, or due to start.
+    /// Returns when the next process is overdue or due to start.
     fn next_deadline(&self) -> Option<Timestamp> {
         let running = self.running_processes().map(|process| (process.id, process.deadline));
         let leaving = self.leaving.iter().map(|(process, leaving)| (*process, leaving.deadline));
@@ -341,7 +346,7 @@
             .chain(leaving)
             .filter(|(process, _)| !self.killed.contains(process))
             .map(|(_, deadline)| deadline);
-        // An instance that drains starts when its process has exited, which is reported.
+        // A draining instance starts its next process when the exit of the current one is reported.
         let vacant = self.instances.iter().filter(|instance| instance.current.is_none());
         let starts = vacant.filter_map(|instance| instance.start_at);
         kills.chain(starts).min()
