--- a/crates/balancer-core/src/discovery/list_validator.rs
+++ b/crates/balancer-core/src/discovery/list_validator.rs
@@ -2,10 +2,10 @@
 //! rejected: the current list stays in use, and the poll that returned the invalid one counts as failed.
 //!
 //! A list that is empty, or older than the current one, is suspicious rather than invalid: fleets really are shut
-//! down, and a discovery may lose its versions and start counting again. If it is received several times in a row, it
-//! is accepted. Envoy's panic threshold and Eureka's self-preservation do the same with a fraction of the fleet as
-//! the bound; here a list that shrinks the fleet to a few servers is accepted at once, since a server that is missing
-//! from a list must get no new requests.
+//! down, and a discovery may lose its versions and start counting again. Such a list is accepted once it was received
+//! several times in a row. Envoy's panic threshold and Eureka's self-preservation do the same with a fraction of the
+//! fleet as the bound; here a list that shrinks the fleet to a few servers is accepted at once, since a server that
+//! is missing from a list must get no new requests.
 //!
 //! With several replicas of one service, repetition by one of them proves nothing: an empty list must come from three
 //! replicas (from all, if there are fewer), and an older list from all of them. Three suspicious snapshots are needed
--- a/crates/balancer-core/src/platform/settings.rs
+++ b/crates/balancer-core/src/platform/settings.rs
@@ -162,7 +162,7 @@
     fn cache_mode(&self) -> Result<CacheMode, PlatformError> {
         let origin_kind = self.count::<i64>("family_info.origin_kind", -1)?.unwrap_or(-1);
         let mut kinds = self.fields.text("shapes").unwrap_or("").split(',');
-        let origin_kind = usize::try_from(origin_kind).ok().and_then(|place| kinds.nth(place));
+        let origin_kind = usize::try_from(origin_kind).ok().and_then(|index| kinds.nth(index));
         Ok(match (self.fields.text("family_info.mode"), origin_kind) {
             (Some("aside"), Some(kind)) => CacheMode::Aside { origin_kind: kind.into() },
             _ => CacheMode::Through,
--- a/crates/balancer-core/src/supervisor/messages.rs
+++ b/crates/balancer-core/src/supervisor/messages.rs
@@ -63,7 +63,7 @@
     Reload,
     /// Stop all instances at once.
     Stop,
-    /// The timer set by [`Action::SetTimer`] has expired.
+    /// The timer set by [`Action::SetTimer`] has expired. The first event of this kind starts the fleet.
     TimerExpired,
 }
 
--- a/crates/balancer-core/tests/graceful_restart.rs
+++ b/crates/balancer-core/tests/graceful_restart.rs
@@ -1,4 +1,4 @@
-//! The predecessor's side of a graceful restart, event by event.
+//! Checks the predecessor's side of a graceful restart, event by event.
 
 use balancer_core::graceful_restart::PredecessorAction::{
     BackOff, Cancel, Fence, Offer, Pause, Resume, Rollback,
@@ -9,7 +9,7 @@
 };
 use balancer_core::graceful_restart::{Predecessor, PredecessorAction, PredecessorState};
 
-/// The state after these events, and the actions of all of them.
+/// Returns the state after these events and the actions of all of them.
 fn run(events: &[PredecessorEvent]) -> (PredecessorState, Vec<PredecessorAction>) {
     let mut predecessor = Predecessor::default();
     let actions = events.iter().flat_map(|event| predecessor.handle(*event)).copied().collect();
@@ -31,13 +31,14 @@
     ];
     for (events, expected) in cases {
         assert_eq!(run(events), (PredecessorState::Serving, expected.to_vec()), "{events:?}");
-        // The next successor is as welcome as the first.
+        // The next successor is accepted like the first.
         let again: Vec<_> = events.iter().copied().chain([Requested]).collect();
         assert_eq!(run(&again).1.last(), Some(&Offer));
     }
 }
 
-/// A bad program would be admitted again and again, and each time take down the clients that it was given.
+/// Guards against a faulty version that is accepted again and again, and each time fails the clients handed over to
+/// it.
 #[test]
 fn a_third_successor_is_rejected_after_two_deaths_until_the_backoff_expires() {
     let on_probation = [Requested, SuccessorReady, SuccessorAccepting, SuccessorDied];
@@ -46,7 +47,7 @@
         for second in [&on_probation[..], &paused[..]] {
             let mut predecessor = Predecessor::default();
             assert!(!first.iter().any(|event| predecessor.handle(*event).contains(&BackOff)));
-            // Deaths before there was a client, and successors that give up, do not count.
+            // Deaths of successors that had no clients yet, and successors that give up, do not count.
             for event in [
                 Requested,
                 SuccessorDied,
--- a/crates/balancer-core/tests/graceful_restart_model/main.rs
+++ b/crates/balancer-core/tests/graceful_restart_model/main.rs
@@ -1,5 +1,5 @@
-//! A model checker runs the graceful restart through every order of messages, deaths, hangs, lost links and stops: a
-//! process, its successor, and the successor's own.
+//! Checks the graceful restart with a model checker, through every order of messages, deaths, hangs, lost links and
+//! stops. The model has up to three processes: a process, its successor, and the successor's own successor.
 
 mod system;
 
@@ -7,14 +7,15 @@
 use stateright::{Checker, Model, Property};
 use system::{Budget, Message, System};
 
-const ONE_ACCEPTS: &str =
-    "two never accept, except where a predecessor gave up on a hung or cut off successor";
-const ONE_ACCEPTS_FOR_GOOD: &str = "two never accept for good";
-const SOMEBODY_ACCEPTS: &str = "while a process lives and none was told to stop, one accepts in the end";
-const LEAVING_ACCEPTS_NONE: &str = "a process that leaves does not accept";
-const HANDED_OVER: &str = "a successor serves for good and its predecessor has departed";
+const NO_TWO_ACCEPT: &str =
+    "no two processes accept, except where a predecessor gave up on a hung or cut off successor";
+const NO_TWO_ACCEPT_PERMANENTLY: &str = "no two processes accept permanently";
+const ONE_ACCEPTS_EVENTUALLY: &str =
+    "while a process is alive and none was told to stop, one eventually accepts";
+const LEAVING_ACCEPTS_NONE: &str = "a leaving process does not accept";
+const HANDED_OVER: &str = "a successor serves permanently and its predecessor has departed";
 const ROLLED_BACK: &str = "a predecessor rolls back after a death";
-const PREDECESSOR_DIED: &str = "a successor serves on after its predecessor died";
+const PREDECESSOR_DIED: &str = "a successor continues to serve after its predecessor died";
 const FENCED: &str = "a successor that was cut off is fenced";
 const HANDED_OVER_TWICE: &str = "a third process serves and the first has departed";
 
@@ -31,12 +32,12 @@
     Exit(usize),
     Hang(usize),
     Recover(usize),
-    /// What was written before arrives still, as on a stream socket.
+    /// Messages that were sent before still arrive, as on a stream socket.
     CutLink(usize),
 }
 
 impl Step {
-    /// Whether it happens by itself, without a fault, a new process or a time limit.
+    /// Returns whether the step needs no fault, new process or time limit.
     fn is_spontaneous(self) -> bool {
         matches!(
             self,
@@ -50,11 +51,11 @@
     }
 }
 
-/// The model, with the faults of a run.
+/// The model, with its budget of faults.
 struct GracefulRestart(Budget);
 
 impl GracefulRestart {
-    /// Whether nothing more happens by itself.
+    /// Returns whether no spontaneous step is left.
     fn is_settled(&self, state: &System) -> bool {
         let mut steps = Vec::new();
         self.actions(state, &mut steps);
@@ -71,13 +72,13 @@
     }
 
     fn actions(&self, state: &System, steps: &mut Vec<Step>) {
-        for place in 0..state.processes.len() {
-            process_steps(state, place, steps);
+        for index in 0..state.processes.len() {
+            process_steps(state, index, steps);
         }
         if state.budget.cuts > 0 {
-            for (place, link) in state.links.iter().enumerate() {
-                if link.upper_open && link.lower_open && !link.severed {
-                    steps.push(Step::CutLink(place));
+            for (index, link) in state.links.iter().enumerate() {
+                if link.predecessor_open && link.successor_open && !link.severed {
+                    steps.push(Step::CutLink(index));
                 }
             }
         }
@@ -86,32 +87,32 @@
     fn next_state(&self, before: &System, step: Step) -> Option<System> {
         let mut state = before.clone();
         match step {
-            Step::Request(place) => state.start_successor(place),
-            Step::Prepare(place) => state.successor_event(place, SuccessorEvent::Prepared),
-            Step::PredecessorReads(place) => predecessor_reads(&mut state, place)?,
-            Step::SuccessorReads(place) => successor_reads(&mut state, place)?,
-            Step::TimeOut(place) => state.predecessor_event(place, PredecessorEvent::TimedOut),
-            Step::Stop(place) => {
+            Step::Request(index) => state.start_successor(index),
+            Step::Prepare(index) => state.successor_event(index, SuccessorEvent::Prepared),
+            Step::PredecessorReads(index) => predecessor_reads(&mut state, index)?,
+            Step::SuccessorReads(index) => successor_reads(&mut state, index)?,
+            Step::TimeOut(index) => state.predecessor_event(index, PredecessorEvent::TimedOut),
+            Step::Stop(index) => {
                 state.budget.stops -= 1;
-                state.processes[place].signalled = true;
+                state.processes[index].signalled = true;
             }
-            Step::DeliverSignal(place) => {
-                state.processes[place].signalled = false;
-                state.stop(place);
+            Step::DeliverSignal(index) => {
+                state.processes[index].signalled = false;
+                state.stop(index);
             }
-            Step::Die(place) => {
+            Step::Die(index) => {
                 state.budget.deaths -= 1;
-                state.end(place);
+                state.end(index);
             }
-            Step::Exit(place) => state.end(place),
-            Step::Hang(place) => {
+            Step::Exit(index) => state.end(index),
+            Step::Hang(index) => {
                 state.budget.hangs -= 1;
-                state.processes[place].hangs = true;
+                state.processes[index].hangs = true;
             }
-            Step::Recover(place) => state.processes[place].hangs = false,
-            Step::CutLink(place) => {
+            Step::Recover(index) => state.processes[index].hangs = false,
+            Step::CutLink(index) => {
                 state.budget.cuts -= 1;
-                state.links[place].severed = true;
+                state.links[index].severed = true;
             }
         }
         Some(state)
@@ -122,11 +123,13 @@
             state.processes.iter().filter(|process| process.accepts).count()
         }
         vec![
-            Property::always(ONE_ACCEPTS, |_, state: &System| accepting(state) <= 1 || state.overtaken),
-            Property::always(ONE_ACCEPTS_FOR_GOOD, |model: &Self, state: &System| {
+            Property::always(NO_TWO_ACCEPT, |_, state: &System| {
+                accepting(state) <= 1 || state.gave_up_on_accepting
+            }),
+            Property::always(NO_TWO_ACCEPT_PERMANENTLY, |model: &Self, state: &System| {
                 !model.is_settled(state) || accepting(state) <= 1
             }),
-            Property::always(SOMEBODY_ACCEPTS, |model: &Self, state: &System| {
+            Property::always(ONE_ACCEPTS_EVENTUALLY, |model: &Self, state: &System| {
                 let lives = state.processes.iter().any(|process| process.alive && !process.leaves);
                 !model.is_settled(state) || state.stopped || !lives || accepting(state) == 1
             }),
@@ -156,96 +159,96 @@
     }
 }
 
-/// Adds what the process at `place` may do, or what may happen to it.
-fn process_steps(state: &System, place: usize, steps: &mut Vec<Step>) {
-    let process = &state.processes[place];
+/// Adds the steps of the process at `index`, including faults.
+fn process_steps(state: &System, index: usize, steps: &mut Vec<Step>) {
+    let process = &state.processes[index];
     if !process.alive {
         return;
     }
     if state.budget.deaths > 0 {
-        steps.push(Step::Die(place));
+        steps.push(Step::Die(index));
     }
     if process.hangs {
-        steps.push(Step::Recover(place));
+        steps.push(Step::Recover(index));
         return;
     }
     if state.budget.hangs > 0 {
-        steps.push(Step::Hang(place));
+        steps.push(Step::Hang(index));
     }
     if process.leaves {
-        steps.push(Step::Exit(place));
+        steps.push(Step::Exit(index));
         return;
     }
-    // A signal comes before all else.
+    // A pending signal is handled before anything else.
     if process.signalled {
-        steps.push(Step::DeliverSignal(place));
+        steps.push(Step::DeliverSignal(index));
         return;
     }
     if state.budget.stops > 0 {
-        steps.push(Step::Stop(place));
+        steps.push(Step::Stop(index));
     }
     let last = state.processes.len() - 1;
-    let handing_over = state.predecessor_state(place) != PredecessorState::Serving;
-    if place == last && state.budget.successors > 0 && process.serves() && !handing_over {
-        steps.push(Step::Request(place));
+    let handing_over = state.predecessor_state(index) != PredecessorState::Serving;
+    if index == last && state.budget.successors > 0 && process.serves() && !handing_over {
+        steps.push(Step::Request(index));
     }
-    if place < last && handing_over {
-        if state.is_readable(place, true) {
-            steps.push(Step::PredecessorReads(place));
+    if index < last && handing_over {
+        if state.is_readable(index, true) {
+            steps.push(Step::PredecessorReads(index));
         }
-        if state.links[place].upper_open {
-            steps.push(Step::TimeOut(place));
+        if state.links[index].predecessor_open {
+            steps.push(Step::TimeOut(index));
         }
     }
-    if place > 0 {
-        if state.is_readable(place - 1, false) {
-            steps.push(Step::SuccessorReads(place));
+    if index > 0 {
+        if state.is_readable(index - 1, false) {
+            steps.push(Step::SuccessorReads(index));
         }
         if process.successor_state() == Some(SuccessorState::Preparing) {
-            steps.push(Step::Prepare(place));
+            steps.push(Step::Prepare(index));
         }
     }
 }
 
-/// `None` if the next message is no successor's.
-fn predecessor_reads(state: &mut System, place: usize) -> Option<()> {
-    let event = match state.read(place, true) {
+/// Returns `None` if the next message is not one that a successor sends.
+fn predecessor_reads(state: &mut System, index: usize) -> Option<()> {
+    let event = match state.read(index, true) {
         Some(Message::Ready) => PredecessorEvent::SuccessorReady,
         Some(Message::Accepting) => PredecessorEvent::SuccessorAccepting,
         Some(Message::Release) => PredecessorEvent::Released,
         Some(Message::Decline) => PredecessorEvent::Declined,
         Some(Message::Proceed | Message::Commit | Message::Departed | Message::Cancel) => return None,
-        None if state.link_ended(place, true) => PredecessorEvent::SuccessorDied,
+        None if state.link_ended(index, true) => PredecessorEvent::SuccessorDied,
         None => PredecessorEvent::LinkLost,
     };
-    // A message after which nothing more follows ends the link.
+    // The successor sends nothing after these messages, so the link is closed.
     if matches!(event, PredecessorEvent::Released | PredecessorEvent::Declined) {
-        state.links[place].upper_open = false;
+        state.links[index].predecessor_open = false;
     }
-    let stood_by = state.predecessor_state(place) == PredecessorState::StandingBy;
-    state.predecessor_event(place, event);
+    let stood_by = state.predecessor_state(index) == PredecessorState::StandingBy;
+    state.predecessor_event(index, event);
     let died = event == PredecessorEvent::SuccessorDied;
-    state.rolled_back |= died && stood_by && state.processes[place].accepts;
+    state.rolled_back |= died && stood_by && state.processes[index].accepts;
     Some(())
 }
 
-/// `None` if the next message is no predecessor's.
-fn successor_reads(state: &mut System, place: usize) -> Option<()> {
-    let event = match state.read(place - 1, false) {
+/// Returns `None` if the next message is not one that a predecessor sends.
+fn successor_reads(state: &mut System, index: usize) -> Option<()> {
+    let event = match state.read(index - 1, false) {
         Some(Message::Proceed) => SuccessorEvent::Proceed,
         Some(Message::Commit) => SuccessorEvent::Committed,
         Some(Message::Departed) => SuccessorEvent::PredecessorDeparted,
         Some(Message::Cancel) => SuccessorEvent::Cancelled,
         Some(Message::Ready | Message::Accepting | Message::Release | Message::Decline) => return None,
-        None if state.link_ended(place - 1, false) => SuccessorEvent::PredecessorDied,
+        None if state.link_ended(index - 1, false) => SuccessorEvent::PredecessorDied,
         None => SuccessorEvent::LinkLost,
     };
-    state.successor_event(place, event);
+    state.successor_event(index, event);
     Some(())
 }
 
-/// A fault at any point of a hand-over could leave the clients with no process that accepts, or with two that compete
-/// for them. The checker visits every order that the budgets allow.
+/// Guards against a fault during a hand-over that leaves no process, or two processes, accepting connections. The
+/// checker visits every order of steps that the budgets allow.
 #[test]
 fn every_order_of_messages_and_faults_leaves_one_living_process_accepting() {
     let quiet = Budget { successors: 2, deaths: 0, hangs: 0, cuts: 0, stops: 0 };
@@ -266,7 +269,7 @@
         for property in GracefulRestart(budget).properties() {
             let found = checker.discovery(property.name).map(stateright::Path::into_actions);
             let possible = match property.name {
-                // Cut off, a process that stops in order looks as if it had died.
+                // Without the link, a process that shuts down gracefully looks as if it had died.
                 ROLLED_BACK => budget.deaths > 0 || (budget.cuts > 0 && budget.stops > 0),
                 PREDECESSOR_DIED => budget.deaths > 0,
                 FENCED => budget.cuts > 0,
--- a/crates/balancer-core/tests/graceful_restart_model/system.rs
+++ b/crates/balancer-core/tests/graceful_restart_model/system.rs
@@ -1,4 +1,4 @@
-//! The modelled system: a chain of processes, and a link between each and its successor.
+//! The modelled system: a chain of processes, with a link between each process and its successor.
 
 use balancer_core::graceful_restart::{
     Predecessor, PredecessorAction, PredecessorEvent, PredecessorState, Successor, SuccessorAction,
@@ -21,13 +21,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Process {
     pub predecessor: Predecessor,
-    /// `None` for the process that started by itself.
+    /// `None` for the first process, which replaces no other.
     pub successor: Option<Successor>,
     pub alive: bool,
     pub accepts: bool,
-    /// It has departed, given up or was told to stop: it finishes its requests, and exits.
+    /// The process has departed, given up or was told to stop: it finishes its requests and exits.
     pub leaves: bool,
-    /// It reads nothing for now.
+    /// The process currently reads nothing.
     pub hangs: bool,
     /// A termination signal is pending: from its supervisor, or from a process that fences it.
     pub signalled: bool,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether it serves, and can hand over to a successor of its own.
+    /// Returns whether the process serves and can hand over to a successor of its own.
     pub fn serves(&self) -> bool {
         self.successor.is_none_or(Successor::serves)
     }
@@ -62,26 +62,26 @@
     }
 }
 
-/// The link between a process, which has the upper end, and its successor.
+/// The link between a process and its successor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Link {
-    pub upper_open: bool,
-    pub lower_open: bool,
-    pub up: Vec<Message>,
-    pub down: Vec<Message>,
-    /// Lost, while the processes hold their ends open.
+    pub predecessor_open: bool,
+    pub successor_open: bool,
+    pub to_predecessor: Vec<Message>,
+    pub to_successor: Vec<Message>,
+    /// The link was lost, but the processes keep their ends open.
     pub severed: bool,
-    /// Whether each end (lower, upper) was told that the link has ended.
+    /// Whether each end (the successor's, the predecessor's) was told that the link has ended.
     pub end_reported: [bool; 2],
 }
 
 impl Link {
     fn open() -> Self {
-        Self { upper_open: true, lower_open: true, ..Self::default() }
+        Self { predecessor_open: true, successor_open: true, ..Self::default() }
     }
 }
 
-/// Faults that may still happen, and successors that may still start.
+/// The number of faults that may still happen and of successors that may still start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     pub successors: u8,
@@ -96,11 +96,11 @@
     pub processes: Vec<Process>,
     pub links: Vec<Link>,
     pub budget: Budget,
-    /// A predecessor gave up on a successor that accepts, or is just about to.
-    pub overtaken: bool,
-    /// A process that served, or was about to, was told to stop.
+    /// A predecessor gave up on a successor that accepts or is about to accept.
+    pub gave_up_on_accepting: bool,
+    /// A process that served or was about to serve was told to stop.
     pub stopped: bool,
-    /// A predecessor on standby accepted again when its successor had died.
+    /// A predecessor on standby accepted again after its successor had died.
     pub rolled_back: bool,
     /// A successor was fenced after the link was lost.
     pub fenced: bool,
@@ -112,172 +112,173 @@
             processes: vec![Process::new(None)],
             links: Vec::new(),
             budget,
-            overtaken: false,
+            gave_up_on_accepting: false,
             stopped: false,
             rolled_back: false,
             fenced: false,
         }
     }
 
-    pub fn predecessor_state(&self, place: usize) -> PredecessorState {
-        self.processes[place].predecessor.state()
+    pub fn predecessor_state(&self, index: usize) -> PredecessorState {
+        self.processes[index].predecessor.state()
     }
 
-    /// A new process requests a hand-over from the one at `place`, the last.
-    pub fn start_successor(&mut self, place: usize) {
+    /// Starts a new process, which requests a hand-over from the last one, at `index`.
+    pub fn start_successor(&mut self, index: usize) {
         self.budget.successors -= 1;
         self.processes.push(Process::new(Some(Successor::default())));
         self.links.push(Link::open());
-        self.predecessor_event(place, PredecessorEvent::Requested);
+        self.predecessor_event(index, PredecessorEvent::Requested);
     }
 
-    pub fn predecessor_event(&mut self, place: usize, event: PredecessorEvent) {
-        let actions = self.processes[place].predecessor.handle(event);
-        self.carry_out_as_predecessor(place, actions);
+    pub fn predecessor_event(&mut self, index: usize, event: PredecessorEvent) {
+        let actions = self.processes[index].predecessor.handle(event);
+        self.carry_out_as_predecessor(index, actions);
     }
 
-    pub fn successor_event(&mut self, place: usize, event: SuccessorEvent) {
-        let Some(successor) = &mut self.processes[place].successor else { return };
+    pub fn successor_event(&mut self, index: usize, event: SuccessorEvent) {
+        let Some(successor) = &mut self.processes[index].successor else { return };
         for action in successor.handle(event) {
-            self.carry_out_as_successor(place, *action);
+            self.carry_out_as_successor(index, *action);
         }
     }
 
-    /// The process handles a termination signal.
-    pub fn stop(&mut self, place: usize) {
-        let process = &self.processes[place];
+    /// Makes the process handle a termination signal.
+    pub fn stop(&mut self, index: usize) {
+        let process = &self.processes[index];
         self.stopped |= !process.fenced;
         if process.serves() {
-            let actions = self.processes[place].predecessor.stop();
-            self.carry_out_as_predecessor(place, actions);
-            if place < self.links.len() {
-                self.links[place].upper_open = false;
+            let actions = self.processes[index].predecessor.stop();
+            self.carry_out_as_predecessor(index, actions);
+            if index < self.links.len() {
+                self.links[index].predecessor_open = false;
             }
         }
-        self.successor_event(place, SuccessorEvent::StopRequested);
-        let process = &mut self.processes[place];
+        self.successor_event(index, SuccessorEvent::StopRequested);
+        let process = &mut self.processes[index];
         (process.accepts, process.leaves) = (false, true);
     }
 
-    /// The process ends, and with it its ends of links.
-    pub fn end(&mut self, place: usize) {
-        let process = &mut self.processes[place];
+    /// Ends the process, which closes its ends of links.
+    pub fn end(&mut self, index: usize) {
+        let process = &mut self.processes[index];
         (process.alive, process.accepts, process.hangs, process.signalled) = (false, false, false, false);
-        if place > 0 {
-            self.links[place - 1].lower_open = false;
+        if index > 0 {
+            self.links[index - 1].successor_open = false;
         }
-        if place < self.links.len() {
-            self.links[place].upper_open = false;
+        if index < self.links.len() {
+            self.links[index].predecessor_open = false;
         }
     }
 
-    /// Whether the upper or lower end of a link has a message, or the link's end, to read.
-    pub fn is_readable(&self, place: usize, upper: bool) -> bool {
-        let link = &self.links[place];
-        let (own_open, peer_open, messages) = match upper {
-            true => (link.upper_open, link.lower_open, &link.up),
-            false => (link.lower_open, link.upper_open, &link.down),
+    /// Returns whether one end of a link has a message, or the end of the link, to read.
+    pub fn is_readable(&self, index: usize, at_predecessor: bool) -> bool {
+        let link = &self.links[index];
+        let (own_open, peer_open, messages) = match at_predecessor {
+            true => (link.predecessor_open, link.successor_open, &link.to_predecessor),
+            false => (link.successor_open, link.predecessor_open, &link.to_successor),
         };
-        let peer = &self.processes[if upper { place + 1 } else { place }];
-        // An end is told that the link was lost, and of a death after that.
+        let peer = &self.processes[if at_predecessor { index + 1 } else { index }];
+        // An end is told that the link was lost, and later that the other process died.
         let ended = link.severed || !peer_open;
-        let reported = link.end_reported[usize::from(upper)];
+        let reported = link.end_reported[usize::from(at_predecessor)];
         own_open && (!messages.is_empty() || (ended && (!reported || !peer.alive)))
     }
 
-    /// The next message for the upper or lower end of a link; `None` if the link has ended.
-    pub fn read(&mut self, place: usize, upper: bool) -> Option<Message> {
-        let link = &mut self.links[place];
-        let messages = if upper { &mut link.up } else { &mut link.down };
+    /// Returns the next message for one end of a link, or `None` if the link has ended.
+    pub fn read(&mut self, index: usize, at_predecessor: bool) -> Option<Message> {
+        let link = &mut self.links[index];
+        let messages = if at_predecessor { &mut link.to_predecessor } else { &mut link.to_successor };
         (!messages.is_empty()).then(|| messages.remove(0))
     }
 
-    /// A link has ended: returns whether the process at the other end has died.
-    pub fn link_ended(&mut self, place: usize, upper: bool) -> bool {
-        let peer_died = !self.processes[if upper { place + 1 } else { place }].alive;
-        let link = &mut self.links[place];
-        link.end_reported[usize::from(upper)] = true;
+    /// Records that one end was told of the link's end. Returns whether the process at the other end has died.
+    pub fn link_ended(&mut self, index: usize, at_predecessor: bool) -> bool {
+        let peer_died = !self.processes[if at_predecessor { index + 1 } else { index }].alive;
+        let link = &mut self.links[index];
+        link.end_reported[usize::from(at_predecessor)] = true;
         if peer_died {
-            *(if upper { &mut link.upper_open } else { &mut link.lower_open }) = false;
+            *(if at_predecessor { &mut link.predecessor_open } else { &mut link.successor_open }) = false;
         }
         peer_died
     }
 
-    fn carry_out_as_predecessor(&mut self, place: usize, actions: &[PredecessorAction]) {
+    fn carry_out_as_predecessor(&mut self, index: usize, actions: &[PredecessorAction]) {
         for action in actions {
             match action {
                 PredecessorAction::BackOff => {}
-                // The process on standby behind this one is not needed any more, and learns so before anything else.
-                PredecessorAction::Offer => self.successor_event(place, SuccessorEvent::HandoverStarted),
+                // The process on standby for this one is no longer needed, and is told so first.
+                PredecessorAction::Offer => self.successor_event(index, SuccessorEvent::HandoverStarted),
                 PredecessorAction::Pause => {
-                    self.processes[place].accepts = false;
-                    self.send_down(place, Message::Proceed);
+                    self.processes[index].accepts = false;
+                    self.send_to_successor(index, Message::Proceed);
                 }
                 PredecessorAction::Resume | PredecessorAction::Rollback => {
-                    self.processes[place].accepts = true
+                    self.processes[index].accepts = true
                 }
-                PredecessorAction::Commit => self.send_down(place, Message::Commit),
+                PredecessorAction::Commit => self.send_to_successor(index, Message::Commit),
                 PredecessorAction::Fence => {
-                    self.processes[place + 1].fence();
-                    self.fenced |= self.links[place].severed;
-                    self.overtaken = true;
+                    self.processes[index + 1].fence();
+                    self.fenced |= self.links[index].severed;
+                    self.gave_up_on_accepting = true;
                 }
                 PredecessorAction::Cancel => {
                     let accepting =
-                        self.processes[place + 1].successor_state() == Some(SuccessorState::Accepting);
-                    self.overtaken |= accepting || self.links[place].down.contains(&Message::Proceed);
-                    self.send_down(place, Message::Cancel);
-                    self.links[place].upper_open = false;
+                        self.processes[index + 1].successor_state() == Some(SuccessorState::Accepting);
+                    self.gave_up_on_accepting |=
+                        accepting || self.links[index].to_successor.contains(&Message::Proceed);
+                    self.send_to_successor(index, Message::Cancel);
+                    self.links[index].predecessor_open = false;
                 }
                 PredecessorAction::Depart => {
-                    self.send_down(place, Message::Departed);
-                    self.links[place].upper_open = false;
-                    self.processes[place].leaves = true;
+                    self.send_to_successor(index, Message::Departed);
+                    self.links[index].predecessor_open = false;
+                    self.processes[index].leaves = true;
                 }
             }
         }
     }
 
-    fn carry_out_as_successor(&mut self, place: usize, action: SuccessorAction) {
+    fn carry_out_as_successor(&mut self, index: usize, action: SuccessorAction) {
         match action {
-            SuccessorAction::SendReady => drop(self.send_up(place, Message::Ready)),
-            SuccessorAction::SendAccepting => drop(self.send_up(place, Message::Accepting)),
+            SuccessorAction::SendReady => drop(self.send_to_predecessor(index, Message::Ready)),
+            SuccessorAction::SendAccepting => drop(self.send_to_predecessor(index, Message::Accepting)),
             SuccessorAction::Release => {
-                let upper_open = self.links[place - 1].upper_open;
-                if !self.send_up(place, Message::Release) && upper_open {
-                    self.processes[place - 1].fence();
+                let predecessor_open = self.links[index - 1].predecessor_open;
+                if !self.send_to_predecessor(index, Message::Release) && predecessor_open {
+                    self.processes[index - 1].fence();
                 }
-                self.links[place - 1].lower_open = false;
+                self.links[index - 1].successor_open = false;
             }
             SuccessorAction::Decline => {
-                self.send_up(place, Message::Decline);
-                self.links[place - 1].lower_open = false;
+                self.send_to_predecessor(index, Message::Decline);
+                self.links[index - 1].successor_open = false;
             }
-            SuccessorAction::Accept => self.processes[place].accepts = true,
+            SuccessorAction::Accept => self.processes[index].accepts = true,
             SuccessorAction::TakeOwnership => {}
-            SuccessorAction::TerminatePredecessor => self.processes[place - 1].fence(),
+            SuccessorAction::TerminatePredecessor => self.processes[index - 1].fence(),
             SuccessorAction::Drain | SuccessorAction::Exit => {
-                self.links[place - 1].lower_open = false;
-                let process = &mut self.processes[place];
+                self.links[index - 1].successor_open = false;
+                let process = &mut self.processes[index];
                 (process.accepts, process.leaves) = (false, true);
             }
         }
     }
 
-    /// Sends a message to the successor of the process at `place`, if it can arrive.
-    fn send_down(&mut self, place: usize, message: Message) {
-        let link = &mut self.links[place];
-        if link.lower_open && !link.severed {
-            link.down.push(message);
+    /// Sends a message to the successor of the process at `index` if it can arrive.
+    fn send_to_successor(&mut self, index: usize, message: Message) {
+        let link = &mut self.links[index];
+        if link.successor_open && !link.severed {
+            link.to_successor.push(message);
         }
     }
 
-    /// Sends a message to the predecessor of the process at `place`. Returns whether it can arrive.
-    fn send_up(&mut self, place: usize, message: Message) -> bool {
-        let link = &mut self.links[place - 1];
-        let arrives = link.upper_open && !link.severed;
+    /// Sends a message to the predecessor of the process at `index`. Returns whether it can arrive.
+    fn send_to_predecessor(&mut self, index: usize, message: Message) -> bool {
+        let link = &mut self.links[index - 1];
+        let arrives = link.predecessor_open && !link.severed;
         if arrives {
-            link.up.push(message);
+            link.to_predecessor.push(message);
         }
         arrives
     }
--- a/crates/balancer-core/tests/list_validator.rs
+++ b/crates/balancer-core/tests/list_validator.rs
@@ -1,4 +1,4 @@
-//! Which lists of a single discovery service are accepted, list by list.
+//! Checks which lists of a single discovery service are accepted.
 
 #[path = "support/lists.rs"]
 mod lists;
@@ -38,7 +38,7 @@
     let older = Err(ListError::OlderVersion { received: 40, current: 41 });
     assert_eq!(validate(&mut validator, 40, false, &[entry("a", Removed)]), older);
     assert_eq!(validator.watch_from(), None);
-    // Changes are no answer to that, of whatever version.
+    // Changes of any version are rejected, since a snapshot was requested.
     assert_eq!(validate(&mut validator, 42, false, &[entry("a", Removed)]), Err(ListError::UnexpectedDelta));
     assert_eq!(validate(&mut validator, 42, true, &[entry("c", Ready)]), Ok(vec![]));
     assert_eq!(validator.watch_from(), Some(42));
@@ -72,7 +72,7 @@
         validate(&mut validator, 47, true, &[]),
         Ok(vec![ListWarning::AcceptedAfterRepeats(ListError::Empty { known_ready: 1 })])
     );
-    // No server is known any more: there is nothing to lose.
+    // No known server is left, so another empty list is not suspicious.
     assert_eq!(validate(&mut validator, 48, true, &[]), Ok(vec![]));
 }
 
@@ -113,7 +113,7 @@
     assert_eq!(validate(&mut validator, 1, true, &[entry("a", Ready)]), Ok(vec![]));
 }
 
-/// What a discovery may send: a version, whether it is a snapshot, and entries of a few servers.
+/// Generates lists: a version, whether it is a snapshot, and entries of a few servers.
 fn any_list() -> impl Strategy<Value = (u64, bool, Vec<(usize, EndpointState, bool)>)> {
     let state = prop::sample::select(vec![Ready, Draining, Removed]);
     let entries = prop::collection::vec((0..6_usize, state, any::<bool>()), 0..5);
@@ -124,9 +124,9 @@
 
 proptest! {
     /// A discovery that restarted, or whose store was damaged, may send any list once or twice. If one such list were
-    /// accepted, the node would lose its whole fleet at once, or fall back to an old state of it. So whatever is received: the
-    /// next request is for changes after the accepted version or for a snapshot, and the version goes back, or all known
-    /// servers disappear, only by a list that was received three times.
+    /// accepted, the node would lose its whole fleet at once or fall back to an old state of it. Whatever lists are
+    /// received, the next request is for changes after the accepted version or for a snapshot, and only a list that
+    /// was received three times decreases the version or removes all known servers.
     #[test]
     fn no_single_list_takes_the_version_back_or_empties_the_fleet(lists in prop::collection::vec(any_list(), 1..60)) {
         let mut validator = holding();
@@ -154,19 +154,19 @@
         }
     }
 
-    /// A rejected list of a working discovery would delay a change by a poll and a backoff. None may be, however the fleet
-    /// changes.
+    /// Rejecting a list of a working discovery would delay a change by a poll and a backoff, so none may be rejected,
+    /// however the fleet changes.
     #[test]
     fn every_list_of_a_working_discovery_is_accepted(changes in prop::collection::vec((any::<bool>(), 0..6_usize), 1..60)) {
         let mut validator = ListValidator::default();
-        let mut here = std::collections::BTreeSet::from(["a"]);
-        let snapshot: Vec<_> = here.iter().map(|name| entry(name, Ready)).collect();
+        let mut listed = std::collections::BTreeSet::from(["a"]);
+        let snapshot: Vec<_> = listed.iter().map(|name| entry(name, Ready)).collect();
         prop_assert_eq!(validate(&mut validator, 0, true, &snapshot), Ok(vec![]));
-        for (version, (all, name)) in (1..).zip(changes) {
+        for (version, (is_snapshot, name)) in (1..).zip(changes) {
             let name = NAMES[name];
-            let state = if here.remove(name) { Removed } else { here.insert(name); Ready };
-            if all && !here.is_empty() {
-                let snapshot: Vec<_> = here.iter().map(|name| entry(name, Ready)).collect();
+            let state = if listed.remove(name) { Removed } else { listed.insert(name); Ready };
+            if is_snapshot && !listed.is_empty() {
+                let snapshot: Vec<_> = listed.iter().map(|name| entry(name, Ready)).collect();
                 prop_assert_eq!(validate(&mut validator, version, true, &snapshot), Ok(vec![]));
             } else {
                 prop_assert_eq!(validate(&mut validator, version, false, &[entry(name, state)]), Ok(vec![]));
--- a/crates/balancer-core/tests/list_validator_replicas.rs
+++ b/crates/balancer-core/tests/list_validator_replicas.rs
@@ -1,5 +1,5 @@
-//! Which lists of replicas of one service are accepted, list by list: versions do not go back, and a server that one replica
-//! reported as leaving does not become ready again by the list of another that lags.
+//! Checks which lists of several replicas of one service are accepted: versions do not decrease, and a server that
+//! one replica reported as leaving does not become ready again because of an older list of another replica.
 
 #[path = "support/lists.rs"]
 mod lists;
@@ -12,8 +12,8 @@
 
 const NAMES: [&str; 5] = ["r0", "r1", "r2", "r3", "r4"];
 
-fn source(place: usize, replicas: usize) -> ListSource<'static> {
-    ListSource { replica: NAMES[place], replicas }
+fn source(index: usize, replicas: usize) -> ListSource<'static> {
+    ListSource { replica: NAMES[index], replicas }
 }
 
 fn leaving(names: &[&str]) -> BTreeSet<String> {
@@ -29,21 +29,21 @@
         assert_eq!(
             validate_from(&mut validator, source(0, 4), 1, true, &older),
             error,
-            "one replica repeats itself"
+            "one replica sends the same list again"
         );
     }
-    for place in [1, 2] {
-        assert_eq!(validate_from(&mut validator, source(place, 4), 1, true, &older), error);
+    for index in [1, 2] {
+        assert_eq!(validate_from(&mut validator, source(index, 4), 1, true, &older), error);
         assert_eq!(
             validator.watch_from(),
             Some(41),
-            "the current list stays valid, and a neighbour is polled for changes"
+            "the current list stays valid, and another replica is polled for changes"
         );
     }
     // A replica that still has the current version restarts the count.
     assert_eq!(validate_from(&mut validator, source(3, 4), 41, false, &[]), Ok(vec![]));
-    for place in [0, 1, 2] {
-        assert_eq!(validate_from(&mut validator, source(place, 4), 1, true, &older), error);
+    for index in [0, 1, 2] {
+        assert_eq!(validate_from(&mut validator, source(index, 4), 1, true, &older), error);
     }
     let accepted = validate_from(&mut validator, source(3, 4), 1, true, &older);
     let error = ListError::OlderVersion { received: 1, current: 41 };
@@ -54,14 +54,14 @@
 #[test]
 fn a_snapshot_is_requested_once_all_replicas_sent_older_changes() {
     let mut validator = holding();
-    for place in 0..3 {
+    for index in 0..3 {
         assert_eq!(validator.watch_from(), Some(41));
-        let result = validate_from(&mut validator, source(place, 3), 2, false, &[]);
+        let result = validate_from(&mut validator, source(index, 3), 2, false, &[]);
         assert_eq!(result, Err(ListError::OlderVersion { received: 2, current: 41 }));
     }
     assert_eq!(validator.watch_from(), None);
-    for place in [0, 1] {
-        assert!(validate_from(&mut validator, source(place, 3), 2, true, &[entry("c", Ready)]).is_err());
+    for index in [0, 1] {
+        assert!(validate_from(&mut validator, source(index, 3), 2, true, &[entry("c", Ready)]).is_err());
     }
     assert!(validate_from(&mut validator, source(2, 3), 2, true, &[entry("c", Ready)]).is_ok());
 }
@@ -73,8 +73,8 @@
     {
         let mut validator = holding();
         let (last, first) = sources.split_last().unwrap();
-        for place in first {
-            let result = validate_from(&mut validator, source(*place, replicas), 42, true, &[]);
+        for index in first {
+            let result = validate_from(&mut validator, source(*index, replicas), 42, true, &[]);
             assert_eq!(result, Err(ListError::Empty { known_ready: 2 }));
         }
         assert!(
@@ -87,21 +87,21 @@
 #[test]
 fn suspicious_lists_no_longer_count_after_the_replicas_change() {
     let mut validator = holding();
-    for place in [0, 1] {
-        assert!(validate_from(&mut validator, source(place, 3), 42, true, &[]).is_err());
+    for index in [0, 1] {
+        assert!(validate_from(&mut validator, source(index, 3), 42, true, &[]).is_err());
     }
     validator.replicas_replaced();
-    for place in [2, 0] {
-        assert!(validate_from(&mut validator, source(place, 3), 43, true, &[]).is_err());
+    for index in [2, 0] {
+        assert!(validate_from(&mut validator, source(index, 3), 43, true, &[]).is_err());
     }
     assert!(validate_from(&mut validator, source(1, 3), 43, true, &[]).is_ok());
 }
 
 #[test]
-fn a_leaving_server_is_suppressed_until_a_list_as_new_names_it() {
+fn a_leaving_server_is_suppressed_until_an_equally_new_list_names_it() {
     let mut validator = holding();
     validator.leaving_reported(source(0, 3), Some(43), leaving(&["b"]));
-    assert_eq!(validator.watch_from(), Some(41), "a neighbour is polled for changes, not for a snapshot");
+    assert_eq!(validator.watch_from(), Some(41), "another replica is polled for changes, not for a snapshot");
     for (version, is_snapshot) in [(41, true), (42, false), (42, true)] {
         let entries = [entry("a", Ready), entry("b", Ready)];
         assert_eq!(validate_from(&mut validator, source(1, 3), version, is_snapshot, &entries), Ok(vec![]));
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_invented_version_suppresses_for_a_bounded_number_of_versions() {
+fn an_implausible_version_suppresses_servers_for_a_bounded_number_of_versions() {
     let mut validator = holding();
     validator.leaving_reported(source(0, 3), Some(u64::MAX), leaving(&["b"]));
     let entries = [entry("a", Ready), entry("b", Ready)];
@@ -143,7 +143,7 @@
     assert!(validator.suppressed().is_empty());
 }
 
-/// What a replica sends: which one, a version, whether it is a snapshot, entries, and whether the answer broke off.
+/// Generates answers: the replica, a version, whether it is a snapshot, entries, and whether the answer is cut off.
 fn any_answer() -> impl Strategy<Value = (usize, u64, bool, Vec<(usize, EndpointState)>, bool)> {
     let state = prop::sample::select(vec![Ready, Draining, Removed]);
     let entries = prop::collection::vec((0..4_usize, state), 0..4);
@@ -151,11 +151,11 @@
 }
 
 proptest! {
-    /// Replicas that lag after a network partition would take the version back, and make a server ready again that another
-    /// replica has reported as leaving: requests would go to a server that is shutting down. So whatever they send: the
-    /// version goes back only after each of them has sent an older list since one was accepted, all known servers disappear
-    /// only after three of them (or both) sent an empty one, and a leaving server is ready only by a list as new as the
-    /// report.
+    /// Guards against replicas that lag after a network partition: they could decrease the version, or make a server
+    /// ready again that another replica reported as leaving, and requests would go to a server that is shutting down.
+    /// Whatever they send, the version decreases only after each of them has sent an older list since one was
+    /// accepted, all known servers disappear only after three of them (or both of two) sent an empty list, and a
+    /// leaving server becomes ready only by a list as new as the report.
     #[test]
     fn versions_do_not_go_back_and_leaving_servers_stay_suppressed(
         replicas in 2..5_usize,
@@ -165,8 +165,8 @@
         let mut validator = holding();
         let (mut current, mut sources) = (41, BTreeSet::new());
         let mut leaving_since = [0_u64; 4];
-        for (place, version, is_snapshot, entries, breaks_off) in lists {
-            let from = source(place % replicas, replicas);
+        for (index, version, is_snapshot, entries, breaks_off) in lists {
+            let from = source(index % replicas, replicas);
             if breaks_off {
                 let names: Vec<_> = entries.iter().filter(|(_, state)| *state != Ready).map(|(name, _)| *name).collect();
                 for name in &names {
@@ -182,12 +182,12 @@
                     sources.insert(from.replica);
                     prop_assert!(version >= current || (by_replicas && sources.len() == replicas));
                     prop_assert!(!by_replicas || sources.len() >= replicas.min(3));
-                    for (place, name) in servers.iter().enumerate() {
-                        prop_assert!(version >= leaving_since[place] || !validator.is_ready(name), "{}", name);
+                    for (index, name) in servers.iter().enumerate() {
+                        prop_assert!(version >= leaving_since[index] || !validator.is_ready(name), "{}", name);
                     }
-                    // A list as new as the report settles it.
-                    for (place, leaving) in leaving_since.iter_mut().enumerate().filter(|(_, since)| version >= **since) {
-                        if is_snapshot || entries.iter().any(|(name, _)| *name == place) {
+                    // A list as new as the report decides the state of the server.
+                    for (index, leaving) in leaving_since.iter_mut().enumerate().filter(|(_, since)| version >= **since) {
+                        if is_snapshot || entries.iter().any(|(name, _)| *name == index) {
                             *leaving = 0;
                         }
                     }
--- a/crates/balancer-core/tests/platform.rs
+++ b/crates/balancer-core/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Settings and load reports in the platform's words.
+//! Checks the parsing of settings and load reports in the platform's terms.
 
 use balancer_core::platform::{read_load_report, read_settings, read_wire_settings, Fields, PlatformError};
 use balancer_core::{CacheMode, LoadReport, Settings};
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn settings_that_are_not_set_have_their_defaults() {
+fn unset_settings_have_their_defaults() {
     assert_eq!(settings_of(&[]).expect("no setting is required"), Settings::default());
 }
 
-/// A value that cannot be used is a mistake in the configuration. Replaced by a default, it would go
-/// unnoticed until the node behaves as it was not configured to.
+/// An invalid value is a mistake in the configuration. If it were replaced by a default, it would go unnoticed until
+/// the node behaves differently from its configuration.
 #[test]
-fn errors_of_a_configuration_name_the_setting_and_what_it_may_be() {
+fn configuration_errors_name_the_setting_and_its_allowed_values() {
     for (name, value, message) in [
         ("balancers", "0", "balancers: expected a whole number from 1 up, found \"0\""),
         ("balancers", "many", "balancers: expected a whole number from 1 up, found \"many\""),
@@ -38,16 +38,16 @@
         ("lanes.0.name", "", "lanes.0.name: expected a name, found nothing"),
         ("orgs.count", "-1", "orgs.count: expected a whole number from 0 up, found \"-1\""),
     ] {
-        // The first value of a name counts.
+        // The first value of each name is used.
         let pairs = [(name, value), ("lanes.count", "1"), ("lanes.0.name", "read")];
         let error = settings_of(&pairs).expect_err(name);
         assert_eq!(error.to_string(), message);
     }
 }
 
-/// An adapter that ended for a number out of range or an unknown word would end all instances with it.
+/// An adapter that ended because of a number out of range or an unknown word would end all instances with it.
 #[test]
-fn on_the_wire_defaults_take_the_place_of_what_cannot_be_used() {
+fn invalid_wire_settings_are_replaced_by_defaults() {
     let line = "balancers=0 safety.cold_share=1.5 lanes.count=-1 family_info.origin_kind=-2";
     assert_eq!(wire_settings_of(line).expect("usable"), Settings::default());
     let unknown = wire_settings_of("lanes.count=1 lanes.0.name=a lanes.0.effect=twice").expect("usable");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_kind_of_the_origin_is_found_by_its_place_in_the_list_of_kinds() {
+fn the_origin_kind_is_found_by_its_index_in_the_list_of_kinds() {
     let mode = |line: &str| wire_settings_of(line).expect("usable").mode;
     let origin = CacheMode::Aside { origin_kind: "origin".into() };
     assert_eq!(mode("family_info.mode=aside family_info.origin_kind=1 shapes=cache,origin"), origin);
@@ -78,9 +78,9 @@
     assert_eq!(max_retry_after("limits.max_retry_after_us=5 limits.retry_after=1"), Duration::from_micros(5));
 }
 
-/// A server that reports nonsense must not stop the node, nor reach its decisions.
+/// An invalid report of a server must neither stop the node nor influence its decisions.
 #[test]
-fn values_of_a_load_report_that_are_no_numbers_from_0_up_are_left_out() {
+fn invalid_values_of_a_load_report_are_left_out() {
     let expected = LoadReport {
         service_time: Some(Duration::from_micros(1_500)),
         cpu_utilization: Some(0.25),
--- a/crates/balancer-core/tests/poll_schedule.rs
+++ b/crates/balancer-core/tests/poll_schedule.rs
@@ -1,4 +1,4 @@
-//! The waits, timeouts and pauses of polls, outcome by outcome.
+//! Checks the waits, timeouts and pauses of polls for each outcome.
 
 #[path = "support/poll_settings.rs"]
 mod poll_settings;
@@ -22,14 +22,15 @@
     assert_eq!(steps, [400, 800, 1_600, 3_000, 3_000, 3_000]);
     assert_eq!(backoff(20, 2, Watch, 0.25), Duration::from_millis(200));
     assert_eq!(backoff(450, 30, Snapshot, 1.0), Duration::from_millis(112_500));
-    // Whatever was drawn, and whatever number of nodes is configured.
+    // The bound holds for invalid random numbers and for any number of nodes.
     for jitter in [f64::NAN, f64::INFINITY, -1.0, 2.0] {
         assert!(backoff(10_000, u32::MAX, Snapshot, jitter) <= Duration::from_secs(5_000));
     }
 }
 
-/// Polls after a lost watch are retried sooner than others, since what it missed has a deadline. If that went on, a discovery
-/// that is down would be polled far more often after a network fault than at any other time. Two retries are urgent, no more.
+/// Polls after a lost watch are retried sooner than others, since the changes that it missed have a deadline. If that
+/// continued, a discovery that is down would be polled far more often after a network fault than at any other time,
+/// so only two retries are urgent.
 #[test]
 fn only_two_retries_after_a_lost_watch_are_urgent() {
     let settings = settings(350);
@@ -40,15 +41,15 @@
     let urgent = [pause(PollOutcome::Failed), pause(PollOutcome::Failed)];
     assert_eq!(urgent, [backoff(1, 1, Watch, 1.0), backoff(1, 2, Watch, 1.0)]);
     assert!(urgent.iter().sum::<Duration>() <= MISSED_EVENT_DEADLINE);
-    // Changes still have a deadline: a step of hundreds of nodes would be longer.
+    // Changes still have a deadline, which bounds the longer step of hundreds of nodes.
     assert_eq!(pause(PollOutcome::Failed), backoff(350, 3, Watch, 1.0).min(NOTIFICATION_DEADLINE / 2));
-    // After an answer failures count from the start.
+    // An answer resets the number of failures.
     pause(PollOutcome::Answered { took: Duration::ZERO, has_changes: true });
     assert_eq!(pause(PollOutcome::Failed), backoff(350, 1, Watch, 1.0));
 }
 
-/// The network fault that dropped one poll may drop the next watch as well. With a usual wait of up to 20 s that would show
-/// too late for what the watch misses; with a short one there is time for another poll.
+/// The network fault that dropped one poll may drop the next watch as well. With a usual wait of up to 20 s, the loss
+/// would be detected too late for the changes that the watch misses; a short wait leaves time for another poll.
 #[test]
 fn the_watch_after_a_failed_poll_is_short_once_all_nodes_can_have_polled() {
     for nodes in [1, 20, 60, 350] {
@@ -59,7 +60,7 @@
             let usual = schedule.next_poll(settings, Watch, 0.0);
             schedule.poll_ended(settings, usual, outcome, Watch, 0.5);
             let next = schedule.next_poll(settings, Watch, 1.0);
-            // In 50 ms for each node discovery has answered all first polls.
+            // Discovery answers the first polls of all nodes in 50 ms per node.
             let first_polls = Duration::from_millis(50) * nodes;
             assert_eq!(
                 next.wait,
@@ -73,8 +74,8 @@
     }
 }
 
-/// A discovery that answers watches at once, without changes, would be polled in a loop without a pause by each of hundreds
-/// of nodes.
+/// Guards against hundreds of nodes that each poll in a loop without a pause, because discovery answers watches at
+/// once although there are no changes.
 #[test]
 fn a_discovery_that_never_waits_is_polled_a_bounded_number_of_times() {
     const SPAN: Duration = Duration::from_secs(600);
@@ -88,13 +89,13 @@
                 let took = Duration::from_millis(1);
                 let outcome = PollOutcome::Answered { took, has_changes: false };
                 let pause = schedule.poll_ended(settings(nodes), poll, outcome, Watch, random.f64());
-                // The current list is valid for longer than that.
+                // The current list stays valid for longer than the pause.
                 assert!(pause <= settings(nodes).max_poll_interval / 2);
                 now += took + pause;
                 polls += 1;
             }
         }
-        // One in 1.5 s by each node, in large fleets one in 2.5 s; and some at first.
+        // Each node polls about once per 1.5 s, in large fleets once per 2.5 s, and more often at first.
         let most = SPAN.as_secs_f64() / if nodes < 100 { 1.3 } else { 2.3 };
         assert!(polls as f64 <= most * f64::from(nodes), "{nodes} nodes: {polls} polls");
     }
@@ -114,7 +115,7 @@
             assert!(in_time && !pause.is_zero(), "{drain_grace:?}: {poll:?}, {pause:?}");
         }
     }
-    // A grace of zero cannot be met; it must not lead to polls without a pause.
+    // A drain grace of zero cannot be met, but must not lead to polls without a pause.
     let none = PollSettings { is_shared_service: false, drain_grace: Duration::ZERO, ..settings(1) };
     let poll = PollSchedule::default().next_poll(none, Watch, 0.0);
     assert!(poll.wait >= Duration::from_millis(5) && poll.timeout > poll.wait);
@@ -133,10 +134,10 @@
 }
 
 proptest! {
-    /// A pause that is too long delays a change past its deadline; none at all floods discovery. So however polls end: a
-    /// watch times out, and the next poll is sent, before what it missed counts as notified; after failures there are at
-    /// least two polls in the time for which a failed one leaves the list valid; and polls repeat without a pause only after
-    /// a watch that waited, or changes.
+    /// A pause that is too long delays a change past its deadline, and polls without a pause overload discovery.
+    /// However polls end: a watch times out, and the next poll is sent, before the node counts as notified of the
+    /// events it missed; after failures there are at least two polls in the time for which a failed one leaves the
+    /// list valid; and polls repeat without a pause only after a watch that waited, or after changes.
     #[test]
     fn the_next_poll_is_in_time_however_polls_end(
         nodes in 1..5_000_u32,
@@ -169,7 +170,7 @@
                     let limit = (settings.max_poll_interval * 2).min(NOTIFICATION_DEADLINE / 2);
                     prop_assert!(!pause.is_zero() && (!is_watch || pause <= limit));
                 }
-                // The time for which a connection was tried counts, for watches and snapshots.
+                // The time spent on connection attempts counts, for watches and snapshots.
                 PollOutcome::Unreachable { took } => {
                     prop_assert!(!pause.is_zero() && pause <= settings.max_poll_interval * 2);
                     prop_assert!(pause <= Duration::from_millis(200) || took + pause <= NOTIFICATION_DEADLINE / 2);
--- a/crates/balancer-core/tests/poll_schedule_fleet.rs
+++ b/crates/balancer-core/tests/poll_schedule_fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets that poll one discovery service at once, in virtual time. The service works through polls one after the other, and
-//! a poll that would be queued for longer than [`QUEUE_TIMEOUT`] fails.
+//! Simulates fleets that poll one discovery service at once, in virtual time. The service answers polls one after the
+//! other. A poll that would be queued for longer than [`QUEUE_TIMEOUT`] fails.
 
 #[path = "support/poll_settings.rs"]
 mod poll_settings;
@@ -14,17 +14,18 @@
 use PollKind::{Snapshot, Watch};
 
 const LINES_PER_SECOND: f64 = 200.0;
-/// The cost of a poll beside the lines of its answer, whatever its outcome.
+/// Cost of a poll in addition to the lines of its answer, regardless of its outcome.
 const CALL_LINES: f64 = 10.0;
-/// In seconds.
+/// Longest time in the queue, in seconds.
 const QUEUE_TIMEOUT: f64 = 3.0;
-/// The time, in seconds, in which the slowest supported discovery answers all nodes once.
+/// Time, in seconds, in which the slowest supported discovery answers all nodes once.
 const SLOWEST_ROUND: f64 = 8.0;
 
-/// The polls to come: at which microsecond, and of which node.
-type Agenda = BinaryHeap<Reverse<(u64, u32)>>;
+/// Pending polls, as pairs of the time in microseconds and the node.
+type PollQueue = BinaryHeap<Reverse<(u64, u32)>>;
 
-/// The time for one answer, in seconds, if `round` answers all nodes. A few nodes are answered no slower than 0.25 s each.
+/// Returns the time for one answer, in seconds, if all nodes are answered within `round`. It is at most 0.25 s, even
+/// for a few nodes.
 fn answer_time(nodes: u32, round: f64) -> f64 {
     (round / f64::from(nodes)).min(0.25)
 }
@@ -33,14 +34,14 @@
     (seconds * 1e6) as u64
 }
 
-/// An earlier backoff, for comparison: it does not depend on the number of nodes.
+/// An earlier backoff, for comparison, which does not depend on the number of nodes.
 fn backoff_without_fleet_size(_: u32, failures: u32, _: PollKind, jitter: f64) -> Duration {
     let step =
         Duration::from_millis(200).saturating_mul(1 << (failures - 1).min(8)).min(Duration::from_secs(3));
     step.mul_f64(0.5 + jitter)
 }
 
-/// The pause of the schedule after this many failures in a row.
+/// Returns the pause of the schedule after this many consecutive failures.
 fn scheduled_pause(nodes: u32, failures: u32, kind: PollKind, jitter: f64) -> Duration {
     let (mut schedule, mut pause) = (PollSchedule::default(), Duration::ZERO);
     for _ in 0..failures {
@@ -50,8 +51,8 @@
     pause
 }
 
-/// When the last of the nodes has its list, in seconds, and how many polls it took; `None` if that takes over an hour. A
-/// snapshot has `lines`; nodes that watch have no changes to receive.
+/// Returns when the last node is answered, in seconds, and the number of polls of all nodes, or `None` if that takes
+/// over an hour. A snapshot has `lines` lines; nodes that watch have no changes to receive.
 fn all_answered(
     pause: impl Fn(u32, u32, PollKind, f64) -> Duration,
     nodes: u32,
@@ -60,35 +61,35 @@
     seed: u64,
 ) -> Option<(f64, u32)> {
     let mut random = fastrand::Rng::with_seed(seed);
-    // Each poll has two stages: the call, and sending its answer.
-    let mut agenda: BinaryHeap<_> = (0..nodes).map(|node| Reverse((0, node, false))).collect();
-    let (mut free, mut polls, mut last) = (0.0_f64, 0, 0.0);
+    // Each poll has two stages: handling the call and sending the answer.
+    let mut queue: BinaryHeap<_> = (0..nodes).map(|node| Reverse((0, node, false))).collect();
+    let (mut free_at, mut polls, mut last) = (0.0_f64, 0, 0.0);
     let mut failures = vec![0; nodes as usize];
     let answer_lines = if kind == Watch { 0.0 } else { lines };
-    while let Some(Reverse((at, node, is_answer))) = agenda.pop() {
+    while let Some(Reverse((at, node, is_answer))) = queue.pop() {
         let now = at as f64 / 1e6;
         if now > 3_600.0 {
             return None;
         }
         polls += u32::from(!is_answer);
-        let done = free.max(now) + if is_answer { answer_lines } else { CALL_LINES } / LINES_PER_SECOND;
+        let done = free_at.max(now) + if is_answer { answer_lines } else { CALL_LINES } / LINES_PER_SECOND;
         if done - now > QUEUE_TIMEOUT {
             failures[node as usize] += 1;
             let pause = pause(nodes, failures[node as usize], kind, random.f64());
-            agenda.push(Reverse((micros(now + QUEUE_TIMEOUT + pause.as_secs_f64()), node, false)));
+            queue.push(Reverse((micros(now + QUEUE_TIMEOUT + pause.as_secs_f64()), node, false)));
         } else {
-            free = done;
+            free_at = done;
             if is_answer {
                 last = done;
             } else {
-                agenda.push(Reverse((micros(done), node, true)));
+                queue.push(Reverse((micros(done), node, true)));
             }
         }
     }
     Some((last, polls))
 }
 
-/// Over ten seeds: the longest time and the most polls.
+/// Returns the longest time and the most polls of ten seeds.
 fn worst(
     pause: impl Fn(u32, u32, PollKind, f64) -> Duration + Copy,
     nodes: u32,
@@ -103,14 +104,14 @@
 }
 
 #[test]
-fn fleets_without_a_list_have_one_within_twice_the_sending_time_and_one_step() {
+fn nodes_without_a_list_receive_one_within_twice_the_sending_time_plus_one_step() {
     println!("| nodes | servers | sending takes | all have it, before | now | polls a node, before | now |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (nodes, servers) in
         [(1, 8), (8, 20), (20, 20), (60, 20), (60, 83), (200, 83), (450, 83), (450, 20), (1_000, 83)]
     {
         let lines = f64::from(servers);
-        let least = f64::from(nodes) * (CALL_LINES + lines) / LINES_PER_SECOND;
+        let min_time = f64::from(nodes) * (CALL_LINES + lines) / LINES_PER_SECOND;
         let before = worst(backoff_without_fleet_size, nodes, lines, Snapshot);
         let now = worst(scheduled_pause, nodes, lines, Snapshot);
         let time =
@@ -119,7 +120,7 @@
             all.map_or("-".into(), |(_, polls)| format!("{:.1}", f64::from(polls) / f64::from(nodes)))
         };
         println!(
-            "| {nodes} | {servers} | {least:.1} s | {} | {} | {} | {} |",
+            "| {nodes} | {servers} | {min_time:.1} s | {} | {} | {} | {} |",
             time(before),
             time(now),
             polls(before),
@@ -127,24 +128,28 @@
         );
         let (at, _) = now.expect("all of them in an hour");
         let longest = backoff(nodes, 30, Snapshot, 1.0).as_secs_f64();
-        assert!(at <= 2.0 * least + longest + QUEUE_TIMEOUT, "{nodes} nodes, {servers} servers: {at:.1} s");
+        assert!(
+            at <= 2.0 * min_time + longest + QUEUE_TIMEOUT,
+            "{nodes} nodes, {servers} servers: {at:.1} s"
+        );
     }
 }
 
 #[test]
 fn watches_are_retried_sooner_than_snapshots() {
     for nodes in [1, 20, 60, 450, 1_000] {
-        let least = f64::from(nodes) * CALL_LINES / LINES_PER_SECOND;
+        let min_time = f64::from(nodes) * CALL_LINES / LINES_PER_SECOND;
         let (at, _) = worst(scheduled_pause, nodes, 0.0, Watch).expect("all of them in an hour");
-        assert!(at <= 3.0 * least + 12.0, "{nodes} nodes: {at:.1} s");
-        // However often they fail.
+        assert!(at <= 3.0 * min_time + 12.0, "{nodes} nodes: {at:.1} s");
+        // The bound holds for any number of failures.
         let limit = Duration::from_secs(3).max(Duration::from_millis(50) * nodes);
         assert!(backoff(nodes, 40, Watch, 1.0) <= limit);
     }
 }
 
-/// The deadline bounds the pause before a watch. If it bounded the pause before a snapshot too, a discovery that is slow at
-/// sending snapshots would spend its capacity on polls that fail, and a large fleet would wait longer for its lists.
+/// The deadline bounds the pause before a watch. If it also bounded the pause before a snapshot, a discovery that
+/// sends snapshots slowly would spend its capacity on failing polls, and a large fleet would wait longer for its
+/// lists.
 #[test]
 fn bounding_the_pause_before_snapshots_would_delay_the_lists_of_large_fleets() {
     let bounded = |nodes: u32, failures: u32, kind: PollKind, jitter: f64| {
@@ -156,11 +161,12 @@
     assert!(with.expect("an end").0 > 1.2 * without.expect("an end").0);
 }
 
-/// The number of nodes whose next answer comes too late for what their lost watches missed. All watches were opened together
-/// and lost together. A fraction `refused` of the polls fails at once, as do those that would be queued for too long.
+/// Returns the number of nodes whose next answer comes too late for the changes that their lost watches missed. All
+/// watches were opened and lost together. A fraction `refused` of the polls fails at once, as do those that would be
+/// queued for too long.
 fn late_after_lost_watches(nodes: u32, refused: f64, seed: u64, watch: impl Fn(f64) -> Poll) -> usize {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut agenda = Agenda::new();
+    let mut queue = PollQueue::new();
     let mut states: Vec<(PollSchedule, f64)> = Vec::new();
     for node in 0..nodes {
         let mut schedule = PollSchedule::default();
@@ -168,28 +174,28 @@
         let pause = schedule.poll_ended(settings(nodes), poll, PollOutcome::TimedOut, Watch, random.f64());
         let deadline = poll.wait + MISSED_EVENT_DEADLINE + settings(nodes).drain_grace;
         states.push((schedule, deadline.as_secs_f64()));
-        agenda.push(Reverse(((poll.timeout + pause).as_micros() as u64, node)));
+        queue.push(Reverse(((poll.timeout + pause).as_micros() as u64, node)));
     }
-    let (mut free, mut late) = (0.0_f64, 0);
-    while let Some(Reverse((at, node))) = agenda.pop() {
+    let (mut free_at, mut late) = (0.0_f64, 0);
+    while let Some(Reverse((at, node))) = queue.pop() {
         let now = at as f64 / 1e6;
         let (schedule, deadline) = &mut states[node as usize];
-        let answered = free.max(now) + answer_time(nodes, SLOWEST_ROUND);
+        let answered = free_at.max(now) + answer_time(nodes, SLOWEST_ROUND);
         if answered - now > QUEUE_TIMEOUT || random.f64() < refused {
             let poll = schedule.next_poll(settings(nodes), Watch, random.f64());
             let pause = schedule.poll_ended(settings(nodes), poll, PollOutcome::Failed, Watch, random.f64());
-            agenda.push(Reverse((at + pause.as_micros() as u64, node)));
+            queue.push(Reverse((at + pause.as_micros() as u64, node)));
         } else {
-            free = answered;
+            free_at = answered;
             late += usize::from(answered > *deadline);
         }
     }
     late
 }
 
-/// A network fault drops the watches of all nodes at once. If they returned at once as well, discovery could not answer most
-/// of them before what they missed counts as notified, and they would go on sending to servers that have left. The random
-/// waits of the watches spread the nodes.
+/// A network fault drops the watches of all nodes at once. If the nodes also returned at once, discovery could not
+/// answer most of them before they count as notified of the missed changes, and they would continue to send to
+/// servers that have left. The random waits of the watches spread the nodes.
 #[test]
 fn nodes_whose_watches_were_lost_together_are_all_notified_in_time() {
     println!("| nodes | late, none refused | of 10 seeds, one poll in ten refused |");
@@ -201,13 +207,13 @@
         let (none, some) = (late(0.0), late(0.1));
         println!("| {nodes} | {none} | {some} |");
         assert_eq!(none, 0, "{nodes} nodes");
-        // Three refusals in a row are one poll in a thousand.
+        // One poll in a thousand is refused three times in a row.
         assert!(some as f64 <= 0.003 * 10.0 * f64::from(nodes) + 1.0, "{nodes} nodes: {some}");
     }
 }
 
-/// The counter-check of the test above: the same simulation finds most nodes late with the earlier schedules, which had one
-/// wait for all nodes, with and without a random part of the timeout.
+/// Verifies the simulation of the test above: with the earlier schedules, which had one wait for all nodes, with and
+/// without a random part of the timeout, most nodes are late.
 #[test]
 fn equal_waits_of_all_watches_leave_most_nodes_late() {
     let random_timeout = |jitter: f64| Poll {
@@ -223,29 +229,29 @@
     }
 }
 
-/// An outage of discovery, which begins when all nodes poll.
+/// An outage of discovery that begins when all nodes poll.
 #[derive(Clone, Copy)]
 struct Outage {
     nodes: u32,
     /// The time in which discovery answers all nodes once, in seconds.
     round: f64,
-    /// Discovery drops connection attempts while it is away; else it refuses them at once.
+    /// Whether discovery drops connection attempts during the outage. Otherwise it refuses them at once.
     drops_connects: bool,
 }
 
-/// What came of an outage.
+/// The result of an outage.
 #[derive(Clone, Copy, Debug)]
 struct Recovery {
-    /// Nodes that were notified too late, in percent.
+    /// Percentage of nodes that were notified too late.
     late_percent: f64,
-    /// The time from the end of the outage to the last first answer, in seconds.
+    /// Time from the end of the outage until the last node has its first answer, in seconds.
     last_notified: f64,
-    /// Polls of a node after the outage.
+    /// Mean number of polls per node after the outage.
     polls_per_node: f64,
 }
 
 impl Recovery {
-    /// The greater of each figure.
+    /// Returns the maximum of each figure.
     fn max(self, other: Self) -> Self {
         Self {
             late_percent: self.late_percent.max(other.late_percent),
@@ -255,30 +261,31 @@
     }
 }
 
-/// Simulates the outage. `pause` returns the seconds of the pause after a failed poll, given the failures so far.
+/// Simulates the outage. `pause` returns the pause after a failed poll, in seconds, given the number of failures so
+/// far.
 fn recover(
     outage: Outage,
     seed: u64,
     pause: impl Fn(&mut PollSchedule, u32, PollOutcome, f64) -> f64,
 ) -> Recovery {
-    /// When discovery is back, in seconds.
+    /// End of the outage, in seconds.
     const BACK: f64 = 8.0;
     const CONNECT_TIMEOUT: f64 = 2.0;
     let nodes = outage.nodes;
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut agenda: Agenda = (0..nodes).map(|node| Reverse((0, node))).collect();
+    let mut queue: PollQueue = (0..nodes).map(|node| Reverse((0, node))).collect();
     let mut schedules = vec![PollSchedule::default(); nodes as usize];
     let mut notified = vec![None; nodes as usize];
     let mut failures = vec![0; nodes as usize];
-    let (mut free, mut polls) = (0.0_f64, 0);
-    while let Some(Reverse((at, node))) = agenda.pop() {
+    let (mut free_at, mut polls) = (0.0_f64, 0);
+    while let Some(Reverse((at, node))) = queue.pop() {
         let now = at as f64 / 1e6;
         let schedule = &mut schedules[node as usize];
         let poll = schedule.next_poll(settings(nodes), Watch, random.f64());
         let mut failed = |schedule: &mut PollSchedule, outcome, took| {
             failures[node as usize] += 1;
             let next = now + took + pause(schedule, failures[node as usize], outcome, random.f64());
-            agenda.push(Reverse((micros(next), node)));
+            queue.push(Reverse((micros(next), node)));
         };
         if now < BACK {
             let took = if outage.drops_connects { CONNECT_TIMEOUT } else { 0.0 };
@@ -286,19 +293,19 @@
             continue;
         }
         polls += 1;
-        let answered = free.max(now) + answer_time(nodes, outage.round);
+        let answered = free_at.max(now) + answer_time(nodes, outage.round);
         if answered - now > QUEUE_TIMEOUT {
             failed(schedule, PollOutcome::Failed, 0.0);
             continue;
         }
-        free = answered;
+        free_at = answered;
         if notified[node as usize].is_none() {
             notified[node as usize] = Some(answered - BACK);
-            // The next poll has no changes to receive, and is queued all the same.
+            // The next poll has no changes to receive, but is queued as well.
             let outcome = PollOutcome::Answered { took: Duration::ZERO, has_changes: true };
             let pause = schedule.poll_ended(settings(nodes), poll, outcome, Watch, 0.5);
             let next = schedule.next_poll(settings(nodes), Watch, random.f64()).wait + pause;
-            agenda.push(Reverse((micros(answered + next.as_secs_f64()), node)));
+            queue.push(Reverse((micros(answered + next.as_secs_f64()), node)));
         }
     }
     let notified: Vec<f64> = notified.into_iter().map(|at| at.expect("notified in the end")).collect();
@@ -311,12 +318,12 @@
     }
 }
 
-/// A backoff that grows with the number of nodes and has no other bound has not ended when a discovery that was away is back:
-/// nodes would hear of changes after the deadline and go on sending to servers that have left. The deadline bounds the step.
-/// What discovery cannot answer by then is late with any schedule.
+/// A backoff that grows with the number of nodes without another bound would still be running when discovery is back:
+/// nodes would learn of changes after the deadline, and until then send to servers that have left. So the deadline
+/// bounds the step. Nodes that discovery cannot answer by then are late with any schedule.
 #[test]
 fn nodes_whose_polls_failed_are_notified_in_time_once_discovery_is_back() {
-    println!("| nodes | discovery answers all in | it was away by | late, before | now | last notified, before | now | polls a node, before | now |");
+    println!("| nodes | discovery answers all in | outage by | late, before | now | last notified, before | now | polls a node, before | now |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (round, drops_connects) in [(5.0, false), (5.0, true), (8.0, false), (8.0, true)] {
         for nodes in [1, 8, 20, 60, 100, 300, 350] {
@@ -329,11 +336,11 @@
             let now = worst(&|schedule, _, outcome, jitter| {
                 schedule.poll_ended(settings(nodes), poll, outcome, Watch, jitter).as_secs_f64()
             });
-            // An earlier backoff: the same steps without the bound by the deadline.
+            // An earlier backoff, with the same steps but without the bound by the deadline.
             let before = worst(&|schedule, failures, outcome, jitter| {
                 schedule.poll_ended(settings(nodes), poll, outcome, Watch, 0.0);
-                let most = (settings(nodes).max_poll_interval * 2).as_secs_f64();
-                backoff(nodes, failures, Watch, jitter).as_secs_f64().min(most)
+                let max_pause = (settings(nodes).max_poll_interval * 2).as_secs_f64();
+                backoff(nodes, failures, Watch, jitter).as_secs_f64().min(max_pause)
             });
             println!(
                 "| {nodes} | {round:.0} s | {} | {:.0}% | {:.0}% | {:.1} s | {:.1} s | {:.1} | {:.1} |",
@@ -345,7 +352,7 @@
                 before.polls_per_node,
                 now.polls_per_node
             );
-            // The nodes that discovery cannot answer in time, whatever they do.
+            // The percentage of nodes that discovery cannot answer in time with any schedule.
             let deadline = (NOTIFICATION_DEADLINE + settings(nodes).drain_grace).as_secs_f64();
             let unavoidable = (1.0 - deadline / round).max(0.0) * 100.0;
             if nodes >= 60 {
@@ -358,29 +365,29 @@
     }
 }
 
-/// Processes that are restarted together hold no list, and each requests a snapshot. With pauses that grow too soon many
-/// would still be without one, and reject requests, long after discovery could have sent it. Nine in ten have it within 10 s,
-/// also where discovery needs 8 s to answer all of them.
+/// Nodes that are restarted together hold no list, and each requests a snapshot. If the pauses grew too soon, many
+/// would still have no list, and reject requests, long after discovery could have sent it. Nine in ten nodes must
+/// have their list within 10 s, even if discovery needs 8 s to answer all of them.
 #[test]
-fn nodes_that_start_together_without_a_list_have_one_in_time() {
+fn nodes_that_start_together_without_a_list_receive_one_in_time() {
     let cases =
         [1, 20, 60, 100, 300, 350].into_iter().flat_map(|nodes| [(nodes, 5.0), (nodes, SLOWEST_ROUND)]);
     for (nodes, round) in cases {
         for seed in 0..10 {
             let mut random = fastrand::Rng::with_seed(seed);
-            let mut agenda: Agenda = (0..nodes).map(|node| Reverse((0, node))).collect();
+            let mut queue: PollQueue = (0..nodes).map(|node| Reverse((0, node))).collect();
             let mut schedules = vec![PollSchedule::default(); nodes as usize];
-            let (mut free, mut in_time, mut last) = (0.0_f64, 0, 0.0);
-            while let Some(Reverse((at, node))) = agenda.pop() {
+            let (mut free_at, mut in_time, mut last) = (0.0_f64, 0, 0.0);
+            while let Some(Reverse((at, node))) = queue.pop() {
                 let (now, schedule) = (at as f64 / 1e6, &mut schedules[node as usize]);
-                let answered = free.max(now) + answer_time(nodes, round);
+                let answered = free_at.max(now) + answer_time(nodes, round);
                 if answered - now > QUEUE_TIMEOUT {
                     let poll = schedule.next_poll(settings(nodes), Snapshot, random.f64());
                     let failed = PollOutcome::Failed;
                     let pause = schedule.poll_ended(settings(nodes), poll, failed, Snapshot, random.f64());
-                    agenda.push(Reverse((at + pause.as_micros() as u64, node)));
+                    queue.push(Reverse((at + pause.as_micros() as u64, node)));
                 } else {
-                    free = answered;
+                    free_at = answered;
                     (in_time, last) = (in_time + u32::from(answered <= 10.0), answered);
                 }
             }
--- a/crates/balancer-core/tests/reference/single_address_schedule.rs
+++ b/crates/balancer-core/tests/reference/single_address_schedule.rs
@@ -1,9 +1,9 @@
-//! A frozen copy of the poll schedule from before there were replicas of discovery: the reference that `single_address`
-//! compares the current schedule with.
+//! A frozen copy of the poll schedule from before discovery had replicas. The test `single_address` compares the
+//! current schedule with this reference.
 //!
-//! It shares no code with what it checks, not even constants or types: a change of the current schedule would otherwise change
-//! the reference as well, and the comparison would pass whatever the change did. For the same reason it is not edited when the
-//! schedule is; only its names follow those of the crate.
+//! The copy shares no code with the current schedule, not even constants or types: a change of the current schedule
+//! would otherwise change the reference as well, and the comparison would always pass. For the same reason it is not
+//! edited when the schedule is; only its names follow those of the crate.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     pub nodes: u32,
     pub max_poll_interval: Duration,
     pub drain_grace: Duration,
-    /// One service for all nodes, else an agent on the node's own machine.
+    /// Whether all nodes poll one service. Otherwise each node polls an agent on its own machine.
     pub is_shared_service: bool,
 }
 
@@ -49,7 +49,7 @@
     pub timeout: Duration,
 }
 
-/// How a poll ended; status 503 was a failure like any other.
+/// How a poll ended. Status 503 was a failure like any other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Answered { took: Duration, has_changes: bool },
@@ -60,16 +60,16 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Schedule {
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
-    /// Answers in a row that neither waited as requested nor had changes.
+    /// Consecutive answers that neither waited as requested nor had changes.
     early_answers: u32,
-    /// A watch was lost, and no answer has come since.
+    /// A watch was lost, and no answer was received since.
     watch_lost: bool,
 }
 
 impl Schedule {
-    /// The next poll: a watch or a snapshot.
+    /// Returns the next poll: a watch or a snapshot.
     pub fn next_poll(&self, settings: Settings, is_watch: bool, jitter: f64) -> Poll {
         if !settings.is_shared_service {
             let wait = if is_watch { settings.grace_fraction(AGENT_WAIT_DIVISOR) } else { Duration::ZERO };
@@ -143,7 +143,7 @@
     }
 }
 
-/// The pause of one of `nodes` after `failures` in a row.
+/// Returns the pause of one of `nodes` nodes after `failures` consecutive failures.
 pub fn backoff(nodes: u32, failures: u32, next_is_watch: bool, jitter: f64) -> Duration {
     if failures == 0 {
         return Duration::ZERO;
--- a/crates/balancer-core/tests/replica_capacity.rs
+++ b/crates/balancer-core/tests/replica_capacity.rs
@@ -1,5 +1,6 @@
-//! Fleets that poll the replicas of one discovery service, in virtual time. Each replica sends [`CAPACITY`] lines a second,
-//! answers polls one after the other, and rejects with 503 those whose answer would begin too late.
+//! Simulates fleets that poll the replicas of one discovery service, in virtual time. Each replica sends [`CAPACITY`]
+//! lines per second, answers polls one after the other, and rejects polls whose answer would begin too late with
+//! status 503.
 
 #[path = "support/poll_settings.rs"]
 mod poll_settings;
@@ -17,35 +18,35 @@
 const CAPACITY: ReplicaCapacity = ReplicaCapacity { lines_per_second: 200.0, call_lines: 10.0 };
 /// A poll whose answer would begin later than this, in seconds, is rejected.
 const QUEUE_LIMIT: f64 = 3.0;
-/// Lines of a snapshot of the planned fleet.
+/// Length of a snapshot of the planned fleet, in lines.
 const LINES: u32 = 1_110;
-/// The end of a simulation, in seconds; none takes that long.
+/// Upper bound of the duration of a simulation, in seconds.
 const MAX_SECONDS: f64 = 50_000.0;
 
-/// What the schedules of the nodes depend on.
+/// The inputs that the schedules of the nodes depend on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mode {
-    /// The number of all nodes, as with one address.
+    /// Only the number of all nodes, as with one address.
     AllNodes,
     /// The numbers of nodes and of replicas.
     Replicas,
-    /// The capacity of a replica as well.
+    /// The numbers of nodes and of replicas, and the capacity of a replica.
     Capacity,
 }
 
 /// A fleet and its discovery.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
-    /// The number of nodes, as all of them are configured.
+    /// The number of nodes in the configuration.
     nodes: u32,
-    /// The number of these that poll.
+    /// The number of nodes that poll.
     polling: u32,
     replicas: usize,
     lines: u32,
     mode: Mode,
     /// The cost of a rejected poll, as a fraction of [`ReplicaCapacity::call_lines`].
     rejection_cost: f64,
-    /// This replica refuses connections, and only the nodes that prefer it poll.
+    /// A replica that refuses connections. Only the nodes that prefer it poll.
     lost: Option<usize>,
 }
 
@@ -53,11 +54,11 @@
 #[derive(Clone, Copy, Debug)]
 struct Outcome {
     /// When the last node had its list, in seconds.
-    last: f64,
+    last_list_at: f64,
     /// The time that the busiest replica spent sending, in seconds.
-    sending: f64,
-    /// Polls of a node.
-    polls: f64,
+    max_sending_time: f64,
+    /// Mean number of polls per node.
+    polls_per_node: f64,
 }
 
 /// A node that polls.
@@ -66,7 +67,7 @@
     random: fastrand::Rng,
 }
 
-/// Simulates nodes that all start within a second and hold no list, or one that is out of date by `changes` lines.
+/// Simulates nodes that all start within one second and hold no list, or a list that is outdated by `changes` lines.
 fn simulate(fleet: Fleet, changes: Option<u32>, seed: u64) -> Outcome {
     let names: Vec<String> = (0..fleet.replicas).map(|number| format!("10.1.{number}.18:7100")).collect();
     let mut random = fastrand::Rng::with_seed(seed);
@@ -79,17 +80,17 @@
     if let Some(lost) = fleet.lost {
         nodes.retain(|node| node.client.replicas().current() == lost);
     }
-    let mut agenda: BinaryHeap<_> =
+    let mut queue: BinaryHeap<_> =
         (0..nodes.len()).map(|node| Reverse((random.u64(0..1_000_000), node))).collect();
-    let (mut free, mut sending) = (vec![0.0_f64; fleet.replicas], vec![0.0; fleet.replicas]);
+    let (mut free_at, mut sending) = (vec![0.0_f64; fleet.replicas], vec![0.0; fleet.replicas]);
     let (mut last, mut polls) = (0.0_f64, 0);
     let call_time = CAPACITY.call_lines / CAPACITY.lines_per_second;
     let answer_time = f64::from(changes.unwrap_or(fleet.lines)) / CAPACITY.lines_per_second;
-    while let Some(Reverse((at, place))) = agenda.pop() {
+    while let Some(Reverse((at, index))) = queue.pop() {
         let now = at as f64 / 1e6;
         assert!(now < MAX_SECONDS, "{fleet:?}, seed {seed}: not all have a list");
         polls += 1;
-        let node = &mut nodes[place];
+        let node = &mut nodes[index];
         let endpoint_count = changes.map(|_| fleet.lines);
         let available = node.client.replicas().available();
         let pacing = match fleet.mode {
@@ -100,15 +101,15 @@
             }
         };
         let replica = node.client.replicas().current();
-        let turn = free[replica].max(now) + call_time;
+        let answer_at = free_at[replica].max(now) + call_time;
         let reached = fleet.lost != Some(replica);
-        if reached && turn - now <= QUEUE_LIMIT {
-            free[replica] = turn + answer_time;
+        if reached && answer_at - now <= QUEUE_LIMIT {
+            free_at[replica] = answer_at + answer_time;
             sending[replica] += call_time + answer_time;
-            last = last.max(free[replica]);
+            last = last.max(free_at[replica]);
             continue;
         }
-        free[replica] += call_time * fleet.rejection_cost;
+        free_at[replica] += call_time * fleet.rejection_cost;
         let took = Duration::from_millis(1);
         let kind = if changes.is_some() { PollKind::Watch } else { PollKind::Snapshot };
         let poll = node.client.next_poll(pacing, kind, node.random.f64());
@@ -116,27 +117,29 @@
         let outcome =
             if reached { PollOutcome::Overloaded { took } } else { PollOutcome::Unreachable { took } };
         let next = node.client.poll_ended(Timestamp::from_micros(at), pacing, poll, outcome, kind, jitter);
-        agenda.push(Reverse((at + 1_000 + next.pause.as_micros() as u64, place)));
+        queue.push(Reverse((at + 1_000 + next.pause.as_micros() as u64, index)));
     }
     Outcome {
-        last,
-        sending: sending.into_iter().fold(0.0, f64::max),
-        polls: f64::from(polls) / nodes.len() as f64,
+        last_list_at: last,
+        max_sending_time: sending.into_iter().fold(0.0, f64::max),
+        polls_per_node: f64::from(polls) / nodes.len() as f64,
     }
 }
 
-/// Over some seeds: the longest time, as a multiple of the sending time of the mean share and of the busiest replica, and the
-/// most polls.
+/// Returns the worst results of five seeds: the longest time, as a multiple of the sending time of the mean share and
+/// of the busiest replica, and the most polls per node.
 fn worst(fleet: Fleet, changes: Option<u32>) -> (f64, f64, f64) {
     let call_time = CAPACITY.call_lines / CAPACITY.lines_per_second;
     let all = f64::from(fleet.polling) / fleet.replicas as f64;
-    let least = all * (call_time + f64::from(changes.unwrap_or(fleet.lines)) / CAPACITY.lines_per_second);
+    let min_time = all * (call_time + f64::from(changes.unwrap_or(fleet.lines)) / CAPACITY.lines_per_second);
     let outcomes: Vec<_> = (0..5).map(|seed| simulate(fleet, changes, seed)).collect();
     let most = |of: fn(&Outcome) -> f64| outcomes.iter().map(of).fold(0.0, f64::max);
-    // Shares are not even: with a few nodes one replica may have several where others have none.
-    let (last, busiest) =
-        (most(|one| one.last), outcomes.iter().map(|one| one.last / one.sending).fold(0.0, f64::max));
-    (last / least, busiest, most(|one| one.polls))
+    // Shares are not even: with few nodes one replica may have several and others none.
+    let (last, busiest) = (
+        most(|one| one.last_list_at),
+        outcomes.iter().map(|one| one.last_list_at / one.max_sending_time).fold(0.0, f64::max),
+    );
+    (last / min_time, busiest, most(|one| one.polls_per_node))
 }
 
 fn fleets() -> Vec<(u32, u32, usize, u32)> {
@@ -155,7 +158,7 @@
     ]
 }
 
-/// Prints the results of the fleets in each mode, and returns those with a stated capacity.
+/// Prints the results of the fleets in each mode and returns those with a configured capacity.
 fn table(changes: Option<u32>, rejection_cost: f64) -> Vec<(Fleet, f64)> {
     println!("| fleet | polling | replicas | lines | all nodes: last / sending | polls a node | replicas | polls a node | capacity | of the busiest | polls a node |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
@@ -171,14 +174,14 @@
 }
 
 #[test]
-fn nodes_without_a_list_have_one_within_1_5_times_the_sending_time() {
+fn nodes_without_a_list_receive_one_within_1_5_times_the_sending_time() {
     for (fleet, last) in table(None, 0.0) {
         assert!(last <= 1.5, "{fleet:?}: {last}");
     }
 }
 
-/// A discovery may spend as much on a rejected poll as on any other. Pauses that are too short would then use up its capacity
-/// with rejections, and lists would come ever later.
+/// Rejecting a poll may cost discovery as much as answering it. If the pauses were too short, rejections would use up
+/// its capacity, and lists would be delayed more and more.
 #[test]
 fn rejected_polls_that_cost_as_much_as_others_leave_capacity_for_lists() {
     for (fleet, last) in table(None, 1.0) {
@@ -186,8 +189,8 @@
     }
 }
 
-/// After an outage all nodes poll at once for one line of changes each. A replica that cannot answer its share in time would
-/// be kept busy with rejections if they retried as soon as the deadline asks.
+/// After an outage all nodes poll at once, each for one line of changes. If they retried as soon as the deadline
+/// requires, a replica that cannot answer its share in time would spend its capacity on rejections.
 #[test]
 fn an_overloaded_replica_answers_changes_within_1_7_times_the_sending_time() {
     for rejection_cost in [0.0, 1.0] {
@@ -207,10 +210,10 @@
             };
             let (last, _, polls) = worst(fleet, Some(1));
             println!("| {nodes} | {rejection_cost} | {last:.2} | {polls:.1} |");
-            let least = f64::from(nodes) * 11.0 / CAPACITY.lines_per_second;
-            // They start within a second. Where rejections cost as much as answers it takes longer, and comes to an end.
+            let min_time = f64::from(nodes) * 11.0 / CAPACITY.lines_per_second;
+            // The nodes start within one second. If rejections cost as much as answers, it takes longer but ends.
             let most = if rejection_cost == 0.0 { 1.7 } else { 30.0 };
-            assert!(last * least <= most * least + 1.5, "{fleet:?}: {last}");
+            assert!(last * min_time <= most * min_time + 1.5, "{fleet:?}: {last}");
         }
     }
 }
@@ -233,9 +236,9 @@
         let all_calls = f64::from(nodes) * CAPACITY.call_lines / CAPACITY.lines_per_second;
         let used = all_calls / ((shortest + longest) / 2.0);
         println!("| {nodes} | {shortest:.1} s | {longest:.1} s | {:.0}% |", 100.0 * used);
-        // The protocol allows no wait longer than 60 s: from 450 nodes on the utilization is higher.
+        // The protocol allows no wait longer than 60 s, so from 450 nodes on the utilization is higher.
         assert!(used <= 0.501 || longest == 60.0, "{nodes} nodes: {used}");
-        // Watches that one change ended do not return together.
+        // Watches that were ended by the same change must not return together.
         assert!(longest - shortest >= all_calls.min(10.0), "{nodes} nodes");
     }
 }
@@ -251,7 +254,7 @@
         assert!(timeout(pacing, &PollSchedule::default()) >= QUEUE_LIMIT + sending, "{lines}");
         assert!(timeout(pacing, &PollSchedule::default()) <= QUEUE_LIMIT + 1.5 * sending + 1.0, "{lines}");
     }
-    // The timeout of a node without a list grows each time, up to that of the longest list.
+    // The timeout of a node without a list grows with each timeout, up to that of the longest assumed list.
     let pacing = PollPacing::new(settings(369), 1, Some(CAPACITY), None);
     let (mut schedule, mut timeouts) = (PollSchedule::default(), Vec::new());
     for _ in 0..9 {
@@ -275,10 +278,10 @@
     }
 }
 
-/// A change is in force everywhere within 11 s. Nodes whose replica is lost at that moment would miss it if they waited for a
-/// backoff, or if all of them flooded one neighbour.
+/// A change must reach all nodes within 11 s. Nodes whose replica is lost at that moment would be late if they waited
+/// for a backoff, or if all of them polled the same other replica.
 #[test]
-fn nodes_of_a_lost_replica_are_notified_by_its_neighbours_in_time() {
+fn nodes_of_a_lost_replica_are_notified_by_other_replicas_in_time() {
     println!("| fleet | replicas | last of the lost one's nodes has the changes after | polls a node |");
     println!("| --- | --- | --- | --- |");
     for (nodes, replicas, most) in [(100, 2, 5.0), (1_000, 4, 11.0), (2_000, 8, 5.0), (5_900, 16, 5.0)] {
@@ -292,8 +295,8 @@
             lost: Some(0),
         };
         let outcomes: Vec<_> = (0..5).map(|seed| simulate(fleet, Some(1), seed)).collect();
-        let last = outcomes.iter().map(|one| one.last).fold(0.0, f64::max);
-        let polls = outcomes.iter().map(|one| one.polls).fold(0.0, f64::max);
+        let last = outcomes.iter().map(|one| one.last_list_at).fold(0.0, f64::max);
+        let polls = outcomes.iter().map(|one| one.polls_per_node).fold(0.0, f64::max);
         println!("| {nodes} | {replicas} | {last:.1} s | {polls:.1} |");
         assert!(last <= most, "{fleet:?}: {last}");
     }
--- a/crates/balancer-core/tests/replica_selection.rs
+++ b/crates/balancer-core/tests/replica_selection.rs
@@ -1,4 +1,4 @@
-//! Which replica of discovery a node polls, event by event, and how a fleet spreads over replicas.
+//! Checks which replica of discovery a node polls after each event, and how a fleet spreads over replicas.
 
 use balancer_core::discovery::{ReplicaResponse, ReplicaSelection, ReplicaSetChange, ReplicaTransition};
 use balancer_core::Timestamp;
@@ -23,17 +23,17 @@
     Timestamp::from_micros((seconds * 1e6) as u64)
 }
 
-/// The name of the replica that is polled.
+/// Returns the name of the polled replica.
 fn polled<'a>(replicas: &ReplicaSelection, names: &'a [String]) -> &'a str {
     &names[replicas.current()]
 }
 
-/// Names in order of preference.
+/// Returns the names in order of preference.
 fn preference(node: &str, names: &[String]) -> Vec<String> {
-    ReplicaSelection::new(node, names.to_vec()).order().iter().map(|&place| names[place].clone()).collect()
+    ReplicaSelection::new(node, names.to_vec()).order().iter().map(|&index| names[index].clone()).collect()
 }
 
-/// The number of nodes that prefer each of these.
+/// Returns the number of nodes that prefer each replica.
 fn shares(names: &[String]) -> BTreeMap<String, usize> {
     let mut shares = BTreeMap::new();
     for node in nodes() {
@@ -48,13 +48,13 @@
     assert_eq!(ReplicaSelection::new("pinhead", names(5)).order(), ORDER_OF_PINHEAD);
 }
 
-/// Computed by a separate program for the documented hash.
+/// Computed with the documented hash by a separate program.
 const ORDER_OF_H0: [usize; 5] = [1, 0, 4, 3, 2];
 const ORDER_OF_PINHEAD: [usize; 5] = [0, 4, 1, 2, 3];
 
 #[test]
 fn a_lost_replica_moves_only_its_nodes_and_spreads_them_evenly() {
-    println!("| replicas | largest share, of the mean | of the nodes of a lost one, largest share at a neighbour |");
+    println!("| replicas | largest share, of the mean | of the nodes of a lost one, largest share at another replica |");
     println!("| --- | --- | --- |");
     for count in [2, 3, 8, 16] {
         let all = names(count);
@@ -72,12 +72,12 @@
             }
         }
         let (moved_most, moved_all) = (moved.values().max().unwrap(), moved.values().sum::<usize>());
-        let at_neighbour = *moved_most as f64 * left.len() as f64 / moved_all as f64;
-        println!("| {count} | {largest:.2} | {at_neighbour:.2} of the mean |");
+        let max_at_other = *moved_most as f64 * left.len() as f64 / moved_all as f64;
+        println!("| {count} | {largest:.2} | {max_at_other:.2} of the mean |");
         assert!(largest <= 1.25, "{count} replicas: {largest}");
-        // Of 24 nodes a neighbour a share varies by a fifth; four times that is no accident.
-        assert!(at_neighbour <= 1.8, "{count} replicas: {at_neighbour}");
-        assert_eq!(moved.len(), left.len(), "every neighbour takes some");
+        // With 24 nodes per remaining replica, a share varies by a fifth. Four times that is not random variation.
+        assert!(max_at_other <= 1.8, "{count} replicas: {max_at_other}");
+        assert_eq!(moved.len(), left.len(), "every other replica takes some nodes");
     }
 }
 
@@ -86,12 +86,12 @@
     let mut replicas = ReplicaSelection::new("h0", names(4));
     let order = replicas.order().to_vec();
     for round in 0..3 {
-        for (place, replica) in order.iter().enumerate() {
+        for (index, replica) in order.iter().enumerate() {
             assert_eq!(replicas.current(), *replica);
             let transition = replicas.poll_ended(at(round as f64), Failed, HOLD_DOWN, 0.5);
             assert_eq!(
                 transition,
-                if place == 3 {
+                if index == 3 {
                     ReplicaTransition::FailOverAfterBackoff
                 } else {
                     ReplicaTransition::FailOver
@@ -126,8 +126,8 @@
     }
 }
 
-/// Polls the fallback until the node returns to its preferred replica; the seconds that took, in steps of one.
-fn returns_after(replicas: &mut ReplicaSelection, from: f64, jitter: f64) -> f64 {
+/// Polls the fallback once per second until the node returns to its preferred replica. Returns the number of seconds.
+fn seconds_until_return(replicas: &mut ReplicaSelection, from: f64, jitter: f64) -> f64 {
     (0..)
         .map(f64::from)
         .find(|passed| {
@@ -144,7 +144,7 @@
     let (mut now, mut waits) = (0.0, Vec::new());
     assert_eq!(replicas.poll_ended(at(now), Failed, HOLD_DOWN, 0.0), ReplicaTransition::FailOver);
     for _ in 0..7 {
-        let waited = returns_after(&mut replicas, now, 0.0);
+        let waited = seconds_until_return(&mut replicas, now, 0.0);
         assert_eq!(replicas.current(), order[0]);
         now += waited;
         waits.push(waited);
@@ -154,24 +154,24 @@
         assert_eq!(replicas.current(), order[1], "the one that worked");
     }
     assert_eq!(waits, [30.0, 60.0, 120.0, 240.0, 480.0, 480.0, 480.0]);
-    // The return succeeds: the next hold-down is the shortest again.
-    now += returns_after(&mut replicas, now, 0.0);
+    // The return succeeds, so the next hold-down is the shortest again.
+    now += seconds_until_return(&mut replicas, now, 0.0);
     for passed in [0.0, 100.0, 481.0] {
         assert_eq!(replicas.poll_ended(at(now + passed), Answered, HOLD_DOWN, 0.0), ReplicaTransition::Stay);
     }
     now += 500.0;
     assert_eq!(replicas.poll_ended(at(now), Failed, HOLD_DOWN, 0.0), ReplicaTransition::FailOver);
-    assert_eq!(returns_after(&mut replicas, now, 0.0), 30.0);
+    assert_eq!(seconds_until_return(&mut replicas, now, 0.0), 30.0);
 }
 
 #[test]
 fn a_failure_soon_after_a_return_counts_as_a_failed_return() {
     let mut replicas = ReplicaSelection::new("h0", names(2));
     assert_eq!(replicas.poll_ended(at(0.0), Failed, HOLD_DOWN, 0.0), ReplicaTransition::FailOver);
-    let back = returns_after(&mut replicas, 0.0, 0.0);
+    let back = seconds_until_return(&mut replicas, 0.0, 0.0);
     assert_eq!(replicas.poll_ended(at(back), Answered, HOLD_DOWN, 0.0), ReplicaTransition::Stay);
     assert_eq!(replicas.poll_ended(at(back + 1.0), Failed, HOLD_DOWN, 0.0), ReplicaTransition::FailOver);
-    assert_eq!(returns_after(&mut replicas, back + 1.0, 0.0), 60.0);
+    assert_eq!(seconds_until_return(&mut replicas, back + 1.0, 0.0), 60.0);
 }
 
 #[test]
@@ -181,18 +181,18 @@
             let mut replicas = ReplicaSelection::new(&format!("h{node}"), names(16));
             let jitter = fastrand::Rng::with_seed(node).f64();
             replicas.poll_ended(at(0.0), Failed, HOLD_DOWN, jitter);
-            returns_after(&mut replicas, 0.0, jitter)
+            seconds_until_return(&mut replicas, 0.0, jitter)
         })
         .collect();
     back.sort_by(f64::total_cmp);
     assert!(back[0] >= 30.0 && back[368] <= 61.0, "{back:?}");
-    // 12 come in a second in the mean; a multiple of that is no accident.
+    // The mean is 12 nodes per second. A multiple of that is not random variation.
     let most = back.chunk_by(|one, other| one == other).map(<[_]>::len).max().unwrap();
     assert!(most <= 30, "{most} in one second");
 }
 
 #[test]
-fn a_replaced_set_keeps_the_current_replica_if_it_has_it() {
+fn replacing_the_set_keeps_the_current_replica_if_the_new_set_has_it() {
     let all = names(6);
     let mut replicas = ReplicaSelection::new("h0", all[..4].to_vec());
     replicas.poll_ended(at(0.0), Failed, HOLD_DOWN, 0.0);
@@ -222,22 +222,23 @@
         prop_assert_eq!(all, expected);
     }
 
-    /// Whatever the outcome of polls: equal events give equal transitions, polls go to replicas of the set, a return follows
-    /// only an answer of a replica that is not the preferred one, and a round ends only when each replica has failed once.
+    /// Regardless of the outcomes of polls, equal events give equal transitions, polls go to replicas of the set, a
+    /// return follows only an answer of a replica that is not the preferred one, and a round ends only when each
+    /// replica has failed once.
     #[test]
-    fn transitions_follow_from_the_events_alone(
+    fn transitions_depend_only_on_the_events(
         count in 1..9_usize,
         events in prop::collection::vec((0..3_u8, 0.0..100.0_f64, 0.0..1.0_f64), 1..200),
     ) {
         let mut replicas = ReplicaSelection::new("h7", names(count));
-        let mut same = replicas.clone();
+        let mut copy = replicas.clone();
         let (mut now, mut failed_in_a_row) = (0.0, Vec::new());
         for (outcome, passes, jitter) in events {
             now += passes;
             let outcome = [Answered, Overloaded, Failed][usize::from(outcome)];
             let (before, returning) = (replicas.current(), replicas.is_returning());
             let transition = replicas.poll_ended(at(now), outcome, HOLD_DOWN, jitter);
-            prop_assert_eq!(transition, same.poll_ended(at(now), outcome, HOLD_DOWN, jitter));
+            prop_assert_eq!(transition, copy.poll_ended(at(now), outcome, HOLD_DOWN, jitter));
             prop_assert!(replicas.current() < count && replicas.available() >= 1 && replicas.available() <= count);
             match transition {
                 ReplicaTransition::Stay => prop_assert_eq!(replicas.current(), before),
@@ -262,7 +263,7 @@
             } else if outcome == Answered {
                 failed_in_a_row.clear();
             } else if transition == ReplicaTransition::FailOverAfterBackoff || returning {
-                // Leaving an overloaded replica does not count as a failure: the round is not counted any further here.
+                // Leaving an overloaded replica does not count as a failure, so this test stops counting the round.
                 break;
             }
         }
--- a/crates/balancer-core/tests/single_address.rs
+++ b/crates/balancer-core/tests/single_address.rs
@@ -1,5 +1,5 @@
-//! A node with one address of discovery and no stated capacity polls as it did before there were replicas: the same waits,
-//! timeouts and pauses, whatever the outcomes of its polls.
+//! Checks that a node with one address of discovery and no configured capacity polls as it did before replicas were
+//! introduced, with the same waits, timeouts and pauses for all outcomes of polls.
 
 #[path = "reference/single_address_schedule.rs"]
 mod reference;
@@ -20,10 +20,10 @@
     }
 }
 
-/// One outcome of a poll, for the client and for the reference.
-fn outcomes(number: u8, poll: Poll, part: f64) -> (PollOutcome, reference::Outcome) {
+/// Returns an outcome of a poll, for the client and for the reference.
+fn outcomes(number: u8, poll: Poll, fraction: f64) -> (PollOutcome, reference::Outcome) {
     use reference::Outcome as Reference;
-    let took = poll.timeout.mul_f64(part);
+    let took = poll.timeout.mul_f64(fraction);
     match number {
         0 => (
             PollOutcome::Answered { took, has_changes: false },
@@ -42,8 +42,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(1_000))]
-    /// Operators with one address were promised that replicas change nothing for them. A wait or pause that differs would
-    /// change the load of their discovery and the time within which their nodes hear of changes.
+    /// Operators with one address were promised that replicas change nothing for them. A different wait or pause
+    /// would change the load of their discovery and the time within which their nodes are notified of changes.
     #[test]
     fn one_address_without_a_capacity_is_polled_as_before_replicas(
         nodes in 1..10_000_u32,
@@ -60,12 +60,12 @@
             PollPacing::new(settings, client.replicas().available(), None, Some(40))
         };
         let mut is_watch = false;
-        for (number, part, jitter, next_is_watch) in ends {
+        for (number, fraction, jitter, next_is_watch) in ends {
             let poll = client.next_poll(pacing(&client), kind(is_watch), jitter);
             let reference_poll = reference.next_poll(reference_settings, is_watch, jitter);
             prop_assert_eq!((poll.wait, poll.timeout), (reference_poll.wait, reference_poll.timeout));
             prop_assert!(client.answer_allowance(pacing(&client)).is_none());
-            let (outcome, reference_outcome) = outcomes(number, poll, part);
+            let (outcome, reference_outcome) = outcomes(number, poll, fraction);
             is_watch = next_is_watch;
             let next = client.poll_ended(
                 Timestamp::from_micros(0),
@@ -73,7 +73,7 @@
                 poll,
                 outcome,
                 kind(is_watch),
-                Jitter { pause: jitter, hold_down: part },
+                Jitter { pause: jitter, hold_down: fraction },
             );
             let reference_pause =
                 reference.poll_ended(reference_settings, reference_poll, reference_outcome, is_watch, jitter);
--- a/crates/balancer-core/tests/supervisor.rs
+++ b/crates/balancer-core/tests/supervisor.rs
@@ -1,4 +1,4 @@
-//! The supervisor of a fleet, event by event, and with random events.
+//! Checks the supervisor of a fleet, event by event and with random events.
 
 use balancer_core::supervisor::{Action, Event, InstanceState, Limits, ProcessId, Supervisor};
 use balancer_core::Timestamp;
@@ -20,16 +20,16 @@
     }
 }
 
-/// A supervisor, the processes that run, and the actions it took.
+/// A supervisor, its running processes, and the actions it returned.
 struct Fleet {
     supervisor: Supervisor,
     now: Timestamp,
     timer: Option<Timestamp>,
-    /// The processes that run, each with its instance.
+    /// The running processes, each with its instance.
     running: BTreeMap<ProcessId, usize>,
     /// The processes that serve and send heartbeats.
     ready: Vec<ProcessId>,
-    taken: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 impl Fleet {
@@ -42,13 +42,13 @@
             timer: None,
             running: BTreeMap::new(),
             ready: Vec::new(),
-            taken: Vec::new(),
+            actions: Vec::new(),
         };
         fleet.handle(Event::TimerExpired);
         fleet
     }
 
-    /// A fleet in which all instances serve.
+    /// Creates a fleet in which all instances serve.
     fn serving(instances: usize) -> Self {
         let mut fleet = Self::new(instances);
         let started: Vec<_> = fleet.running.keys().copied().collect();
@@ -63,14 +63,17 @@
         for action in &actions {
             match action {
                 Action::Start { instance, process } => {
-                    assert!(self.running.insert(*process, *instance).is_none(), "a number used twice");
+                    assert!(
+                        self.running.insert(*process, *instance).is_none(),
+                        "process {process} was started twice"
+                    );
                 }
                 Action::SetTimer(at) => self.timer = Some(*at),
                 _ => {}
             }
         }
         actions.retain(|action| !matches!(action, Action::SetTimer(_) | Action::Log(_)));
-        self.taken.extend(actions.iter().cloned());
+        self.actions.extend(actions.iter().cloned());
         actions
     }
 
@@ -85,7 +88,7 @@
         self.handle(Event::Exited(process))
     }
 
-    /// Lets time pass; the ready processes send a heartbeat each second, except those in `silent`.
+    /// Advances the time. Ready processes send a heartbeat every second, except those in `silent`.
     fn advance(&mut self, time: Duration, silent: &[ProcessId]) {
         let end = self.now + time;
         while self.now < end {
@@ -119,7 +122,7 @@
 #[test]
 fn all_instances_start_at_once_and_serve_once_ready() {
     let mut fleet = Fleet::new(3);
-    assert_eq!(fleet.taken, [start(0, 0), start(1, 1), start(2, 2)]);
+    assert_eq!(fleet.actions, [start(0, 0), start(1, 1), start(2, 2)]);
     fleet.process_ready(1);
     assert_eq!(fleet.states(), [InstanceState::Starting, InstanceState::Serving, InstanceState::Starting]);
 }
@@ -133,11 +136,11 @@
         assert_eq!(fleet.process_exits(process), []);
         assert_eq!(fleet.states(), [InstanceState::BackingOff]);
         fleet.advance(fleet.timer.unwrap().since(ended), &[]);
-        assert_eq!(fleet.taken.last(), Some(&start(0, process + 1)));
+        assert_eq!(fleet.actions.last(), Some(&start(0, process + 1)));
         waits.push(fleet.now.since(ended).as_millis());
     }
     assert_eq!(waits, [100, 200, 400, 800, 800, 800]);
-    // Serving for less than the stable time keeps the backoff; serving for as long resets it.
+    // Serving for less than the stable time keeps the backoff. Serving for the stable time resets it.
     for (served, wait) in [(9_000, 800), (10_000, 100)] {
         let process = *fleet.running.keys().last().unwrap();
         fleet.process_ready(process);
@@ -157,8 +160,8 @@
     assert_eq!(fleet.states(), [InstanceState::Upgrading, InstanceState::Serving, InstanceState::Serving]);
     // While the predecessor stands by, its successor is on probation, and no other instance is replaced.
     fleet.process_ready(3);
-    assert_eq!(fleet.taken.last(), Some(&start(0, 3)));
-    // The predecessor exits when it is done: that is no failure.
+    assert_eq!(fleet.actions.last(), Some(&start(0, 3)));
+    // The predecessor exits when it is done, which is not a failure.
     assert_eq!(fleet.process_exits(0), [start(1, 4)]);
     fleet.process_ready(4);
     assert_eq!(fleet.process_exits(1), [start(2, 5)]);
@@ -172,9 +175,9 @@
         .collect();
     assert_eq!(status, [(Some(3), 0, 1), (Some(4), 0, 1), (Some(5), 0, 1)]);
     // No action is left.
-    let before = fleet.taken.len();
+    let before = fleet.actions.len();
     fleet.advance(ms(30_000), &[]);
-    assert_eq!(fleet.taken.len(), before);
+    assert_eq!(fleet.actions.len(), before);
 }
 
 #[test]
@@ -187,37 +190,37 @@
     fleet.handle(Event::Upgrade);
     let silent = [4];
     fleet.advance(ms(5_000), &silent);
-    assert_eq!(fleet.taken.last(), Some(&Action::Kill(4)));
+    assert_eq!(fleet.actions.last(), Some(&Action::Kill(4)));
     assert_eq!(fleet.process_exits(4), []);
     assert_eq!(fleet.states(), [InstanceState::Serving; 3]);
     assert!(fleet.supervisor.statuses().all(|status| status.upgrades == 0));
 }
 
-/// A bad version could take down one instance after the other, and the instance that rolled back could get a third process
-/// beside the one that serves again.
+/// Guards against a faulty version that takes down one instance after the other, and against a third process in the
+/// instance that rolled back.
 #[test]
 fn a_rollback_restores_the_process_and_ends_the_upgrade() {
-    for ended_first in [true, false] {
+    for exits_first in [true, false] {
         let mut fleet = Fleet::serving(2);
         fleet.handle(Event::Upgrade);
         fleet.process_ready(2);
-        if ended_first {
+        if exits_first {
             fleet.process_exits(2);
         }
         fleet.process_ready(0);
         let status = fleet.supervisor.statuses().next().unwrap();
         assert_eq!((status.state, status.process), (InstanceState::Serving, Some(0)));
-        if !ended_first {
-            assert_eq!(fleet.taken.last(), Some(&Action::Terminate(2)));
+        if !exits_first {
+            assert_eq!(fleet.actions.last(), Some(&Action::Terminate(2)));
             fleet.process_exits(2);
         }
-        let before = fleet.taken.len();
+        let before = fleet.actions.len();
         fleet.advance(ms(30_000), &[]);
-        assert_eq!(fleet.taken.len(), before, "{:?}", &fleet.taken[before..]);
+        assert_eq!(fleet.actions.len(), before, "{:?}", &fleet.actions[before..]);
         assert_eq!(fleet.states(), [InstanceState::Serving; 2]);
         // A stop terminates the process that serves again.
         fleet.handle(Event::Stop);
-        assert!(fleet.taken.contains(&Action::Terminate(0)));
+        assert!(fleet.actions.contains(&Action::Terminate(0)));
     }
 }
 
@@ -228,14 +231,14 @@
     assert_eq!(fleet.process_exits(0), []);
     assert_eq!(fleet.states(), [InstanceState::Upgrading, InstanceState::Serving]);
     fleet.process_ready(2);
-    assert_eq!(fleet.taken.last(), Some(&start(1, 3)));
+    assert_eq!(fleet.actions.last(), Some(&start(1, 3)));
     let status = fleet.supervisor.statuses().next().unwrap();
     assert_eq!((status.state, status.failures, status.upgrades), (InstanceState::Serving, 0, 1));
-    // If both processes have died, the instance starts anew, and no other instance is replaced.
+    // If both processes have died, the instance is started again, and no other instance is replaced.
     assert_eq!(fleet.process_exits(1), []);
     assert_eq!(fleet.process_exits(3), []);
     fleet.advance(ms(100), &[]);
-    assert_eq!(fleet.taken.last(), Some(&start(1, 4)));
+    assert_eq!(fleet.actions.last(), Some(&start(1, 4)));
     assert_eq!(fleet.supervisor.statuses().nth(1).unwrap().failures, 1);
 }
 
@@ -243,15 +246,15 @@
 fn a_process_without_heartbeats_is_killed_once_and_restarted() {
     let mut fleet = Fleet::serving(2);
     fleet.advance(ms(1_900), &[1]);
-    assert_eq!(fleet.taken.len(), 2);
+    assert_eq!(fleet.actions.len(), 2);
     fleet.advance(ms(200), &[1]);
-    assert_eq!(fleet.taken.last(), Some(&Action::Kill(1)));
-    // It is killed once only.
+    assert_eq!(fleet.actions.last(), Some(&Action::Kill(1)));
+    // The process is killed only once.
     fleet.advance(ms(5_000), &[1]);
-    assert_eq!(fleet.taken.iter().filter(|action| matches!(action, Action::Kill(_))).count(), 1);
+    assert_eq!(fleet.actions.iter().filter(|action| matches!(action, Action::Kill(_))).count(), 1);
     fleet.process_exits(1);
     fleet.advance(ms(100), &[]);
-    assert_eq!(fleet.taken.last(), Some(&start(1, 2)));
+    assert_eq!(fleet.actions.last(), Some(&start(1, 2)));
 }
 
 #[test]
@@ -261,7 +264,7 @@
     assert_eq!(fleet.handle(Event::Drain(0)), []);
     assert_eq!(fleet.states(), [InstanceState::Draining, InstanceState::Serving]);
     assert_eq!(fleet.handle(Event::Start(1)), []);
-    // Started again before its process has exited: that one still holds the address.
+    // A start before the process has exited has to wait, since the process still holds the address.
     assert_eq!(fleet.handle(Event::Start(0)), []);
     assert_eq!(fleet.process_exits(0), [start(0, 2)]);
     assert_eq!(fleet.supervisor.statuses().next().unwrap().failures, 0);
@@ -269,7 +272,7 @@
     // A process that does not stop is killed.
     fleet.handle(Event::Drain(0));
     fleet.advance(ms(3_000), &[]);
-    assert_eq!(fleet.taken.last(), Some(&Action::Kill(2)));
+    assert_eq!(fleet.actions.last(), Some(&Action::Kill(2)));
     assert_eq!(fleet.process_exits(2), []);
     fleet.advance(ms(60_000), &[]);
     assert_eq!(fleet.states(), [InstanceState::Stopped, InstanceState::Serving]);
@@ -309,8 +312,8 @@
     assert_eq!(fleet.handle(Event::Reload), [Action::Reload(2), Action::Reload(1)]);
 }
 
-/// An order of events that no other test has could start a second process for an instance, forget one, or keep a stop from
-/// ending.
+/// Guards against orders of events that no other test covers, which could start a second process for an instance,
+/// lose track of a process, or keep a stop from completing.
 #[test]
 fn random_events_run_no_instance_twice_and_a_stop_ends_all() {
     for seed in 0..400 {
@@ -336,7 +339,7 @@
             }
             // Killed processes exit, and so do most of those told to stop.
             let ending: Vec<_> = fleet
-                .taken
+                .actions
                 .drain(..)
                 .filter_map(|action| match action {
                     Action::Kill(process) => Some(process),
@@ -350,10 +353,10 @@
                 }
             }
             let upgrading = fleet.states().iter().filter(|state| **state == InstanceState::Upgrading).count();
-            assert!(upgrading <= 1, "seed {seed}: {upgrading} are replaced at once");
+            assert!(upgrading <= 1, "seed {seed}: {upgrading} instances are upgraded at once");
             let processes: Vec<_> = fleet.supervisor.statuses().filter_map(|status| status.process).collect();
             let lost = processes.iter().filter(|process| !fleet.running.contains_key(process)).count();
-            assert_eq!(lost, 0, "seed {seed}: one that has ended is taken for running");
+            assert_eq!(lost, 0, "seed {seed}: a process that has exited is reported as running");
         }
         fleet.handle(Event::Stop);
         for _ in 0..100 {
@@ -363,6 +366,6 @@
         }
         assert!(fleet.supervisor.is_finished(), "seed {seed}: {:?}", fleet.states());
         fleet.advance(ms(60_000), &[]);
-        assert!(fleet.running.is_empty(), "seed {seed}: something was started after the stop");
+        assert!(fleet.running.is_empty(), "seed {seed}: a process was started after the stop");
     }
 }
--- a/crates/balancer-core/tests/support/lists.rs
+++ b/crates/balancer-core/tests/support/lists.rs
@@ -1,19 +1,19 @@
-//! Lists, and a validator that holds one.
+//! Helpers that create list entries and validators.
 
 use balancer_core::discovery::{ListEntry, ListError, ListSource, ListValidator, ListWarning, ReceivedList};
 use balancer_core::EndpointState;
 
-/// An entry with an address.
+/// Creates an entry with an address.
 pub fn entry(id: &str, state: EndpointState) -> ListEntry<'_> {
     ListEntry { id, state, has_address: true }
 }
 
-/// A validator that holds version 41, with two ready servers.
+/// Creates a validator whose current list has version 41 and two ready servers.
 pub fn holding() -> ListValidator {
     ListValidator::new(Some(41), ["a".to_owned(), "b".to_owned()])
 }
 
-/// Validates a list of this source.
+/// Validates a list from this source.
 pub fn validate_from(
     validator: &mut ListValidator,
     source: ListSource,
--- a/crates/balancer-core/tests/support/poll_settings.rs
+++ b/crates/balancer-core/tests/support/poll_settings.rs
@@ -1,9 +1,9 @@
-//! The settings of polls, as on the platform.
+//! The platform's settings of polls.
 
 use balancer_core::discovery::PollSettings;
 use std::time::Duration;
 
-/// The settings of a fleet of this many nodes that polls one service.
+/// Returns the settings of a fleet of this many nodes that polls one service.
 pub fn settings(nodes: u32) -> PollSettings {
     PollSettings {
         nodes,
