--- a/crates/balancer-core/src/graceful_restart/predecessor.rs
+++ b/crates/balancer-core/src/graceful_restart/predecessor.rs
@@ -22,9 +22,9 @@
     SuccessorDied,
     /// The link has ended, but the successor is alive.
     LinkLost,
-    /// Before the hand-over is committed: the successor exceeded the time limit of the current step (`[hand_over]
-    /// within`). On standby: the probation (`probation`) has passed and all requests that this process accepted have
-    /// ended, which is the normal end of a hand-over.
+    /// Before the hand-over is committed: the successor exceeded the time limit of this step (`[hand_over] within`).
+    /// On standby: the probation (`probation`) has passed and all requests that this process accepted have ended,
+    /// which is the normal end of a hand-over.
     TimedOut,
     /// The backoff after deaths of successors (`bar`) has expired.
     BackoffExpired,
@@ -42,8 +42,8 @@
     Pause,
     /// Resume accepting after a pause.
     Resume,
-    /// Tell the successor that the hand-over is cancelled and why, and close the link. The reason is that successors
-    /// are rejected for a while, that it exceeded a time limit, or that it sent a message out of order.
+    /// Tell the successor that the hand-over is cancelled and why, and close the link: successors are rejected for a
+    /// while, this one exceeded a time limit, or it sent a message out of order.
     Cancel,
     /// Send the successor a termination signal, which does not depend on the link: it may be accepting, and must not
     /// continue.
