--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -162,7 +162,7 @@
         let Pool { settings, known, .. } = &pool;
         let (connecting, idle) = (settings.connect_timeout, settings.server_idle_timeout);
         let upstream = Rc::new(Upstream::new(self.connection_limit.clone(), connecting, idle));
-        spawn_local(Upstream::close_idle_on_time(Rc::downgrade(&upstream)));
+        spawn_local(Upstream::close_expired_idle(Rc::downgrade(&upstream)));
         let validator = initial_validator(&pool, learned.as_ref());
         let poll_settings = Rc::new(Cell::new(PollSettings::from(settings)));
         let list =
--- a/crates/cache-balancer/src/driver/mod.rs
+++ b/crates/cache-balancer/src/driver/mod.rs
@@ -99,7 +99,7 @@
     }
 
     /// Sets the observer of discovery. The default is none.
-    pub fn observed(self, observer: DiscoveryObserver) -> Self {
+    pub fn with_observer(self, observer: DiscoveryObserver) -> Self {
         Self { observer: Some(observer), ..self }
     }
 
--- a/crates/cache-balancer/src/hollow/node.rs
+++ b/crates/cache-balancer/src/hollow/node.rs
@@ -88,7 +88,7 @@
             settings.connect_timeout,
             settings.server_idle_timeout,
         ));
-        spawn_local(Upstream::close_idle_on_time(Rc::downgrade(&upstream)));
+        spawn_local(Upstream::close_expired_idle(Rc::downgrade(&upstream)));
         let discovery = DiscoveryPoller {
             node: name.clone(),
             replicas: setup.replicas.clone(),
@@ -106,7 +106,7 @@
         let tally = Tally::new(&name, "pool", Rc::new(Cell::new(false)));
         let record = setup.record.clone();
         let driver = Driver::new(balancer, upstream, ready, driver_inputs.clone(), tally)
-            .observed(Box::new(move |event| record.add(number, event)));
+            .with_observer(Box::new(move |event| record.add(number, event)));
         let driver = spawn_local(driver.run(known, inputs)).abort_handle();
         let discovery = spawn_local(discovery.run()).abort_handle();
         Self { driver_inputs, driver, discovery }
--- a/crates/cache-balancer/src/upstream/pool.rs
+++ b/crates/cache-balancer/src/upstream/pool.rs
@@ -122,7 +122,7 @@
     }
 
     /// Closes idle connections before their servers do. Ends once the pool has been dropped elsewhere.
-    pub async fn close_idle_on_time(upstream: Weak<Self>) {
+    pub async fn close_expired_idle(upstream: Weak<Self>) {
         loop {
             sleep(IDLE_CHECK_INTERVAL).await;
             let Some(upstream) = upstream.upgrade() else { return };
