--- a/crates/cache-balancer/src/driver/actions.rs
+++ b/crates/cache-balancer/src/driver/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the decisions ask for.
+//! Executes the actions that the balancer returns.
 
 use super::timers::Timer;
 use super::Driver;
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 impl Driver {
-    pub(super) fn carry_out(&mut self, action: Action) {
+    pub(super) fn execute(&mut self, action: Action) {
         match action {
             Action::StartAttempt { id, server, timeout, start_within } => {
                 self.start_attempt(id, server, timeout, start_within);
@@ -18,16 +18,18 @@
             Action::CancelAttempt { id, attempt } => self.cancel_attempt(id, attempt),
             Action::Reject { id, retry_after } => self.finish(&id, FinalResponse::Rejected { retry_after }),
             Action::Fail { id } => self.finish(&id, FinalResponse::Failed),
-            Action::SetTimer { after } => self.timers.set(Instant::now() + after, Timer::Decisions),
+            Action::SetTimer { after } => self.timers.set(Instant::now() + after, Timer::Balancer),
             Action::CloseIdleConnections { server } => self.upstream.close_idle(&server),
-            // The client of discovery polls on its own and judges itself when to poll again.
+            // The discovery client polls on its own schedule.
             Action::SubscribeToEndpoints => {}
             Action::Log(text) => {
                 self.tally_line().trips += u32::from(is_breaker_trip(&text));
                 log!("{text}");
             }
-            // No decision asks for one yet.
-            Action::CheckHealth { server } => log!("no probe of {server}: this node sends none"),
+            // The balancer does not request health checks yet.
+            Action::CheckHealth { server } => {
+                log!("skipped the health check of {server}: this node does not support health checks");
+            }
         }
     }
 
@@ -56,8 +58,8 @@
         request.add_attempt(server, now, task.abort_handle());
     }
 
-    /// Cancels an attempt that is in flight. Its connection closes with its task: kept open, the server's
-    /// late response would be read as that of the next request.
+    /// Cancels an attempt that is in flight. Aborting its task also closes its connection. If the connection
+    /// stayed open, the late response would be read as the response to the next request.
     fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
         let task = self.requests.get(&id).and_then(|request| request.attempt_task(attempt));
         if let Some(task) = task {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Gives the final response, and counts it if the client still waits.
+    /// Sends the final response to the client, and counts it if the client is still waiting.
     fn finish(&mut self, id: &RequestId, response: FinalResponse) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let line = self.tally.line_at(self.clock.now());
@@ -82,8 +84,8 @@
     }
 }
 
-/// Whether a log line of the decisions reports that a circuit breaker tripped. The decisions have no action
-/// for it, and the tally counts trips, so it is recognised by the text of `Action::Log`.
+/// Returns whether a log line of the balancer reports that a circuit breaker tripped. The tally counts trips,
+/// but there is no action for them, so they are recognized by the text of `Action::Log`.
 pub(super) fn is_breaker_trip(text: &str) -> bool {
     text.starts_with("breaker of ") && text.contains(" tripped")
 }
--- a/crates/cache-balancer/src/driver/endpoints.rs
+++ b/crates/cache-balancer/src/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of a pool, and its effects on the connections and on the node's readiness.
+//! Tracks the endpoint list of a pool and applies it to the connections and to the readiness of the node.
 
 use crate::endpoint_list::{EndpointList, EndpointRecord};
 use crate::tally::TallyLine;
@@ -9,36 +9,36 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// The endpoint list as it has been applied so far.
+/// Holds the endpoint list that results from all applied updates.
 pub struct EndpointTable {
     list: EndpointList,
     upstream: Rc<Upstream>,
-    /// Set once a list has had a ready server.
+    /// Set to true when the first update with a ready server is applied.
     ready: watch::Sender<bool>,
 }
 
 impl EndpointTable {
-    /// An empty table, which applies its lists to `upstream` and sets `ready` once a server is ready.
+    /// Creates an empty table that applies its updates to `upstream` and sets `ready` once a server is ready.
     pub fn new(upstream: Rc<Upstream>, ready: watch::Sender<bool>) -> Self {
         Self { list: EndpointList::default(), upstream, ready }
     }
 
-    /// The current list.
+    /// Returns the current list.
     pub fn list(&self) -> &EndpointList {
         &self.list
     }
 
-    /// The delta that marks these endpoints as draining, as far as the list has them as ready.
+    /// Returns a delta that marks those of these endpoints as draining that are ready in the current list.
     pub fn draining_delta(&self, ids: &BTreeSet<String>) -> EndpointList {
         let leaving = self.list.endpoints.iter().filter(|endpoint| ids.contains(&endpoint.id));
-        let endpoints = leaving.filter_map(EndpointRecord::drained).collect();
+        let endpoints = leaving.filter_map(EndpointRecord::to_draining).collect();
         EndpointList { version: self.list.version, is_snapshot: false, endpoints }
     }
 
-    /// Applies a snapshot or a delta to the connections and returns its endpoints for the decisions.
+    /// Applies a snapshot or a delta to the connections and returns its endpoints for the balancer.
     ///
-    /// Both must apply it in one step: an attempt that the decisions start before the connections have the list would
-    /// go to a server without an address.
+    /// The connections must be updated before the balancer: otherwise the balancer could start an attempt at a
+    /// server whose address the connections do not have yet.
     pub fn apply(&mut self, update: &EndpointList, tally: &mut TallyLine) -> Arc<[Endpoint]> {
         self.count_changes(update, tally);
         self.list.apply(update);
@@ -60,15 +60,16 @@
         endpoints
     }
 
-    /// Tallies the servers whose state a list changes. The first list of a node changes none.
+    /// Records each server whose state the update changes in the tally. The first list is not counted as a
+    /// change.
     fn count_changes(&self, update: &EndpointList, tally: &mut TallyLine) {
         if self.list.endpoints.is_empty() {
             return;
         }
         let state = |endpoint: &Endpoint| (endpoint.state, endpoint.started_at);
-        let known = self.list.endpoints.iter().map(|record| record.endpoint());
+        let known_endpoints = self.list.endpoints.iter().map(|record| record.endpoint());
         let mut known: BTreeMap<_, _> =
-            known.map(|endpoint| (endpoint.id.clone(), state(&endpoint))).collect();
+            known_endpoints.map(|endpoint| (endpoint.id.clone(), state(&endpoint))).collect();
         for endpoint in update.endpoints.iter().map(|record| record.endpoint()) {
             if known.remove(&endpoint.id) != Some(state(&endpoint)) {
                 tally.record_notification(&endpoint.id, endpoint.state, endpoint.started_at);
--- a/crates/cache-balancer/src/driver/in_flight.rs
+++ b/crates/cache-balancer/src/driver/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests that have been accepted and are not complete, with their attempts.
+//! Tracks accepted requests and their attempts until they are complete.
 
 use crate::input::FinalResponse;
 use crate::upstream::ForwardedRequest;
@@ -9,47 +9,47 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Subtracted from the time that a client waits: that time counts from when the client sent its request, and
-/// the response needs its way back.
+/// Subtracted from the client's timeout, which starts when the client sends the request and must also cover
+/// the transfer of the response.
 const NETWORK_MARGIN: Duration = Duration::from_millis(5);
-/// How long past a request's deadline the decisions may take for their own response.
-const DECISION_GRACE: Duration = Duration::from_millis(4);
+/// The time after a request's deadline in which the balancer may still end the request itself.
+const BALANCER_GRACE: Duration = Duration::from_millis(4);
 
-/// The instant by which the node must have the response of a request, so that its client gets it in time.
+/// Returns the instant by which the node must have the response so that the client gets it in time.
 pub fn deadline(received_at: Instant, client_timeout: Duration) -> Instant {
     received_at + client_timeout.saturating_sub(NETWORK_MARGIN)
 }
 
-/// A request that lacks its final response or has an attempt in flight.
+/// A request that has no final response yet or has an attempt in flight.
 #[derive(Debug)]
 pub struct InFlightRequest {
     message: Rc<ForwardedRequest>,
-    /// `None` once the final response is given or the client has disconnected.
+    /// `None` once the final response has been sent or the client has disconnected.
     response: Option<oneshot::Sender<FinalResponse>>,
     deadline: Instant,
     attempts: Vec<InFlightAttempt>,
 }
 
-/// One attempt of a request. It stays in the list of its request once it has ended: its place is its number.
+/// One attempt of a request. Ended attempts stay in the list, because the number of an attempt is its index.
 #[derive(Debug)]
 struct InFlightAttempt {
     server: ServerId,
     started_at: Instant,
-    /// `None` once its result is known.
+    /// `None` once the result of the attempt is known.
     task: Option<AbortHandle>,
 }
 
-/// An attempt of which the result has just become known.
+/// An attempt whose result has just become known.
 #[derive(Debug)]
 pub struct EndedAttempt {
-    /// The server that it was sent to.
+    /// The server of the attempt.
     pub server: ServerId,
-    /// The time from its start to its result.
+    /// The time from the start of the attempt to its result.
     pub elapsed: Duration,
 }
 
 impl InFlightRequest {
-    /// A request without attempts, of which the response is due by `deadline`.
+    /// Creates a request without attempts whose response is due by `deadline`.
     pub fn new(
         message: ForwardedRequest,
         response: oneshot::Sender<FinalResponse>,
@@ -58,28 +58,27 @@
         Self { message: Rc::new(message), response: Some(response), deadline, attempts: Vec::new() }
     }
 
-    /// The instant by which an attempt must have ended to be of use to the client.
+    /// Returns the instant by which an attempt must end for its response to reach the client in time.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// The instant at which a request that still lacks its response fails.
+    /// Returns the instant at which the request fails if it has no final response.
     pub fn deadline_timer(&self) -> Instant {
-        self.deadline + DECISION_GRACE
+        self.deadline + BALANCER_GRACE
     }
 
-    /// What is forwarded to a cache server.
+    /// Returns the message that is forwarded to a cache server.
     pub fn message(&self) -> &Rc<ForwardedRequest> {
         &self.message
     }
 
-    /// Whether the client still waits for the final response.
+    /// Returns whether the client is still waiting for the final response.
     pub fn awaits_response(&self) -> bool {
         self.response.is_some()
     }
 
-    /// Gives the final response; a request that has had one, or whose client has disconnected, gets no
-    /// second.
+    /// Sends the final response. Does nothing if one has been sent already or the client has disconnected.
     pub fn respond(&mut self, response: FinalResponse) {
         self.message.pending.clear();
         if let Some(sender) = self.response.take() {
@@ -88,36 +87,36 @@
         }
     }
 
-    /// Notes that the client has disconnected: no response is due and no further attempt may begin.
+    /// Records that the client has disconnected: no response is due and no further attempt may start.
     pub fn cancel(&mut self) {
         self.response = None;
         self.message.pending.clear();
     }
 
-    /// The number of attempts so far, which is the number of the next one.
+    /// Returns the number of attempts so far, which is also the number of the next attempt.
     pub fn attempt_count(&self) -> u32 {
         self.attempts.len() as u32
     }
 
-    /// Records an attempt that has been started.
+    /// Adds an attempt that has been started.
     pub fn add_attempt(&mut self, server: ServerId, started_at: Instant, task: AbortHandle) {
         self.attempts.push(InFlightAttempt { server, started_at, task: Some(task) });
     }
 
-    /// The task of an attempt, or `None` if there is no such attempt or it has ended.
+    /// Returns the task of an attempt, or `None` if the attempt does not exist or has ended.
     pub fn attempt_task(&self, attempt: u32) -> Option<&AbortHandle> {
         self.attempts.get(attempt as usize)?.task.as_ref()
     }
 
-    /// Marks an attempt as ended. `None` if its result was known before: the result of an attempt that was
-    /// cancelled can still be on its way in the driver's queue.
+    /// Marks an attempt as ended. Returns `None` if its result was known already: after a cancellation, the
+    /// result of the attempt can still be in the driver's queue.
     pub fn end_attempt(&mut self, attempt: u32) -> Option<EndedAttempt> {
         let ended = self.attempts.get_mut(attempt as usize)?;
         ended.task.take()?;
         Some(EndedAttempt { server: ended.server.clone(), elapsed: ended.started_at.elapsed() })
     }
 
-    /// Whether the final response is given and no attempt is in flight.
+    /// Returns whether no response is due any more and no attempt is in flight.
     pub fn is_complete(&self) -> bool {
         self.response.is_none() && self.attempts.iter().all(|attempt| attempt.task.is_none())
     }
--- a/crates/cache-balancer/src/driver/mod.rs
+++ b/crates/cache-balancer/src/driver/mod.rs
@@ -1,5 +1,7 @@
-//! The driver of a pool: the only owner of its decisions ([`Balancer`]) and of the requests in flight. It
-//! turns inputs into events and carries out the actions that come back, in order; it decides nothing itself.
+//! The driver of a pool owns the pool's [`Balancer`] and the requests in flight.
+//!
+//! It converts inputs into events for the balancer and executes the returned actions in order. All decisions
+//! are made by the balancer.
 
 mod actions;
 mod clock;
@@ -23,16 +25,16 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// The outcome of a call to discovery, reported once the decisions have handled it.
+/// The outcome of a call to discovery, reported after the balancer has handled it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryEvent {
     /// An endpoint list was applied.
     ListApplied {
-        /// Its version.
+        /// The version of the list.
         version: u64,
-        /// Whether it was a snapshot.
+        /// Whether the list is a snapshot.
         snapshot: bool,
-        /// The number of its entries.
+        /// The number of entries in the list.
         entries: usize,
     },
     /// The call failed.
@@ -40,8 +42,8 @@
 }
 
 impl DiscoveryEvent {
-    /// The event that an input is, or `None` for one that is no outcome of a call to discovery.
-    fn of(input: &DriverInput) -> Option<Self> {
+    /// Returns the event for an input, or `None` if the input is not the outcome of a call to discovery.
+    fn from_input(input: &DriverInput) -> Option<Self> {
         match input {
             DriverInput::EndpointList(list) => {
                 let (version, snapshot, entries) = (list.version, list.is_snapshot, list.endpoints.len());
@@ -53,19 +55,19 @@
     }
 }
 
-/// Is called with each [`DiscoveryEvent`].
+/// A callback that receives each [`DiscoveryEvent`].
 pub type DiscoveryObserver = Box<dyn Fn(DiscoveryEvent)>;
 
-/// The driver of a pool. [`Driver::run`] is its loop.
+/// The driver of a pool. [`Driver::run`] is its event loop.
 pub struct Driver {
     balancer: Balancer,
     clock: Clock,
     upstream: Rc<Upstream>,
-    /// To this driver's own queue, for the results of attempts.
+    /// The sender of the driver's own queue, which receives the results of attempts.
     inputs: UnboundedSender<DriverInput>,
     requests: HashMap<RequestId, InFlightRequest>,
     timers: Timers,
-    /// Events that the decisions have not handled yet.
+    /// Events that the balancer has not handled yet.
     events: VecDeque<Event>,
     endpoints: EndpointTable,
     pool_removed: bool,
@@ -74,8 +76,8 @@
 }
 
 impl Driver {
-    /// A driver that has not begun. `ready` is set with the first server that takes requests; `inputs` is the
-    /// sending end of the queue that [`Self::run`] reads.
+    /// Creates a driver that is not running yet. `ready` is set when the first server is ready; `inputs` is
+    /// the sender of the queue that [`Self::run`] reads.
     pub fn new(
         balancer: Balancer,
         upstream: Rc<Upstream>,
@@ -98,15 +100,15 @@
         }
     }
 
-    /// Sets the observer of discovery. The default is none.
+    /// Sets the observer of discovery events. There is none by default.
     pub fn with_observer(self, observer: DiscoveryObserver) -> Self {
         Self { observer: Some(observer), ..self }
     }
 
-    /// Runs until the senders of the queue are gone, or until the pool is removed and its last request
-    /// complete. It begins with the endpoint list `known`, which may be empty.
-    pub async fn run(mut self, known: EndpointList, mut queue: UnboundedReceiver<DriverInput>) {
-        self.restore_endpoints(known);
+    /// Runs until all senders of the queue are dropped, or until the pool has been removed and its last
+    /// request is complete. It starts from the endpoint list `initial_list`, which may be empty.
+    pub async fn run(mut self, initial_list: EndpointList, mut queue: UnboundedReceiver<DriverInput>) {
+        self.restore_endpoints(initial_list);
         self.handle_events();
         while !(self.pool_removed && self.requests.is_empty()) {
             let next_expiry = self.timers.next_expiry();
@@ -119,7 +121,7 @@
             tokio::select! {
                 input = queue.recv() => match input {
                     Some(input) => {
-                        let discovery_event = DiscoveryEvent::of(&input);
+                        let discovery_event = DiscoveryEvent::from_input(&input);
                         self.handle_input(input);
                         self.handle_events();
                         self.notify_observer(discovery_event);
@@ -149,7 +151,7 @@
                 self.tally_line().lists += 1;
                 self.apply_endpoint_list(&list);
             }
-            // The current list stays in force, and the client of discovery decides when it polls again.
+            // The current list stays in use, and the discovery client decides when to poll again.
             DriverInput::PollFailed => self.tally_line().lists_failed += 1,
             DriverInput::EndpointsLeaving(ids) => {
                 let delta = self.endpoints.draining_delta(&ids);
@@ -163,11 +165,11 @@
             }
             DriverInput::StateRequested(reply) => {
                 let learned_state = self.balancer.learned_state(self.clock.now());
-                // The receiver is gone if the caller has given up.
+                // The receiver has been dropped if the caller stopped waiting.
                 let _ = reply.send((self.endpoints.list().clone(), learned_state));
             }
             DriverInput::PoolRemoved => self.pool_removed = true,
-            // The receiver is gone if the caller has given up.
+            // The receiver has been dropped if the caller stopped waiting.
             DriverInput::LivenessCheck(reply) => drop(reply.send(())),
         }
     }
@@ -190,7 +192,7 @@
         }));
     }
 
-    /// Cancels a request whose client has disconnected; one that has its final response is not affected.
+    /// Cancels a request whose client has disconnected. A request with a final response is not affected.
     fn cancel_request(&mut self, number: RequestNumber) {
         let id = RequestId::from(number);
         let waiting = self.requests.get_mut(&id).filter(|request| request.awaits_response());
@@ -224,10 +226,10 @@
         }));
     }
 
-    /// Removes a request that has its final response and no attempt in flight.
+    /// Removes a request if no response is due any more and no attempt is in flight.
     fn remove_if_complete(&mut self, id: &RequestId) {
         if let Some(request) = self.requests.get(id).filter(|request| request.is_complete()) {
-            // Left to expire, the timers of completed requests would outnumber the requests in flight.
+            // Without this, the timers of completed requests would outnumber the requests in flight.
             self.timers.cancel(request.deadline_timer(), Timer::Deadline(id.clone()));
             self.requests.remove(id);
         }
@@ -255,18 +257,17 @@
         let now = Instant::now();
         while let Some(timer) = self.timers.pop_expired(now) {
             match timer {
-                Timer::Decisions => self.events.push_back(Event::TimerExpired),
+                Timer::Balancer => self.events.push_back(Event::TimerExpired),
                 Timer::Deadline(id) => self.expire_request(id),
             }
         }
     }
 
-    /// Fails a request whose time is over.
+    /// Fails a request whose deadline has passed without a final response.
     ///
-    /// The failure guarded against: the decisions leave a request open (a fault of theirs, or a server that
-    /// never responds), and its client would wait for a response that never comes. Each request has a timer
-    /// from the moment at which it is accepted, and the timer does not depend on the decisions. The decisions
-    /// learn that no response is due any more; the results of its attempts are still reported to them.
+    /// This bounds the client's wait if the balancer never ends a request, through a bug or because a server
+    /// never responds. The timer is set when the request is accepted and does not depend on the balancer. The
+    /// balancer is notified that no response is due any more, and still gets the results of the attempts.
     fn expire_request(&mut self, id: RequestId) {
         let waiting = self.requests.get_mut(&id).filter(|request| request.awaits_response());
         let Some(request) = waiting else { return };
@@ -276,18 +277,18 @@
         self.events.push_back(Event::RequestCancelled(id));
     }
 
-    /// Has the decisions handle all events, and those that their actions bring about.
+    /// Lets the balancer handle all queued events, including those that its own actions cause.
     fn handle_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.execute(action);
             }
         }
     }
 
-    /// The line of the current second.
+    /// Returns the tally line of the current second.
     fn tally_line(&mut self) -> &mut TallyLine {
         self.tally.line_at(self.clock.now())
     }
--- a/crates/cache-balancer/src/driver/timers.rs
+++ b/crates/cache-balancer/src/driver/timers.rs
@@ -4,31 +4,31 @@
 use std::collections::BTreeSet;
 use tokio::time::Instant;
 
-/// What a timer is for. At the same instant the decisions' own come before deadlines.
+/// The purpose of a timer. Of timers for the same instant, those of the balancer come before deadlines.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// Set by the decisions with `Action::SetTimer`.
-    Decisions,
-    /// The time of a request is over, and its client must have had an answer.
+    /// Set by the balancer with `Action::SetTimer`.
+    Balancer,
+    /// Fails a request that has no final response when its time is over.
     Deadline(RequestId),
 }
 
-/// Timers that are set.
+/// The set of pending timers.
 #[derive(Debug, Default)]
 pub struct Timers(BTreeSet<(Instant, Timer)>);
 
 impl Timers {
-    /// Sets a timer; one that is set already for this instant stays one.
+    /// Sets a timer. Setting the same timer twice for one instant has no further effect.
     pub fn set(&mut self, at: Instant, timer: Timer) {
         self.0.insert((at, timer));
     }
 
-    /// Removes a timer if it is set.
+    /// Cancels a timer if it is set.
     pub fn cancel(&mut self, at: Instant, timer: Timer) {
         self.0.remove(&(at, timer));
     }
 
-    /// The instant at which the next timer expires, or `None` if none is set.
+    /// Returns the instant at which the next timer expires, or `None` if no timer is set.
     pub fn next_expiry(&self) -> Option<Instant> {
         self.0.first().map(|(at, _)| *at)
     }
--- a/crates/cache-balancer/src/endpoint_list/mod.rs
+++ b/crates/cache-balancer/src/endpoint_list/mod.rs
@@ -1,7 +1,7 @@
 //! The endpoint list, as discovery sends it and as a process hands it over to its successor.
 //!
-//! The JSON names of discovery's protocol stand in this module alone. Both the answers of discovery and the frames of a
-//! hand-over hold them, so processes of other versions read what is written here: the names must not change.
+//! The JSON names of the discovery protocol are defined only in this module. Hand-over frames use them too, and
+//! other versions of the program read those frames, so the names must not change.
 
 mod partial;
 #[cfg(test)]
@@ -15,56 +15,56 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a text is not an endpoint list.
+/// An error in the text of an endpoint list.
 #[derive(Debug, Error)]
 pub enum EndpointListError {
-    /// Names the place, and what was expected there.
-    #[error("not a list: {0}")]
+    /// The text is not a valid list. The error has the path of the invalid value and what was expected there.
+    #[error("invalid endpoint list: {0}")]
     Invalid(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// More text follows the list.
-    #[error("not a list: {0}")]
+    /// The list is followed by more text.
+    #[error("invalid endpoint list: {0}")]
     TrailingText(#[from] serde_json::Error),
 }
 
-/// A list of endpoints: all of them, or those that changed.
+/// A snapshot of all endpoints, or a delta with those that changed.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct EndpointList {
-    /// Grows with each change.
+    /// The version of the list, which increases with each change.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether the list has all endpoints, rather than those that changed.
+    /// Whether the list is a snapshot rather than a delta.
     #[serde(rename = "whole")]
     pub is_snapshot: bool,
-    /// In the order in which they were sent.
+    /// The endpoints, in the order in which they were sent.
     #[serde(rename = "hosts", default)]
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// One cache server of a list.
+/// One cache server in a list.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct EndpointRecord {
-    /// Its name.
+    /// The server's name.
     #[serde(rename = "host")]
     pub id: String,
-    /// Where it listens; a removed one may have no address.
+    /// The address on which the server listens. A removed server may have none.
     #[serde(rename = "dial")]
     pub address: Option<SocketAddr>,
-    /// The zone that it is in.
+    /// The server's zone.
     #[serde(rename = "site")]
     pub zone: Option<String>,
-    /// Its kind of machine.
+    /// The server's kind of machine.
     #[serde(rename = "class")]
     pub kind: Option<String>,
-    /// The cell that it is in; 0 where none is reported.
+    /// The server's cell; 0 if not reported.
     #[serde(rename = "block")]
     pub cell: Option<u64>,
-    /// Its state, as reported.
+    /// The server's state, as reported.
     #[serde(rename = "health")]
     pub state: ReportedState,
-    /// Its share of the requests relative to others; 1 where none is reported.
+    /// The server's share of the requests relative to other servers; 1 if not reported.
     #[serde(rename = "share")]
     pub weight: Option<f64>,
-    /// When its process started, in milliseconds of Unix time; 0 where that is not known.
+    /// The start time of the server's process in milliseconds of Unix time; 0 if unknown.
     #[serde(rename = "born_ms")]
     pub started_at_ms: Option<u64>,
 }
@@ -73,13 +73,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(from = "String", into = "String")]
 pub enum ReportedState {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It finishes its requests and takes no new ones.
+    /// The endpoint finishes its current requests and accepts no new ones.
     Draining,
-    /// It has left the fleet.
+    /// The endpoint has left the fleet.
     Removed,
-    /// A state that this version does not know. It is handed over as it was received.
+    /// A state unknown to this version. It is handed over as it was received.
     Other(String),
 }
 
@@ -97,7 +97,7 @@
         match self {
             Self::Ready => EndpointState::Ready,
             Self::Removed => EndpointState::Removed,
-            // An unknown state is no reason to send requests there.
+            // An endpoint in an unknown state gets no new requests.
             Self::Draining | Self::Other(_) => EndpointState::Draining,
         }
     }
@@ -129,21 +129,21 @@
     }
 }
 
-/// The endpoints that an incomplete or rejected answer reports as draining or removed.
+/// The endpoints that an incomplete or rejected response reports as draining or removed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeavingEndpoints {
-    /// The version of the answer; `None` if it could not be read.
+    /// The version of the list; `None` if it could not be read.
     pub version: Option<u64>,
-    /// Their ids.
+    /// The ids of these endpoints.
     pub ids: BTreeSet<String>,
 }
 
 impl EndpointList {
-    /// Reads an answer of discovery.
+    /// Parses a response of discovery.
     ///
     /// # Errors
     ///
-    /// Returns [`EndpointListError`] if the text is anything but one list.
+    /// Returns [`EndpointListError`] if the text is not exactly one list.
     pub fn read(text: &[u8]) -> Result<Self, EndpointListError> {
         let mut json = serde_json::Deserializer::from_slice(text);
         let list = serde_path_to_error::deserialize(&mut json)?;
@@ -151,15 +151,16 @@
         Ok(list)
     }
 
-    /// Reads from an answer which endpoints are leaving, as far as it can be read: it may break off anywhere, and entries may
-    /// lack what a list needs. Of several entries for one endpoint the last counts.
+    /// Returns the endpoints that a response reports as draining or removed, as far as it can be parsed. The
+    /// response may be truncated anywhere, and its entries may lack required fields. If an endpoint has several
+    /// entries, the last one counts.
     pub fn read_leaving(text: &[u8]) -> LeavingEndpoints {
         let partial = partial::read(text);
         let leaving = partial.states.into_iter().filter(|(_, state)| *state != ReportedState::Ready);
         LeavingEndpoints { version: partial.version, ids: leaving.map(|(id, _)| id).collect() }
     }
 
-    /// Applies a later list: a snapshot replaces this one, changes are applied in their order.
+    /// Applies an update: a snapshot replaces this list, and the entries of a delta are applied in order.
     pub fn apply(&mut self, update: &Self) {
         if update.is_snapshot {
             *self = update.clone();
@@ -174,21 +175,21 @@
         }
     }
 
-    /// Makes the ready endpoints of these ids draining.
+    /// Marks the ready endpoints with these ids as draining.
     pub fn suppress(&mut self, ids: &BTreeSet<String>) {
         for endpoint in self.endpoints.iter_mut().filter(|endpoint| ids.contains(&endpoint.id)) {
-            if let Some(draining) = endpoint.drained() {
+            if let Some(draining) = endpoint.to_draining() {
                 *endpoint = draining;
             }
         }
     }
 
-    /// The entries, as far as the validation of the list depends on them.
+    /// Returns the fields of the entries that the validation of the list needs.
     pub fn entries(&self) -> Vec<ListEntry<'_>> {
         self.endpoints.iter().map(EndpointRecord::list_entry).collect()
     }
 
-    /// The ids of the endpoints that take requests.
+    /// Returns the ids of the endpoints that accept requests.
     pub fn ready_ids(&self) -> impl Iterator<Item = String> + '_ {
         let ready = self.endpoints.iter().filter(|endpoint| endpoint.state() == EndpointState::Ready);
         ready.map(|endpoint| endpoint.id.clone())
@@ -196,7 +197,7 @@
 }
 
 impl EndpointRecord {
-    /// The state that counts: one that is reported ready and has no address takes no requests.
+    /// Returns the effective state: an endpoint reported as ready without an address counts as draining.
     fn state(&self) -> EndpointState {
         match self.state.endpoint_state() {
             EndpointState::Ready if self.address.is_none() => EndpointState::Draining,
@@ -204,8 +205,8 @@
         }
     }
 
-    /// The same endpoint in state draining; `None` for one that takes no new requests as it is.
-    pub fn drained(&self) -> Option<Self> {
+    /// Returns a copy of the endpoint in state draining, or `None` if it accepts no new requests already.
+    pub fn to_draining(&self) -> Option<Self> {
         let is_ready = self.state() == EndpointState::Ready;
         is_ready.then(|| Self { state: ReportedState::Draining, ..self.clone() })
     }
@@ -214,7 +215,7 @@
         ListEntry { id: &self.id, state: self.state.endpoint_state(), has_address: self.address.is_some() }
     }
 
-    /// The endpoint as the decisions know it.
+    /// Converts the record to the balancer's representation of an endpoint.
     pub fn endpoint(&self) -> Endpoint {
         let started_at_ms = self.started_at_ms.filter(|&at| at > 0);
         Endpoint {
--- a/crates/cache-balancer/src/endpoint_list/partial.rs
+++ b/crates/cache-balancer/src/endpoint_list/partial.rs
@@ -1,7 +1,8 @@
-//! Reads an answer of discovery entry by entry, up to where it cannot be read.
+//! Parses a truncated or malformed response of discovery entry by entry, up to the first error.
 //!
-//! What discovery has written to the connection counts as notified, whatever follows it. An answer that breaks off, or has one
-//! malformed entry, is no list; without this a node would go on sending to a server that the answer reports as draining.
+//! By the discovery protocol, a node counts as notified of everything that discovery has written to the
+//! connection. A truncated response, or one with a malformed entry, is not a valid list. If it were ignored, the
+//! node would keep sending requests to a server that the response reports as draining.
 
 use super::ReportedState;
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
@@ -9,31 +10,31 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What could be read of an answer.
+/// The part of a response that could be parsed.
 #[derive(Debug, Default)]
 pub(super) struct PartialList {
-    /// `None` unless the version stands before what cannot be read.
+    /// The version of the list; `None` unless it is valid and precedes the first error.
     pub(super) version: Option<u64>,
-    /// The reported states by id.
+    /// The reported state of each endpoint, by id.
     pub(super) states: BTreeMap<String, ReportedState>,
 }
 
-/// Reads as much as possible of `text`.
+/// Parses as much of `text` as possible.
 pub(super) fn read(text: &[u8]) -> PartialList {
     let mut partial = PartialList::default();
     let mut json = serde_json::Deserializer::from_slice(text);
-    // An error only ends the reading: what was read before it counts.
-    let _ = AnswerSeed(&mut partial).deserialize(&mut json);
+    // An error ends parsing. The entries parsed before it are kept.
+    let _ = ResponseSeed(&mut partial).deserialize(&mut json);
     partial
 }
 
-/// Reads an answer into the partial list.
-struct AnswerSeed<'a>(&'a mut PartialList);
+/// Deserializes a response into the partial list.
+struct ResponseSeed<'a>(&'a mut PartialList);
 
-/// Reads entries into the states by id.
+/// Deserializes entries into a map from endpoint id to state.
 struct EntriesSeed<'a>(&'a mut BTreeMap<String, ReportedState>);
 
-impl<'de> DeserializeSeed<'de> for AnswerSeed<'_> {
+impl<'de> DeserializeSeed<'de> for ResponseSeed<'_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
@@ -41,11 +42,11 @@
     }
 }
 
-impl<'de> Visitor<'de> for AnswerSeed<'_> {
+impl<'de> Visitor<'de> for ResponseSeed<'_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("a list")
+        f.write_str("an endpoint list")
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
@@ -72,7 +73,7 @@
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("entries")
+        f.write_str("a list of entries")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<(), A::Error> {
