--- a/crates/cache-balancer/src/upstream/attempt.rs
+++ b/crates/cache-balancer/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one server.
+//! Forwards a request to one server in a single attempt.
 
 use super::connection::{ConnectError, WriteProgress};
 use super::message::{ForwardedRequest, StartCondition};
@@ -12,57 +12,57 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// The outcome as the decisions judge it.
+    /// The status that is reported to the balancer.
     pub status: AttemptStatus,
-    /// Whether the server had the key cached, if its response has it.
+    /// Whether the server had the key cached, if its response says so.
     pub cache_result: Option<CacheResult>,
-    /// The server's load report.
+    /// The load report in the server's response.
     pub load: LoadReport,
     /// The whole body of a response with status 200.
     pub body: Option<Bytes>,
 }
 
 impl AttemptResult {
-    /// The result of an attempt that had no response.
+    /// Creates the result of an attempt without a response.
     pub fn without_response(status: AttemptStatus) -> Self {
         Self { status, cache_result: None, load: LoadReport::default(), body: None }
     }
 }
 
-/// Why an attempt has no response.
+/// The reason why an attempt has no response.
 #[derive(Debug, Error)]
 enum AttemptError {
-    /// Its start condition was no longer met before its first byte.
-    #[error("the client no longer waits, or the attempt may no longer start")]
+    /// The start condition was no longer met before the first byte was written.
+    #[error("the client is not waiting any more, or the attempt may not start any more")]
     MayNotStart,
-    /// The server drains or is removed.
-    #[error("the server takes no requests")]
+    /// The server is draining or has been removed.
+    #[error("the server is draining or has been removed")]
     ServerNotReady,
-    /// There was no connection.
+    /// No connection could be opened.
     #[error(transparent)]
     Connect(#[from] ConnectError),
-    /// No connection came up by the deadline.
-    #[error("no connection by the attempt's deadline")]
+    /// The connection was not established by the deadline.
+    #[error("the connection was not established by the attempt's deadline")]
     ConnectDeadline,
-    /// The client's request makes no valid one for the server.
-    #[error("not forwardable: {0}")]
+    /// No valid request for the server can be built from the client's request.
+    #[error("the request cannot be forwarded: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The server had closed the idle connection, and not a byte went out.
-    #[error("the idle connection was closed by the server")]
+    /// The server closed the idle connection before any byte of the request was written.
+    #[error("the server closed the idle connection")]
     StaleConnection,
-    /// The connection broke, or the deadline came, before the request was written whole.
-    #[error("the request was not written whole")]
+    /// The connection broke or the deadline passed before the request was completely written.
+    #[error("the request was not completely written")]
     NotWritten,
-    /// The connection broke before the response was whole.
+    /// The connection broke before the response was complete.
     #[error("the connection broke: {0}")]
     Broken(hyper::Error),
-    /// The response was not whole by the deadline.
-    #[error("no response by the attempt's deadline")]
+    /// The response was not complete by the deadline.
+    #[error("no complete response by the attempt's deadline")]
     Deadline,
 }
 
 impl AttemptError {
-    /// The outcome as the decisions judge it.
+    /// Returns the status that is reported to the balancer.
     fn status(&self) -> AttemptStatus {
         match self {
             Self::MayNotStart => AttemptStatus::NotSent,
@@ -80,8 +80,8 @@
 }
 
 impl Upstream {
-    /// Makes one attempt at a server. Ends when its response is whole, its connection breaks or `deadline`
-    /// comes.
+    /// Makes one attempt at a server. The attempt ends when its response is complete, its connection breaks
+    /// or `deadline` passes.
     pub async fn attempt(
         &self,
         server: &ServerId,
@@ -95,7 +95,7 @@
         loop {
             match self.attempt_on_connection(&server, request, &condition, deadline).await {
                 Ok(result) => return result,
-                // Nothing was sent, so another connection may carry it.
+                // Nothing was sent, so the request can be sent on another connection.
                 Err(AttemptError::StaleConnection) => {}
                 Err(error) => return AttemptResult::without_response(error.status()),
             }
@@ -109,23 +109,23 @@
         condition: &StartCondition,
         deadline: Instant,
     ) -> Result<AttemptResult, AttemptError> {
-        // Either may also change while the connection is being made: the connection checks both once more
-        // before the first byte.
+        // Both can still change while the connection is being established. The connection checks them again
+        // before it writes the first byte.
         if !condition.is_met() {
             return Err(AttemptError::MayNotStart);
         }
         if !server.is_ready() {
             return Err(AttemptError::ServerNotReady);
         }
-        let connecting = timeout_at(condition.limit(deadline), self.connection(server, condition));
+        let connecting = timeout_at(condition.limit(deadline), self.acquire_connection(server, condition));
         let mut connection = match connecting.await {
             Ok(connected) => connected?,
-            // The end of a deduplication window is no fault of the server.
+            // The end of a deduplication window is not a failure of the server.
             Err(_) if !condition.is_met() => return Err(AttemptError::MayNotStart),
             Err(_) => return Err(AttemptError::ConnectDeadline),
         };
         if !condition.is_met() {
-            // The next request may use it.
+            // The connection is unused and available to the next request.
             server.add_idle(connection);
             return Err(AttemptError::MayNotStart);
         }
@@ -145,8 +145,8 @@
     }
 }
 
-/// Why an exchange has no response, by how far its request was written. `broken` is the error of its
-/// connection, or `None` if the deadline came.
+/// Returns the error of an exchange without a response, depending on how much of the request was written.
+/// `broken` is the connection's error, or `None` if the deadline passed.
 fn exchange_error(
     progress: &WriteProgress,
     condition: &StartCondition,
--- a/crates/cache-balancer/src/upstream/connection.rs
+++ b/crates/cache-balancer/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a cache server, and the checks before the first byte of each request on it.
+//! Connections to cache servers, with checks before the first byte of each request.
 
 use super::limit::ConnectionPermit;
 use super::message::StartCondition;
@@ -21,32 +21,32 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, Instant};
 
-/// The longest response head, in bytes. One without end costs no more than this, and fails like one that
-/// breaks off.
+/// Maximum size of a response head, in bytes. It bounds the memory for an endless head, which fails the
+/// attempt like a truncated one.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Why there is no connection to a server.
+/// The reason why no connection to a server could be opened.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// The limit is reached and no connection is idle.
-    #[error("all connections to cache servers that this process may open are in use")]
+    /// The connection limit is reached and no connection is idle.
+    #[error("connection limit reached: all connections to cache servers are in use")]
     LimitReached,
-    /// The server did not accept in time.
-    #[error("{0}: no connection within {1:?}")]
+    /// The connection was not established within the timeout.
+    #[error("{0}: connecting timed out after {1:?}")]
     TimedOut(SocketAddr, Duration),
     /// The socket could not be connected.
     #[error("{0}: {1}")]
     Socket(SocketAddr, io::Error),
-    /// The HTTP client refused the connection.
+    /// The HTTP handshake failed.
     #[error("{0}: {1}")]
     Http(SocketAddr, hyper::Error),
 }
 
 impl ConnectError {
-    /// Whether this process lacked a descriptor or an address to connect from, which is no fault of the
-    /// server.
+    /// Returns whether the cause is local and not the server's fault: this process or system is out of
+    /// connections, file descriptors or local addresses.
     pub fn is_local(&self) -> bool {
-        /// Linux: ENFILE, EMFILE and EADDRNOTAVAIL.
+        /// ENFILE, EMFILE and EADDRNOTAVAIL on Linux.
         const LOCAL_OS_ERRORS: [i32; 3] = [23, 24, 99];
         match self {
             Self::LimitReached => true,
@@ -58,16 +58,16 @@
     }
 }
 
-/// How far the current request of a connection has been written.
+/// Tracks how much of the current request on a connection has been written.
 #[derive(Debug)]
 pub(super) struct WriteProgress {
-    /// Its first byte has been written.
+    /// Whether the first byte of the request has been written.
     pub(super) started: Cell<bool>,
-    /// Its last byte has been written.
+    /// Whether the last byte of the request has been written.
     pub(super) complete: Cell<bool>,
-    /// The connection carried a request before.
+    /// Whether an earlier request was sent on the connection.
     pub(super) reused: Cell<bool>,
-    /// That of the current request, or of the last one.
+    /// The start condition of the current request, or of the last one if the connection is idle.
     condition: RefCell<StartCondition>,
 }
 
@@ -77,7 +77,7 @@
         Self { started, complete, reused, condition: RefCell::new(condition) }
     }
 
-    /// Begins with another request.
+    /// Prepares for the next request on the connection.
     pub(super) fn reset(&self, condition: &StartCondition) {
         self.started.set(false);
         self.complete.set(false);
@@ -85,29 +85,29 @@
     }
 }
 
-/// A socket that checks before a request's first byte whether it may be sent, and notes when its last byte is
-/// written. hyper puts a head and a body that is at hand into one buffer and flushes the socket only when
-/// that is empty: a flush after a write is the end of the request.
+/// A socket that checks before the first byte of a request whether the request may be sent, and records when
+/// the last byte is written. hyper puts the head and an available body into one buffer and flushes the socket
+/// only when the buffer is empty, so a flush after a write marks the end of the request.
 struct GuardedStream {
     stream: TokioIo<TcpStream>,
     progress: Rc<WriteProgress>,
-    /// Whether its server takes requests. Held apart from the server, which holds its idle connections:
-    /// neither must keep the other alive.
+    /// Whether the server accepts requests. Shared as a separate cell because the server owns its idle
+    /// connections: a reference to the server itself would be a reference cycle.
     server_ready: Rc<Cell<bool>>,
 }
 
 impl GuardedStream {
-    /// Fails before the first byte of a request that must not be sent.
+    /// Returns an error before the first byte of a request that must not be sent.
     ///
-    /// Guarded against: between the attempt's own check and the moment at which hyper writes, a watch event
-    /// may tell that the server drains, the client may disconnect, or a deduplication window may end. The
-    /// request would then run where or when it must not. Nothing lies between this check and the write, so it
-    /// decides.
+    /// Between the attempt's own check and hyper's write, a watch event can report that the server is
+    /// draining, the client can disconnect, or the deduplication window can end. The request would then run
+    /// on the wrong server or too late. This check is made immediately before the write, so nothing can
+    /// change in between.
     ///
-    /// Also guarded against: bytes that stand unread in a reused connection (a second copy of the last
-    /// response, noise). hyper looks for them too, but only as far as the runtime has polled, and would take
-    /// them for the response to this request: a client would get another's data. Asking the socket itself
-    /// leaves no gap.
+    /// It also fails on a reused connection with unread bytes, such as a second copy of the last response or
+    /// noise. hyper checks for them too, but sees only what the runtime has polled. It would take the rest
+    /// for the response to this request, and a client would get another client's data. Peeking at the socket
+    /// itself detects them all.
     fn check_start(&self) -> io::Result<()> {
         if self.progress.started.get() {
             return Ok(());
@@ -125,7 +125,7 @@
         }
     }
 
-    fn note_write(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn record_write(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if matches!(written, Poll::Ready(Ok(bytes)) if bytes > 0) {
             self.progress.started.set(true);
         }
@@ -147,7 +147,7 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.check_start()?;
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.note_write(written)
+        self.record_write(written)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -173,22 +173,22 @@
     ) -> Poll<io::Result<usize>> {
         self.check_start()?;
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.note_write(written)
+        self.record_write(written)
     }
 }
 
-/// A connection. Dropping it closes the socket at once, also with a response under way: that is how an
-/// attempt is cancelled.
+/// A connection to a cache server. Dropping it closes the socket at once, even while a response is being
+/// received. Attempts are cancelled this way.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
     pub(super) progress: Rc<WriteProgress>,
     task: AbortHandle,
-    /// When it was opened or last became idle.
+    /// The instant at which the connection was opened or last became idle.
     pub(super) idle_since: Instant,
 }
 
 impl Connection {
-    /// Opens one. The permit is held for as long as its socket is open.
+    /// Opens a connection. The permit is held until the socket is closed.
     pub(super) async fn open(
         address: SocketAddr,
         server_ready: Rc<Cell<bool>>,
@@ -208,7 +208,7 @@
             let (sender, driving) =
                 http.handshake(guarded).await.map_err(|error| ConnectError::Http(address, error))?;
             let task = tokio::task::spawn_local(async move {
-                // Its error shows at the attempt on it, or when it is taken from the idle ones.
+                // An error is detected by the current attempt, or when the idle connection is to be reused.
                 let _ = driving.await;
                 drop(permit);
             });
--- a/crates/cache-balancer/src/upstream/connection/tests.rs
+++ b/crates/cache-balancer/src/upstream/connection/tests.rs
@@ -5,10 +5,9 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
-/// Between an attempt's own check and the moment at which hyper writes, the server may begin to drain, the
-/// client may disconnect, or the deduplication window may end. The request would then be carried out in
-/// vain, at a server that drains, or twice. Without the check in the stream itself each of these writes
-/// three bytes here.
+/// Between the attempt's own check and hyper's write, the server can start draining, the client can
+/// disconnect, or the deduplication window can end. The request would then run on a draining server, for
+/// nobody, or twice. Without the check in the stream itself, each of these cases writes three bytes here.
 #[tokio::test]
 async fn the_first_byte_is_written_only_while_the_start_condition_holds() {
     let (past, ahead) = (Some(Instant::now()), Some(Instant::now() + Duration::from_secs(3_600)));
@@ -49,15 +48,16 @@
         assert_eq!(progress.started.get(), started || writes);
         drop(guarded);
         let mut read = Vec::new();
-        server.read_to_end(&mut read).await.expect("the end");
+        server.read_to_end(&mut read).await.expect("the end of the stream");
         assert_eq!(read.len(), if writes { 3 } else { 0 });
     }
 }
 
-/// Bytes in the socket of a reused connection may not have reached hyper yet, since the runtime polls for
-/// them between two turns. Written there, a request would have them taken for its response.
+/// Bytes in the socket of a reused connection may not have reached hyper yet, because the runtime polls the
+/// socket only between two turns of its tasks. If a request were written, they would be taken for its
+/// response.
 #[tokio::test]
-async fn a_reused_connection_with_unread_bytes_carries_no_request() {
+async fn no_request_is_written_to_a_reused_connection_with_unread_bytes() {
     for (reused, unread, writes) in [(true, true, false), (true, false, true), (false, true, true)] {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a listener");
         let stream =
@@ -69,18 +69,18 @@
         let stream = TokioIo::new(stream);
         let mut guarded = GuardedStream { stream, progress, server_ready: Rc::new(Cell::new(true)) };
         if unread {
-            io::Write::write_all(&mut server, b"HTTP/1.1 2").expect("a socket that takes it");
+            io::Write::write_all(&mut server, b"HTTP/1.1 2").expect("a write to the socket");
         }
-        // Nothing is awaited in between: the runtime knows of nothing.
+        // Nothing is awaited in between, so the runtime has not polled the socket yet.
         let wrote = std::future::poll_fn(|cx| Pin::new(&mut guarded).poll_write(cx, b"GET")).await;
         assert_eq!(wrote.is_ok(), writes, "reused {reused}, unread {unread}");
     }
 }
 
-/// Want of descriptors or addresses is this process's own: counted against the server, it would eject a
-/// healthy one.
+/// A lack of file descriptors or local addresses is not the server's fault. If it were counted as a failure
+/// of the server, a healthy server would be ejected.
 #[test]
-fn only_want_of_descriptors_or_addresses_counts_as_local() {
+fn only_a_lack_of_connections_descriptors_or_addresses_is_a_local_error() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let refused = 111;
     for (code, local) in [(23, true), (24, true), (99, true), (refused, false)] {
@@ -91,7 +91,7 @@
     assert!(!ConnectError::TimedOut(address, Duration::from_secs(1)).is_local());
 }
 
-/// A permit that outlives its connection would lower the limit for good.
+/// A permit that outlived its connection would lower the limit permanently.
 #[test]
 fn a_permit_counts_until_it_is_dropped() {
     let limit = Rc::new(ConnectionLimit::new(1));
--- a/crates/cache-balancer/src/upstream/limit.rs
+++ b/crates/cache-balancer/src/upstream/limit.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The number of connections to cache servers that a process may have open, and has: of all pools together.
+/// Counts the open connections to cache servers of all pools in the process, and holds their maximum.
 #[derive(Debug)]
 pub struct ConnectionLimit {
     max: Cell<usize>,
@@ -11,27 +11,27 @@
 }
 
 impl ConnectionLimit {
-    /// A limit of `max` connections, none of them open.
+    /// Creates a limit of `max` connections, none of which is open yet.
     pub fn new(max: usize) -> Self {
         Self { max: Cell::new(max), open: Cell::default() }
     }
 
-    /// Sets the largest number of open connections. Connections that are open above it stay.
+    /// Sets the maximum number of open connections. Open connections in excess of it are not closed.
     pub fn set_max(&self, max: usize) {
         self.max.set(max);
     }
 
-    /// Whether no further connection may be opened.
+    /// Returns whether no further connection may be opened.
     pub(super) fn is_reached(&self) -> bool {
         self.open.get() >= self.max.get()
     }
 }
 
-/// Counts one connection as open, until it is dropped.
+/// Counts one connection as open until the permit is dropped.
 pub(super) struct ConnectionPermit(Rc<ConnectionLimit>);
 
 impl ConnectionPermit {
-    /// Counts a connection, whether or not the limit is reached.
+    /// Counts a connection, even if the limit is reached.
     pub(super) fn new(limit: &Rc<ConnectionLimit>) -> Self {
         limit.open.set(limit.open.get() + 1);
         Self(limit.clone())
--- a/crates/cache-balancer/src/upstream/message.rs
+++ b/crates/cache-balancer/src/upstream/message.rs
@@ -1,4 +1,4 @@
-//! What of a client's request is forwarded, and whether it may still be.
+//! The forwarded part of a client's request, and the conditions under which an attempt may start.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -11,32 +11,32 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The id that a client gives its request.
+/// The header with the client's request id.
 pub const REQ_ID: HeaderName = HeaderName::from_static("req-id");
-/// Milliseconds that the sender waits for the response.
+/// The header with the time that the sender waits for the response, in milliseconds.
 pub const REQ_DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
-/// The idempotency key of a request.
+/// The header with the idempotency key of a request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// The part of a client's request that is forwarded to a cache server.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// The path and query.
     pub target: PathAndQuery,
-    /// The client's id of the request.
+    /// The request id that the client chose.
     pub id: InFlightId,
-    /// The client's idempotency key, if it gave one.
+    /// The client's idempotency key, if the request has one.
     pub idempotency_key: Option<HeaderValue>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Whether the client waits for its response.
+    /// Whether the client is still waiting for the response.
     pub pending: ResponsePending,
 }
 
 impl ForwardedRequest {
-    /// The HTTP request of an attempt at this address, of which the response is due by `deadline`.
+    /// Builds the HTTP request for an attempt at this address whose response is due by `deadline`.
     pub(super) fn to_http(
         &self,
         address: SocketAddr,
@@ -56,42 +56,44 @@
     }
 }
 
-/// Whether a client still waits for the final response to its request. The front clears it where a client is
-/// seen to disconnect, and a connection reads it right before the first byte of an attempt: no queue lies
-/// between.
+/// A flag that is set while a client is waiting for the final response to its request. The client-facing
+/// listener clears it as soon as it detects a disconnect, and a connection reads it right before the first
+/// byte of an attempt. The flag is shared rather than sent through a queue, so the change takes effect at
+/// once.
 #[derive(Clone, Debug)]
 pub struct ResponsePending(Rc<Cell<bool>>);
 
 impl ResponsePending {
-    /// That of a request that has just been accepted.
+    /// Creates the flag of a newly accepted request, which is set.
     pub fn new() -> Self {
         Self(Rc::new(Cell::new(true)))
     }
 
-    /// The final response is given, or the client has disconnected.
+    /// Clears the flag, when the final response is sent or the client has disconnected.
     pub fn clear(&self) {
         self.0.set(false);
     }
 
-    /// Whether the client still waits.
+    /// Returns whether the client is still waiting.
     pub fn is_set(&self) -> bool {
         self.0.get()
     }
 }
 
-/// The ids of requests that lack their final response or have an attempt in flight.
+/// The ids of requests that have no final response yet or have an attempt in flight.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightIds(Rc<RefCell<HashSet<HeaderValue>>>);
 
 impl InFlightIds {
-    /// Adds an id. Returns `None` if a request with this id is in flight.
+    /// Adds an id. Returns `None` if a request with this id is already in flight.
     pub fn insert(&self, value: HeaderValue) -> Option<InFlightId> {
         let is_new = self.0.borrow_mut().insert(value.clone());
         is_new.then(|| InFlightId { value, ids: self.clone() })
     }
 }
 
-/// An id in the set. It is removed when this is dropped, with the last holder of the request's message.
+/// An id in an [`InFlightIds`] set. The id is removed from the set on drop, when the last reference to the
+/// request's message is released.
 #[derive(Debug)]
 pub struct InFlightId {
     value: HeaderValue,
@@ -104,23 +106,23 @@
     }
 }
 
-/// What must hold when the first byte of an attempt is written.
+/// The conditions that must hold when the first byte of an attempt is written.
 #[derive(Clone, Debug)]
 pub struct StartCondition {
-    /// The client must wait for the response.
+    /// The client must still be waiting for the response.
     pub pending: ResponsePending,
-    /// The attempt must start before this instant: a retry past the server's deduplication window would be
-    /// carried out a second time. `None` for an attempt without such a window.
+    /// The attempt must start before this instant: a retry after the end of the server's deduplication window
+    /// would be executed a second time. `None` for an attempt without such a window.
     pub start_by: Option<Instant>,
 }
 
 impl StartCondition {
-    /// Whether an attempt may start now.
+    /// Returns whether the attempt may start now.
     pub fn is_met(&self) -> bool {
         self.pending.is_set() && self.start_by.is_none_or(|start_by| Instant::now() < start_by)
     }
 
-    /// The earlier of `deadline` and the last instant at which the attempt may start.
+    /// Returns the earlier of `deadline` and the instant before which the attempt must start.
     pub fn limit(&self, deadline: Instant) -> Instant {
         self.start_by.map_or(deadline, |start_by| start_by.min(deadline))
     }
--- a/crates/cache-balancer/src/upstream/mod.rs
+++ b/crates/cache-balancer/src/upstream/mod.rs
@@ -1,7 +1,8 @@
-//! Connections to cache servers, and the attempts that are made on them.
+//! Connections to cache servers and the attempts on them.
 //!
-//! [`Upstream`] holds the connections of a pool; [`Upstream::attempt`] forwards a [`ForwardedRequest`] to one
-//! server and returns an [`AttemptResult`]. HTTP/1.1, one request at a time on each connection.
+//! [`Upstream`] holds the connections of a pool. [`Upstream::attempt`] forwards a [`ForwardedRequest`] to one
+//! server and returns an [`AttemptResult`]. The protocol is HTTP/1.1, with one request at a time on each
+//! connection.
 
 mod attempt;
 mod connection;
@@ -17,5 +18,5 @@
 };
 pub use pool::Upstream;
 
-/// The largest body, in bytes, of a request or a response.
+/// Maximum size of a request body or a response body, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
--- a/crates/cache-balancer/src/upstream/pool.rs
+++ b/crates/cache-balancer/src/upstream/pool.rs
@@ -1,4 +1,5 @@
-//! The connections of a pool: those that are idle, by server, and when they are closed.
+//! The connections of a pool: keeps the idle connections to each server and closes them before the server
+//! does.
 
 use super::connection::{ConnectError, Connection};
 use super::limit::{ConnectionLimit, ConnectionPermit};
@@ -11,8 +12,8 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// An idle connection is closed after the servers' idle timeout divided by this: one that its server is about
-/// to close would take a request only to reset it.
+/// Idle connections are closed after the servers' idle timeout divided by this. A request sent on a
+/// connection that its server is about to close would be reset.
 const IDLE_TIMEOUT_DIVISOR: u32 = 2;
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -20,22 +21,22 @@
 pub(super) struct Server {
     address: Cell<SocketAddr>,
     ready: Rc<Cell<bool>>,
-    /// The one used last stands last.
+    /// The idle connections; the most recently used one is last.
     idle: RefCell<Vec<Connection>>,
 }
 
 impl Server {
-    /// Where it listens.
+    /// Returns the address on which the server listens.
     pub(super) fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// Whether it takes requests.
+    /// Returns whether the server accepts requests.
     pub(super) fn is_ready(&self) -> bool {
         self.ready.get()
     }
 
-    /// Keeps a connection on which no request is under way.
+    /// Keeps a connection without a request in flight for reuse, if the server is ready.
     pub(super) fn add_idle(&self, mut connection: Connection) {
         if self.ready.get() && !connection.sender.is_closed() {
             connection.progress.reused.set(true);
@@ -48,7 +49,7 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// When the connection became idle that has been so for longest.
+    /// Returns when the longest-idle connection became idle, or `None` if no connection is idle.
     fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.borrow().first().map(|connection| connection.idle_since)
     }
@@ -67,8 +68,8 @@
 }
 
 impl Upstream {
-    /// Without servers. It opens no more connections than `limit` allows, together with all that share it.
-    /// The cache servers close a connection that has been idle for `server_idle_timeout`.
+    /// Creates an instance without servers. `limit` bounds the open connections of all instances that share
+    /// it. The cache servers close connections that have been idle for `server_idle_timeout`.
     pub fn new(limit: Rc<ConnectionLimit>, connect_timeout: Duration, server_idle_timeout: Duration) -> Self {
         Self {
             servers: RefCell::default(),
@@ -78,14 +79,14 @@
         }
     }
 
-    /// Sets both timeouts, for connections that are open too.
+    /// Sets both timeouts. The idle timeout also applies to open connections.
     pub fn configure(&self, connect_timeout: Duration, server_idle_timeout: Duration) {
         self.connect_timeout.set(connect_timeout);
         self.idle_timeout.set(server_idle_timeout / IDLE_TIMEOUT_DIVISOR);
     }
 
-    /// Adds a server, or changes it. Without an address a known one keeps its own, and an unknown one is not
-    /// added. One that has moved, or that takes no more requests, loses its idle connections.
+    /// Adds or updates a server. Without an address, a known server keeps its address and an unknown server
+    /// is not added. If the address changes or the server is not ready, its idle connections are closed.
     pub fn update_server(&self, id: &ServerId, address: Option<SocketAddr>, ready: bool) {
         let mut servers = self.servers.borrow_mut();
         if let Some(server) = servers.get(id) {
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Removes a server. An attempt that is about to start there finds that it takes no more requests.
+    /// Removes a server. An attempt that is about to start there fails, because the server is not ready any
+    /// more.
     pub fn remove_server(&self, id: &ServerId) {
         if let Some(server) = self.servers.borrow_mut().remove(id) {
             server.ready.set(false);
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Removes all servers but those for which `keep` returns true.
+    /// Removes all servers for which `keep` returns false.
     pub fn retain_servers(&self, keep: impl Fn(&ServerId) -> bool) {
         let removed: Vec<_> = self.servers.borrow().keys().filter(|id| !keep(id)).cloned().collect();
         removed.iter().for_each(|id| self.remove_server(id));
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Closes idle connections before their servers do. Ends once the pool has been dropped elsewhere.
+    /// Closes idle connections before their servers do, until the last strong reference is dropped.
     pub async fn close_expired_idle(upstream: Weak<Self>) {
         loop {
             sleep(IDLE_CHECK_INTERVAL).await;
@@ -132,13 +134,13 @@
         }
     }
 
-    /// The server of this id, or `None` if the endpoint list lacks it.
+    /// Returns the server with this id, or `None` if it is not in the endpoint list.
     pub(super) fn server(&self, id: &ServerId) -> Option<Rc<Server>> {
         self.servers.borrow().get(id).cloned()
     }
 
-    /// A connection for a request: the one that became idle last, or a new one.
-    pub(super) async fn connection(
+    /// Returns a connection for a request: the most recently used idle connection, or a new one.
+    pub(super) async fn acquire_connection(
         &self,
         server: &Server,
         condition: &StartCondition,
@@ -150,7 +152,7 @@
                 return Ok(idle);
             }
         }
-        let permit = self.permit()?;
+        let permit = self.acquire_permit()?;
         let timeout = self.connect_timeout.get();
         Connection::open(server.address.get(), server.ready.clone(), condition, permit, timeout).await
     }
@@ -159,10 +161,9 @@
         !connection.sender.is_closed() && connection.idle_since.elapsed() < self.idle_timeout.get()
     }
 
-    /// A permit for a new connection. Where the limit is reached, the connection that has been idle for
-    /// longest is closed: a node that has met every server once must not be kept from the one that it needs
-    /// by unused connections.
-    fn permit(&self) -> Result<ConnectionPermit, ConnectError> {
+    /// Returns a permit for a new connection. If the limit is reached, the longest-idle connection is closed:
+    /// once a node has connected to every server, unused connections must not prevent the one that is needed.
+    fn acquire_permit(&self) -> Result<ConnectionPermit, ConnectError> {
         if self.limit.is_reached() {
             let servers = self.servers.borrow();
             let idle = servers.values().filter_map(|server| Some((server.oldest_idle_since()?, server)));
--- a/crates/cache-balancer/src/upstream/response.rs
+++ b/crates/cache-balancer/src/upstream/response.rs
@@ -11,21 +11,21 @@
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Request, Response, StatusCode};
 
-/// `1` where the server has not looked at the request, since its queue is full.
+/// The header that is `1` if the server declined the request unprocessed because its queue is full.
 const DECLINED: HeaderName = HeaderName::from_static("srv-declined");
-/// The server's load report.
+/// The header with the server's load report.
 const LOAD: HeaderName = HeaderName::from_static("srv-load");
-/// Whether the server had the key cached.
+/// The header that reports whether the server had the key cached.
 const CACHE: HeaderName = HeaderName::from_static("srv-cache");
 
-/// What came of a request whose response head was read.
+/// The outcome of a request whose response head was received.
 pub(super) struct Exchange {
     pub(super) result: AttemptResult,
-    /// Whether the connection may carry another request.
+    /// Whether the connection may be reused for another request.
     pub(super) reusable: bool,
 }
 
-/// Sends a request and reads its response. Fails if the connection breaks before the response is whole.
+/// Sends a request and reads its response. Fails if the connection breaks before the response is complete.
 pub(super) async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
@@ -34,12 +34,12 @@
     let status = attempt_status(&response);
     let cache_result = cache_result(response.headers());
     let load = load_report(response.headers());
-    // A body above the limit means that the request ran and that its response can't be passed on.
+    // The request was executed, but a response with a body over the limit cannot be forwarded.
     let too_large = Exchange {
         result: AttemptResult { status: AttemptStatus::Failed, cache_result, load, body: None },
         reusable: false,
     };
-    // One that is announced is not waited for.
+    // A body that is declared too large is not read at all.
     if response.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Ok(too_large);
     }
@@ -50,7 +50,7 @@
         }
         Err(error) => match error.downcast::<hyper::Error>() {
             Ok(broken) => Err(*broken),
-            Err(_length_limit) => Ok(too_large),
+            Err(_limit_exceeded) => Ok(too_large),
         },
     }
 }
@@ -65,7 +65,7 @@
 }
 
 fn cache_result(headers: &HeaderMap) -> Option<CacheResult> {
-    match text(headers, &CACHE)? {
+    match header_text(headers, &CACHE)? {
         "hit" => Some(CacheResult::Hit),
         "miss" => Some(CacheResult::Miss),
         "pending" => Some(CacheResult::MissFetchPending),
@@ -74,9 +74,9 @@
 }
 
 fn load_report(headers: &HeaderMap) -> LoadReport {
-    text(headers, &LOAD).map_or_else(LoadReport::default, |text| read_load_report(text, '='))
+    header_text(headers, &LOAD).map_or_else(LoadReport::default, |text| read_load_report(text, '='))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
