--- a/crates/cache-balancer/src/discovery/error.rs
+++ b/crates/cache-balancer/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Why a poll failed.
+//! Errors of polls.
 
 use crate::endpoint_list::EndpointListError;
 use balancer_core::discovery::{ListError, PollOutcome};
@@ -6,32 +6,32 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a poll failed.
+/// The reason why a poll failed.
 #[derive(Debug, Error)]
 pub(super) enum PollError {
-    /// No connection came up.
+    /// No connection could be opened.
     #[error("{0}")]
     Connect(#[from] std::io::Error),
-    /// The connection broke, or the answer was not HTTP.
+    /// The connection broke, or the response was not valid HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
-    /// The answer broke off, or was too long.
+    /// The response body was truncated or too long.
     #[error("{0}")]
     Body(#[from] Box<dyn std::error::Error + Send + Sync>),
-    #[error("answered {0}")]
+    #[error("unexpected HTTP status {0}, expected 200")]
     Status(StatusCode),
     #[error("{error}; it begins with \"{excerpt}\"")]
     Malformed { error: EndpointListError, excerpt: String },
     #[error("list rejected: {0}")]
     Rejected(#[from] ListError),
-    #[error("no answer in time")]
+    #[error("timed out waiting for the response")]
     TimedOut,
 }
 
 impl PollError {
-    /// The outcome of the poll, which was sent `took` ago.
+    /// Returns the outcome of a poll that was sent `took` ago.
     pub(super) fn outcome(&self, took: Duration) -> PollOutcome {
         match self {
             Self::Status(StatusCode::SERVICE_UNAVAILABLE) => PollOutcome::Overloaded { took },
--- a/crates/cache-balancer/src/discovery/log_text.rs
+++ b/crates/cache-balancer/src/discovery/log_text.rs
@@ -1,14 +1,15 @@
-//! Text for log lines about discovery. An answer may hold any bytes: they are escaped and bounded before they are logged.
+//! Text for log lines about discovery. A response may contain any bytes, so they are escaped and truncated
+//! before they are logged.
 
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The longest error that is logged, in characters.
+/// Maximum length of a logged error, in characters.
 const MAX_ERROR_CHARS: usize = 240;
-/// The number of bytes that are logged of an answer that is no list.
+/// Maximum number of bytes that are logged of a malformed response.
 const EXCERPT_BYTES: usize = 40;
 
-/// What log lines begin with: the address of the replica, where there are several.
+/// The prefix of log lines. It has the address of the replica if there are several replicas.
 #[derive(Clone, Debug)]
 pub(super) struct ReplicaLabel(pub(super) Option<SocketAddr>);
 
@@ -21,12 +22,12 @@
     }
 }
 
-/// The first bytes of an answer.
+/// Returns the first bytes of a response, escaped.
 pub(super) fn excerpt(body: &[u8]) -> String {
     body[..body.len().min(EXCERPT_BYTES)].escape_ascii().to_string()
 }
 
-/// A message without control characters, cut off where it is too long.
+/// Escapes the control characters of a message and truncates it to [`MAX_ERROR_CHARS`].
 pub(super) fn single_line(message: &str) -> String {
     let mut line = String::new();
     for character in message.chars().take(MAX_ERROR_CHARS) {
--- a/crates/cache-balancer/src/discovery/mod.rs
+++ b/crates/cache-balancer/src/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! The client of discovery: it polls a replica, passes on the lists that are accepted, and polls again.
+//! The discovery client: polls a replica in a loop and sends the accepted lists to the driver.
 //!
-//! [`balancer_core::discovery`] decides which replica is polled, for how long, how soon again, and whether a list is accepted.
-//! Here are the connections, the time and the log.
+//! [`balancer_core::discovery`] decides which replica is polled, how long a poll and the pause after it last,
+//! and whether a list is accepted. This module handles connections, timing and logging.
 
 mod error;
 mod log_text;
@@ -18,7 +18,7 @@
 use balancer_core::Timestamp;
 use error::PollError;
 use log_text::{excerpt, single_line, ReplicaLabel};
-use request::{AnswerDeadlines, Connection, PollRequest, WatchRange};
+use request::{Connection, PollRequest, ResponseDeadlines, WatchRange};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,14 +27,14 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-/// The number of warnings of one list that are logged.
+/// Maximum number of warnings that are logged for one list.
 const MAX_LOGGED_WARNINGS: usize = 3;
 
-/// What the client of discovery needs to run.
+/// The configuration and dependencies of the discovery client.
 pub struct DiscoveryPoller {
-    /// The name of this node, which decides the order in which it prefers replicas.
+    /// The name of this node, which determines its order of preference among the replicas.
     pub node: String,
-    /// The replicas. A watch at a replica that remains goes on when they change.
+    /// The configured replicas. When they change, a watch at a replica that remains configured continues.
     pub replicas: watch::Receiver<DiscoveryReplicas>,
     /// Decides which lists are accepted.
     pub validator: ListValidator,
@@ -42,14 +42,14 @@
     pub poll_settings: Rc<Cell<PollSettings>>,
     /// The source of jitter.
     pub random: fastrand::Rng,
-    /// Where lists and failures are reported.
+    /// The driver's queue, to which lists and failures are sent.
     pub driver_inputs: UnboundedSender<DriverInput>,
 }
 
 impl DiscoveryPoller {
-    /// Polls for as long as the driver lives. A discovery agent on this machine only answers polls, too; it never sends
-    /// unasked. When none of the replicas remains, it requests a snapshot from the new ones at once; the node
-    /// serves from the list it holds until that has come.
+    /// Polls until the driver stops. A discovery agent on the local machine is polled too, because agents
+    /// never push lists. When all replicas are replaced, a snapshot is requested from the new ones at once,
+    /// and the node serves from its current list until the snapshot arrives.
     pub async fn run(mut self) {
         let addresses = self.replicas.borrow_and_update().addresses.clone();
         if addresses.is_empty() {
@@ -62,9 +62,9 @@
     }
 }
 
-/// How a poll ended.
+/// The outcome of [`PollLoop::poll`].
 enum PollEnd {
-    /// With an answer, or an error and what had arrived of the answer.
+    /// The poll succeeded or failed. After an error, `body` holds the part of the response that has arrived.
     Completed { result: Result<(), PollError>, body: Vec<u8> },
     /// The replica was removed from the configuration.
     ReplicaRemoved,
@@ -72,12 +72,12 @@
     DriverStopped,
 }
 
-/// The client while it runs.
+/// The state of the running client.
 struct PollLoop {
     poller: DiscoveryPoller,
     client: DiscoveryClient,
     addresses: Vec<SocketAddr>,
-    /// To the current replica.
+    /// The connection to the current replica.
     connection: Option<Connection>,
     started_at: Instant,
 }
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Polls the current replica. The poll goes on if the replicas change meanwhile and this one remains.
+    /// Polls the current replica. The poll continues if the replicas change but the current one remains.
     async fn poll(&mut self, poll: Poll) -> PollEnd {
         let request = self.request(poll);
         let (mut connection, mut body) = (self.connection.take(), Vec::new());
@@ -124,12 +124,13 @@
                 }
             }
         };
-        // Bytes that arrive late on the connection of a failed poll would be taken for the answer to the next one.
+        // After a failed poll, late bytes on its connection would be taken for the response to the next poll.
         self.connection = connection.filter(|_| result.is_ok());
         PollEnd::Completed { result, body }
     }
 
-    /// Waits before the next poll, which is sent at once if its replica is removed. Returns whether the driver still runs.
+    /// Waits before the next poll. Ends early if the current replica is removed. Returns whether the driver
+    /// is still running.
     async fn pause(&mut self, pause: Duration) -> bool {
         let pause = sleep(pause);
         tokio::pin!(pause);
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Reports the list or the failure of a poll to the driver and returns the pause before the next poll; `None` once the
-    /// driver has stopped.
+    /// Reports the list or the failure of a poll to the driver. Returns the pause before the next poll, or
+    /// `None` if the driver has stopped.
     fn poll_ended(
         &mut self,
         poll: Poll,
@@ -173,19 +174,19 @@
         let next = self.client.poll_ended(now, pacing, poll, outcome, next_kind, jitter);
         if next.transition != ReplicaTransition::Stay {
             self.connection = None;
-            log!("{}: polled from now on", self.label());
+            log!("{}: now polling this replica", self.label());
         }
         Some(next.pause)
     }
 
     fn draw_jitter(&mut self) -> Jitter {
         let random = &mut self.poller.random;
-        // A single replica has no hold-down, and draws nothing for it.
+        // A single replica has no hold-down and consumes no random number for it.
         let hold_down = if self.addresses.len() > 1 { random.f64() } else { 0.0 };
         Jitter { pause: random.f64(), hold_down }
     }
 
-    /// Reads and validates an answer. Returns the list if it is accepted.
+    /// Parses and validates a response. Returns the list if it is accepted.
     fn accept(&mut self, body: &[u8]) -> Result<EndpointList, PollError> {
         let malformed = |error| PollError::Malformed { error, excerpt: excerpt(body) };
         let mut list = EndpointList::read(body).map_err(malformed)?;
@@ -207,16 +208,18 @@
             log!("{label}: {warning}");
         }
         if warnings.len() > MAX_LOGGED_WARNINGS {
-            log!("{label}: {} more like these", warnings.len() - MAX_LOGGED_WARNINGS);
+            log!("{label}: {} more warnings about this list", warnings.len() - MAX_LOGGED_WARNINGS);
         }
     }
 
-    /// Reports to the driver which endpoints are leaving, according to an answer that was incomplete or rejected.
+    /// Reports the endpoints that an incomplete or rejected response lists as draining or removed to the
+    /// driver.
     fn report_leaving(&mut self, body: &[u8]) {
         let mut leaving = EndpointList::read_leaving(body);
         let validator = &self.poller.validator;
         if self.addresses.len() > 1 && validator.has_list() {
-            // A replica that lags lists servers that are not ready here anyway: they need no further request.
+            // A lagging replica also lists servers that this node does not use any more. Only servers that
+            // are ready in the current list matter.
             leaving.ids.retain(|id| validator.is_ready(id));
         }
         if leaving.ids.is_empty() {
@@ -228,7 +231,7 @@
         self.poller.validator.leaving_reported(source, leaving.version, leaving.ids);
     }
 
-    /// Takes on the replicas that are configured now.
+    /// Switches to the currently configured replicas. Returns which of the previous replicas remain.
     fn update_replicas(&mut self) -> ReplicaSetChange {
         let addresses = self.poller.replicas.borrow_and_update().addresses.clone();
         if addresses.is_empty() || addresses == self.addresses {
@@ -249,12 +252,14 @@
     }
 
     fn request(&self, poll: Poll) -> PollRequest {
-        let deadlines =
-            AnswerDeadlines { timeout: poll.timeout, allowance: self.client.answer_allowance(self.pacing()) };
+        let deadlines = ResponseDeadlines {
+            timeout: poll.timeout,
+            allowance: self.client.answer_allowance(self.pacing()),
+        };
         let after = self.poller.validator.watch_from();
         PollRequest {
             address: self.address(),
-            has_neighbours: self.addresses.len() > 1,
+            has_other_replicas: self.addresses.len() > 1,
             watch: after.map(|after| WatchRange { after, wait: poll.wait }),
             deadlines,
             partial_read_interval: self.poller.poll_settings.get().partial_read_interval(),
@@ -275,7 +280,7 @@
         self.poller.validator.next_poll_kind()
     }
 
-    /// The address of the current replica.
+    /// Returns the address of the current replica.
     fn address(&self) -> SocketAddr {
         self.addresses[self.client.replicas().current()]
     }
@@ -285,7 +290,7 @@
     }
 }
 
-/// Replicas are named by their addresses.
+/// Returns the names of replicas, which are their addresses.
 fn replica_names(addresses: &[SocketAddr]) -> Vec<String> {
     addresses.iter().map(ToString::to_string).collect()
 }
--- a/crates/cache-balancer/src/discovery/request.rs
+++ b/crates/cache-balancer/src/discovery/request.rs
@@ -1,4 +1,4 @@
-//! One poll of a discovery replica over HTTP, on a connection that is kept for the next one.
+//! Polls of a discovery replica over HTTP, on a connection that is kept between polls.
 
 use super::error::PollError;
 use super::log_text::ReplicaLabel;
@@ -20,19 +20,21 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// The time in which an answer that has begun is complete, beside the time that sending its lines takes.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest stall of a watch's answer after the wait of the watch.
+/// The time within which a response that has begun must be complete, in addition to the time for sending its
+/// lines.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum stall of a watch's response after the end of the watch's wait.
 const MAX_STALL: Duration = Duration::from_secs(1);
-/// An answer that keeps arriving may take this multiple of the time that sending its lines should take.
+/// A response that keeps arriving may take up to this multiple of the expected time for sending its lines.
 const MAX_ALLOWANCE_FACTOR: u32 = 8;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The same for one of several replicas: a round of all of them must not take long.
+/// The connect timeout if there are several replicas. It is shorter, so that trying all of them does not take
+/// long.
 const REPLICA_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest answer, in bytes.
-const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// An open connection. Its task ends when this is dropped.
+/// An open connection. Dropping it aborts its task.
 pub(super) struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     task: AbortHandle,
@@ -44,66 +46,68 @@
     }
 }
 
-/// When an answer times out.
+/// The timeouts of a response.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AnswerDeadlines {
-    /// The time from the request in which the answer begins; without an allowance also that in which it ends.
+pub(super) struct ResponseDeadlines {
+    /// The time from the request until the response must begin. Without an allowance, the response must also
+    /// be complete by then.
     pub(super) timeout: Duration,
-    /// How long sending the answer may take; `None` where discovery's capacity is not stated.
+    /// The expected time for sending the response; `None` if the capacity of discovery is not configured.
     pub(super) allowance: Option<Duration>,
 }
 
-impl AnswerDeadlines {
-    /// When the next part of an answer must have arrived.
+impl ResponseDeadlines {
+    /// Returns the instant by which the next part of the response must arrive.
     fn next_part_by(self, is_watch: bool, sent_at: Instant, last_part_at: Instant) -> Instant {
         match (self.allowance, is_watch) {
             (None, _) => sent_at + self.timeout,
-            // A change that a stalled watch withholds still counts as notified by a deadline, so the watch is given
-            // up early and another replica polled.
+            // A change counts as notified at its deadline even if a stalled watch withholds it, so the watch
+            // is abandoned early and another replica polled.
             (Some(_), true) => {
                 let stalled_at = (sent_at + self.timeout).max(last_part_at + MAX_STALL);
-                (last_part_at + ANSWER_TIMEOUT).min(stalled_at)
+                (last_part_at + RESPONSE_TIMEOUT).min(stalled_at)
             }
-            (Some(allowance), false) => last_part_at + ANSWER_TIMEOUT + allowance,
+            (Some(allowance), false) => last_part_at + RESPONSE_TIMEOUT + allowance,
         }
     }
 
-    /// The time in which an answer that has begun must be complete.
+    /// Returns the time within which a response that has begun must be complete.
     fn complete_within(self) -> Duration {
         let allowance = self.allowance.map(|allowance| allowance * MAX_ALLOWANCE_FACTOR);
-        ANSWER_TIMEOUT + allowance.unwrap_or_default()
+        RESPONSE_TIMEOUT + allowance.unwrap_or_default()
     }
 }
 
-/// What a watch requests.
+/// The parameters of a watch.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WatchRange {
     /// The version after which changes are requested.
     pub(super) after: u64,
-    /// How long discovery is requested to wait for changes.
+    /// The time that discovery should wait for changes.
     pub(super) wait: Duration,
 }
 
-/// One poll.
+/// A poll of a replica.
 pub(super) struct PollRequest {
-    /// Where the replica listens.
+    /// The address on which the replica listens.
     pub(super) address: SocketAddr,
-    /// Whether there are other replicas.
-    pub(super) has_neighbours: bool,
-    /// `None` for a snapshot.
+    /// Whether other replicas are configured.
+    pub(super) has_other_replicas: bool,
+    /// The parameters of a watch; `None` for a request for a snapshot.
     pub(super) watch: Option<WatchRange>,
-    pub(super) deadlines: AnswerDeadlines,
-    /// How often the part of an answer that has arrived is read.
+    pub(super) deadlines: ResponseDeadlines,
+    /// How often the received part of an incomplete response is parsed.
     pub(super) partial_read_interval: Duration,
     pub(super) label: ReplicaLabel,
     pub(super) driver_inputs: UnboundedSender<DriverInput>,
 }
 
 impl PollRequest {
-    /// Sends the request and reads the answer into `body`. After an error `body` holds what has arrived of it.
+    /// Sends the request and reads the response into `body`. After an error, `body` holds the part of the
+    /// response that has arrived.
     ///
-    /// While the answer is incomplete, endpoints that it reports as leaving are passed on to the driver: what was written
-    /// counts as notified, although the rest may never arrive.
+    /// While the response is incomplete, the endpoints that it lists as draining or removed are reported to
+    /// the driver: they count as notified once discovery has written them, even if the rest never arrives.
     pub(super) async fn send(
         &self,
         connection: &mut Option<Connection>,
@@ -111,11 +115,11 @@
     ) -> Result<(), PollError> {
         let sent_at = Instant::now();
         if self.deadlines.allowance.is_none() {
-            let answered = timeout(self.deadlines.timeout, async {
+            let completed = timeout(self.deadlines.timeout, async {
                 let response = self.receive_head(connection).await?;
                 self.receive_body(response, sent_at, body).await
             });
-            return answered.await.unwrap_or(Err(PollError::TimedOut));
+            return completed.await.unwrap_or(Err(PollError::TimedOut));
         }
         let response = timeout(self.deadlines.timeout, self.receive_head(connection)).await;
         self.receive_body(response.unwrap_or(Err(PollError::TimedOut))?, sent_at, body).await
@@ -125,7 +129,7 @@
         &self,
         connection: &mut Option<Connection>,
     ) -> Result<Response<Incoming>, PollError> {
-        // A kept connection may have been closed by discovery meanwhile, which is no failure of this poll.
+        // Discovery may have closed the kept connection in the meantime, which must not fail this poll.
         let is_open = match connection {
             Some(connection) => connection.sender.ready().await.is_ok(),
             None => false,
@@ -157,13 +161,13 @@
         sent_at: Instant,
         received: &mut Vec<u8>,
     ) -> Result<(), PollError> {
-        let mut body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
+        let mut body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
         let mut last_part_at = Instant::now();
         let complete_by = last_part_at + self.deadlines.complete_within();
-        let mut next_partial_read = last_part_at + self.partial_read_interval;
-        let mut partially_read = 0;
+        let mut next_partial_parse = last_part_at + self.partial_read_interval;
+        let mut parsed_len = 0;
         loop {
-            match timeout_at(next_partial_read, body.frame()).await {
+            match timeout_at(next_partial_parse, body.frame()).await {
                 Ok(Some(frame)) => {
                     if let Ok(data) = frame?.into_data() {
                         received.extend_from_slice(&data);
@@ -172,21 +176,22 @@
                 }
                 Ok(None) => return Ok(()),
                 Err(_) => {
-                    let part_by = self.deadlines.next_part_by(self.watch.is_some(), sent_at, last_part_at);
-                    if Instant::now() >= complete_by.min(part_by) {
+                    let next_part_by =
+                        self.deadlines.next_part_by(self.watch.is_some(), sent_at, last_part_at);
+                    if Instant::now() >= complete_by.min(next_part_by) {
                         return Err(PollError::TimedOut);
                     }
-                    next_partial_read = Instant::now() + self.partial_read_interval;
-                    if received.len() > partially_read {
+                    next_partial_parse = Instant::now() + self.partial_read_interval;
+                    if received.len() > parsed_len {
                         self.report_leaving(received);
-                        partially_read = received.len();
+                        parsed_len = received.len();
                     }
                 }
             }
         }
     }
 
-    /// Reports to the driver which endpoints are leaving, according to the part of an answer that has arrived.
+    /// Reports the endpoints that the received part of a response lists as draining or removed to the driver.
     fn report_leaving(&self, received: &[u8]) {
         let leaving = EndpointList::read_leaving(received);
         if !leaving.ids.is_empty() {
@@ -195,26 +200,30 @@
     }
 
     async fn connect(&self) -> Result<Connection, PollError> {
-        let limit = if self.has_neighbours { REPLICA_CONNECT_TIMEOUT } else { CONNECT_TIMEOUT };
+        let limit = if self.has_other_replicas { REPLICA_CONNECT_TIMEOUT } else { CONNECT_TIMEOUT };
         let stream = timeout(limit, TcpStream::connect(self.address)).await;
         let stream = stream.unwrap_or(Err(std::io::ErrorKind::TimedOut.into()))?;
         stream.set_nodelay(true)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let task = tokio::task::spawn_local(async move {
-            // An error shows at the current poll or at the next one.
+            // An error is detected by the current poll or by the next one.
             let _ = connection.await;
         });
         Ok(Connection { sender, task: task.abort_handle() })
     }
 }
 
-/// Reports endpoints that are leaving to the driver.
+/// Reports endpoints that are draining or removed to the driver.
 pub(super) fn report_leaving(
     label: &ReplicaLabel,
     driver_inputs: &UnboundedSender<DriverInput>,
     ids: BTreeSet<String>,
 ) {
-    log!("{label}: {} servers reported as leaving in an incomplete or rejected answer, avoided", ids.len());
-    // The driver lives as long as the node.
+    log!(
+        "{label}: {} servers reported as draining or removed in an incomplete or rejected response; \
+         they get no new requests",
+        ids.len()
+    );
+    // The send cannot fail while the node is running, because the driver runs for as long as the node.
     let _ = driver_inputs.send(DriverInput::EndpointsLeaving(ids));
 }
--- a/crates/cache-balancer/src/driver/clock.rs
+++ b/crates/cache-balancer/src/driver/clock.rs
@@ -5,7 +5,8 @@
 use tokio::time::Instant;
 
 /// A monotonic clock that returns Unix time. It reads the system time once, when it starts, and never jumps:
-/// start times in endpoint lists are Unix times, and deadlines must not move when the system time is adjusted.
+/// start times in endpoint lists are Unix times, and deadlines must not move when the system time is
+/// adjusted.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
--- a/crates/cache-balancer/src/endpoint_list/mod.rs
+++ b/crates/cache-balancer/src/endpoint_list/mod.rs
@@ -1,7 +1,7 @@
 //! The endpoint list, as discovery sends it and as a process hands it over to its successor.
 //!
-//! The JSON names of the discovery protocol are defined only in this module. Hand-over frames use them too, and
-//! other versions of the program read those frames, so the names must not change.
+//! The JSON names of the discovery protocol are defined only in this module. Hand-over frames use them too,
+//! and other versions of the program read those frames, so the names must not change.
 
 mod partial;
 #[cfg(test)]
@@ -152,8 +152,8 @@
     }
 
     /// Returns the endpoints that a response reports as draining or removed, as far as it can be parsed. The
-    /// response may be truncated anywhere, and its entries may lack required fields. If an endpoint has several
-    /// entries, the last one counts.
+    /// response may be truncated anywhere, and its entries may lack required fields. If an endpoint has
+    /// several entries, the last one counts.
     pub fn read_leaving(text: &[u8]) -> LeavingEndpoints {
         let partial = partial::read(text);
         let leaving = partial.states.into_iter().filter(|(_, state)| *state != ReportedState::Ready);
--- a/crates/cache-balancer/src/endpoint_list/partial.rs
+++ b/crates/cache-balancer/src/endpoint_list/partial.rs
@@ -1,8 +1,8 @@
 //! Parses a truncated or malformed response of discovery entry by entry, up to the first error.
 //!
 //! By the discovery protocol, a node counts as notified of everything that discovery has written to the
-//! connection. A truncated response, or one with a malformed entry, is not a valid list. If it were ignored, the
-//! node would keep sending requests to a server that the response reports as draining.
+//! connection. A truncated response, or one with a malformed entry, is not a valid list. If it were ignored,
+//! the node would keep sending requests to a server that the response reports as draining.
 
 use super::ReportedState;
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
--- a/crates/cache-balancer/src/endpoint_list/tests.rs
+++ b/crates/cache-balancer/src/endpoint_list/tests.rs
@@ -13,8 +13,8 @@
     EndpointList::read(text.as_bytes()).expect_err("an invalid list").to_string()
 }
 
-/// State that is handed over by one version is read by others. If a name changed, the successor would lose its
-/// endpoint list.
+/// State that is handed over by one version is read by others. If a name changed, the successor would lose
+/// its endpoint list.
 #[test]
 fn json_names_and_their_order_match_the_protocol() {
     let written = serde_json::to_string(&list()).expect("JSON of a list");
--- a/crates/cache-balancer/src/input.rs
+++ b/crates/cache-balancer/src/input.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node send to the driver, and the responses that they get.
+//! The inputs that the parts of a node send to the driver, and the driver's final responses to requests.
 
 use crate::endpoint_list::EndpointList;
 use crate::upstream::{AttemptResult, ForwardedRequest};
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The number of a request, unique in its process. A client's own id can come again.
+/// The number of a request, unique within the process. Request ids chosen by clients can repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestNumber(pub u64);
 
@@ -19,30 +19,30 @@
     }
 }
 
-/// A client's request that has been read whole and found valid.
+/// A client's request that was completely read and is valid.
 #[derive(Debug)]
 pub struct AcceptedRequest {
-    /// Identifies it to the driver.
+    /// The number that identifies the request to the driver.
     pub number: RequestNumber,
-    /// When its head came.
+    /// When the head of the request arrived.
     pub received_at: Instant,
-    /// How long the client waits, from `received_at`.
+    /// The time that the client waits for the response, from `received_at`.
     pub client_timeout: Duration,
-    /// Its request class.
+    /// The request class.
     pub class: ClassId,
-    /// Its tenant, where the configuration has tenants.
+    /// The tenant, if tenants are configured.
     pub tenant: Option<TenantId>,
-    /// The key that it reads or writes.
+    /// The key that the request reads or writes.
     pub key: Option<u64>,
     /// The service time that the client expects.
     pub expected_work: Option<Duration>,
-    /// Whether it writes.
+    /// Whether the request is a write.
     pub write: bool,
-    /// Whether it is a client's retry.
+    /// Whether the request is a retry by the client.
     pub client_retry: bool,
-    /// What is forwarded.
+    /// The message that is forwarded to a cache server.
     pub message: ForwardedRequest,
-    /// Takes the final response.
+    /// The channel for the final response.
     pub response: oneshot::Sender<FinalResponse>,
 }
 
@@ -51,46 +51,47 @@
 pub enum FinalResponse {
     /// The body of the cache server's response.
     Served(Bytes),
-    /// Not carried out, and safe to send again.
+    /// The request was not executed, and the client may safely send it again.
     Rejected {
-        /// The time that the client should wait before it does.
+        /// The time that the client should wait before it sends the request again.
         retry_after: Duration,
     },
-    /// Not carried out, or the outcome is unknown.
+    /// The request was not executed, or it is unknown whether it was.
     Failed,
 }
 
-/// What the other parts of a node send to the driver of a pool.
+/// An input to the driver of a pool from the other parts of the node.
 #[derive(Debug)]
 pub enum DriverInput {
-    /// A client's request.
+    /// A client's request has been accepted.
     RequestAccepted(Box<AcceptedRequest>),
-    /// The client of this request has disconnected before its final response.
+    /// The client of this request has disconnected before the final response.
     ClientDisconnected(RequestNumber),
-    /// The result of an attempt.
+    /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The id of the request.
         id: RequestId,
-        /// The number of the attempt, from 0.
+        /// The number of the attempt, starting at 0.
         attempt: u32,
-        /// How it ended.
+        /// The result of the attempt.
         result: AttemptResult,
     },
-    /// An endpoint list: a snapshot or a delta.
+    /// An endpoint list, either a snapshot or a delta, has been accepted.
     EndpointList(EndpointList),
     /// A poll failed, or its list was rejected.
     PollFailed,
-    /// Endpoints that an answer of discovery reports as draining or removed, while its list is not applied, or not
-    /// yet.
+    /// The ids of endpoints that a discovery response lists as draining or removed, although the list itself
+    /// has not been applied or will not be.
     EndpointsLeaving(BTreeSet<String>),
-    /// These settings hold for requests that are accepted from here on.
+    /// New settings, which apply to requests accepted from now on.
     Reconfigured(Box<Settings>),
-    /// The learned state of the predecessor process. It comes before the first request.
+    /// The endpoint list and learned state of the predecessor process. Sent before the first request.
     StateRestored(Box<(EndpointList, LearnedState)>),
-    /// Asks for the current endpoint list and learned state.
+    /// A request for the current endpoint list and learned state.
     StateRequested(oneshot::Sender<(EndpointList, LearnedState)>),
-    /// The pool is removed: no request follows, and the driver ends once all in flight are complete.
+    /// The pool has been removed. No more requests follow, and the driver stops once all requests in flight
+    /// are complete.
     PoolRemoved,
-    /// A liveness check: the driver answers it from its loop.
+    /// A liveness check, which the driver answers from its event loop.
     LivenessCheck(oneshot::Sender<()>),
 }
--- a/crates/cache-balancer/src/list_file.rs
+++ b/crates/cache-balancer/src/list_file.rs
@@ -1,4 +1,4 @@
-//! A pool's endpoint list in a file: read at start-up, and again whenever the file has changed.
+//! Reads the endpoint list of a pool from a file, at start-up and whenever the file changes.
 
 use crate::config::operator::{list_text, read_list};
 use crate::input::DriverInput;
@@ -9,20 +9,23 @@
 use tokio::task::spawn_blocking;
 use tokio::time::sleep;
 
-/// How often the file is read. Notifications by the kernel would be sooner, and would have to follow replaced files, moved
-/// directories and links that change: reading a few kilobytes covers all of them.
+/// The interval at which the file is read. Kernel notifications would report changes sooner, but would have
+/// to follow replaced files, moved directories and changed links. Reading a few kilobytes covers all these
+/// cases.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sends the driver each list that the file holds, for as long as the driver lives. A file that cannot be used is logged, a
-/// line for each error, and the list before it stays in use.
+/// Sends each new list in the file to the driver until the driver stops. Errors in the file are logged, one
+/// line each, and the previous list stays in use.
 pub async fn watch(path: PathBuf, driver_inputs: UnboundedSender<DriverInput>) {
     let (mut version, mut last_read) = (0, None);
     loop {
         let file = path.clone();
-        // Off the thread that serves requests: a network share that is away, or a pipe, may block the reader.
+        // Not on the thread that serves requests, because an unreachable network share or a pipe can block
+        // the read.
         let read = spawn_blocking(move || list_text(&file)).await;
         let Ok(text) = read.map(|read| read.map_err(|error| error.to_string())) else { return };
-        // The text that is compared is the one that is parsed: the file may change at any moment.
+        // The file can change at any moment, so the text that is compared must also be the one that is
+        // parsed.
         if last_read.as_ref() != Some(&text) {
             let list = text
                 .as_ref()
@@ -45,5 +48,8 @@
 
 fn log_rejected(error: &str, version: u64) {
     log!("{error}");
-    log!("list rejected; {}", if version == 0 { "there is none yet" } else { "the one before stays in use" });
+    log!(
+        "list rejected; {}",
+        if version == 0 { "no list has been loaded yet" } else { "the one before stays in use" }
+    );
 }
--- a/crates/cache-balancer/tests/lists.rs
+++ b/crates/cache-balancer/tests/lists.rs
@@ -123,7 +123,8 @@
     node
 }
 
-const AVOIDED: &str = "1 servers reported as leaving in an incomplete or rejected answer, avoided";
+const AVOIDED: &str =
+    "1 servers reported as draining or removed in an incomplete or rejected response; they get no new requests";
 
 /// The complete answer.
 fn complete(text: String) -> ServerBehavior {
@@ -152,7 +153,10 @@
         // While the answer is incomplete, not when it times out.
         let log = node.log.lock().unwrap();
         let at = |message: &str| log.iter().position(|line| line.contains(message));
-        assert!(at(AVOIDED).unwrap() < at("no answer in time").unwrap_or(usize::MAX), "{log:?}");
+        assert!(
+            at(AVOIDED).unwrap() < at("timed out waiting for the response").unwrap_or(usize::MAX),
+            "{log:?}"
+        );
     }
 }
 
