--- a/crates/cache-balancer/tests/common/cache_server.rs
+++ b/crates/cache-balancer/tests/common/cache_server.rs
@@ -12,18 +12,18 @@
 pub enum ServerBehavior {
     /// Sends this response and keeps the connection open.
     Respond(String),
-    /// Sends these bytes (none, or a part of a response, is possible) and closes the connection.
+    /// Sends this text, which may be empty or only part of a response, and closes the connection.
     RespondAndClose(String),
     /// Sends nothing and keeps reading until the node closes the connection.
     NoResponse,
 }
 
-/// Delays responses until it is opened.
+/// A gate that delays responses until it is opened.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
 impl Gate {
-    /// Releases every waiting thread, and every later one.
+    /// Releases all waiting threads and lets later ones pass.
     pub fn open(&self) {
         *self.0 .0.lock().unwrap() = true;
         self.0 .1.notify_all();
@@ -42,7 +42,7 @@
     pub address: SocketAddr,
     /// The received requests, in order of arrival.
     pub received: Arc<Mutex<Vec<Message>>>,
-    /// The number of connections that it has accepted.
+    /// The number of accepted connections.
     pub connections: Arc<AtomicU32>,
     /// The number of connections that the node has closed.
     pub closed: Arc<AtomicU32>,
@@ -114,19 +114,19 @@
         })
     }
 
-    /// The number of received requests.
+    /// Returns the number of received requests.
     pub fn request_count(&self) -> usize {
         self.received.lock().unwrap().len()
     }
 
-    /// The endpoint list entry of this server, with this state (`health` on the wire).
+    /// Returns the endpoint list entry of this server with this state (`health` on the wire).
     pub fn entry(&self, name: &str, health: &str) -> Value {
         endpoint(name, self.address, health)
     }
 }
 
-/// An endpoint list entry as discovery sends it, with this id, address (`dial`) and state (`health`).
-pub fn endpoint(name: &str, dial: SocketAddr, health: &str) -> Value {
-    json!({"host": name, "dial": dial.to_string(), "site": "a", "class": "m2", "block": 0,
+/// Returns an endpoint list entry as discovery sends it, with this id, address (`dial`) and state (`health`).
+pub fn endpoint(name: &str, address: SocketAddr, health: &str) -> Value {
+    json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m2", "block": 0,
            "health": health, "share": 1.0, "born_ms": 0})
 }
--- a/crates/cache-balancer/tests/common/discovery.rs
+++ b/crates/cache-balancer/tests/common/discovery.rs
@@ -7,13 +7,14 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::{Arc, Condvar, Mutex};
 
-/// The response to polls, and its version.
+/// The current response to polls.
 struct CurrentResponse {
-    seq: u64,
+    /// The version of the list in the body.
+    version: u64,
     body: String,
 }
 
-/// A snapshot of this version, as discovery sends it.
+/// Returns a snapshot of this version as discovery sends it.
 pub fn snapshot(version: u64, endpoints: &[Value]) -> String {
     json!({"seq": version, "whole": true, "hosts": endpoints}).to_string()
 }
@@ -24,11 +25,12 @@
     pub address: SocketAddr,
     /// The paths of the received requests, in order of arrival.
     pub received: Arc<Mutex<Vec<String>>>,
+    /// The current response, with a condition that signals its changes.
     current: Arc<(Mutex<CurrentResponse>, Condvar)>,
 }
 
 impl Discovery {
-    /// Starts a service with these endpoints, as a snapshot of version 1.
+    /// Starts a service that sends these endpoints as a snapshot of version 1.
     pub fn start(endpoints: &[Value]) -> Self {
         Self::start_at((Ipv4Addr::LOCALHOST, 0).into(), endpoints)
     }
@@ -38,7 +40,7 @@
         let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap();
         let body = snapshot(1, endpoints);
-        let current = Arc::new((Mutex::new(CurrentResponse { seq: 1, body }), Condvar::new()));
+        let current = Arc::new((Mutex::new(CurrentResponse { version: 1, body }), Condvar::new()));
         let received: Arc<Mutex<Vec<String>>> = Arc::default();
         let (shared_response, received_paths) = (current.clone(), received.clone());
         serve_requests(listener, move |request, stream| {
@@ -48,7 +50,7 @@
             received_paths.lock().unwrap().push(path);
             let (latest, changed) = &*shared_response;
             let latest = changed
-                .wait_timeout_while(latest.lock().unwrap(), TIMEOUT, |latest| latest.seq <= after)
+                .wait_timeout_while(latest.lock().unwrap(), TIMEOUT, |latest| latest.version <= after)
                 .unwrap()
                 .0;
             stream.write_all(response("200 OK", "", &latest.body).as_bytes()).is_ok()
@@ -56,27 +58,29 @@
         Self { address, received, current }
     }
 
-    /// Sends a snapshot (if `whole`) or a delta with the next version to all watches.
-    pub fn notify(&self, whole: bool, endpoints: &[Value]) {
-        let seq = self.current.0.lock().unwrap().seq + 1;
-        self.notify_text(json!({"seq": seq, "whole": whole, "hosts": endpoints}).to_string());
+    /// Sends a snapshot or a delta with the next version to all watches.
+    pub fn notify(&self, is_snapshot: bool, endpoints: &[Value]) {
+        let version = self.current.0.lock().unwrap().version + 1;
+        self.notify_text(json!({"seq": version, "whole": is_snapshot, "hosts": endpoints}).to_string());
     }
 
-    /// Responds with this text to pending polls, and to later ones until the next update.
+    /// Sends this text as the response of the next version to pending polls, and to later polls until the
+    /// next update.
     pub fn notify_text(&self, body: String) {
         let mut current = self.current.0.lock().unwrap();
-        *current = CurrentResponse { seq: current.seq + 1, body };
+        *current = CurrentResponse { version: current.version + 1, body };
         self.current.1.notify_all();
     }
 
-    /// The number of received requests.
+    /// Returns the number of received requests.
     pub fn request_count(&self) -> usize {
         self.received.lock().unwrap().len()
     }
 
-    /// Waits until the node has applied the list of this version: it then polls for the next one.
-    pub fn wait_until_notified(&self, seq: u64) {
-        let next = format!("after={seq}&");
+    /// Waits until a node has applied the list of this version, which is the case when it polls for the next
+    /// version.
+    pub fn wait_until_notified(&self, version: u64) {
+        let next = format!("after={version}&");
         wait_for("the next watch", || self.received.lock().unwrap().iter().any(|path| path.contains(&next)));
     }
 }
--- a/crates/cache-balancer/tests/lists.rs
+++ b/crates/cache-balancer/tests/lists.rs
@@ -1,5 +1,5 @@
-//! Lists that cannot be right, on sockets: the node keeps the one it holds, logs what was wrong and where, and accepts the next
-//! good one.
+//! Tests invalid endpoint lists on sockets: the node keeps its current list, logs the error with its place,
+//! and accepts the next valid list.
 
 mod common;
 
@@ -8,9 +8,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// A node that serves from a list of one server receives `text` and logs `message`. It accepts the good list of another server
-/// that follows, of version `seq`.
-fn rejects(text: &str, message: &str, seq: u64) {
+/// Checks that a node with a list of one server rejects `text`, logs `message` and keeps its list, and that
+/// it then accepts a valid list of version `seq` with another server.
+fn assert_rejected(text: &str, message: &str, seq: u64) {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
@@ -20,8 +20,8 @@
     for key in 0..5 {
         assert_eq!(node.read("read", key).body, b"old", "{text}");
     }
-    let good = snapshot(seq, &[new.entry("s-2", "ready")]);
-    discovery.notify_text(good.to_string());
+    let valid = snapshot(seq, &[new.entry("s-2", "ready")]);
+    discovery.notify_text(valid.to_string());
     discovery.wait_until_notified(seq);
     for key in 0..5 {
         assert_eq!(node.read("read", key).body, b"new", "{text}");
@@ -29,17 +29,17 @@
 }
 
 #[test]
-fn the_error_in_a_malformed_list_is_logged_and_the_current_list_stays() {
-    rejects("", "invalid endpoint list: EOF while parsing", 7);
-    rejects(r#"{"seq":2,"whole":true,"hosts":[OLD"#, "invalid endpoint list: ", 7);
-    rejects(r#"{"seq":2,"whole":true,"hosts":[{"dial":null}]}"#, "hosts[0]: missing field `host`", 7);
+fn malformed_list_is_logged_and_the_current_list_stays() {
+    assert_rejected("", "invalid endpoint list: EOF while parsing", 7);
+    assert_rejected(r#"{"seq":2,"whole":true,"hosts":[OLD"#, "invalid endpoint list: ", 7);
+    assert_rejected(r#"{"seq":2,"whole":true,"hosts":[{"dial":null}]}"#, "hosts[0]: missing field `host`", 7);
 }
 
 #[test]
-fn an_empty_list_and_one_with_a_duplicate_server_are_rejected() {
-    rejects(&snapshot(2, &[]), "list rejected: hosts: empty, where 1 ready servers are known", 7);
-    rejects(r#"{"seq":2,"whole":true}"#, "list rejected: hosts: empty", 7);
-    rejects(
+fn empty_list_and_list_with_a_duplicate_server_are_rejected() {
+    assert_rejected(&snapshot(2, &[]), "list rejected: hosts: empty, where 1 ready servers are known", 7);
+    assert_rejected(r#"{"seq":2,"whole":true}"#, "list rejected: hosts: empty", 7);
+    assert_rejected(
         r#"{"seq":2,"whole":true,"hosts":[OLD,OLD]}"#,
         "hosts[1]: s-1 again, which stands at hosts[0]",
         7,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_older_version_is_rejected_and_a_snapshot_requested() {
+fn older_version_is_rejected_and_a_snapshot_requested() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
@@ -61,10 +61,10 @@
     assert_eq!(node.read("read", 1).body, b"value");
 }
 
-/// A discovery that lost its store counts versions from the start. A node that rejected older versions for good would never
-/// follow it again, and its list would go stale.
+/// A discovery service that lost its stored state restarts its version numbers. A node that always rejected
+/// older versions would never accept its lists again and would keep a stale list.
 #[test]
-fn a_discovery_that_lost_its_versions_is_accepted_the_third_time() {
+fn discovery_with_restarted_versions_is_accepted_after_three_lists() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
@@ -75,9 +75,9 @@
     wait_for("its server to be used", || node.read("read", 1).body == b"new");
 }
 
-/// A discovery that answers the first request with a snapshot in which two servers are ready, and later ones as `then`
-/// returns, which is given their number from 1.
-fn scripted(
+/// Starts a discovery service that responds to the first request with a snapshot of these two endpoints.
+/// `then` returns the behavior for each later request, given its number from 1.
+fn scripted_discovery(
     endpoints: [Value; 2],
     then: impl Fn(usize) -> ServerBehavior + Send + Sync + 'static,
 ) -> CacheServer {
@@ -89,24 +89,26 @@
     })
 }
 
-/// A node receives `text`, which is no list that it accepts and reports one of its two servers as leaving. Its discovery sends
-/// nothing after that. The node logs `message` and avoids the server. `end` makes the answer of the text.
-fn avoids_leaving(text: &str, end: fn(String) -> ServerBehavior, message: &str) -> Node {
+/// Checks that a node avoids a server that an invalid list reports as leaving. The node has two servers and
+/// receives `text`, in which `LEAVING` stands for the entry of one of them. `respond` converts the text into
+/// the response; discovery sends nothing after it. The node must log `message` and send no requests to the
+/// leaving server.
+fn assert_leaving_avoided(text: &str, respond: fn(String) -> ServerBehavior, message: &str) -> Node {
     let (leaving, staying) = (CacheServer::serving("leaving"), CacheServer::serving("staying"));
     let text = text.replace("LEAVING", &leaving.entry("s-1", "draining").to_string());
     let shown = text.clone();
     let endpoints = [leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")];
     let both_used = std::sync::Arc::new(AtomicUsize::new(0));
-    let may_answer = both_used.clone();
-    let discovery = scripted(endpoints, move |call| {
+    let may_respond = both_used.clone();
+    let discovery = scripted_discovery(endpoints, move |call| {
         if call > 1 {
             return ServerBehavior::NoResponse;
         }
-        // Both servers have had work before.
-        while may_answer.load(Ordering::SeqCst) == 0 {
+        // The response is delayed until both servers have received requests.
+        while may_respond.load(Ordering::SeqCst) == 0 {
             std::thread::sleep(Duration::from_millis(5));
         }
-        end(text.clone())
+        respond(text.clone())
     });
     let node = Node::start_ready(&config(discovery.address));
     wait_for("both servers to be used", || {
@@ -126,31 +128,32 @@
 const AVOIDED: &str =
     "1 servers reported as draining or removed in an incomplete or rejected response; they get no new requests";
 
-/// The complete answer.
+/// Responds with the complete text.
 fn complete(text: String) -> ServerBehavior {
     ServerBehavior::Respond(response("200 OK", "", &text))
 }
 
-/// Announces more than it sends, and closes.
-fn broken_off(text: String) -> ServerBehavior {
+/// Responds with a `Content-Length` beyond the text, and closes the connection after the text.
+fn truncated(text: String) -> ServerBehavior {
     ServerBehavior::RespondAndClose(format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{text}"))
 }
 
-/// Announces more than it sends, and leaves the connection open.
-fn without_end(text: String) -> ServerBehavior {
+/// Responds with a `Content-Length` beyond the text, and leaves the connection open after the text.
+fn stalled(text: String) -> ServerBehavior {
     ServerBehavior::Respond(format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{text}"))
 }
 
-/// What discovery has written counts as notified. If the node waited for the rest of an answer that breaks off or stalls, it
-/// would send requests to a server that shuts down. Entries are read as they arrive.
+/// A node counts as notified of what discovery has written. If the node waited for the rest of a truncated or
+/// stalled response, it would send requests to a server that is shutting down. Entries must be read as they
+/// arrive.
 #[test]
-fn a_drain_in_an_answer_that_breaks_off_or_never_ends_is_applied() {
-    avoids_leaving(r#"{"seq":2,"whole":false,"hosts":[LEAVING,{"host":"s-"#, broken_off, AVOIDED);
+fn drain_in_a_truncated_or_stalled_response_is_applied() {
+    assert_leaving_avoided(r#"{"seq":2,"whole":false,"hosts":[LEAVING,{"host":"s-"#, truncated, AVOIDED);
     let cut = r#"{"seq":2,"whole":false,"hosts":[LEAVING"#;
     let indented = "{\n  \"seq\": 2,\n  \"whole\": false,\n  \"hosts\": [\n    LEAVING,\n";
     for text in [cut, indented] {
-        let node = avoids_leaving(text, without_end, AVOIDED);
-        // While the answer is incomplete, not when it times out.
+        let node = assert_leaving_avoided(text, stalled, AVOIDED);
+        // The server is avoided while the response is incomplete, not only when the response times out.
         let log = node.log.lock().unwrap();
         let at = |message: &str| log.iter().position(|line| line.contains(message));
         assert!(
@@ -160,14 +163,14 @@
     }
 }
 
-/// An answer that has begun shows that there are changes. If the node waited for its end as long as for a watch without
-/// events, it would be notified of them late.
+/// A response that has begun shows that there are changes. If the node waited for its end as long as for a
+/// watch without events, it would learn of the changes too late.
 #[test]
-fn a_stalled_answer_times_out_before_the_wait_of_its_watch() {
+fn stalled_response_times_out_before_the_wait_of_its_watch() {
     let (one, two) = (CacheServer::serving("one"), CacheServer::serving("two"));
     let endpoints = [one.entry("s-1", "ready"), two.entry("s-2", "ready")];
-    let discovery = scripted(endpoints, |call| match call {
-        1 => without_end(r#"{"seq":2,"#.into()),
+    let discovery = scripted_discovery(endpoints, |call| match call {
+        1 => stalled(r#"{"seq":2,"#.into()),
         _ => ServerBehavior::NoResponse,
     });
     let _node = Node::start_ready(&config(discovery.address));
@@ -179,25 +182,27 @@
     assert!(began.elapsed() < Duration::from_millis(wait), "{watch}");
 }
 
-/// One malformed entry makes an answer no list. The drain of another server in it counts as notified all the same.
+/// A malformed entry makes the whole list invalid, but the node still counts as notified of the drain of
+/// another server in it.
 #[test]
-fn a_drain_in_a_malformed_or_rejected_list_is_applied() {
-    let bad = r#"{"seq":2,"whole":false,"hosts":[LEAVING,{"host":"s-3","dial":"nowhere","health":"ready"}]}"#;
-    avoids_leaving(bad, complete, "hosts[1].dial: invalid socket address syntax");
-    avoids_leaving(bad, complete, AVOIDED);
-    avoids_leaving(r#"{"seq":2,"whole":true,"hosts":[LEAVING,LEAVING]}"#, complete, AVOIDED);
-    avoids_leaving(r#"{"seq":0,"whole":false,"hosts":[LEAVING]}"#, complete, AVOIDED);
+fn drain_in_a_malformed_or_rejected_list_is_applied() {
+    let malformed =
+        r#"{"seq":2,"whole":false,"hosts":[LEAVING,{"host":"s-3","dial":"nowhere","health":"ready"}]}"#;
+    assert_leaving_avoided(malformed, complete, "hosts[1].dial: invalid socket address syntax");
+    assert_leaving_avoided(malformed, complete, AVOIDED);
+    assert_leaving_avoided(r#"{"seq":2,"whole":true,"hosts":[LEAVING,LEAVING]}"#, complete, AVOIDED);
+    assert_leaving_avoided(r#"{"seq":0,"whole":false,"hosts":[LEAVING]}"#, complete, AVOIDED);
 }
 
 #[test]
-fn a_drain_from_a_damaged_answer_lasts_until_a_snapshot_differs() {
+fn drain_from_a_truncated_response_lasts_until_a_snapshot_differs() {
     let (one, two) = (CacheServer::serving("one"), CacheServer::serving("two"));
     let endpoints = [one.entry("s-1", "ready"), two.entry("s-2", "ready")];
-    let damaged = format!(r#"{{"seq":2,"whole":false,"hosts":[{},"#, one.entry("s-1", "draining"));
-    let again = snapshot(2, &endpoints);
-    let discovery = scripted(endpoints.clone(), move |call| match call {
-        1 => broken_off(damaged.clone()),
-        2 => ServerBehavior::Respond(response("200 OK", "", &again)),
+    let truncated_list = format!(r#"{{"seq":2,"whole":false,"hosts":[{},"#, one.entry("s-1", "draining"));
+    let second_snapshot = snapshot(2, &endpoints);
+    let discovery = scripted_discovery(endpoints.clone(), move |call| match call {
+        1 => truncated(truncated_list.clone()),
+        2 => ServerBehavior::Respond(response("200 OK", "", &second_snapshot)),
         _ => ServerBehavior::NoResponse,
     });
     let node = Node::start_ready(&config(discovery.address));
@@ -210,15 +215,15 @@
     });
 }
 
-/// An agent that lists are pushed to sends nothing to a node that does not poll it. A node that polled once, or stopped after
-/// the agent was silent, would keep its first list for good.
+/// A discovery agent receives lists by push, but sends them to a node only when polled. A node that polled
+/// only once, or stopped polling while the agent did not respond, would keep its first list forever.
 #[test]
-fn an_agent_is_polled_again_and_again_also_after_it_was_silent() {
+fn agent_is_polled_repeatedly_even_after_polls_without_a_response() {
     let (leaving, staying) = (CacheServer::serving("leaving"), CacheServer::serving("staying"));
     let endpoints = [leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")];
     let drained = json!({"seq": 2, "whole": false, "hosts": [leaving.entry("s-1", "draining")]}).to_string();
-    let agent = scripted(endpoints, move |call| match call {
-        // Silent, as it is while discovery is down, on every connection.
+    let agent = scripted_discovery(endpoints, move |call| match call {
+        // The agent sends no response on any connection while discovery is down.
         1..=5 => ServerBehavior::NoResponse,
         6 => ServerBehavior::Respond(response("200 OK", "", &drained)),
         _ => ServerBehavior::NoResponse,
@@ -232,20 +237,22 @@
     }
 }
 
-/// A discovery that does not wait as requested, and answers each watch at once, would be polled in a loop without a pause.
+/// Without a pause between polls, a discovery service that ignores the requested wait and responds to each
+/// watch at once would be polled in a busy loop.
 #[test]
-fn a_discovery_that_never_waits_is_not_polled_without_a_pause() {
+fn discovery_that_ignores_the_wait_is_not_polled_in_a_busy_loop() {
     let server = CacheServer::serving("value");
     let endpoints = [server.entry("s-1", "ready"), server.entry("s-2", "ready")];
     let nothing = json!({"seq": 1, "whole": false, "hosts": []}).to_string();
-    let discovery = scripted(endpoints, move |_| ServerBehavior::Respond(response("200 OK", "", &nothing)));
+    let discovery =
+        scripted_discovery(endpoints, move |_| ServerBehavior::Respond(response("200 OK", "", &nothing)));
     let node = Node::start_ready(&config(discovery.address));
     wait_for("watches", || discovery.request_count() >= 3);
     let (before, mut client) = (discovery.request_count(), node.client());
     for key in 0..1_000 {
         assert_eq!(client.request(&read_request("read", key, 20_000)).body, b"value");
     }
-    // Without a pause there would be as many as it can answer.
+    // Without a pause, there would be as many polls as discovery can respond to.
     let calls = discovery.request_count() - before;
-    assert!(calls < 200, "{calls} polls beside a thousand reads");
+    assert!(calls < 200, "{calls} polls during 1000 reads");
 }
--- a/crates/cache-balancer/tests/outage.rs
+++ b/crates/cache-balancer/tests/outage.rs
@@ -1,5 +1,6 @@
-//! Discovery that is away and comes back, on sockets, with several processes of a large fleet: a change counts as notified six
-//! seconds after discovery can be reached, whatever the outcome of earlier polls.
+//! Tests an outage of discovery on sockets, with several processes of a large fleet: a node counts as
+//! notified of a change six seconds after discovery becomes reachable, regardless of the outcome of earlier
+//! polls.
 
 mod common;
 
@@ -17,13 +18,14 @@
 /// Enough failures for a backoff that grows with the number of nodes to reach its longest step.
 const FAILURES: usize = 6;
 
-/// A discovery that closes every connection until it is back. Then it reports a server that drains, and nothing after that.
+/// A discovery service that closes every connection until `back` is set. Then it reports that a server is
+/// draining, and nothing after that.
 struct InterruptedDiscovery {
     address: SocketAddr,
     failures: Arc<AtomicUsize>,
-    /// When the change was sent.
+    /// The time at which the change was first sent.
     notified: Arc<Mutex<Option<Instant>>>,
-    /// The node has applied it: it requests later changes.
+    /// Whether the node has applied the change, which is the case when it requests later changes.
     applied: Arc<AtomicBool>,
 }
 
@@ -46,7 +48,7 @@
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Ok(Some(request)) = Message::read(&mut reader) {
                         if request.start_line.contains("after=2&") {
-                            // A watch without further events.
+                            // There are no further events, so the watch gets no response.
                             applied.store(true, Ordering::SeqCst);
                             continue;
                         }
@@ -60,46 +62,49 @@
     }
 }
 
-/// A backoff that grows with the number of nodes is at half a minute when discovery is back: the nodes are notified of a drain long
-/// after the deadline and send to the draining server until then.
+/// If the backoff grew with the number of nodes, it would have reached half a minute when discovery is back.
+/// The nodes would learn of a drain long after the deadline and send requests to the draining server until
+/// then.
 #[test]
-fn every_process_is_notified_in_time_once_discovery_is_back() {
+fn every_process_is_notified_in_time_after_an_outage() {
     let (stays, leaves) = (CacheServer::serving("value"), CacheServer::serving("value"));
     let list = [stays.entry("s-1", "ready"), leaves.entry("s-2", "ready")];
     let changes = json!({"seq": 2, "whole": false, "hosts": [leaves.entry("s-2", "draining")]}).to_string();
     let back: Arc<AtomicBool> = Arc::default();
-    let all: Vec<_> =
+    let discoveries: Vec<_> =
         (0..NODES).map(|_| InterruptedDiscovery::start(changes.clone(), back.clone())).collect();
     let nodes: Vec<_> = (0_u64..)
-        .zip(&all)
+        .zip(&discoveries)
         .map(|(number, discovery)| {
             let mut config = config(discovery.address);
             config["seed"] = json!(format!("{number:016x}"));
             config["known"] = json!({"seq": 1, "whole": true, "hosts": list});
-            // As one of three hundred.
+            // The node is one of three hundred.
             config["settings"]["balancers"] = json!(300);
             Node::start_ready(&config)
         })
         .collect();
     wait_for("failed polls", || {
-        all.iter().all(|discovery| discovery.failures.load(Ordering::SeqCst) >= FAILURES)
+        discoveries.iter().all(|discovery| discovery.failures.load(Ordering::SeqCst) >= FAILURES)
     });
-    let came_back = Instant::now();
+    let back_at = Instant::now();
     back.store(true, Ordering::SeqCst);
-    wait_for("the change", || all.iter().all(|discovery| discovery.notified.lock().unwrap().is_some()));
-    let took: Vec<_> = all
+    wait_for("the change", || {
+        discoveries.iter().all(|discovery| discovery.notified.lock().unwrap().is_some())
+    });
+    let took: Vec<_> = discoveries
         .iter()
-        .map(|discovery| discovery.notified.lock().unwrap().unwrap().duration_since(came_back))
+        .map(|discovery| discovery.notified.lock().unwrap().unwrap().duration_since(back_at))
         .collect();
     assert!(took.iter().all(|took| *took <= NOTIFICATION_DEADLINE), "{took:?}");
     wait_for("the change to be applied", || {
-        all.iter().all(|discovery| discovery.applied.load(Ordering::SeqCst))
+        discoveries.iter().all(|discovery| discovery.applied.load(Ordering::SeqCst))
     });
     // No request goes to the draining server.
     let before = leaves.request_count();
     for (key, node) in (1..).zip(&nodes) {
-        for more in 0..8 {
-            assert_eq!(node.read("read", key * 100 + more).status(), 200);
+        for offset in 0..8 {
+            assert_eq!(node.read("read", key * 100 + offset).status(), 200);
         }
     }
     assert_eq!(leaves.request_count(), before);
--- a/crates/cache-balancer/tests/replicas.rs
+++ b/crates/cache-balancer/tests/replicas.rs
@@ -1,5 +1,5 @@
-//! Replicas of discovery that fail, on sockets: which of them gets which poll, in which order, and where the node sends requests
-//! then.
+//! Tests failures of discovery replicas on sockets: which replica gets which poll, in which order, and to
+//! which servers the node sends requests afterwards.
 
 mod common;
 
@@ -12,33 +12,34 @@
 use std::thread;
 use std::time::Duration;
 
-/// The number of bytes that an answer which breaks off announces beyond what it sends.
-const MISSING: usize = 1_000;
+/// The number of bytes by which the `Content-Length` of a truncated response exceeds its body.
+const MISSING_BYTES: usize = 1_000;
 
 /// The behavior of a stand-in replica.
 #[derive(Clone)]
 enum ReplicaBehavior {
-    /// With this snapshot; watches wait until the list changes.
+    /// Responds with this snapshot; watches wait until the list changes.
     Lists { version: u64, endpoints: Vec<Value> },
-    /// With these bytes, whatever was requested.
+    /// Responds to every poll with this text.
     Sends(String),
-    /// With the beginning of an answer; then it closes the connection.
-    BreaksOff(String),
-    /// With this list, after the time that sending it takes.
-    SendsSlowly { list: String, takes: Duration },
-    /// With status 503.
+    /// Sends the beginning of a response and closes the connection.
+    Truncates(String),
+    /// Responds with this list after the delay.
+    SendsSlowly { list: String, delay: Duration },
+    /// Responds with status 503.
     Overloaded,
-    /// It accepts, reads and sends nothing.
+    /// Accepts connections and reads requests, but sends nothing.
     Hangs,
-    /// It closes every connection.
+    /// Closes every connection.
     Closes,
 }
 
-/// The polls of all replicas of a test, in order: which replica, and the path.
+/// The polls of all replicas in a test, in order: the rank of the replica and the path.
 type Calls = Arc<Mutex<Vec<(usize, String)>>>;
 
 struct Replica {
     address: SocketAddr,
+    /// The behavior and the number of its changes, with a condition that signals changes.
     behavior: Arc<(Mutex<(u64, ReplicaBehavior)>, Condvar)>,
 }
 
@@ -54,36 +55,37 @@
     }
 }
 
-/// The replicas of one service, in the order of preference of the node under test.
+/// The replicas of one discovery service, in the order of preference of the node under test. The rank of a
+/// replica is its index in this order.
 struct Service {
     replicas: Vec<Replica>,
     calls: Calls,
 }
 
 impl Service {
-    /// Starts `count` replicas with this behavior, in the order of preference of this node.
+    /// Starts `count` replicas with this behavior and sorts them by the preference of this node.
     fn start(count: usize, node: &str, behavior: &ReplicaBehavior) -> Self {
         let listeners: Vec<_> = (0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
         let addresses: Vec<_> = listeners.iter().map(|listener| listener.local_addr().unwrap()).collect();
         let order = ReplicaSelection::new(node, addresses.iter().map(ToString::to_string).collect());
-        let place = |index: usize| order.order().iter().position(|&place| place == index).unwrap();
+        let rank = |index: usize| order.order().iter().position(|&preferred| preferred == index).unwrap();
         let calls = Calls::default();
         let mut replicas: Vec<_> = (listeners.into_iter().enumerate())
-            .map(|(index, listener)| (place(index), serve(listener, place(index), behavior.clone(), &calls)))
+            .map(|(index, listener)| (rank(index), serve(listener, rank(index), behavior.clone(), &calls)))
             .collect();
-        replicas.sort_by_key(|(place, _)| *place);
+        replicas.sort_by_key(|(rank, _)| *rank);
         Self { replicas: replicas.into_iter().map(|(_, replica)| replica).collect(), calls }
     }
 
-    /// The configuration of this node with all replicas.
-    fn file(&self, node: &str) -> String {
-        self.file_of(node, &(0..self.replicas.len()).collect::<Vec<_>>())
+    /// Returns the configuration of this node with all replicas.
+    fn config(&self, node: &str) -> String {
+        self.config_with_replicas(node, &(0..self.replicas.len()).collect::<Vec<_>>())
     }
 
-    /// The configuration of this node with these replicas.
-    fn file_of(&self, node: &str, replicas: &[usize]) -> String {
+    /// Returns the configuration of this node with the replicas of these ranks.
+    fn config_with_replicas(&self, node: &str, replicas: &[usize]) -> String {
         let addresses: Vec<_> =
-            replicas.iter().map(|&place| format!("\"{}\"", self.replicas[place].address)).collect();
+            replicas.iter().map(|&rank| format!("\"{}\"", self.replicas[rank].address)).collect();
         let pool = format!("[[pool]]\nname = \"p\"\ndiscovery = [{}]\n", addresses.join(", "));
         format!("version = 1\nname = \"{node}\"\n[servers]\ncold_share = 1.0\n{CLIENT_LISTENER}{pool}{READ_CLASS}")
     }
@@ -92,32 +94,32 @@
         self.calls.lock().unwrap().clone()
     }
 
-    /// The polls of the replica at this place.
+    /// Returns the paths of the polls of the replica of this rank.
     fn calls_to(&self, replica: usize) -> Vec<String> {
-        self.calls().into_iter().filter(|(place, _)| *place == replica).map(|(_, path)| path).collect()
+        self.calls().into_iter().filter(|(rank, _)| *rank == replica).map(|(_, path)| path).collect()
     }
 
-    /// Waits until this replica is polled for changes after this version.
+    /// Waits until the replica of this rank is polled for changes after this version.
     fn wait_for_watch(&self, replica: usize, version: u64) {
         let watch = format!("after={version}&");
         wait_for("a watch", || self.calls_to(replica).iter().any(|path| path.contains(&watch)));
     }
 }
 
-fn serve(listener: TcpListener, place: usize, behavior: ReplicaBehavior, calls: &Calls) -> Replica {
+fn serve(listener: TcpListener, rank: usize, behavior: ReplicaBehavior, calls: &Calls) -> Replica {
     let behavior = Arc::new((Mutex::new((0, behavior)), Condvar::new()));
     let replica = Replica { address: listener.local_addr().unwrap(), behavior: behavior.clone() };
     let calls = calls.clone();
     serve_requests(listener, move |request, stream| {
         let path = request.start_line.split(' ').nth(1).unwrap().to_owned();
-        calls.lock().unwrap().push((place, path.clone()));
-        answer_call(stream, &path, &behavior)
+        calls.lock().unwrap().push((rank, path.clone()));
+        respond_to_poll(stream, &path, &behavior)
     });
     replica
 }
 
-/// Answers one poll by the current behavior. Returns whether the connection stays open.
-fn answer_call(
+/// Responds to a poll according to the current behavior. Returns whether the connection stays open.
+fn respond_to_poll(
     mut stream: &TcpStream,
     path: &str,
     behavior: &(Mutex<(u64, ReplicaBehavior)>, Condvar),
@@ -141,12 +143,13 @@
             }
             ReplicaBehavior::Lists { version, endpoints } => snapshot(version, &endpoints),
             ReplicaBehavior::Sends(text) => text,
-            ReplicaBehavior::SendsSlowly { list, takes } => {
-                thread::sleep(takes);
+            ReplicaBehavior::SendsSlowly { list, delay } => {
+                thread::sleep(delay);
                 list
             }
-            ReplicaBehavior::BreaksOff(text) => {
-                let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len() + MISSING);
+            ReplicaBehavior::Truncates(text) => {
+                let head =
+                    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len() + MISSING_BYTES);
                 let _ = stream.write_all(format!("{head}{text}").as_bytes());
                 return false;
             }
@@ -163,13 +166,13 @@
     }
 }
 
-/// A list without its end.
-fn beginning(version: u64, endpoints: &[Value]) -> String {
+/// Returns a snapshot that is truncated in its last entry.
+fn truncated_snapshot(version: u64, endpoints: &[Value]) -> String {
     let list = snapshot(version, endpoints);
     list.trim_end_matches("]}").to_owned() + ",{\"host\":\"s-"
 }
 
-/// Two cache servers, one of which leaves the fleet.
+/// Two cache servers, one of which will leave the fleet.
 struct Servers {
     staying: CacheServer,
     leaving: CacheServer,
@@ -188,7 +191,7 @@
         vec![self.staying.entry("s-1", "ready"), self.leaving.entry("s-2", "draining")]
     }
 
-    /// Sends 40 requests. Returns how many of them the leaving server received.
+    /// Sends 40 requests and returns how many of them the leaving server received.
     fn sent_to_leaving(&self, node: &Node, first_key: u64) -> usize {
         let before = self.leaving.request_count();
         for key in first_key..first_key + 40 {
@@ -203,16 +206,16 @@
 }
 
 #[test]
-fn a_replica_that_hangs_after_accept_costs_one_poll() {
+fn replica_that_hangs_after_accept_costs_one_poll() {
     let servers = Servers::start();
     let service = Service::start(3, "n0", &lists(1, &servers.both()));
     service.replicas[0].set(ReplicaBehavior::Hangs);
     let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.file("n0"));
+    let node = start_with_operator_file(&folder, &service.config("n0"));
     service.wait_for_watch(1, 1);
-    let places: Vec<_> = service.calls().into_iter().map(|(place, _)| place).collect();
-    assert_eq!(places, [0, 1, 1], "the list, then the watch");
-    // The watch at the neighbour is lost as well: the next replica sends what it missed.
+    let ranks: Vec<_> = service.calls().into_iter().map(|(rank, _)| rank).collect();
+    assert_eq!(ranks, [0, 1, 1], "the list, then the watch");
+    // The watch at the second replica is lost too, and the third replica reports the change that it missed.
     assert!(servers.sent_to_leaving(&node, 1_000) > 0);
     service.replicas[1].set(ReplicaBehavior::Hangs);
     service.replicas[2].lists(2, &servers.one_drains());
@@ -221,13 +224,13 @@
 }
 
 #[test]
-fn an_older_version_is_rejected_and_a_neighbour_polled_for_changes() {
+fn older_version_is_rejected_and_the_next_replica_polled_for_changes() {
     let servers = Servers::start();
     let service = Service::start(3, "n0", &lists(5, &servers.one_drains()));
     let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.file("n0"));
+    let node = start_with_operator_file(&folder, &service.config("n0"));
     service.wait_for_watch(0, 5);
-    // A replica that lags repeats itself: it is polled once.
+    // A lagging replica would send the same list again, so it is polled only once.
     service.replicas[0].lists(3, &servers.both());
     service.wait_for_watch(1, 5);
     assert_eq!(servers.sent_to_leaving(&node, 1_000), 0);
@@ -239,17 +242,17 @@
 }
 
 #[test]
-fn an_empty_list_is_accepted_from_three_replicas_and_not_from_one() {
+fn empty_list_is_accepted_only_from_three_replicas() {
     let servers = Servers::start();
     let service = Service::start(4, "n0", &lists(5, &servers.both()));
     let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.file("n0"));
+    let node = start_with_operator_file(&folder, &service.config("n0"));
     service.wait_for_watch(0, 5);
     service.replicas[0].lists(6, &[]);
     service.wait_for_watch(1, 5);
     assert!(servers.sent_to_leaving(&node, 1_000) > 0);
-    for (place, next) in [(1, 2), (2, 3)] {
-        service.replicas[place].lists(6, &[]);
+    for (rank, next) in [(1, 2), (2, 3)] {
+        service.replicas[rank].lists(6, &[]);
         if next == 2 {
             service.wait_for_watch(2, 5);
             assert!(servers.sent_to_leaving(&node, 2_000) > 0, "two are not enough");
@@ -257,69 +260,70 @@
     }
     wait_for("the third to be accepted", || node.logged("3 replicas sent it") == 1);
     service.wait_for_watch(2, 6);
-    let mut places: Vec<_> = service.calls().into_iter().map(|(place, _)| place).collect();
-    places.dedup();
-    assert_eq!(places, [0, 1, 2], "one after the other");
+    let mut ranks: Vec<_> = service.calls().into_iter().map(|(rank, _)| rank).collect();
+    ranks.dedup();
+    assert_eq!(ranks, [0, 1, 2], "each replica in turn");
     wait_for("no server to be left", || node.read("read", 9_000).status() != 200);
 }
 
 #[test]
-fn a_service_that_lost_its_versions_is_accepted_from_all_replicas() {
+fn restarted_versions_are_accepted_from_all_replicas() {
     let servers = Servers::start();
     let service = Service::start(3, "n0", &lists(41, &servers.both()));
     let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.file("n0"));
+    let node = start_with_operator_file(&folder, &service.config("n0"));
     service.wait_for_watch(0, 41);
     let restarted = [servers.staying.entry("s-1", "ready")];
-    for place in [0, 1] {
-        service.replicas[place].lists(1, &restarted);
-        service.wait_for_watch(place + 1, 41);
-        assert!(servers.sent_to_leaving(&node, 1_000 * (place as u64 + 1)) > 0, "{place}");
+    for rank in [0, 1] {
+        service.replicas[rank].lists(1, &restarted);
+        service.wait_for_watch(rank + 1, 41);
+        assert!(servers.sent_to_leaving(&node, 1_000 * (rank as u64 + 1)) > 0, "{rank}");
     }
     service.replicas[2].lists(1, &restarted);
     wait_for("the last to be accepted", || node.logged("3 replicas sent it") == 1);
     service.wait_for_watch(2, 1);
     assert_eq!(servers.sent_to_leaving(&node, 5_000), 0);
-    // Its changes are followed from then on.
+    // Later changes with the restarted versions are applied.
     service.replicas[2].lists(2, &servers.both());
     service.wait_for_watch(2, 2);
     assert!(servers.sent_to_leaving(&node, 6_000) > 0);
 }
 
-/// The node has no list yet. A replica reports a drain and is lost in the middle of its answer, and its neighbour lags. If the
-/// node believed the neighbour, it would send to the draining server.
+/// The node has no list yet. One replica reports a drain and is lost in the middle of its response, and the
+/// next replica lags. If the node used the list of the lagging replica as it is, it would send requests to
+/// the draining server.
 #[test]
-fn a_drain_from_a_lost_replica_holds_against_a_neighbour_that_lags() {
+fn drain_from_a_lost_replica_overrides_a_lagging_replica() {
     let servers = Servers::start();
     let service = Service::start(2, "n0", &lists(41, &servers.both()));
-    service.replicas[0].set(ReplicaBehavior::BreaksOff(beginning(43, &servers.one_drains())));
+    service.replicas[0].set(ReplicaBehavior::Truncates(truncated_snapshot(43, &servers.one_drains())));
     let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.file("n0"));
+    let node = start_with_operator_file(&folder, &service.config("n0"));
     service.wait_for_watch(1, 41);
     let calls = service.calls();
     assert_eq!(calls[..2], [(0, "/v1/servers".into()), (1, "/v1/servers".into())]);
-    assert_eq!(servers.sent_to_leaving(&node, 1_000), 0, "reported by the first");
-    // Not with a version that is older still.
+    assert_eq!(servers.sent_to_leaving(&node, 1_000), 0, "the first replica reported the drain");
+    // The server stays draining with a version that is still older than the drain.
     service.replicas[1].lists(42, &servers.both());
     service.wait_for_watch(1, 42);
     assert_eq!(servers.sent_to_leaving(&node, 2_000), 0);
-    // The neighbour has caught up: the server is ready again.
+    // The second replica has caught up and reports the server as ready again.
     service.replicas[1].lists(44, &servers.both());
     service.wait_for_watch(1, 44);
     assert!(servers.sent_to_leaving(&node, 3_000) > 0);
 }
 
-/// The same on a watch: the replica reports the drain and is lost before its answer is complete.
+/// The same during a watch: the replica reports the drain and is lost before its response is complete.
 #[test]
-fn a_drain_from_a_broken_watch_holds_until_a_neighbour_caught_up() {
+fn drain_from_a_broken_watch_holds_until_another_replica_has_caught_up() {
     let servers = Servers::start();
     let service = Service::start(2, "n0", &lists(41, &servers.both()));
     let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.file("n0"));
+    let node = start_with_operator_file(&folder, &service.config("n0"));
     service.wait_for_watch(0, 41);
     assert!(servers.sent_to_leaving(&node, 1_000) > 0);
-    let drain = beginning(43, &[servers.leaving.entry("s-2", "draining")]).replace("true", "false");
-    service.replicas[0].set(ReplicaBehavior::BreaksOff(drain));
+    let drain = truncated_snapshot(43, &[servers.leaving.entry("s-2", "draining")]).replace("true", "false");
+    service.replicas[0].set(ReplicaBehavior::Truncates(drain));
     service.wait_for_watch(1, 41);
     assert_eq!(servers.sent_to_leaving(&node, 2_000), 0);
     service.replicas[1].lists(42, &servers.both());
@@ -333,46 +337,46 @@
     assert!(servers.sent_to_leaving(&node, 5_000) > 0);
 }
 
-/// Half of the replicas know of a drain and are lost, and the other half lags. If nodes accepted the older version, the whole
-/// fleet would send to the draining server again.
+/// The half of the replicas that have a drain are lost, and the other half lags. If nodes accepted the older
+/// version, the whole fleet would send requests to the draining server again.
 #[test]
-fn in_a_partition_replicas_that_lag_do_not_undo_a_drain() {
+fn lagging_replicas_in_a_partition_do_not_undo_a_drain() {
     let servers = Servers::start();
     let service = Service::start(4, "n0", &lists(1, &servers.both()));
     let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.file("n0"));
+    let node = start_with_operator_file(&folder, &service.config("n0"));
     service.wait_for_watch(0, 1);
-    for place in [0, 1] {
-        service.replicas[place].lists(2, &servers.one_drains());
+    for rank in [0, 1] {
+        service.replicas[rank].lists(2, &servers.one_drains());
     }
     service.wait_for_watch(0, 2);
     assert_eq!(servers.sent_to_leaving(&node, 1_000), 0);
-    for place in [0, 1] {
-        service.replicas[place].set(ReplicaBehavior::Closes);
+    for rank in [0, 1] {
+        service.replicas[rank].set(ReplicaBehavior::Closes);
     }
-    // Both that lag send their older list, round after round.
+    // The two lagging replicas send their older list in every round.
     wait_for("two rounds", || service.calls_to(3).len() >= 3);
     assert_eq!(servers.sent_to_leaving(&node, 2_000), 0);
-    for place in [2, 3] {
-        assert!(service.calls_to(place).iter().all(|path| path.contains("after=2&")), "no snapshot");
+    for rank in [2, 3] {
+        assert!(service.calls_to(rank).iter().all(|path| path.contains("after=2&")), "no snapshot");
     }
-    // The list and two watches at the first, and then one after the other.
-    let places: Vec<_> = service.calls().into_iter().map(|(place, _)| place).take(8).collect();
-    assert_eq!(places, [0, 0, 0, 1, 2, 3, 0, 1]);
+    // The first replica gets the request for the list and two watches; then each replica is polled in turn.
+    let ranks: Vec<_> = service.calls().into_iter().map(|(rank, _)| rank).take(8).collect();
+    assert_eq!(ranks, [0, 0, 0, 1, 2, 3, 0, 1]);
     service.replicas[2].lists(3, &servers.both());
     service.wait_for_watch(2, 3);
     assert!(servers.sent_to_leaving(&node, 3_000) > 0);
 }
 
 #[test]
-fn malformed_bytes_are_logged_within_bounds_and_a_neighbour_polled() {
+fn malformed_bytes_are_escaped_and_truncated_in_the_log_and_the_next_replica_is_polled() {
     let servers = Servers::start();
     let service = Service::start(2, "n0", &lists(1, &servers.both()));
-    // The error quotes the text, with a control character and of any length.
-    let odd = format!("{{\"seq\":\"\\u001b[2J{}\"", "x".repeat(100_000));
-    service.replicas[0].set(ReplicaBehavior::Sends(odd));
+    // The error quotes the text, which contains a control character and is too long for a log line.
+    let malformed = format!("{{\"seq\":\"\\u001b[2J{}\"", "x".repeat(100_000));
+    service.replicas[0].set(ReplicaBehavior::Sends(malformed));
     let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.file("n0"));
+    let node = start_with_operator_file(&folder, &service.config("n0"));
     service.wait_for_watch(1, 1);
     let message = format!("discovery at {}: invalid endpoint list: ", service.replicas[0].address);
     let log = node.log.lock().unwrap().clone();
@@ -382,71 +386,72 @@
     assert_eq!(service.calls_to(0).len(), 1);
 }
 
-/// A node without a list does not know how long sending one takes. Where the capacity is stated it waits for a long list; with
-/// the timeout of a fleet whose capacity is not stated it would never receive one.
+/// A node without a list does not know how long sending one takes. If the capacity of discovery is
+/// configured, the node waits long enough for a long list. With the timeout for an unknown capacity it would
+/// never receive one.
 #[test]
-fn a_slow_snapshot_is_waited_for_where_the_capacity_is_stated() {
+fn slow_snapshot_is_awaited_if_the_capacity_is_configured() {
     let servers = Servers::start();
     let service = Service::start(2, "n0", &lists(1, &servers.both()));
-    let sends =
-        ReplicaBehavior::SendsSlowly { list: snapshot(1, &servers.both()), takes: Duration::from_secs(5) };
-    service.replicas[0].set(sends);
+    let slow =
+        ReplicaBehavior::SendsSlowly { list: snapshot(1, &servers.both()), delay: Duration::from_secs(5) };
+    service.replicas[0].set(slow);
     let folder = TempDir::new();
     let capacity = "discovery_lines_per_second = 200\ndiscovery_call_lines = 10\n";
-    let file = service.file("n0").replace("[[class]]", &format!("{capacity}[[class]]"));
+    let file = service.config("n0").replace("[[class]]", &format!("{capacity}[[class]]"));
     let _node = start_with_operator_file(&folder, &file);
     service.wait_for_watch(0, 1);
-    let places: Vec<_> = service.calls().into_iter().map(|(place, _)| place).collect();
-    assert_eq!(places, [0, 0]);
-    let plain = Service::start(2, "n0", &lists(1, &servers.both()));
-    plain.replicas[0].set(ReplicaBehavior::SendsSlowly {
+    let ranks: Vec<_> = service.calls().into_iter().map(|(rank, _)| rank).collect();
+    assert_eq!(ranks, [0, 0]);
+    let service_without_capacity = Service::start(2, "n0", &lists(1, &servers.both()));
+    service_without_capacity.replicas[0].set(ReplicaBehavior::SendsSlowly {
         list: snapshot(1, &servers.both()),
-        takes: Duration::from_secs(5),
+        delay: Duration::from_secs(5),
     });
     let folder = TempDir::new();
-    let _node = start_with_operator_file(&folder, &plain.file("n0"));
-    plain.wait_for_watch(1, 1);
-    let places: Vec<_> = plain.calls().into_iter().map(|(place, _)| place).collect();
-    assert_eq!(places, [0, 1, 1]);
+    let _node = start_with_operator_file(&folder, &service_without_capacity.config("n0"));
+    service_without_capacity.wait_for_watch(1, 1);
+    let ranks: Vec<_> = service_without_capacity.calls().into_iter().map(|(rank, _)| rank).collect();
+    assert_eq!(ranks, [0, 1, 1]);
 }
 
 #[test]
-fn an_overloaded_replica_is_polled_twice_before_its_neighbour() {
+fn overloaded_replica_is_polled_twice_before_the_next_one() {
     let servers = Servers::start();
     let service = Service::start(2, "n0", &lists(1, &servers.both()));
     service.replicas[0].set(ReplicaBehavior::Overloaded);
     let folder = TempDir::new();
-    let _node = start_with_operator_file(&folder, &service.file("n0"));
+    let _node = start_with_operator_file(&folder, &service.config("n0"));
     service.wait_for_watch(1, 1);
-    let places: Vec<_> = service.calls().into_iter().map(|(place, _)| place).collect();
-    assert_eq!(places, [0, 0, 1, 1]);
+    let ranks: Vec<_> = service.calls().into_iter().map(|(rank, _)| rank).collect();
+    assert_eq!(ranks, [0, 0, 1, 1]);
 }
 
 #[test]
-fn a_reload_keeps_the_watch_at_a_remaining_replica_or_the_version() {
+fn reload_keeps_the_watch_if_its_replica_remains_and_else_the_version() {
     let servers = Servers::start();
     let service = Service::start(4, "n0", &lists(7, &servers.both()));
     let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.file_of("n0", &[0, 1]));
+    let node = start_with_operator_file(&folder, &service.config_with_replicas("n0", &[0, 1]));
     service.wait_for_watch(0, 7);
-    // The current replica remains: its watch goes on and reports.
-    node.reconfigure(&service.file_of("n0", &[0, 2]));
+    // The current replica remains, so its watch continues and reports the change.
+    node.reconfigure(&service.config_with_replicas("n0", &[0, 2]));
     let before = service.calls();
     service.replicas[0].lists(8, &servers.one_drains());
     service.wait_for_watch(0, 8);
-    assert_eq!(service.calls().len(), before.len() + 1, "the same watch, and the next one");
+    assert_eq!(service.calls().len(), before.len() + 1, "the same watch continues, followed by the next one");
     assert_eq!(servers.sent_to_leaving(&node, 1_000), 0);
-    // Another replica remains: it is polled for changes after the current version.
+    // Only another replica remains. It is polled for changes after the current version.
     service.replicas[2].lists(8, &servers.one_drains());
     service.replicas[3].lists(8, &servers.one_drains());
-    node.reconfigure(&service.file_of("n0", &[2, 3]));
+    node.reconfigure(&service.config_with_replicas("n0", &[2, 3]));
     service.wait_for_watch(2, 8);
-    // None remains: the new one is polled for a snapshot, whatever its version.
+    // No replica remains. The new one is polled for a snapshot, which is accepted regardless of its version.
     service.replicas[1].lists(3, &servers.both());
-    node.reconfigure(&service.file_of("n0", &[1]));
+    node.reconfigure(&service.config_with_replicas("n0", &[1]));
     service.wait_for_watch(1, 3);
     assert_eq!(service.calls_to(1)[0], "/v1/servers");
     assert!(servers.sent_to_leaving(&node, 2_000) > 0);
-    let full = service.calls().iter().filter(|(_, path)| path == "/v1/servers").count();
-    assert_eq!(full, 2, "at the start, and where no replica remained");
+    let snapshots = service.calls().iter().filter(|(_, path)| path == "/v1/servers").count();
+    assert_eq!(snapshots, 2, "one at the start, one when no replica remained");
 }
--- a/crates/cache-balancer/tests/servers.rs
+++ b/crates/cache-balancer/tests/servers.rs
@@ -1,4 +1,4 @@
-//! The node towards cache servers and discovery, on loopback sockets.
+//! Tests how a node treats cache servers and discovery, on loopback sockets.
 
 mod common;
 
@@ -6,9 +6,10 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 
-/// A request on an idle connection reached a server after the node had been notified of its drain.
+/// Guards against a request on an idle connection that reaches a server after the node was notified of its
+/// drain.
 #[test]
-fn a_draining_server_gets_no_request_and_its_idle_connections_close() {
+fn draining_server_gets_no_requests_and_its_idle_connections_close() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
@@ -22,9 +23,9 @@
     assert_eq!((old.request_count(), new.request_count()), (1, 20));
 }
 
-/// A snapshot names all servers: one that is not in it is removed.
+/// A snapshot contains all servers, so a server that is missing from it has been removed.
 #[test]
-fn a_server_that_a_snapshot_lacks_gets_no_request() {
+fn server_missing_from_a_snapshot_gets_no_requests() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
@@ -36,23 +37,24 @@
     assert_eq!(old.request_count(), 1);
 }
 
-/// A request that is written to an idle connection which its server has closed meanwhile is reset.
+/// Guards against resets: a request written to an idle connection that the server has closed would be reset.
 #[test]
-fn a_connection_that_its_server_closed_is_not_used_again() {
+fn connection_closed_by_the_server_is_not_reused() {
     let server = CacheServer::start(|_| ServerBehavior::RespondAndClose(response("200 OK", "", "value")));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     for key in 0..10 {
-        // A reset would end an unsafe request as a failure: it may not be sent twice.
+        // A reset would fail a request of class `once`, because its effect is unsafe and it may not be
+        // retried.
         assert_eq!(node.read("once", key).status(), 200);
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
     assert_eq!((server.request_count(), server.connections.load(Ordering::SeqCst)), (10, 10));
 }
 
-/// A new connection for each request costs a handshake each time.
+/// Guards against a new connection, and so a handshake, for each request.
 #[test]
-fn a_connection_is_kept_for_the_next_request() {
+fn connection_is_reused_for_the_next_request() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
@@ -62,9 +64,9 @@
     assert_eq!((server.request_count(), server.connections.load(Ordering::SeqCst)), (10, 1));
 }
 
-/// The status and the number of attempts of a request of this class, where the first attempt gets `behavior` and
-/// all others are served.
-fn after_one(behavior: fn() -> ServerBehavior, class: &str) -> (u16, usize) {
+/// Sends a request of this class whose first attempt meets `behavior` and whose later attempts are served.
+/// Returns the status and the number of attempts.
+fn send_with_first_behavior(behavior: fn() -> ServerBehavior, class: &str) -> (u16, usize) {
     let received = Arc::new(AtomicU32::new(0));
     let server = || {
         let received = received.clone();
@@ -80,37 +82,41 @@
     (status, one.request_count() + two.request_count())
 }
 
-/// A result that is read wrong has a request run twice, or fail though it never ran.
+/// If the result of an attempt is misread, a request can run twice, or fail although it never ran.
 #[test]
-fn an_unsafe_request_is_retried_only_after_a_result_that_proves_it_never_ran() {
+fn unsafe_request_is_retried_only_if_it_provably_never_ran() {
     let declined = || ServerBehavior::Respond(response("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
-    assert_eq!(after_one(declined, "once"), (200, 2));
-    let over = || ServerBehavior::Respond(response("504 Gateway Timeout", "Srv-Declined: 1\r\n", ""));
-    assert_eq!(after_one(over, "once"), (200, 2));
-    let ends: [fn() -> ServerBehavior; 5] = [
+    assert_eq!(send_with_first_behavior(declined, "once"), (200, 2));
+    let declined_timeout =
+        || ServerBehavior::Respond(response("504 Gateway Timeout", "Srv-Declined: 1\r\n", ""));
+    assert_eq!(send_with_first_behavior(declined_timeout, "once"), (200, 2));
+    let failures: [fn() -> ServerBehavior; 5] = [
         || ServerBehavior::Respond(response("500 Internal Server Error", "", "")),
         || ServerBehavior::Respond(response("503 Service Unavailable", "", "")),
         || ServerBehavior::RespondAndClose(String::new()),
         || ServerBehavior::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
         || ServerBehavior::RespondAndClose("no HTTP at all\r\n\r\n".to_owned()),
     ];
-    for (i, end) in ends.into_iter().enumerate() {
-        let (status, sent) = after_one(end, "once");
-        assert!(status >= 500 && status != 503 && sent == 1, "end {i}: {status} after {sent}");
+    for (i, failure) in failures.into_iter().enumerate() {
+        let (status, sent) = send_with_first_behavior(failure, "once");
+        assert!(
+            status >= 500 && status != 503 && sent == 1,
+            "failure {i}: status {status} after {sent} attempts"
+        );
     }
 }
 
-/// Half a response must not be passed on as a whole one.
+/// A truncated response must not be forwarded as a complete one.
 #[test]
-fn an_idempotent_request_is_retried_after_a_response_that_broke_off() {
+fn idempotent_request_is_retried_after_a_truncated_response() {
     let half =
         || ServerBehavior::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned());
-    assert_eq!(after_one(half, "read"), (200, 2));
+    assert_eq!(send_with_first_behavior(half, "read"), (200, 2));
 }
 
 /// A refused connection proves that the request never ran.
 #[test]
-fn an_unsafe_request_is_retried_after_a_refused_connection() {
+fn unsafe_request_is_retried_after_a_refused_connection() {
     let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[endpoint("s-1", closed, "ready"), server.entry("s-2", "ready")]);
@@ -121,9 +127,9 @@
     assert_eq!(server.request_count(), 6);
 }
 
-/// A list that cannot be read leaves the node with the one it has, at its version, and it polls again.
+/// After a malformed list, the node keeps its current list and version, and polls again.
 #[test]
-fn a_broken_list_is_a_failed_call_and_the_watch_goes_on() {
+fn malformed_list_is_a_failed_poll_and_the_watch_continues() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
@@ -132,7 +138,7 @@
     discovery.notify_text("{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":".to_owned());
     wait_for("another call", || discovery.request_count() > calls);
     assert_eq!(node.read("read", 1).status(), 200);
-    // The version that the node has is the same.
+    // The node still requests changes after the version of its current list.
     assert!(discovery.received.lock().unwrap()[calls..].iter().all(|path| path.contains("after=1&")));
     let new = CacheServer::serving("new");
     discovery.notify(true, &[new.entry("s-2", "ready")]);
@@ -140,9 +146,10 @@
     assert_eq!(node.read("read", 1).body, b"new");
 }
 
-/// A server that sends a second response behind the first gave it to the next client.
+/// Guards against a server that sends a second response right after the first: the next client got the second
+/// one.
 #[test]
-fn bytes_behind_a_response_are_never_the_response_to_the_next_request() {
+fn bytes_after_a_response_are_never_used_for_the_next_request() {
     let server = CacheServer::start(|request| {
         let own = response("200 OK", "", request.header("req-id").unwrap());
         let extra = response("200 OK", "", "a copy");
@@ -158,72 +165,74 @@
     assert_eq!(server.request_count(), 199);
 }
 
-/// The time that is spent waiting for it is the retry's.
+/// Time spent on receiving a response that is too large would be missing for the retry.
 #[test]
-fn a_response_of_an_announced_length_over_the_limit_ends_its_attempt_at_once() {
+fn response_with_a_content_length_over_the_limit_ends_its_attempt_at_once() {
     let huge =
         || ServerBehavior::Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome".to_owned());
-    assert_eq!(after_one(huge, "read"), (200, 2));
+    assert_eq!(send_with_first_behavior(huge, "read"), (200, 2));
 }
 
-/// A head without end fills the memory; a 1xx response is not the final one.
+/// An endless head must not fill the memory, and a 1xx response must not be taken for the final one.
 #[test]
-fn an_endless_head_fails_its_attempt_and_interim_responses_are_skipped() {
+fn endless_head_fails_its_attempt_and_interim_responses_are_skipped() {
     let endless =
         || ServerBehavior::Respond(format!("HTTP/1.1 200 OK\r\n{}", "X-Noise: noise\r\n".repeat(2_000)));
-    assert_eq!(after_one(endless, "read"), (200, 2));
+    assert_eq!(send_with_first_behavior(endless, "read"), (200, 2));
     let switched = || ServerBehavior::Respond("HTTP/1.1 101 Switching Protocols\r\n\r\n".to_owned());
-    assert_eq!(after_one(switched, "read"), (200, 2));
+    assert_eq!(send_with_first_behavior(switched, "read"), (200, 2));
     let interim = || {
         let ahead = "HTTP/1.1 103 Early Hints\r\nX: 1\r\n\r\n".repeat(2);
         ServerBehavior::Respond(ahead + &response("200 OK", "", "value"))
     };
-    assert_eq!(after_one(interim, "read"), (200, 1));
+    assert_eq!(send_with_first_behavior(interim, "read"), (200, 1));
 }
 
-/// A server rejects one class (a release that does not know it, say). It lost the keys of all classes, these
-/// were missed elsewhere, and the misses of a whole fleet overload the origin.
+/// A server can reject a single class, for example in a release that does not know it. The failure guarded
+/// against: the server then lost the keys of all classes, the keys were misses on other servers, and the
+/// misses of a whole fleet overload the origin.
 #[test]
-fn a_class_that_a_server_rejects_leaves_the_keys_of_others_there() {
-    let picky = CacheServer::start(|request| match request.header("idempotency-key") {
+fn server_that_rejects_one_class_keeps_the_keys_of_other_classes() {
+    let rejecting = CacheServer::start(|request| match request.header("idempotency-key") {
         Some(_) => ServerBehavior::Respond(response(
             "503 Service Unavailable",
             "Srv-Declined: 1\r\nSrv-Load: waiting=0\r\n",
             "",
         )),
-        None => ServerBehavior::Respond(response("200 OK", "Srv-Load: waiting=0\r\n", "picky")),
+        None => ServerBehavior::Respond(response("200 OK", "Srv-Load: waiting=0\r\n", "rejecting")),
     });
     let other = CacheServer::start(|_| {
         ServerBehavior::Respond(response("200 OK", "Srv-Load: waiting=0\r\n", "other"))
     });
-    let discovery = Discovery::start(&[picky.entry("s-1", "ready"), other.entry("s-2", "ready")]);
+    let discovery = Discovery::start(&[rejecting.entry("s-1", "ready"), other.entry("s-2", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
-    let own: Vec<u64> = (0..60).filter(|&key| node.read("read", key).body == b"picky").collect();
-    assert!(own.len() >= 10, "{} of 60 keys", own.len());
+    let own_keys: Vec<u64> = (0..60).filter(|&key| node.read("read", key).body == b"rejecting").collect();
+    assert!(own_keys.len() >= 10, "{} of 60 keys", own_keys.len());
     let mut client = node.client();
     let mut keyed = |key| {
         let text = read_request("keyed", key, 20_000).replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\n\r\n");
         assert_eq!(client.request(&text).status(), 200);
     };
-    (0..2).for_each(|_| own.iter().for_each(|&key| keyed(key)));
-    let before = picky.request_count();
-    own.iter().for_each(|&key| keyed(key));
+    (0..2).for_each(|_| own_keys.iter().for_each(|&key| keyed(key)));
+    let before = rejecting.request_count();
+    own_keys.iter().for_each(|&key| keyed(key));
     assert!(
-        picky.request_count() - before <= 3,
-        "{} more of that class went there",
-        picky.request_count() - before
+        rejecting.request_count() - before <= 3,
+        "{} more requests of the rejected class were sent to the server",
+        rejecting.request_count() - before
     );
-    for &key in &own {
-        assert_eq!(node.read("read", key).body, b"picky", "key {key}");
+    for &key in &own_keys {
+        assert_eq!(node.read("read", key).body, b"rejecting", "key {key}");
     }
 }
 
-/// Reads these keys at once. The servers hold the requests that reach them until each has reached one or has
-/// its response. Returns the number that reached one, and all responses.
-fn at_once(node: &Node, gate: &HoldingGate, keys: std::ops::Range<u64>) -> (usize, Vec<Message>) {
+/// Reads these keys concurrently. The servers hold the requests that they receive until each request has
+/// reached a server or has its response. Returns the number of requests that reached a server, and all
+/// responses.
+fn read_concurrently(node: &Node, gate: &HoldingGate, keys: std::ops::Range<u64>) -> (usize, Vec<Message>) {
     gate.set_closed(true);
     let before = gate.reached.load(Ordering::SeqCst);
-    let (sender, answers) = std::sync::mpsc::channel();
+    let (sender, responses) = std::sync::mpsc::channel();
     for key in keys.clone() {
         let (mut client, sender) = (node.client(), sender.clone());
         std::thread::spawn(move || sender.send(client.request(&read_request("read", key, 20_000))).unwrap());
@@ -231,18 +240,18 @@
     let mut got = Vec::new();
     let mut reached = 0;
     wait_for("each request to reach a server or to have its response", || {
-        got.extend(answers.try_iter());
+        got.extend(responses.try_iter());
         reached = gate.reached.load(Ordering::SeqCst) - before;
         got.len() + reached == keys.clone().count()
     });
     gate.set_closed(false);
     while got.len() < keys.clone().count() {
-        got.push(answers.recv_timeout(TIMEOUT).expect("a response"));
+        got.push(responses.recv_timeout(TIMEOUT).expect("a response"));
     }
     (reached, got)
 }
 
-/// Delays the responses of servers while it is closed, and counts the requests that reach it.
+/// Delays the responses of servers while closed, and counts the requests that reach the servers.
 #[derive(Default)]
 struct HoldingGate {
     closed: Mutex<bool>,
@@ -263,15 +272,15 @@
     }
 }
 
-/// An overloaded origin failed the misses, clients and node retried them, and the servers never got to cache
-/// what was requested: the overload did not end.
+/// Guards against an overload that does not end: an overloaded origin failed the misses, clients and the node
+/// retried them, and the servers never cached the requested keys.
 #[test]
-fn probable_misses_are_limited_while_fetches_fail_and_hits_go_on() {
+fn probable_misses_are_limited_while_fetches_fail_and_hits_are_served() {
     let gate = Arc::new(HoldingGate::default());
     let down = Arc::new(AtomicBool::new(false));
     let server = || {
         let (gate, down) = (gate.clone(), down.clone());
-        // Keys under 1000 are cached, all others must be fetched.
+        // Keys below 1000 are cached; all others must be fetched.
         CacheServer::start(move |request| {
             let key = request.header("req-id").and_then(|id| u64::from_str_radix(id, 16).ok());
             if key.is_some_and(|key| key < 1000) {
@@ -291,15 +300,15 @@
     let node = Node::start_ready(&config(Discovery::start(&endpoints).address));
     (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"cached"));
     let mut keys = (1..).map(|round| round * 1000..round * 1000 + 20);
-    let mut ask = || at_once(&node, &gate, keys.next().unwrap());
-    // While fetches succeed none is limited.
-    assert_eq!(ask().0, 20);
+    let mut read_new_keys = || read_concurrently(&node, &gate, keys.next().unwrap());
+    // No request is limited while fetches succeed.
+    assert_eq!(read_new_keys().0, 20);
     down.store(true, Ordering::SeqCst);
-    wait_for("a limit", || ask().0 <= 3);
-    let (_, answers) = ask();
-    let rejected = answers.iter().filter(|answer| answer.status() == 503).collect::<Vec<_>>();
-    assert!(rejected.len() >= 17 && rejected.iter().all(|answer| answer.header("retry-after").is_some()));
+    wait_for("a limit on probable misses", || read_new_keys().0 <= 3);
+    let (_, responses) = read_new_keys();
+    let rejected = responses.iter().filter(|response| response.status() == 503).collect::<Vec<_>>();
+    assert!(rejected.len() >= 17 && rejected.iter().all(|response| response.header("retry-after").is_some()));
     (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"cached", "key {key}"));
     down.store(false, Ordering::SeqCst);
-    wait_for("the limit's end", || ask().0 == 20);
+    wait_for("the end of the limit", || read_new_keys().0 == 20);
 }
--- a/crates/cache-balancer/tests/silence.rs
+++ b/crates/cache-balancer/tests/silence.rs
@@ -1,6 +1,6 @@
-//! Watches that the network drops, on sockets: several processes whose watches are lost together right before a server drains.
-//! By the protocol the drain counts as notified two seconds after the wait of the watch, and no new request may go to that
-//! server from half a second later on.
+//! Tests watches that are dropped by the network, on sockets: several processes lose their watches together
+//! right before a server drains. By the protocol, a node counts as notified of the drain two seconds after
+//! the wait of its watch. It must not send new requests to the server from half a second after that.
 
 mod common;
 
@@ -14,32 +14,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a lost watch missed counts as notified this long after the end of its wait.
+/// A node counts as notified of events that a lost watch missed this long after the end of the watch's wait.
 const MISSED_EVENT_DEADLINE: Duration = Duration::from_secs(2);
-/// New requests must stop this long after that.
+/// The time after the notification within which new requests to a draining server must stop.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// What the operators' check allows for the network.
+/// The network delay that the operators' check allows.
 const NETWORK_SLACK: Duration = Duration::from_millis(50);
 
-/// A discovery that never answers the first watch of any node. One server drains once every node has such a watch.
+/// A discovery service that never responds to the first watch of each node. Once every node has lost its
+/// watch, one server drains.
 #[derive(Clone)]
 struct LossyDiscovery {
-    /// Each node has a port of its own, which identifies it.
+    /// The address on which it listens. Each node has its own port, which identifies the node.
     address: SocketAddr,
     node: usize,
-    /// The number of all nodes.
+    /// The total number of nodes.
     nodes: usize,
-    /// The list at first, and the change that follows.
+    /// The initial list.
     ready: String,
+    /// The change that follows.
     draining: String,
-    /// For each node, when its lost watch was read, and the wait that it requested.
+    /// For each node, the time at which its lost watch arrived, and the wait that the watch requested.
     watches: Arc<Mutex<BTreeMap<usize, (Instant, Duration)>>>,
-    /// The nodes that have been notified since.
+    /// The nodes to which the change has been sent.
     notified: Arc<Mutex<Vec<usize>>>,
 }
 
 impl LossyDiscovery {
-    /// Starts one for each node.
+    /// Starts one instance for each node.
     fn start_all(ready: &str, draining: &str, nodes: usize) -> Vec<Self> {
         let (watches, notified) = (Arc::default(), Arc::default());
         let start = |node| {
@@ -69,7 +71,7 @@
         let wait = Duration::from_millis(wait.split(' ').next().unwrap().parse().unwrap());
         if !self.watches.lock().unwrap().contains_key(&self.node) {
             self.watches.lock().unwrap().insert(self.node, (Instant::now(), wait));
-            // Lost: the connection stays open and nothing more is sent on it.
+            // The watch is lost: the connection stays open, but nothing is sent on it.
             thread::sleep(2 * TIMEOUT);
             return false;
         }
@@ -84,13 +86,14 @@
     }
 }
 
-/// A firewall that forgets its connections drops the watches of a whole fleet at once, and an open connection without events
-/// looks like one that is lost. Nodes whose watches time out too late, or that all poll again at the same moment, go on
-/// sending to the draining server past the deadline.
+/// A firewall that loses its connection state drops the watches of a whole fleet at once, and a lost
+/// connection looks like an open one without events. If the watches time out too late, or all nodes poll
+/// again at the same moment, the nodes keep sending to the draining server past the deadline.
 #[test]
-fn nodes_whose_watches_are_lost_together_leave_a_draining_server_in_time() {
+fn nodes_with_lost_watches_stop_sending_to_a_draining_server_in_time() {
     const NODES: usize = 20;
-    // The requests to the draining server, with the node that sent each: ids begin with the number of the node.
+    // The requests to the draining server, with the sending node. Request ids begin with the number of the
+    // node.
     let requests: Arc<Mutex<Vec<(usize, Instant)>>> = Arc::default();
     let recorded = requests.clone();
     let leaving = CacheServer::start(move |message| {
@@ -128,7 +131,7 @@
             thread::spawn(move || {
                 let mut sent = 0;
                 while !stop.load(Ordering::SeqCst) {
-                    // The first two digits are the node's.
+                    // The first two digits of the request id are the number of the node.
                     let key = ((i as u64) << 32) + (1 << 31) + sent;
                     let text = read_request("read", key, 20_000)
                         .replace(&format!("Req-Id: {key:x}"), &format!("Req-Id: {i:02x}{sent:08x}"));
@@ -154,8 +157,15 @@
     for node in 0..NODES {
         let from_node = requests.iter().filter(|(from, _)| *from == node);
         let (in_time, late): (Vec<_>, Vec<_>) = from_node.partition(|(_, at)| *at <= deadline(node));
-        assert!(!in_time.is_empty(), "node {node} used the server before it drained, of {sent} requests");
-        let first = late.first().map(|(_, at)| *at - deadline(node));
-        assert_eq!(late.len(), 0, "node {node} sent to a draining server, {first:?} past the deadline first");
+        assert!(
+            !in_time.is_empty(),
+            "node {node} sent no request to the server in time; {sent} requests in total"
+        );
+        let first_late = late.first().map(|(_, at)| *at - deadline(node));
+        assert_eq!(
+            late.len(),
+            0,
+            "node {node} sent to a draining server; first request {first_late:?} after the deadline"
+        );
     }
 }
--- a/crates/cache-balancer/tests/unreachable/mod.rs
+++ b/crates/cache-balancer/tests/unreachable/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in cache server to which connections are established only when the test allows it.
+//! A stand-in cache server to which no connection is established until the test allows it.
 #![allow(dead_code, reason = "each test file compiles this module for itself and uses a part of it")]
 
 use crate::common::*;
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// A server to which no connection is established: its accept queue is full, so the kernel drops further SYN packets, which
-/// clients retransmit after a second.
+/// A server to which no connection is established: its accept queue is full, so the kernel drops further SYN
+/// packets. Clients retransmit them after a second.
 pub struct Unreachable {
     listener: TcpListener,
     /// The address on which it listens.
@@ -19,7 +19,7 @@
 }
 
 impl Unreachable {
-    /// Listens, and fills the accept queue with connections of its own.
+    /// Starts listening and fills the accept queue with connections of its own.
     pub fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&unique_address().into()).unwrap();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The number of connections to it in state SYN_SENT, as the kernel reports.
+    /// Returns the number of connections to the server in state SYN_SENT, according to the kernel.
     pub fn connecting_count(&self) -> usize {
         let SocketAddr::V4(address) = self.address else { unreachable!() };
         let remote = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
@@ -50,7 +50,8 @@
         table.lines().filter(is_connecting).count()
     }
 
-    /// Accepts connections until the first that is not a filler, and returns that one. No connection is accepted after it.
+    /// Accepts connections up to the first one that is not a filler, and returns that one. Later connections are
+    /// not accepted.
     pub fn accept_first(self) -> TcpStream {
         let fillers = self.filler_addresses();
         loop {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Accepts all connections, and responds to each request on them with this body.
+    /// Accepts all connections and responds to each request on them with this body.
     pub fn serve(self, body: &'static str) {
         let fillers = self.filler_addresses();
         thread::spawn(move || {
@@ -83,7 +84,7 @@
         });
     }
 
-    /// The local addresses of the connections that fill the accept queue.
+    /// Returns the local addresses of the connections that fill the accept queue.
     fn filler_addresses(&self) -> Vec<SocketAddr> {
         self.fillers.iter().map(|filler| filler.local_addr().unwrap().as_socket().unwrap()).collect()
     }
