--- a/crates/cache-balancer/src/driver/endpoints.rs
+++ b/crates/cache-balancer/src/driver/endpoints.rs
@@ -37,8 +37,8 @@
 
     /// Applies a snapshot or a delta to the connections and returns its endpoints for the balancer.
     ///
-    /// The connections must be updated before the balancer: otherwise the balancer could start an attempt at
-    /// a server whose address the connections do not have yet.
+    /// The connections and the balancer must be updated in the same step. If the balancer had the list first,
+    /// it could start an attempt at a server whose address the connections do not have yet.
     pub fn apply(&mut self, update: &EndpointList, tally: &mut TallyLine) -> Arc<[Endpoint]> {
         self.count_changes(update, tally);
         self.list.apply(update);
--- a/crates/cache-balancer/src/input.rs
+++ b/crates/cache-balancer/src/input.rs
@@ -81,7 +81,7 @@
     /// A poll failed, or its list was rejected.
     PollFailed,
     /// The ids of endpoints that a discovery response lists as draining or removed, although the list itself
-    /// has not been applied or will not be.
+    /// has not been applied yet or will not be.
     EndpointsLeaving(BTreeSet<String>),
     /// New settings, which apply to requests accepted from now on.
     Reconfigured(Box<Settings>),
