--- a/crates/cache-balancer/src/fleet/process.rs
+++ b/crates/cache-balancer/src/fleet/process.rs
@@ -1,6 +1,6 @@
 //! The processes of a fleet: their start, their notifications (sd_notify(3)), and their exit.
 
-use crate::handover::{program, PROCESS_VARIABLES};
+use crate::handover::{executable_path, PER_PROCESS_VARIABLES};
 use balancer_core::supervisor::{Event, ProcessId};
 use rustix::process::{kill_process, Pid, Signal};
 use std::io;
@@ -45,10 +45,10 @@
 }
 
 fn spawn(file: &Path, notify_socket: &Path, watchdog_timeout: Duration) -> io::Result<Child> {
-    let mut command = Command::new(program());
+    let mut command = Command::new(executable_path());
     command.arg("run").arg("--with-parent").arg("--config").arg(file);
     // They would name the process that this process's own service manager started.
-    for variable in PROCESS_VARIABLES {
+    for variable in PER_PROCESS_VARIABLES {
         command.env_remove(variable);
     }
     command.env("NOTIFY_SOCKET", notify_socket);
--- a/crates/cache-balancer/src/handover/frame.rs
+++ b/crates/cache-balancer/src/handover/frame.rs
@@ -6,7 +6,7 @@
 //! | --- | --- |
 //! | 0 to 3 | `PHHO` |
 //! | 4, 5 | version of the format, 1 |
-//! | 6, 7 | kind, see [`Kind`] |
+//! | 6, 7 | kind, see [`FrameKind`] |
 //! | 8 to 11 | length of the text in bytes |
 
 use serde::de::DeserializeOwned;
@@ -18,11 +18,11 @@
 const HEADER_BYTES: usize = 12;
 /// The longest text: an endpoint list of 8 MiB, the longest that discovery may send, and the learned state of its
 /// servers.
-const MAX_TEXT_BYTES: usize = 32 << 20;
+const MAX_PAYLOAD_BYTES: usize = 32 << 20;
 
 /// What a frame means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FrameKind {
     Request = 1,
     Offer = 2,
     Ready = 3,
@@ -36,7 +36,7 @@
     Decline = 10,
 }
 
-impl Kind {
+impl FrameKind {
     const ALL: [Self; 10] = [
         Self::Request,
         Self::Offer,
@@ -64,23 +64,23 @@
     Version(u16),
     #[error("byte 6 of a frame: expected a kind from 1 to 10, found {0}")]
     Kind(u16),
-    #[error("byte 8 of a frame: expected a length of {MAX_TEXT_BYTES} at the most, found {0}")]
+    #[error("byte 8 of a frame: expected a length of {MAX_PAYLOAD_BYTES} at the most, found {0}")]
     Length(u32),
     #[error("the text of a frame: {0}")]
-    Text(#[from] serde_json::Error),
+    Payload(#[from] serde_json::Error),
 }
 
 /// A complete frame.
 #[derive(Debug)]
 pub(super) struct Frame {
-    pub kind: Kind,
-    text: Vec<u8>,
+    pub kind: FrameKind,
+    payload: Vec<u8>,
 }
 
 impl Frame {
     /// Parses the text.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, FrameError> {
-        Ok(serde_json::from_slice(&self.text)?)
+        Ok(serde_json::from_slice(&self.payload)?)
     }
 
     /// Removes the first frame from `received`; `None` if it is not complete yet.
@@ -96,31 +96,31 @@
             return Err(FrameError::Version(version));
         }
         let number = u16::from_be_bytes([k1, k2]);
-        let kind = Kind::from_number(number).ok_or(FrameError::Kind(number))?;
+        let kind = FrameKind::from_number(number).ok_or(FrameError::Kind(number))?;
         let length = u32::from_be_bytes([l1, l2, l3, l4]);
-        if length as usize > MAX_TEXT_BYTES {
+        if length as usize > MAX_PAYLOAD_BYTES {
             return Err(FrameError::Length(length));
         }
         let end = HEADER_BYTES + length as usize;
         if received.len() < end {
             return Ok(None);
         }
-        let text = received[HEADER_BYTES..end].to_vec();
+        let payload = received[HEADER_BYTES..end].to_vec();
         received.drain(..end);
-        Ok(Some(Self { kind, text }))
+        Ok(Some(Self { kind, payload }))
     }
 }
 
 /// The bytes of a frame with `message` as its text.
-pub(super) fn encode(kind: Kind, message: &impl Serialize) -> Vec<u8> {
+pub(super) fn encode(kind: FrameKind, message: &impl Serialize) -> Vec<u8> {
     // Messages are structures of texts and numbers: each of them can be written.
-    let text = serde_json::to_vec(message).unwrap_or_default();
-    let mut frame = Vec::with_capacity(HEADER_BYTES + text.len());
+    let payload = serde_json::to_vec(message).unwrap_or_default();
+    let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
     frame.extend_from_slice(MAGIC);
     frame.extend_from_slice(&VERSION.to_be_bytes());
     frame.extend_from_slice(&(kind as u16).to_be_bytes());
-    frame.extend_from_slice(&(text.len() as u32).to_be_bytes());
-    frame.extend_from_slice(&text);
+    frame.extend_from_slice(&(payload.len() as u32).to_be_bytes());
+    frame.extend_from_slice(&payload);
     frame
 }
 
--- a/crates/cache-balancer/src/handover/frame/tests.rs
+++ b/crates/cache-balancer/src/handover/frame/tests.rs
@@ -9,7 +9,7 @@
     header
 }
 
-fn decode_all(received: &mut Vec<u8>) -> Vec<Kind> {
+fn decode_all(received: &mut Vec<u8>) -> Vec<FrameKind> {
     std::iter::from_fn(|| Frame::decode(received).unwrap()).map(|frame| frame.kind).collect()
 }
 
@@ -49,7 +49,7 @@
         let mut kinds = decode_all(&mut received);
         received.extend(&two[cut..]);
         kinds.extend(decode_all(&mut received));
-        assert_eq!(kinds, [Kind::Ready, Kind::Accepting], "cut at {cut}");
+        assert_eq!(kinds, [FrameKind::Ready, FrameKind::Accepting], "cut at {cut}");
         assert!(received.is_empty());
     }
 }
--- a/crates/cache-balancer/src/handover/link.rs
+++ b/crates/cache-balancer/src/handover/link.rs
@@ -2,7 +2,7 @@
 //!
 //! Descriptors go with the first byte of a frame (`SCM_RIGHTS`, unix(7)).
 
-use super::frame::{encode, Frame, FrameError, Kind};
+use super::frame::{encode, Frame, FrameError, FrameKind};
 use rustix::io::Errno;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -19,7 +19,7 @@
 
 /// The system passes no more at once (`SCM_MAX_FD` of Linux).
 pub(super) const MAX_DESCRIPTORS: usize = 253;
-const READ_BYTES: usize = 64 << 10;
+const READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// Why a link can no longer be used.
 #[derive(Debug, Error)]
@@ -34,7 +34,7 @@
 
 /// A frame that is not sent completely yet.
 #[derive(Debug)]
-struct Outgoing {
+struct OutgoingFrame {
     bytes: Vec<u8>,
     sent: usize,
     /// They go with the first byte.
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub(super) struct Link {
     stream: UnixStream,
-    outgoing: VecDeque<Outgoing>,
+    outgoing: VecDeque<OutgoingFrame>,
     received: Vec<u8>,
     received_descriptors: Vec<OwnedFd>,
 }
@@ -56,13 +56,13 @@
     }
 
     /// The process at the other end; `None` where the system does not report it.
-    pub fn peer_id(&self) -> Option<u32> {
+    pub fn peer_pid(&self) -> Option<u32> {
         self.stream.peer_cred().ok()?.pid()?.try_into().ok()
     }
 
     /// Queues a frame. [`Link::next`] and [`Link::flush`] send it.
-    pub fn queue(&mut self, kind: Kind, message: &impl Serialize, descriptors: Vec<OwnedFd>) {
-        self.outgoing.push_back(Outgoing { bytes: encode(kind, message), sent: 0, descriptors });
+    pub fn queue(&mut self, kind: FrameKind, message: &impl Serialize, descriptors: Vec<OwnedFd>) {
+        self.outgoing.push_back(OutgoingFrame { bytes: encode(kind, message), sent: 0, descriptors });
     }
 
     /// The next frame; `None` if the link has ended between two. Sends queued frames meanwhile. Cancel safe.
@@ -120,7 +120,7 @@
 
     /// Reads once. Returns the number of bytes; `None` if the socket turned out not to be readable.
     fn receive_available(&mut self) -> Result<Option<usize>, LinkError> {
-        let mut bytes = vec![0; READ_BYTES];
+        let mut bytes = vec![0; READ_BUFFER_BYTES];
         let descriptors = &mut self.received_descriptors;
         let result =
             self.stream.try_io(Interest::READABLE, || receive(&self.stream, &mut bytes, descriptors));
@@ -135,7 +135,7 @@
     }
 }
 
-fn send(stream: &UnixStream, frame: &Outgoing) -> io::Result<usize> {
+fn send(stream: &UnixStream, frame: &OutgoingFrame) -> io::Result<usize> {
     let descriptors: Vec<_> = frame.descriptors.iter().map(AsFd::as_fd).collect();
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
--- a/crates/cache-balancer/src/handover/link/tests.rs
+++ b/crates/cache-balancer/src/handover/link/tests.rs
@@ -11,9 +11,9 @@
     let file = std::fs::File::open("/dev/null").unwrap();
     let large = "x".repeat(3 << 20);
     let descriptors = (0..5).map(|_| file.try_clone().unwrap().into()).collect();
-    one.queue(Kind::Offer, &large, descriptors);
-    one.queue(Kind::Proceed, &1, Vec::new());
-    other.queue(Kind::Request, &large, Vec::new());
+    one.queue(FrameKind::Offer, &large, descriptors);
+    one.queue(FrameKind::Proceed, &1, Vec::new());
+    other.queue(FrameKind::Request, &large, Vec::new());
     let (to_other, to_one) = tokio::join!(other.next(), one.next());
     assert_eq!(to_one.unwrap().unwrap().parse::<String>().unwrap(), large);
     assert_eq!(to_other.unwrap().unwrap().parse::<String>().unwrap(), large);
@@ -21,7 +21,7 @@
     assert_eq!(passed.len(), 5);
     assert!(passed.iter().all(|descriptor| descriptor.as_raw_fd() != file.as_raw_fd()));
     one.flush().await.unwrap();
-    assert_eq!(other.next().await.unwrap().unwrap().kind, Kind::Proceed);
+    assert_eq!(other.next().await.unwrap().unwrap().kind, FrameKind::Proceed);
     drop(one);
     assert!(other.next().await.unwrap().is_none());
 }
--- a/crates/cache-balancer/src/handover/mod.rs
+++ b/crates/cache-balancer/src/handover/mod.rs
@@ -18,6 +18,6 @@
 
 pub use messages::CancelReason;
 pub use predecessor::PredecessorEndpoint;
-pub use spawn::{program, SpawnedSuccessor, PROCESS_VARIABLES};
+pub use spawn::{executable_path, SpawnedSuccessor, PER_PROCESS_VARIABLES};
 pub use state::{PoolState, State};
 pub use successor::{CancelCause, HandoverError, Message, SuccessorEndpoint};
--- a/crates/cache-balancer/src/handover/peer.rs
+++ b/crates/cache-balancer/src/handover/peer.rs
@@ -17,16 +17,16 @@
 #[derive(Debug)]
 pub(super) struct Peer {
     /// Its process number; `None` where the system does not report it.
-    pub id: Option<u32>,
-    process: Option<OwnedFd>,
+    pub pid: Option<u32>,
+    pidfd: Option<OwnedFd>,
 }
 
 impl Peer {
     /// The live process of this number. Where the system does not report it, as between containers, the process counts as
     /// dead once its link has ended.
-    pub fn new(id: Option<u32>) -> Self {
-        let open = |id: u32| pidfd_open(Pid::from_raw(id as i32)?, PidfdFlags::empty()).ok();
-        Self { id, process: id.and_then(open) }
+    pub fn new(pid: Option<u32>) -> Self {
+        let open = |pid: u32| pidfd_open(Pid::from_raw(pid as i32)?, PidfdFlags::empty()).ok();
+        Self { pid, pidfd: pid.and_then(open) }
     }
 
     /// Waits for its death. To be called once the link has ended. Cancel safe.
@@ -43,16 +43,16 @@
 
     /// Sends it a signal. An error if it is not alive.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
-        match &self.process {
-            Some(process) => Ok(pidfd_send_signal(process, signal)?),
+        match &self.pidfd {
+            Some(pidfd) => Ok(pidfd_send_signal(pidfd, signal)?),
             None => Err(io::ErrorKind::NotFound.into()),
         }
     }
 
     fn is_alive(&self) -> bool {
-        let Some(process) = &self.process else { return false };
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
+        let Some(pidfd) = &self.pidfd else { return false };
+        let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
         // It becomes readable once the process has ended.
-        poll(&mut [PollFd::new(process, PollFlags::IN)], Some(&at_once)) == Ok(0)
+        poll(&mut [PollFd::new(pidfd, PollFlags::IN)], Some(&no_wait)) == Ok(0)
     }
 }
--- a/crates/cache-balancer/src/handover/peer_link.rs
+++ b/crates/cache-balancer/src/handover/peer_link.rs
@@ -1,6 +1,6 @@
 //! A link together with the process at its other end: what each end of a hand-over has in common.
 
-use super::frame::{Frame, Kind};
+use super::frame::{Frame, FrameKind};
 use super::link::{Link, LinkError};
 use super::peer::Peer;
 use rustix::process::Signal;
@@ -36,7 +36,7 @@
     /// A link whose peer is taken not to support probation until [`Self::set_supports_probation`].
     pub fn new(stream: UnixStream) -> Self {
         let link = Link::new(stream);
-        let peer = Peer::new(link.peer_id());
+        let peer = Peer::new(link.peer_pid());
         Self { link: Some(link), peer, supports_probation: false, loss_reported: false }
     }
 
@@ -50,11 +50,11 @@
     }
 
     /// The process number of the peer, where the system reports it.
-    pub fn process(&self) -> Option<u32> {
-        self.peer.id
+    pub fn peer_pid(&self) -> Option<u32> {
+        self.peer.pid
     }
 
-    /// The next frame; `None` if the link has ended, which [`Self::ended`] explains. Ends the link on an error. Cancel safe.
+    /// The next frame; `None` if the link has ended, which [`Self::classify_end`] explains. Ends the link on an error. Cancel safe.
     pub async fn next_frame(&mut self) -> Result<Option<Frame>, LinkError> {
         let Some(link) = &mut self.link else { return Ok(None) };
         let frame = link.next().await;
@@ -65,7 +65,7 @@
     }
 
     /// Waits until it is known what the end of the link means. Cancel safe.
-    pub async fn ended(&mut self) -> LinkEnd {
+    pub async fn classify_end(&mut self) -> LinkEnd {
         if !self.supports_probation {
             return LinkEnd::PeerDied;
         }
@@ -83,14 +83,14 @@
     }
 
     /// Queues a message. [`Self::next_frame`] sends it.
-    pub fn send(&mut self, kind: Kind, message: &impl Serialize, descriptors: Vec<OwnedFd>) {
+    pub fn send(&mut self, kind: FrameKind, message: &impl Serialize, descriptors: Vec<OwnedFd>) {
         if let Some(link) = &mut self.link {
             link.queue(kind, message, descriptors);
         }
     }
 
     /// Sends the last message and ends the link. Returns whether the message was sent.
-    pub async fn send_last(&mut self, kind: Kind, message: &impl Serialize) -> bool {
+    pub async fn send_last(&mut self, kind: FrameKind, message: &impl Serialize) -> bool {
         let Some(mut link) = self.link.take() else { return false };
         link.queue(kind, message, Vec::new());
         matches!(timeout(LAST_MESSAGE_TIMEOUT, link.flush()).await, Ok(Ok(())))
--- a/crates/cache-balancer/src/handover/predecessor/mod.rs
+++ b/crates/cache-balancer/src/handover/predecessor/mod.rs
@@ -4,7 +4,7 @@
 mod socket;
 mod successor_link;
 
-use super::frame::Kind;
+use super::frame::FrameKind;
 use super::link::MAX_DESCRIPTORS;
 use super::messages::{Cancel, CancelReason, Offer, OfferedListener, Proceed};
 use super::State;
@@ -49,7 +49,7 @@
     pub async fn next(&mut self) -> PredecessorEvent {
         loop {
             let event = match &mut self.successor {
-                Some(_) => self.next_of_successor().await,
+                Some(_) => self.next_from_successor().await,
                 None => self.next_without_successor().await,
             };
             if let Some(event) = event {
@@ -60,7 +60,7 @@
 
     /// The process number of the successor, where there is one and the system reports it.
     pub fn successor_process(&self) -> Option<u32> {
-        self.successor.as_ref()?.process()
+        self.successor.as_ref()?.pid()
     }
 
     /// Sends sockets, each beside its listener, and the learned state.
@@ -75,12 +75,12 @@
             .map(|(Listener { name, address }, socket)| (OfferedListener { name, address }, socket))
             .unzip();
         let offer = Offer { listeners, state: to_json(state), probation: true };
-        self.send(Kind::Offer, &offer, sockets);
+        self.send(FrameKind::Offer, &offer, sockets);
     }
 
     /// Tells the successor to proceed, with the latest learned state.
     pub fn send_proceed(&mut self, state: &State) {
-        self.send(Kind::Proceed, &Proceed { state: to_json(state) }, Vec::new());
+        self.send(FrameKind::Proceed, &Proceed { state: to_json(state) }, Vec::new());
     }
 
     /// Tells the successor that it serves. From here on it listens at the path itself.
@@ -119,14 +119,14 @@
     pub async fn cancel(&mut self, reason: CancelReason) {
         log!("hand-over: {reason}; this process goes on");
         if let Some(successor) = &mut self.successor {
-            successor.send_last(Kind::Cancel, &Cancel { reason: reason.to_string() }).await;
+            successor.send_last(FrameKind::Cancel, &Cancel { reason: reason.to_string() }).await;
         }
     }
 
     /// Tells the successor that this process departs, and ends the link.
     pub async fn depart(&mut self) {
         match self.successor.as_mut().filter(|successor| successor.supports_probation()) {
-            Some(successor) => successor.send_last(Kind::Departed, &()).await,
+            Some(successor) => successor.send_last(FrameKind::Departed, &()).await,
             // A version without probation learns it from the end of the link.
             None => self.disconnect(),
         }
@@ -145,7 +145,7 @@
     }
 
     /// The next event of the connected successor; `None` if there is none to report.
-    async fn next_of_successor(&mut self) -> Option<PredecessorEvent> {
+    async fn next_from_successor(&mut self) -> Option<PredecessorEvent> {
         let successor = self.successor.as_mut()?;
         match successor.next().await {
             Ok(event) if successor.has_requested() => return Some(event),
@@ -165,7 +165,7 @@
     async fn next_without_successor(&mut self) -> Option<PredecessorEvent> {
         let accepted = tokio::select! {
             accepted = accept(self.listener.as_ref()) => accepted,
-            () = reached(self.backoff_until) => {
+            () = wait_until(self.backoff_until) => {
                 self.backoff_until = None;
                 return Some(PredecessorEvent::BackoffExpired);
             }
@@ -183,7 +183,7 @@
         None
     }
 
-    fn send(&mut self, kind: Kind, message: &impl Serialize, sockets: Vec<OwnedFd>) {
+    fn send(&mut self, kind: FrameKind, message: &impl Serialize, sockets: Vec<OwnedFd>) {
         if let Some(successor) = &mut self.successor {
             successor.send(kind, message, sockets, self.config.step_timeout);
         }
@@ -191,7 +191,7 @@
 }
 
 /// Waits until this time; forever without one.
-async fn reached(time: Option<Instant>) {
+async fn wait_until(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
         None => pending().await,
--- a/crates/cache-balancer/src/handover/predecessor/successor_link.rs
+++ b/crates/cache-balancer/src/handover/predecessor/successor_link.rs
@@ -1,6 +1,6 @@
 //! The link to one successor, and what its frames and its end mean.
 
-use crate::handover::frame::{Frame, FrameError, Kind};
+use crate::handover::frame::{Frame, FrameError, FrameKind};
 use crate::handover::link::LinkError;
 use crate::handover::messages::Request;
 use crate::handover::peer_link::{LinkEnd, PeerLink};
@@ -44,8 +44,8 @@
     }
 
     /// The process number of the successor, where the system reports it.
-    pub fn process(&self) -> Option<u32> {
-        self.link.process()
+    pub fn pid(&self) -> Option<u32> {
+        self.link.peer_pid()
     }
 
     /// The next event. Cancel safe.
@@ -61,8 +61,8 @@
             None => self.link.next_frame().await?,
         };
         match frame {
-            Some(frame) => Ok(self.event(&frame)?),
-            None => Ok(match self.link.ended().await {
+            Some(frame) => Ok(self.handle_frame(&frame)?),
+            None => Ok(match self.link.classify_end().await {
                 LinkEnd::Lost => PredecessorEvent::LinkLost,
                 LinkEnd::PeerDied => PredecessorEvent::SuccessorDied,
             }),
@@ -72,7 +72,7 @@
     /// Queues a message and starts the time limit of the next step.
     pub fn send(
         &mut self,
-        kind: Kind,
+        kind: FrameKind,
         message: &impl Serialize,
         sockets: Vec<OwnedFd>,
         step_timeout: Duration,
@@ -85,12 +85,12 @@
     pub fn send_commit(&mut self) {
         self.deadline = None;
         if self.supports_probation() {
-            self.link.send(Kind::Commit, &(), Vec::new());
+            self.link.send(FrameKind::Commit, &(), Vec::new());
         }
     }
 
     /// Sends the last message, and ends the link.
-    pub async fn send_last(&mut self, kind: Kind, message: &impl Serialize) {
+    pub async fn send_last(&mut self, kind: FrameKind, message: &impl Serialize) {
         // A successor that does not take it learns from the end of the link.
         self.link.send_last(kind, message).await;
     }
@@ -105,26 +105,28 @@
         }
     }
 
-    fn event(&mut self, frame: &Frame) -> Result<PredecessorEvent, FrameError> {
+    fn handle_frame(&mut self, frame: &Frame) -> Result<PredecessorEvent, FrameError> {
         Ok(match frame.kind {
-            Kind::Request => {
+            FrameKind::Request => {
                 let Request { version, probation } = frame.parse()?;
                 log!("hand-over: requested by version {version}");
                 self.requested = true;
                 self.link.set_supports_probation(probation);
                 PredecessorEvent::Requested
             }
-            Kind::Ready => PredecessorEvent::SuccessorReady,
-            Kind::Accepting => {
+            FrameKind::Ready => PredecessorEvent::SuccessorReady,
+            FrameKind::Accepting => {
                 self.released = !self.supports_probation();
                 PredecessorEvent::SuccessorAccepting
             }
-            Kind::Release => PredecessorEvent::Released,
-            Kind::Decline => PredecessorEvent::Declined,
+            FrameKind::Release => PredecessorEvent::Released,
+            FrameKind::Decline => PredecessorEvent::Declined,
             // Only a predecessor sends these: the process at the other end is no successor.
-            Kind::Offer | Kind::Proceed | Kind::Cancel | Kind::Commit | Kind::Departed => {
-                PredecessorEvent::Declined
-            }
+            FrameKind::Offer
+            | FrameKind::Proceed
+            | FrameKind::Cancel
+            | FrameKind::Commit
+            | FrameKind::Departed => PredecessorEvent::Declined,
         })
     }
 }
--- a/crates/cache-balancer/src/handover/spawn.rs
+++ b/crates/cache-balancer/src/handover/spawn.rs
@@ -8,7 +8,7 @@
 
 /// Variables of the service manager that name one process, and must not reach another one: the process that it started,
 /// and the sockets that it passed to that.
-pub const PROCESS_VARIABLES: [&str; 4] = ["WATCHDOG_PID", "LISTEN_PID", "LISTEN_FDS", "LISTEN_FDNAMES"];
+pub const PER_PROCESS_VARIABLES: [&str; 4] = ["WATCHDOG_PID", "LISTEN_PID", "LISTEN_FDS", "LISTEN_FDNAMES"];
 
 /// The suffix that Linux adds to the path of a program whose file was replaced.
 const DELETED_SUFFIX: &[u8] = b" (deleted)";
@@ -26,9 +26,9 @@
                 return;
             }
         }
-        let mut command = Command::new(program());
+        let mut command = Command::new(executable_path());
         command.args(std::env::args_os().skip(1));
-        for variable in PROCESS_VARIABLES {
+        for variable in PER_PROCESS_VARIABLES {
             command.env_remove(variable);
         }
         match command.spawn() {
@@ -52,7 +52,7 @@
 }
 
 /// The path of this program, also if its file was replaced since the start.
-pub fn program() -> PathBuf {
+pub fn executable_path() -> PathBuf {
     let path =
         std::env::current_exe().unwrap_or_else(|_| std::env::args_os().next().unwrap_or_default().into());
     let original = path.as_os_str().as_bytes().strip_suffix(DELETED_SUFFIX);
--- a/crates/cache-balancer/src/handover/successor.rs
+++ b/crates/cache-balancer/src/handover/successor.rs
@@ -1,7 +1,7 @@
 //! The end of the process that replaces the one that serves: it connects to the predecessor, and carries the messages of
 //! [`balancer_core::graceful_restart::Successor`].
 
-use super::frame::{Frame, FrameError, Kind};
+use super::frame::{Frame, FrameError, FrameKind};
 use super::link::LinkError;
 use super::messages::{Cancel, Offer, Proceed, Request};
 use super::peer_link::{LinkEnd, PeerLink};
@@ -39,7 +39,7 @@
     /// Its own reason, as a text.
     Stated(String),
     /// It sent a frame of this kind, out of order.
-    OutOfOrder(Kind),
+    OutOfOrder(FrameKind),
     /// Its message could not be read.
     Unreadable(FrameError),
 }
@@ -88,7 +88,7 @@
         let Some(stream) = connect(config).await? else { return Ok(None) };
         let mut link = PeerLink::new(stream);
         let request = Request { version: env!("CARGO_PKG_VERSION").to_owned(), probation: true };
-        link.send(Kind::Request, &request, Vec::new());
+        link.send(FrameKind::Request, &request, Vec::new());
         let frame = timeout(config.step_timeout, link.next_frame()).await;
         let frame = frame.map_err(|_| HandoverError::TimedOut)??.ok_or(HandoverError::Disconnected)?;
         let offered = read_offer(&frame, &mut link)?;
@@ -98,11 +98,11 @@
     /// The next message. Cancel safe.
     pub async fn next(&mut self) -> Message {
         match self.link.next_frame().await {
-            Ok(Some(frame)) => return message(&frame),
+            Ok(Some(frame)) => return to_message(&frame),
             Ok(None) => {}
             Err(error) => log!("hand-over: {error}"),
         }
-        match self.link.ended().await {
+        match self.link.classify_end().await {
             LinkEnd::Lost => Message::LinkLost,
             LinkEnd::PeerDied => Message::Died,
         }
@@ -110,22 +110,22 @@
 
     /// Tells the predecessor that this process is prepared to serve.
     pub fn send_ready(&mut self) {
-        self.link.send(Kind::Ready, &(), Vec::new());
+        self.link.send(FrameKind::Ready, &(), Vec::new());
     }
 
     /// Tells the predecessor that this process accepts connections.
     pub fn send_accepting(&mut self) {
-        self.link.send(Kind::Accepting, &(), Vec::new());
+        self.link.send(FrameKind::Accepting, &(), Vec::new());
     }
 
     /// Tells the predecessor that this process gives up.
     pub async fn decline(&mut self) {
-        self.send_last(Kind::Decline).await;
+        self.send_last(FrameKind::Decline).await;
     }
 
     /// Tells the predecessor that it need not stand by.
     pub async fn release(&mut self) {
-        if !self.send_last(Kind::Release).await {
+        if !self.send_last(FrameKind::Release).await {
             self.terminate_predecessor();
         }
     }
@@ -139,7 +139,7 @@
 
     /// Sends the last message to a predecessor that supports probation, and ends the link. Returns whether the message was
     /// sent.
-    async fn send_last(&mut self, kind: Kind) -> bool {
+    async fn send_last(&mut self, kind: FrameKind) -> bool {
         if !self.link.supports_probation() {
             self.link.disconnect();
             return false;
@@ -159,21 +159,21 @@
     }
 }
 
-fn message(frame: &Frame) -> Message {
+fn to_message(frame: &Frame) -> Message {
     match frame.kind {
-        Kind::Proceed => match frame.parse::<Proceed>() {
+        FrameKind::Proceed => match frame.parse::<Proceed>() {
             Ok(Proceed { state }) => Message::Proceed(read_state(state)),
             Err(error) => Message::Cancelled(CancelCause::Unreadable(error)),
         },
-        Kind::Commit => Message::Committed,
-        Kind::Departed => Message::Departed,
+        FrameKind::Commit => Message::Committed,
+        FrameKind::Departed => Message::Departed,
         _ => Message::Cancelled(cancel_cause(frame)),
     }
 }
 
 /// Reads the offer, and the sockets that came with it.
 fn read_offer(frame: &Frame, link: &mut PeerLink) -> Result<Offered, HandoverError> {
-    if frame.kind != Kind::Offer {
+    if frame.kind != FrameKind::Offer {
         return Err(HandoverError::Cancelled(cancel_cause(frame)));
     }
     let Offer { listeners, state, probation } = frame.parse().map_err(LinkError::from)?;
@@ -196,7 +196,7 @@
 
 fn cancel_cause(frame: &Frame) -> CancelCause {
     match frame.parse::<Cancel>() {
-        Ok(Cancel { reason }) if frame.kind == Kind::Cancel => CancelCause::Stated(reason),
+        Ok(Cancel { reason }) if frame.kind == FrameKind::Cancel => CancelCause::Stated(reason),
         _ => CancelCause::OutOfOrder(frame.kind),
     }
 }
