--- a/crates/cache-balancer/src/handover/frame.rs
+++ b/crates/cache-balancer/src/handover/frame.rs
@@ -1,13 +1,13 @@
-//! Frames, the units of a link.
+//! Encoding and decoding of frames, the messages on a link.
 //!
-//! A frame is a header of 12 bytes, numbers in network order, and a text in JSON:
+//! A frame is a 12-byte header, with integers in network byte order, and a JSON payload:
 //!
 //! | bytes | content |
 //! | --- | --- |
 //! | 0 to 3 | `PHHO` |
 //! | 4, 5 | version of the format, 1 |
 //! | 6, 7 | kind, see [`FrameKind`] |
-//! | 8 to 11 | length of the text in bytes |
+//! | 8 to 11 | length of the payload in bytes |
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -16,11 +16,11 @@
 const MAGIC: &[u8; 4] = b"PHHO";
 const VERSION: u16 = 1;
 const HEADER_BYTES: usize = 12;
-/// The longest text: an endpoint list of 8 MiB, the longest that discovery may send, and the learned state of its
-/// servers.
+/// Maximum length of a payload. It has room for an endpoint list of 8 MiB, the longest that discovery may send, and the
+/// learned state of its servers.
 const MAX_PAYLOAD_BYTES: usize = 32 << 20;
 
-/// What a frame means.
+/// Type of a message. The values are the numbers in the header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
     Request = 1,
@@ -29,7 +29,7 @@
     Proceed = 4,
     Accepting = 5,
     Cancel = 6,
-    // Those that follow are sent only to a peer that supports probation.
+    // The following kinds are sent only to a peer that supports probation.
     Commit = 7,
     Departed = 8,
     Release = 9,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Why bytes are no frame, or a frame's text is not the one expected.
+/// Error while a frame is decoded or its payload is parsed.
 #[derive(Debug, Error)]
 pub enum FrameError {
     #[error("byte 0 of a frame: expected \"PHHO\", found {0:?}")]
@@ -64,9 +64,9 @@
     Version(u16),
     #[error("byte 6 of a frame: expected a kind from 1 to 10, found {0}")]
     Kind(u16),
-    #[error("byte 8 of a frame: expected a length of {MAX_PAYLOAD_BYTES} at the most, found {0}")]
+    #[error("byte 8 of a frame: expected a length of at most {MAX_PAYLOAD_BYTES}, found {0}")]
     Length(u32),
-    #[error("the text of a frame: {0}")]
+    #[error("payload of a frame: {0}")]
     Payload(#[from] serde_json::Error),
 }
 
@@ -78,14 +78,14 @@
 }
 
 impl Frame {
-    /// Parses the text.
+    /// Parses the payload.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, FrameError> {
         Ok(serde_json::from_slice(&self.payload)?)
     }
 
-    /// Removes the first frame from `received`; `None` if it is not complete yet.
+    /// Decodes the first frame of `received` and removes it from there. Returns `None` if it is not complete yet.
     pub fn decode(received: &mut Vec<u8>) -> Result<Option<Self>, FrameError> {
-        // Each field is checked as soon as it is there: the rest of what is no frame may never come.
+        // Checks each part as early as possible, since a peer that does not send frames may never send the rest.
         if let Some(magic) = received.first_chunk::<4>().filter(|magic| *magic != MAGIC) {
             return Err(FrameError::Magic(*magic));
         }
@@ -111,9 +111,9 @@
     }
 }
 
-/// The bytes of a frame with `message` as its text.
+/// Encodes a frame with `message` as its payload.
 pub(super) fn encode(kind: FrameKind, message: &impl Serialize) -> Vec<u8> {
-    // Messages are structures of texts and numbers: each of them can be written.
+    // Serialization cannot fail: messages consist only of structures, strings and numbers.
     let payload = serde_json::to_vec(message).unwrap_or_default();
     let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
     frame.extend_from_slice(MAGIC);
--- a/crates/cache-balancer/src/handover/frame/tests.rs
+++ b/crates/cache-balancer/src/handover/frame/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_frame_are_named_by_place_and_expectation() {
+fn invalid_frames_are_rejected_with_offset_and_expected_value() {
     let cases = [
         (
             header(b"PHHO", 1, 1, 0).split_off(1),
@@ -26,28 +26,28 @@
         (header(b"PHHO", 1, 11, 0), "byte 6 of a frame: expected a kind from 1 to 10, found 11"),
         (
             header(b"PHHO", 1, 2, u32::MAX),
-            "byte 8 of a frame: expected a length of 33554432 at the most, found 4294967295",
+            "byte 8 of a frame: expected a length of at most 33554432, found 4294967295",
         ),
     ];
     for (mut bytes, expected) in cases {
         assert_eq!(Frame::decode(&mut bytes).unwrap_err().to_string(), expected);
     }
-    let mut unreadable = header(b"PHHO", 1, 6, 1);
-    unreadable.push(b'{');
-    let frame = Frame::decode(&mut unreadable).unwrap().unwrap();
+    let mut invalid_json = header(b"PHHO", 1, 6, 1);
+    invalid_json.push(b'{');
+    let frame = Frame::decode(&mut invalid_json).unwrap().unwrap();
     assert!(frame.parse::<Cancel>().is_err());
 }
 
 #[test]
-fn an_incomplete_frame_is_waited_for_wherever_it_is_cut() {
-    let mut two = header(b"PHHO", 1, 3, 2);
-    two.extend(b"{}");
-    two.extend(header(b"PHHO", 1, 5, 4));
-    two.extend(b"null");
-    for cut in 0..two.len() {
-        let mut received = two[..cut].to_vec();
+fn a_frame_split_at_any_byte_is_decoded_once_complete() {
+    let mut frames = header(b"PHHO", 1, 3, 2);
+    frames.extend(b"{}");
+    frames.extend(header(b"PHHO", 1, 5, 4));
+    frames.extend(b"null");
+    for cut in 0..frames.len() {
+        let mut received = frames[..cut].to_vec();
         let mut kinds = decode_all(&mut received);
-        received.extend(&two[cut..]);
+        received.extend(&frames[cut..]);
         kinds.extend(decode_all(&mut received));
         assert_eq!(kinds, [FrameKind::Ready, FrameKind::Accepting], "cut at {cut}");
         assert!(received.is_empty());
--- a/crates/cache-balancer/src/handover/link.rs
+++ b/crates/cache-balancer/src/handover/link.rs
@@ -1,6 +1,6 @@
-//! One end of the link between predecessor and successor: frames on a Unix socket, and descriptors beside them.
+//! One end of the link between predecessor and successor: frames and file descriptors over a Unix socket.
 //!
-//! Descriptors go with the first byte of a frame (`SCM_RIGHTS`, unix(7)).
+//! The descriptors of a frame are passed with its first byte (`SCM_RIGHTS`, unix(7)).
 
 use super::frame::{encode, Frame, FrameError, FrameKind};
 use rustix::io::Errno;
@@ -17,27 +17,27 @@
 use tokio::io::Interest;
 use tokio::net::UnixStream;
 
-/// The system passes no more at once (`SCM_MAX_FD` of Linux).
+/// Maximum number of descriptors that Linux passes in one message (`SCM_MAX_FD`).
 pub(super) const MAX_DESCRIPTORS: usize = 253;
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// Why a link can no longer be used.
+/// Error after which a link can no longer be used.
 #[derive(Debug, Error)]
 pub enum LinkError {
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
     Frame(#[from] FrameError),
-    #[error("the link broke off within a frame")]
+    #[error("the link ended within a frame")]
     Truncated,
 }
 
-/// A frame that is not sent completely yet.
+/// A frame that has not been sent completely yet.
 #[derive(Debug)]
 struct OutgoingFrame {
     bytes: Vec<u8>,
     sent: usize,
-    /// They go with the first byte.
+    /// Descriptors to pass with the first byte; empty once that has been sent.
     descriptors: Vec<OwnedFd>,
 }
 
@@ -55,17 +55,18 @@
         Self { stream, outgoing: VecDeque::new(), received: Vec::new(), received_descriptors: Vec::new() }
     }
 
-    /// The process at the other end; `None` where the system does not report it.
+    /// Returns the PID of the process at the other end; `None` if the system does not report it.
     pub fn peer_pid(&self) -> Option<u32> {
         self.stream.peer_cred().ok()?.pid()?.try_into().ok()
     }
 
-    /// Queues a frame. [`Link::next`] and [`Link::flush`] send it.
+    /// Queues a frame, which [`Link::next`] and [`Link::flush`] send.
     pub fn queue(&mut self, kind: FrameKind, message: &impl Serialize, descriptors: Vec<OwnedFd>) {
         self.outgoing.push_back(OutgoingFrame { bytes: encode(kind, message), sent: 0, descriptors });
     }
 
-    /// The next frame; `None` if the link has ended between two. Sends queued frames meanwhile. Cancel safe.
+    /// Waits for the next frame and sends queued frames meanwhile. Returns `None` if the link has ended between two
+    /// frames. Cancel safe.
     pub async fn next(&mut self) -> Result<Option<Frame>, LinkError> {
         loop {
             if let Some(frame) = Frame::decode(&mut self.received)? {
@@ -99,7 +100,7 @@
         std::mem::take(&mut self.received_descriptors)
     }
 
-    /// Sends as much as the socket takes without waiting.
+    /// Sends as much as the socket accepts without blocking.
     fn send_available(&mut self) -> Result<(), LinkError> {
         while let Some(frame) = self.outgoing.front_mut() {
             let result = self.stream.try_io(Interest::WRITABLE, || send(&self.stream, frame));
@@ -118,7 +119,7 @@
         Ok(())
     }
 
-    /// Reads once. Returns the number of bytes; `None` if the socket turned out not to be readable.
+    /// Reads once and returns the number of bytes; `None` if the read would block.
     fn receive_available(&mut self) -> Result<Option<usize>, LinkError> {
         let mut bytes = vec![0; READ_BUFFER_BYTES];
         let descriptors = &mut self.received_descriptors;
@@ -152,7 +153,7 @@
     let received = recvmsg(stream, &mut [IoSliceMut::new(bytes)], &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
     for message in ancillary.drain() {
         if let RecvAncillaryMessage::ScmRights(passed) = message {
-            // A peer that sends more than a hand-over can have gets the rest closed.
+            // Descriptors beyond the maximum of a hand-over are closed.
             descriptors.extend(passed);
             descriptors.truncate(MAX_DESCRIPTORS);
         }
--- a/crates/cache-balancer/src/handover/link/tests.rs
+++ b/crates/cache-balancer/src/handover/link/tests.rs
@@ -2,10 +2,10 @@
 use std::io::Write;
 use std::os::fd::AsRawFd;
 
-/// A frame larger than the socket takes at once could stall both ends, each waiting to write, or its descriptors could
-/// arrive with another frame.
+/// Guards against a deadlock of two ends that each wait to write a frame larger than the socket buffer, and against
+/// descriptors that arrive with the wrong frame.
 #[tokio::test]
-async fn frames_of_any_size_go_both_ways_at_once_with_their_descriptors() {
+async fn large_frames_with_descriptors_are_sent_in_both_directions_at_once() {
     let (one, other) = UnixStream::pair().unwrap();
     let (mut one, mut other) = (Link::new(one), Link::new(other));
     let file = std::fs::File::open("/dev/null").unwrap();
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test]
-async fn a_link_that_ends_within_a_frame_is_an_error() {
+async fn a_link_that_ends_within_a_frame_returns_an_error() {
     let (one, other) = std::os::unix::net::UnixStream::pair().unwrap();
     other.set_nonblocking(true).unwrap();
     (&one).write_all(b"PHHO\0\x01\0\x03\0\0\0\x09").unwrap();
--- a/crates/cache-balancer/src/handover/messages.rs
+++ b/crates/cache-balancer/src/handover/messages.rs
@@ -1,29 +1,31 @@
-//! The JSON texts of the frames. Processes of other versions read and write them, so the names of the fields stay.
+//! JSON payloads of the frames. Processes of other versions read and write them, so the serialized names must not
+//! change.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The successor requests a hand-over.
+/// Sent by the successor to request a hand-over.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Request {
-    /// The version of the successor, for the predecessor's log.
+    /// Version of the successor, for the predecessor's log.
     #[serde(rename = "program")]
     pub version: String,
-    /// Whether the successor supports probation. Without it, the predecessor departs as soon as the successor accepts.
+    /// Whether the successor supports probation. If not, the predecessor departs as soon as the successor accepts
+    /// connections.
     #[serde(default)]
     pub probation: bool,
 }
 
-/// The predecessor offers its sockets, which go with this message, and its state.
+/// Sent by the predecessor with its listening sockets, which are passed as descriptors of this frame, and its state.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Offer {
-    /// One for each socket that is passed, in their order.
+    /// Describes each passed socket, in the order of the descriptors.
     pub listeners: Vec<OfferedListener>,
-    /// A [`super::State`], of whatever version the predecessor writes.
+    /// A [`super::State`], in the version that the predecessor writes.
     pub state: serde_json::Value,
-    /// Whether the predecessor supports probation. Without it, a link that ends after the offer means that the
+    /// Whether the predecessor supports probation. If not, the end of the link after the offer means that the
     /// predecessor has died or departed.
     #[serde(default)]
     pub probation: bool,
@@ -32,40 +34,40 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct OfferedListener {
     pub name: String,
-    /// The address in the predecessor's configuration.
+    /// Listening address in the predecessor's configuration.
     pub address: SocketAddr,
 }
 
-/// The predecessor has paused, and tells the successor to proceed.
+/// Sent by the predecessor once it has paused accepting, so that the successor starts to accept.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Proceed {
-    /// The latest state, as in [`Offer::state`].
+    /// Latest state, in the form of [`Offer::state`].
     pub state: serde_json::Value,
 }
 
-/// The predecessor goes on by itself.
+/// Sent by the predecessor when it cancels the hand-over and keeps serving.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Cancel {
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// Why a predecessor cancels a hand-over. The successor logs the text.
+/// Why a predecessor cancels a hand-over. Its text is sent to the successor, which logs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelReason {
-    /// Successors are rejected for this long, after deaths of earlier ones.
+    /// Earlier successors died, and further ones are rejected for this duration.
     BackingOff(Duration),
     /// The successor exceeded the time limit of a step.
     TimedOut,
     /// The successor sent a message out of order.
     OutOfOrder,
-    /// The predecessor was told to stop.
+    /// The predecessor is shutting down.
     Stopping,
 }
 
 impl fmt::Display for CancelReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The texts are part of the messages between versions: they are sent as the reason of a cancel frame.
+        // These texts are part of the protocol between versions: a cancel frame carries them as its reason.
         match self {
             Self::BackingOff(remaining) => write!(
                 f,
--- a/crates/cache-balancer/src/handover/mod.rs
+++ b/crates/cache-balancer/src/handover/mod.rs
@@ -1,10 +1,11 @@
-//! The hand-over to another process of this program, for upgrades: the listening sockets and the learned state go over a
-//! Unix socket. [`balancer_core::graceful_restart`] decides which process accepts; this module carries its messages.
+//! Hands over the listening sockets and the learned state to another process of this program, for upgrades. Both are
+//! sent over a Unix socket. [`balancer_core::graceful_restart`] decides which process accepts connections; this module
+//! exchanges its messages.
 //!
-//! * [`PredecessorEndpoint`]: the end of the process that serves. It listens for a successor.
-//! * [`SuccessorEndpoint`]: the end of the process that replaces it. It connects to the predecessor.
-//! * [`SpawnedSuccessor`]: the successor that a process starts itself.
-//! * [`State`]: the learned state that goes over.
+//! * [`PredecessorEndpoint`]: the side of the process that serves. It listens for a successor.
+//! * [`SuccessorEndpoint`]: the side of the process that replaces it. It connects to the predecessor.
+//! * [`SpawnedSuccessor`]: a successor that this process started.
+//! * [`State`]: the learned state that is handed over.
 
 mod frame;
 mod link;
--- a/crates/cache-balancer/src/handover/peer.rs
+++ b/crates/cache-balancer/src/handover/peer.rs
@@ -1,4 +1,4 @@
-//! The process at the other end of a link: whether it lives, and signals to it past the link.
+//! The process at the other end of a link: checks whether it is alive and sends it signals.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::process::{pidfd_open, pidfd_send_signal, Pid, PidfdFlags, Signal};
@@ -7,41 +7,43 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A process that dies closes its links a moment before the system reports it dead.
+/// Time to wait for the death of a process whose link has ended: a dying process closes its links shortly before the
+/// system reports it as dead.
 const DEATH_DELAY: Duration = Duration::from_millis(100);
-/// The poll interval while the death of a process is awaited, once its link has ended.
+/// Interval between checks for the death of a process whose link has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The process at the other end of a link. A descriptor holds it (pidfd_open(2)), so that no later process of the same
-/// number is mistaken for it.
+/// The process at the other end of a link. It is referred to by a pidfd (pidfd_open(2)), so that a later process with
+/// the same PID cannot be mistaken for it.
 #[derive(Debug)]
 pub(super) struct Peer {
-    /// Its process number; `None` where the system does not report it.
+    /// Process ID; `None` if the system does not report it.
     pub pid: Option<u32>,
     pidfd: Option<OwnedFd>,
 }
 
 impl Peer {
-    /// The live process of this number. Where the system does not report it, as between containers, the process counts as
-    /// dead once its link has ended.
+    /// Refers to the running process with this PID. If the system does not report the PID, as between containers, the
+    /// process counts as dead once its link has ended.
     pub fn new(pid: Option<u32>) -> Self {
         let open = |pid: u32| pidfd_open(Pid::from_raw(pid as i32)?, PidfdFlags::empty()).ok();
         Self { pid, pidfd: pid.and_then(open) }
     }
 
-    /// Waits for its death. To be called once the link has ended. Cancel safe.
+    /// Waits for the death of the process. Must be called only after the link has ended. Cancel safe.
     pub async fn died(&self) {
         while self.is_alive() {
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Returns whether it has died. To be called once the link has ended.
+    /// Returns whether the process has died, after waiting up to [`DEATH_DELAY`]. Must be called only after the link
+    /// has ended.
     pub async fn has_died(&self) -> bool {
         timeout(DEATH_DELAY, self.died()).await.is_ok()
     }
 
-    /// Sends it a signal. An error if it is not alive.
+    /// Sends the process a signal. Fails if the process is not alive.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         match &self.pidfd {
             Some(pidfd) => Ok(pidfd_send_signal(pidfd, signal)?),
@@ -52,7 +54,7 @@
     fn is_alive(&self) -> bool {
         let Some(pidfd) = &self.pidfd else { return false };
         let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
-        // It becomes readable once the process has ended.
+        // A pidfd becomes readable once its process has ended.
         poll(&mut [PollFd::new(pidfd, PollFlags::IN)], Some(&no_wait)) == Ok(0)
     }
 }
--- a/crates/cache-balancer/src/handover/peer_link.rs
+++ b/crates/cache-balancer/src/handover/peer_link.rs
@@ -1,4 +1,4 @@
-//! A link together with the process at its other end: what each end of a hand-over has in common.
+//! A link and the process at its other end. Both sides of a hand-over are built on this.
 
 use super::frame::{Frame, FrameKind};
 use super::link::{Link, LinkError};
@@ -11,21 +11,22 @@
 use tokio::net::UnixStream;
 use tokio::time::timeout;
 
-/// The time limit for the last message on a link. A peer that does not take it learns from the end of the link.
+/// Time limit for sending the last message on a link. A peer that does not receive it detects the end of the link.
 const LAST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the end of a link means.
+/// Meaning of the end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkEnd {
-    /// The peer lives. Reported once.
+    /// The peer is alive. Reported only once.
     Lost,
-    /// The peer has died, or does not support probation and has departed.
+    /// The peer has died, or it has departed and does not support probation.
     PeerDied,
 }
 
+/// A link and the process at its other end.
 #[derive(Debug)]
 pub(super) struct PeerLink {
-    /// `None` once it has ended.
+    /// `None` once the link has ended.
     link: Option<Link>,
     peer: Peer,
     supports_probation: bool,
@@ -33,14 +34,16 @@
 }
 
 impl PeerLink {
-    /// A link whose peer is taken not to support probation until [`Self::set_supports_probation`].
+    /// Creates a link on `stream`. The peer is assumed not to support probation until [`Self::set_supports_probation`]
+    /// is called.
     pub fn new(stream: UnixStream) -> Self {
         let link = Link::new(stream);
         let peer = Peer::new(link.peer_pid());
         Self { link: Some(link), peer, supports_probation: false, loss_reported: false }
     }
 
-    /// Whether the peer supports probation. One that does not takes the end of the link for the departure or the death of its peer.
+    /// Returns whether the peer supports probation. A peer that does not treats the end of the link as the departure or
+    /// the death of this process.
     pub fn supports_probation(&self) -> bool {
         self.supports_probation
     }
@@ -49,12 +52,13 @@
         self.supports_probation = supports_probation;
     }
 
-    /// The process number of the peer, where the system reports it.
+    /// Returns the PID of the peer; `None` if the system does not report it.
     pub fn peer_pid(&self) -> Option<u32> {
         self.peer.pid
     }
 
-    /// The next frame; `None` if the link has ended, which [`Self::classify_end`] explains. Ends the link on an error. Cancel safe.
+    /// Waits for the next frame. Returns `None` if the link has ended; [`Self::classify_end`] then determines the
+    /// cause. Ends the link on an error. Cancel safe.
     pub async fn next_frame(&mut self) -> Result<Option<Frame>, LinkError> {
         let Some(link) = &mut self.link else { return Ok(None) };
         let frame = link.next().await;
@@ -64,7 +68,8 @@
         frame
     }
 
-    /// Waits until it is known what the end of the link means. Cancel safe.
+    /// Determines whether the peer has died. Called after the link has ended; once it has returned [`LinkEnd::Lost`],
+    /// the next call waits for the death of the peer. Cancel safe.
     pub async fn classify_end(&mut self) -> LinkEnd {
         if !self.supports_probation {
             return LinkEnd::PeerDied;
@@ -77,12 +82,12 @@
         LinkEnd::PeerDied
     }
 
-    /// The descriptors that have arrived so far.
+    /// Takes the descriptors that have arrived so far.
     pub fn take_descriptors(&mut self) -> Vec<OwnedFd> {
         self.link.as_mut().map_or(Vec::new(), Link::take_descriptors)
     }
 
-    /// Queues a message. [`Self::next_frame`] sends it.
+    /// Queues a message, which [`Self::next_frame`] sends.
     pub fn send(&mut self, kind: FrameKind, message: &impl Serialize, descriptors: Vec<OwnedFd>) {
         if let Some(link) = &mut self.link {
             link.queue(kind, message, descriptors);
@@ -101,7 +106,7 @@
         self.link = None;
     }
 
-    /// Sends the peer a signal, past the link. An error if it is not alive.
+    /// Sends the peer a signal, independently of the link. Fails if the peer is not alive.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         self.peer.signal(signal)
     }
--- a/crates/cache-balancer/src/handover/predecessor/mod.rs
+++ b/crates/cache-balancer/src/handover/predecessor/mod.rs
@@ -1,4 +1,4 @@
-//! The end of the process that serves: it listens for a successor, and carries the messages of
+//! Predecessor side of a hand-over: listens for a successor and exchanges the messages of
 //! [`balancer_core::graceful_restart::Predecessor`].
 
 mod socket;
@@ -22,30 +22,31 @@
 use tokio::net::UnixListener;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The wait after a failed accept: tried again at once, it would fail and spin.
+/// Delay after a failed accept. An immediate retry would fail again, in a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The predecessor's end of a hand-over, with at most one successor at a time.
+/// Predecessor side of a hand-over, with at most one successor at a time.
 ///
-/// The successor's probation ends when its time is over and every connection that this process accepted has ended.
+/// The successor's probation ends once its duration has passed and every connection that this process accepted has
+/// closed.
 #[derive(Debug)]
 pub struct PredecessorEndpoint {
-    /// `None` while the successor listens at the same path.
+    /// `None` while the successor listens at the same path or the path could not be bound.
     listener: Option<UnixListener>,
     pub config: HandoverConfig,
     successor: Option<SuccessorLink>,
-    /// Successors are rejected until then.
+    /// End of the backoff, during which successors are rejected.
     backoff_until: Option<Instant>,
 }
 
 impl PredecessorEndpoint {
-    /// Listens for a successor, in place of any process that does.
+    /// Listens for a successor, replacing the socket of any process that already does.
     pub fn bind(config: HandoverConfig) -> io::Result<Self> {
         let listener = Some(listen(&config.socket)?);
         Ok(Self { listener, config, successor: None, backoff_until: None })
     }
 
-    /// The next event. Cancel safe.
+    /// Waits for the next event. Cancel safe.
     pub async fn next(&mut self) -> PredecessorEvent {
         loop {
             let event = match &mut self.successor {
@@ -58,16 +59,20 @@
         }
     }
 
-    /// The process number of the successor, where there is one and the system reports it.
+    /// Returns the PID of the successor; `None` if there is no successor or the system does not report its PID.
     pub fn successor_process(&self) -> Option<u32> {
         self.successor.as_ref()?.pid()
     }
 
-    /// Sends sockets, each beside its listener, and the learned state.
+    /// Sends the listeners with their sockets, and the learned state. Listeners in excess of [`MAX_DESCRIPTORS`] are
+    /// left out; the successor binds them itself.
     pub fn send_offer(&mut self, listeners: Vec<(Listener, OwnedFd)>, state: &State) {
         let excess = listeners.len().saturating_sub(MAX_DESCRIPTORS);
         if excess > 0 {
-            log!("hand-over: {excess} listeners are too many to pass; the successor opens them itself");
+            log!(
+                "hand-over: {excess} listeners exceed the limit of {MAX_DESCRIPTORS} and are not passed; \
+                 the successor binds them itself"
+            );
         }
         let (listeners, sockets): (Vec<_>, Vec<_>) = listeners
             .into_iter()
@@ -78,12 +83,12 @@
         self.send(FrameKind::Offer, &offer, sockets);
     }
 
-    /// Tells the successor to proceed, with the latest learned state.
+    /// Tells the successor to start accepting, and sends it the latest learned state.
     pub fn send_proceed(&mut self, state: &State) {
         self.send(FrameKind::Proceed, &Proceed { state: to_json(state) }, Vec::new());
     }
 
-    /// Tells the successor that it serves. From here on it listens at the path itself.
+    /// Tells the successor that it serves, and stops listening: from now on the successor listens at the path.
     pub fn send_commit(&mut self) {
         self.listener = None;
         if let Some(successor) = &mut self.successor {
@@ -91,17 +96,17 @@
         }
     }
 
-    /// Listens at the path again, in place of the successor that died.
+    /// Ends the link to the successor that died and listens at the path again.
     pub fn roll_back(&mut self) {
         self.disconnect();
         match listen(&self.config.socket) {
             Ok(listener) => self.listener = Some(listener),
-            // Serving matters more than the next hand-over.
+            // Not fatal: serving clients matters more than the next hand-over.
             Err(error) => log!("hand-over: no successor can connect: {error}"),
         }
     }
 
-    /// Starts the backoff, and rejects successors until it has expired.
+    /// Starts the backoff, during which successors are rejected.
     pub fn back_off(&mut self) {
         self.backoff_until = Some(Instant::now() + self.config.backoff);
         log!(
@@ -110,14 +115,14 @@
         );
     }
 
-    /// The time left of the backoff.
+    /// Returns the remaining time of the backoff.
     pub fn backoff_remaining(&self) -> Option<Duration> {
         self.backoff_until.map(|until| until.saturating_duration_since(Instant::now()))
     }
 
     /// Tells the successor that the hand-over is cancelled, and ends the link.
     pub async fn cancel(&mut self, reason: CancelReason) {
-        log!("hand-over: {reason}; this process goes on");
+        log!("hand-over: cancelled: {reason}");
         if let Some(successor) = &mut self.successor {
             successor.send_last(FrameKind::Cancel, &Cancel { reason: reason.to_string() }).await;
         }
@@ -127,12 +132,12 @@
     pub async fn depart(&mut self) {
         match self.successor.as_mut().filter(|successor| successor.supports_probation()) {
             Some(successor) => successor.send_last(FrameKind::Departed, &()).await,
-            // A version without probation learns it from the end of the link.
+            // A version without probation detects the departure by the end of the link.
             None => self.disconnect(),
         }
     }
 
-    /// Sends the successor a signal, past the link.
+    /// Sends the successor a signal, independently of the link.
     pub fn signal(&self, signal: Signal) {
         if let Some(successor) = &self.successor {
             successor.signal(signal);
@@ -144,15 +149,15 @@
         self.successor = None;
     }
 
-    /// The next event of the connected successor; `None` if there is none to report.
+    /// Waits for input from the connected successor; returns `None` if it leads to no event.
     async fn next_from_successor(&mut self) -> Option<PredecessorEvent> {
         let successor = self.successor.as_mut()?;
         match successor.next().await {
             Ok(event) if successor.has_requested() => return Some(event),
-            // It connected and requested nothing.
+            // Drops a peer that has not requested a hand-over.
             Ok(_) => self.successor = None,
             Err(error) => {
-                log!("hand-over: no message from the successor: {error}");
+                log!("hand-over: receiving from the successor failed: {error}");
                 if !successor.has_requested() {
                     self.successor = None;
                 }
@@ -161,7 +166,7 @@
         None
     }
 
-    /// Accepts a successor, or reports the end of the backoff.
+    /// Accepts a successor or waits for the end of the backoff; returns an event only for the latter.
     async fn next_without_successor(&mut self) -> Option<PredecessorEvent> {
         let accepted = tokio::select! {
             accepted = accept(self.listener.as_ref()) => accepted,
@@ -174,9 +179,9 @@
             Ok(stream) if is_same_user(&stream) => {
                 self.successor = Some(SuccessorLink::new(stream, self.config.step_timeout));
             }
-            Ok(_) => log!("hand-over: rejected a process of another user"),
+            Ok(_) => log!("hand-over: rejected a connection from another user's process"),
             Err(error) => {
-                log!("hand-over: {error}");
+                log!("hand-over: accepting a successor failed: {error}");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -190,7 +195,7 @@
     }
 }
 
-/// Waits until this time; forever without one.
+/// Waits until `time`; waits forever if there is none.
 async fn wait_until(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
@@ -199,6 +204,6 @@
 }
 
 fn to_json(state: &State) -> serde_json::Value {
-    // A state consists of texts and numbers: it can be written.
+    // Serialization cannot fail: a state consists only of strings and numbers.
     serde_json::to_value(state).unwrap_or_default()
 }
--- a/crates/cache-balancer/src/handover/predecessor/successor_link.rs
+++ b/crates/cache-balancer/src/handover/predecessor/successor_link.rs
@@ -1,4 +1,4 @@
-//! The link to one successor, and what its frames and its end mean.
+//! Link to one successor. Converts its frames and its end to events.
 
 use crate::handover::frame::{Frame, FrameError, FrameKind};
 use crate::handover::link::LinkError;
@@ -13,14 +13,15 @@
 use tokio::net::UnixStream;
 use tokio::time::{timeout_at, Instant};
 
+/// Link to a process that has connected, with the progress of its hand-over.
 #[derive(Debug)]
 pub(super) struct SuccessorLink {
     link: PeerLink,
-    /// It has requested a hand-over.
+    /// Whether the process has requested a hand-over.
     requested: bool,
-    /// It accepts and does not support probation: it serves for good.
+    /// Whether the successor serves for good because it accepts connections and does not support probation.
     released: bool,
-    /// When it has to have taken the next step.
+    /// Deadline of the successor's next step; `None` once the hand-over is committed.
     deadline: Option<Instant>,
 }
 
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Whether it has requested a hand-over. A connection that has not is no successor.
+    /// Returns whether the process has requested a hand-over. Until then it does not count as a successor.
     pub fn has_requested(&self) -> bool {
         self.requested
     }
@@ -43,12 +44,12 @@
         self.link.supports_probation()
     }
 
-    /// The process number of the successor, where the system reports it.
+    /// Returns the PID of the successor; `None` if the system does not report it.
     pub fn pid(&self) -> Option<u32> {
         self.link.peer_pid()
     }
 
-    /// The next event. Cancel safe.
+    /// Waits for the next event. Cancel safe.
     pub async fn next(&mut self) -> Result<PredecessorEvent, LinkError> {
         if self.released {
             return Ok(PredecessorEvent::Released);
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Queues a message and starts the time limit of the next step.
+    /// Queues a message and sets the deadline of the successor's next step.
     pub fn send(
         &mut self,
         kind: FrameKind,
@@ -81,7 +82,7 @@
         self.link.send(kind, message, sockets);
     }
 
-    /// Tells a successor that supports probation that it serves, and lifts the time limit.
+    /// Tells the successor that it serves, if it supports probation, and removes the deadline.
     pub fn send_commit(&mut self) {
         self.deadline = None;
         if self.supports_probation() {
@@ -89,22 +90,23 @@
         }
     }
 
-    /// Sends the last message, and ends the link.
+    /// Sends the last message and ends the link.
     pub async fn send_last(&mut self, kind: FrameKind, message: &impl Serialize) {
-        // A successor that does not take it learns from the end of the link.
+        // A successor that does not receive the message detects the end of the link.
         self.link.send_last(kind, message).await;
     }
 
-    /// Sends the process a signal, past the link.
+    /// Sends the successor a signal, independently of the link, if it supports probation.
     pub fn signal(&self, signal: Signal) {
-        // For versions without probation, the end of the link suffices.
+        // A version without probation needs no signal: it reacts to the end of the link.
         if self.supports_probation() {
             if let Err(error) = self.link.signal(signal) {
-                log!("hand-over: the successor cannot be signalled: {error}");
+                log!("hand-over: signalling the successor failed: {error}");
             }
         }
     }
 
+    /// Updates the progress of the hand-over and returns the event that the frame stands for.
     fn handle_frame(&mut self, frame: &Frame) -> Result<PredecessorEvent, FrameError> {
         Ok(match frame.kind {
             FrameKind::Request => {
@@ -121,7 +123,7 @@
             }
             FrameKind::Release => PredecessorEvent::Released,
             FrameKind::Decline => PredecessorEvent::Declined,
-            // Only a predecessor sends these: the process at the other end is no successor.
+            // Only a predecessor sends these frames, so the peer is not a successor.
             FrameKind::Offer
             | FrameKind::Proceed
             | FrameKind::Cancel
--- a/crates/cache-balancer/src/handover/spawn.rs
+++ b/crates/cache-balancer/src/handover/spawn.rs
@@ -1,4 +1,4 @@
-//! SIGUSR2: this process starts its own successor, from the program that is at its path by now.
+//! Starts a successor on SIGUSR2, from the executable that is now at this program's path.
 
 use crate::log::log;
 use std::ffi::OsString;
@@ -6,19 +6,19 @@
 use std::path::PathBuf;
 use tokio::process::{Child, Command};
 
-/// Variables of the service manager that name one process, and must not reach another one: the process that it started,
-/// and the sockets that it passed to that.
+/// Environment variables of the service manager that apply only to the process it started: that process's PID and the
+/// sockets passed to it. Child processes must not inherit them.
 pub const PER_PROCESS_VARIABLES: [&str; 4] = ["WATCHDOG_PID", "LISTEN_PID", "LISTEN_FDS", "LISTEN_FDNAMES"];
 
-/// The suffix that Linux adds to the path of a program whose file was replaced.
+/// Suffix that Linux adds to the path of a running executable whose file was replaced.
 const DELETED_SUFFIX: &[u8] = b" (deleted)";
 
-/// The successor that this process started, while it lives.
+/// Successor that this process started, while it runs.
 #[derive(Debug, Default)]
 pub struct SpawnedSuccessor(Option<Child>);
 
 impl SpawnedSuccessor {
-    /// Starts one with the arguments of this process, unless one lives.
+    /// Starts a successor with the arguments of this process, unless one is already running.
     pub fn start(&mut self) {
         if let Some(child) = &mut self.0 {
             if matches!(child.try_wait(), Ok(None)) {
@@ -36,22 +36,22 @@
                 log!("hand-over: successor {} started", child.id().unwrap_or_default());
                 self.0 = Some(child);
             }
-            Err(error) => log!("hand-over: no successor: {error}"),
+            Err(error) => log!("hand-over: starting a successor failed: {error}"),
         }
     }
 
-    /// Waits for its end; forever without one. Cancel safe.
+    /// Waits until the successor has exited; waits forever if there is none. Cancel safe.
     pub async fn exited(&mut self) {
         let Some(child) = &mut self.0 else { return std::future::pending().await };
         match child.wait().await {
-            Ok(status) => log!("hand-over: the successor has ended: {status}"),
-            Err(error) => log!("hand-over: the successor is lost: {error}"),
+            Ok(status) => log!("hand-over: the successor has exited: {status}"),
+            Err(error) => log!("hand-over: waiting for the successor's exit failed: {error}"),
         }
         self.0 = None;
     }
 }
 
-/// The path of this program, also if its file was replaced since the start.
+/// Returns the path of this program's executable, even if the file was replaced since the start.
 pub fn executable_path() -> PathBuf {
     let path =
         std::env::current_exe().unwrap_or_else(|_| std::env::args_os().next().unwrap_or_default().into());
--- a/crates/cache-balancer/src/handover/state.rs
+++ b/crates/cache-balancer/src/handover/state.rs
@@ -1,4 +1,4 @@
-//! The learned state of a node, as one process sends it to another.
+//! Learned state of a node, in the form in which one process sends it to another.
 
 use crate::config::{DiscoveryReplicas, Source};
 use crate::endpoint_list::EndpointList;
@@ -7,23 +7,25 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The version of [`State`] that this program writes, and the only one that it reads.
+/// Version of [`State`] that this program writes, and the only one that it reads.
 const STATE_VERSION: u64 = 1;
 
-/// What a node has learned, by pool. Processes of other versions read and write it, so serialised names stay.
+/// Learned state of a node, by pool. Processes of other versions read and write it, so the serialized names must not
+/// change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct State {
     version: u64,
     pub pools: Vec<PoolState>,
 }
 
-/// What a node has learned of one pool.
+/// Endpoint list and learned state of one pool.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PoolState {
     pub name: String,
-    /// The one address of the discovery service that the endpoint list is from. Versions without replicas have this alone.
+    /// Address of the discovery service that sent the endpoint list, if it has a single replica. Versions that don't
+    /// support several replicas write only this field.
     discovery: Option<SocketAddr>,
-    /// The replicas of that discovery service, if there are several.
+    /// Addresses of that discovery service, if it has several replicas.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     replicas: Vec<SocketAddr>,
     #[serde(rename = "listing")]
@@ -33,7 +35,7 @@
 }
 
 impl PoolState {
-    /// The state of the pool of this name, whose endpoint list is from `source`.
+    /// Creates the state of the pool `name`, whose endpoint list comes from `source`.
     pub fn new(
         name: &str,
         source: &Source,
@@ -50,15 +52,15 @@
         Self { name: name.to_owned(), discovery, replicas, endpoint_list, learned_state }
     }
 
-    /// Whether its endpoint list is from the discovery service of `source`: its version has no meaning at another one.
-    /// Replicas share their versions, so one common replica suffices.
+    /// Returns whether the endpoint list comes from the discovery service of `source`. The list's version is
+    /// meaningless to any other service. Replicas of a service share their versions, so one common replica suffices.
     pub fn shares_versions_with(&self, source: &Source) -> bool {
         let Source::Discovery(DiscoveryReplicas { addresses, .. }) = source else { return false };
         self.discovery.iter().chain(&self.replicas).any(|address| addresses.contains(address))
     }
 }
 
-/// Why a state cannot be used. The node starts without it.
+/// Error while a state is read. The node then starts without it.
 #[derive(Debug, Error)]
 pub enum StateError {
     #[error("expected a state of version {STATE_VERSION}, found {0}")]
@@ -68,12 +70,12 @@
 }
 
 impl State {
-    /// The state of these pools.
+    /// Creates a state of the current version.
     pub fn new(pools: Vec<PoolState>) -> Self {
         Self { version: STATE_VERSION, pools }
     }
 
-    /// Reads a state. Its version is checked first, since the rest of another version may have any form.
+    /// Parses a state. The version is checked first because other versions may have a different form.
     pub(super) fn read(value: serde_json::Value) -> Result<Self, StateError> {
         match value.get("version").and_then(serde_json::Value::as_u64) {
             Some(STATE_VERSION) | None => Ok(serde_json::from_value(value)?),
--- a/crates/cache-balancer/src/handover/state/tests.rs
+++ b/crates/cache-balancer/src/handover/state/tests.rs
@@ -11,61 +11,62 @@
     Source::Discovery(DiscoveryReplicas::new(addresses, None))
 }
 
-fn pool(source: &Source) -> PoolState {
+fn pool_state(source: &Source) -> PoolState {
     PoolState::new("p", source, EndpointList::default(), LearnedState::default())
 }
 
-/// The state of a pool, as it goes over the link.
-fn written(source: &Source) -> Value {
-    let state = serde_json::to_value(State::new(vec![pool(source)])).expect("JSON of a state");
+/// Serializes the state of a pool as it is sent over the link.
+fn serialized(source: &Source) -> Value {
+    let state = serde_json::to_value(State::new(vec![pool_state(source)])).expect("serializable state");
     state["pools"][0].clone()
 }
 
-/// The pool of a state whose JSON has these fields beside those that every version writes.
-fn read(fields: Value) -> PoolState {
+/// Parses a state with one pool, whose JSON has `fields` in addition to those that every version writes.
+fn parse_pool(fields: Value) -> PoolState {
     let mut pool = json!({
         "name": "p",
         "listing": {"seq": 7, "whole": true, "hosts": []},
         "knowledge": LearnedState::default(),
     });
-    let fields = fields.as_object().expect("fields").clone();
-    pool.as_object_mut().expect("a pool").extend(fields);
-    let mut state = State::read(json!({"version": STATE_VERSION, "pools": [pool]})).expect("a state");
+    let fields = fields.as_object().expect("a JSON object").clone();
+    pool.as_object_mut().expect("a JSON object").extend(fields);
+    let mut state = State::read(json!({"version": STATE_VERSION, "pools": [pool]})).expect("a valid state");
     assert_eq!(state.pools.len(), 1);
     state.pools.remove(0)
 }
 
 #[test]
-fn a_state_of_the_version_before_is_read_and_its_address_compared() {
-    let of_one = read(json!({"discovery": "127.0.0.1:1"}));
-    assert_eq!(of_one.endpoint_list.version, 7);
-    assert!(of_one.shares_versions_with(&replicas(&[1])));
-    assert!(of_one.shares_versions_with(&replicas(&[1, 2])));
-    assert!(!of_one.shares_versions_with(&replicas(&[2])));
-    let of_a_file = read(json!({"discovery": null}));
-    assert!(!of_a_file.shares_versions_with(&replicas(&[1])));
-    assert!(!of_a_file.shares_versions_with(&Source::Fixed));
+fn a_state_of_the_previous_version_is_read_and_its_address_compared() {
+    let from_discovery = parse_pool(json!({"discovery": "127.0.0.1:1"}));
+    assert_eq!(from_discovery.endpoint_list.version, 7);
+    assert!(from_discovery.shares_versions_with(&replicas(&[1])));
+    assert!(from_discovery.shares_versions_with(&replicas(&[1, 2])));
+    assert!(!from_discovery.shares_versions_with(&replicas(&[2])));
+    let from_file = parse_pool(json!({"discovery": null}));
+    assert!(!from_file.shares_versions_with(&replicas(&[1])));
+    assert!(!from_file.shares_versions_with(&Source::Fixed));
 }
 
-/// A state that the version before cannot read would make the node forget its list and its breakers on a rollback.
+/// If the previous version could not read the state, a node would lose its endpoint list and its breakers on a rollback
+/// to that version.
 #[test]
-fn one_address_is_written_as_the_version_before_wrote_it() {
-    let one = written(&replicas(&[1]));
+fn a_single_address_is_serialized_as_in_the_previous_version() {
+    let one = serialized(&replicas(&[1]));
     assert_eq!(one["discovery"], "127.0.0.1:1");
     assert_eq!(one.get("replicas"), None);
-    let file = written(&Source::File("boxes.toml".into()));
+    let file = serialized(&Source::File("boxes.toml".into()));
     assert_eq!((&file["discovery"], file.get("replicas")), (&Value::Null, None));
 }
 
 #[test]
-fn several_replicas_are_all_written_and_the_one_address_is_left_out() {
-    let several = written(&replicas(&[2, 1]));
+fn several_replicas_are_serialized_without_the_single_address() {
+    let several = serialized(&replicas(&[2, 1]));
     assert_eq!(several["discovery"], Value::Null);
     assert_eq!(several["replicas"], json!(["127.0.0.1:1", "127.0.0.1:2"]));
 }
 
 #[test]
-fn versions_are_shared_while_one_replica_is_common() {
+fn versions_are_shared_if_one_replica_is_common() {
     let cases: [(&[u16], &[u16], bool); 7] = [
         (&[1], &[1], true),
         (&[1, 2], &[2, 1], true),
@@ -76,18 +77,19 @@
         (&[1], &[2], false),
     ];
     for (before, after, common) in cases {
-        let state = serde_json::to_value(State::new(vec![pool(&replicas(before))])).expect("JSON of a state");
-        let state = State::read(state).expect("a state");
+        let state = serde_json::to_value(State::new(vec![pool_state(&replicas(before))]))
+            .expect("serializable state");
+        let state = State::read(state).expect("a valid state");
         assert_eq!(state.pools[0].shares_versions_with(&replicas(after)), common, "{before:?} {after:?}");
     }
 }
 
 #[test]
-fn capacity_does_not_distinguish_discovery_services() {
+fn versions_are_shared_regardless_of_replica_capacity() {
     let capacity = Some(ReplicaCapacity { lines_per_second: 200.0, call_lines: 10.0 });
-    let stated = Source::Discovery(DiscoveryReplicas::new(vec![address(1)], capacity));
-    assert!(pool(&stated).shares_versions_with(&replicas(&[1])));
-    assert!(pool(&replicas(&[1])).shares_versions_with(&stated));
+    let with_capacity = Source::Discovery(DiscoveryReplicas::new(vec![address(1)], capacity));
+    assert!(pool_state(&with_capacity).shares_versions_with(&replicas(&[1])));
+    assert!(pool_state(&replicas(&[1])).shares_versions_with(&with_capacity));
 }
 
 #[test]
@@ -100,7 +102,7 @@
         State::read(json!({"version": STATE_VERSION, "pools": [pool]}))
     };
     assert!(state(json!(["127.0.0.1:1"])).is_ok());
-    for bad in [json!(["x"]), json!("127.0.0.1:1"), json!([1])] {
-        assert!(matches!(state(bad.clone()), Err(StateError::Unreadable(_))), "{bad}");
+    for invalid in [json!(["x"]), json!("127.0.0.1:1"), json!([1])] {
+        assert!(matches!(state(invalid.clone()), Err(StateError::Unreadable(_))), "{invalid}");
     }
 }
--- a/crates/cache-balancer/src/handover/successor.rs
+++ b/crates/cache-balancer/src/handover/successor.rs
@@ -1,4 +1,4 @@
-//! The end of the process that replaces the one that serves: it connects to the predecessor, and carries the messages of
+//! Successor side of a hand-over: connects to the predecessor, the process that serves, and exchanges the messages of
 //! [`balancer_core::graceful_restart::Successor`].
 
 use super::frame::{Frame, FrameError, FrameKind};
@@ -16,10 +16,10 @@
 use tokio::net::UnixStream;
 use tokio::time::timeout;
 
-/// Why the process that serves offered nothing.
+/// Error while a hand-over is requested from the predecessor.
 #[derive(Debug, Error)]
 pub enum HandoverError {
-    #[error("no hand-over can be requested from the predecessor: {0}")]
+    #[error("connecting to the predecessor failed: {0}")]
     Unreachable(io::Error),
     #[error("the predecessor did not hand over: {0}")]
     Link(#[from] LinkError),
@@ -29,18 +29,18 @@
     Disconnected,
     #[error("the predecessor did not hand over in time")]
     TimedOut,
-    #[error("a socket that was handed over is no listening TCP socket: {0}")]
+    #[error("a socket that was handed over is not a listening TCP socket: {0}")]
     Socket(io::Error),
 }
 
-/// Why a predecessor goes on by itself.
+/// Why a hand-over was cancelled, as seen by the successor. The predecessor keeps serving.
 #[derive(Debug)]
 pub enum CancelCause {
-    /// Its own reason, as a text.
+    /// The predecessor cancelled the hand-over and stated this reason.
     Stated(String),
-    /// It sent a frame of this kind, out of order.
+    /// The predecessor sent a frame of this kind out of order.
     OutOfOrder(FrameKind),
-    /// Its message could not be read.
+    /// A message of the predecessor could not be parsed.
     Unreadable(FrameError),
 }
 
@@ -54,36 +54,36 @@
     }
 }
 
-/// The successor's end of a hand-over, from the offer on.
+/// Successor side of a hand-over whose offer has been received.
 #[derive(Debug)]
 pub struct SuccessorEndpoint {
     link: PeerLink,
 }
 
-/// What the predecessor offers.
+/// Sockets and state that the predecessor offers.
 #[derive(Debug)]
 pub struct Offered {
     pub sockets: Vec<(Listener, TcpListener)>,
-    /// `None` if this version cannot read it.
+    /// Learned state; `None` if this version cannot read it.
     pub state: Option<State>,
 }
 
-/// The next message of the predecessor, or the end of the link.
+/// A message of the predecessor, or the end of the link.
 #[derive(Debug)]
 pub enum Message {
-    /// The predecessor has paused. With its latest state, if this version can read it.
+    /// The predecessor has paused accepting and sent its latest state; `None` if this version cannot read it.
     Proceed(Option<State>),
     Committed,
     Departed,
     Cancelled(CancelCause),
     /// The predecessor has died, or has departed and does not support probation.
     Died,
-    /// The link has ended, and the predecessor lives.
+    /// The link has ended, but the predecessor is still running.
     LinkLost,
 }
 
 impl SuccessorEndpoint {
-    /// Requests a hand-over from the process that serves; `None` if there is none.
+    /// Requests a hand-over from the process that serves and waits for its offer. Returns `None` if no process serves.
     pub async fn request(config: &HandoverConfig) -> Result<Option<(Self, Offered)>, HandoverError> {
         let Some(stream) = connect(config).await? else { return Ok(None) };
         let mut link = PeerLink::new(stream);
@@ -95,12 +95,12 @@
         Ok(Some((Self { link }, offered)))
     }
 
-    /// The next message. Cancel safe.
+    /// Waits for the next message or the end of the link. Cancel safe.
     pub async fn next(&mut self) -> Message {
         match self.link.next_frame().await {
             Ok(Some(frame)) => return to_message(&frame),
             Ok(None) => {}
-            Err(error) => log!("hand-over: {error}"),
+            Err(error) => log!("hand-over: receiving from the predecessor failed: {error}"),
         }
         match self.link.classify_end().await {
             LinkEnd::Lost => Message::LinkLost,
@@ -118,27 +118,28 @@
         self.link.send(FrameKind::Accepting, &(), Vec::new());
     }
 
-    /// Tells the predecessor that this process gives up.
+    /// Tells the predecessor that this process declines the hand-over, and ends the link.
     pub async fn decline(&mut self) {
         self.send_last(FrameKind::Decline).await;
     }
 
-    /// Tells the predecessor that it need not stand by.
+    /// Tells the predecessor that it need not stand by, and ends the link. If the message cannot be sent, the
+    /// predecessor is sent a termination signal instead.
     pub async fn release(&mut self) {
         if !self.send_last(FrameKind::Release).await {
             self.terminate_predecessor();
         }
     }
 
-    /// Sends the predecessor a termination signal, past the link.
+    /// Sends the predecessor a termination signal, independently of the link.
     pub fn terminate_predecessor(&self) {
         if let Err(error) = self.link.signal(Signal::TERM) {
-            log!("hand-over: the predecessor cannot be signalled: {error}");
+            log!("hand-over: signalling the predecessor failed: {error}");
         }
     }
 
-    /// Sends the last message to a predecessor that supports probation, and ends the link. Returns whether the message was
-    /// sent.
+    /// Sends the last message if the predecessor supports probation, and ends the link in any case. Returns whether the
+    /// message was sent.
     async fn send_last(&mut self, kind: FrameKind) -> bool {
         if !self.link.supports_probation() {
             self.link.disconnect();
@@ -148,7 +149,7 @@
     }
 }
 
-/// Connects to the process that serves; `None` if there is none, or it has died.
+/// Connects to the process that serves. Returns `None` if there is none or it has died.
 async fn connect(config: &HandoverConfig) -> Result<Option<UnixStream>, HandoverError> {
     match UnixStream::connect(&config.socket).await {
         Ok(stream) => Ok(Some(stream)),
@@ -171,7 +172,7 @@
     }
 }
 
-/// Reads the offer, and the sockets that came with it.
+/// Parses an offer and takes the sockets that were passed with it.
 fn read_offer(frame: &Frame, link: &mut PeerLink) -> Result<Offered, HandoverError> {
     if frame.kind != FrameKind::Offer {
         return Err(HandoverError::Cancelled(cancel_cause(frame)));
@@ -180,7 +181,7 @@
     link.set_supports_probation(probation);
     let sockets = listeners.into_iter().zip(link.take_descriptors()).map(|(offered, socket)| {
         let socket = TcpListener::from(socket);
-        // A socket that does not listen is found now, not at the first client.
+        // Detects an unusable socket now instead of when the first client connects.
         socket.local_addr().map_err(HandoverError::Socket)?;
         Ok((Listener { name: offered.name, address: offered.address }, socket))
     });
@@ -190,7 +191,7 @@
 
 fn read_state(value: serde_json::Value) -> Option<State> {
     State::read(value)
-        .inspect_err(|error| log!("hand-over: starting without the state of the predecessor: {error}"))
+        .inspect_err(|error| log!("hand-over: starting without the predecessor's state: {error}"))
         .ok()
 }
 
--- a/crates/cache-balancer/tests/handover_successor.rs
+++ b/crates/cache-balancer/tests/handover_successor.rs
@@ -85,7 +85,7 @@
     for (bytes, why) in [
         (b"HTTP".to_vec(), "byte 0 of a frame: expected \"PHHO\""),
         (frame(CANCEL, "{\"why\":\"busy\"}"), "did not hand over: busy"),
-        (frame(OFFER, "{}"), "the text of a frame: missing field `listeners`"),
+        (frame(OFFER, "{}"), "payload of a frame: missing field `listeners`"),
         (Vec::new(), "disconnected before it handed over"),
     ] {
         let output = std::thread::scope(|scope| {
