--- a/crates/cache-balancer/tests/handover_predecessor.rs
+++ b/crates/cache-balancer/tests/handover_predecessor.rs
@@ -1,4 +1,4 @@
-//! A real predecessor, and scripted successors that crash, hang, or send messages out of order.
+//! A real predecessor with scripted successors that crash, hang, or send messages out of order.
 
 mod common;
 mod handover_support;
@@ -14,21 +14,21 @@
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&static_pool(&server), "20s");
     let predecessor = fixture.start_ready();
-    // It connects and sends nothing, or what is no frame.
+    // The successor connects and sends nothing, or bytes that are not a frame.
     drop(UnixStream::connect(fixture.socket()).unwrap());
     UnixStream::connect(fixture.socket()).unwrap().write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     assert_eq!(fixture.read(1), b"a");
-    // It dies after its request, and after it has received the sockets.
-    for (before, heard) in [false, true].into_iter().enumerate() {
+    // The successor dies after its request, or after it has received the sockets.
+    for (deaths, receives_offer) in [false, true].into_iter().enumerate() {
         let mut peer = fixture.request_hand_over();
-        if heard {
+        if receives_offer {
             peer.expect(OFFER);
         }
         drop(peer);
-        wait_for("the node to see it", || predecessor.logged("has died") == before + 1);
+        wait_for("the death in the log", || predecessor.logged("has died") == deaths + 1);
         assert_eq!(fixture.read(2), b"a");
     }
-    // It dies while neither accepts: the predecessor serves the clients that came meanwhile.
+    // The successor dies while neither process accepts. The predecessor serves the clients that connected meanwhile.
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
     peer.send(READY);
@@ -43,10 +43,10 @@
     drop(successor);
 }
 
-/// A predecessor that still accepted after it told the successor to proceed would compete with it for clients, and take some
-/// into a process that is about to leave.
+/// If the predecessor still accepted after it told the successor to proceed, it would compete with the successor, and
+/// some clients would connect to a process that is about to depart.
 #[test]
-fn clients_that_come_after_the_pause_are_the_successors() {
+fn clients_that_connect_after_the_pause_are_accepted_by_the_successor() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&static_pool(&server), "20s");
     let predecessor = fixture.start_ready();
@@ -57,7 +57,7 @@
     let clients: Vec<_> = (0..20).map(|_| Client::connect(fixture.address)).collect();
     socket.set_nonblocking(true).unwrap();
     for _ in &clients {
-        wait_for("each of them at the successor", || socket.accept().is_ok());
+        wait_for("each client at the successor", || socket.accept().is_ok());
     }
     peer.send(ACCEPTING);
     assert!(peer.receive().is_none());
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn a_successor_that_hangs_or_is_out_of_order_is_cancelled() {
+fn a_successor_that_hangs_or_sends_messages_out_of_order_is_cancelled() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&static_pool(&server), "200ms");
     let predecessor = fixture.start_ready();
-    let in_time = "the successor was not done in time";
+    let timed_out = "the successor was not done in time";
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
-    assert_eq!(peer.expect(CANCEL)["why"], in_time);
+    assert_eq!(peer.expect(CANCEL)["why"], timed_out);
     assert!(peer.receive().is_none());
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
@@ -80,9 +80,9 @@
     peer.expect(PROCEED);
     let mut waiting = Client::connect(fixture.address);
     waiting.send(&read_request("read", 1, 20_000));
-    assert_eq!(peer.expect(CANCEL)["why"], in_time);
+    assert_eq!(peer.expect(CANCEL)["why"], timed_out);
     assert_eq!(waiting.receive().unwrap().body, b"a");
-    // It resumes too late.
+    // The successor resumes after it was cancelled.
     assert!(peer.0.write_all(&frame(ACCEPTING.0, ACCEPTING.1)).is_err() || peer.receive().is_none());
     // A successor that sends a message out of order is not trusted with clients.
     let mut peer = fixture.request_hand_over();
--- a/crates/cache-balancer/tests/handover_probation.rs
+++ b/crates/cache-balancer/tests/handover_probation.rs
@@ -1,4 +1,4 @@
-//! The probation after a hand-over: deaths, lost links and stops of either process.
+//! Deaths, lost links and stops of either process during the probation after a hand-over.
 
 mod common;
 mod handover_support;
@@ -10,39 +10,43 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-/// The test that is also the program of a [`SuccessorProcess`].
-const SCRIPTED_SUCCESSOR: &str = "a_scripted_successor_requests_a_hand_over_and_lives_on";
+/// Name of the test that a [`SuccessorProcess`] runs.
+const SCRIPTED_SUCCESSOR: &str = "a_scripted_successor_requests_a_hand_over_and_keeps_running";
 
-/// A scripted successor in a process of its own, so that its death can be told from this process's. It carries out the
-/// steps of its script, and then lives on until a signal ends it.
+/// A scripted successor in a separate process, so that it can die while the test runs. It executes its script and then
+/// keeps running until a signal ends it.
 struct SuccessorProcess {
     process: std::process::Child,
-    done: std::path::PathBuf,
+    /// Created by the process once it has executed its script.
+    done_file: std::path::PathBuf,
 }
 
 impl SuccessorProcess {
-    /// The steps, separated by spaces: `request`, expect `offer`, `ready`, expect `proceed`, `accepting`, expect `commit`,
-    /// `close` the link.
-    fn start(folder: &TempDir, socket: &Path, script: &str) -> Self {
-        let done = folder.0.join(format!("done-{}", script.replace(' ', "-")));
+    /// Starts the process. The steps of the script are separated by spaces: `request`, `ready` and `accepting` send a
+    /// message, `offer`, `proceed` and `commit` expect one, and `close` closes the link.
+    fn start(directory: &TempDir, socket: &Path, script: &str) -> Self {
+        let done_file = directory.0.join(format!("done-{}", script.replace(' ', "-")));
         let mut command = Command::new(std::env::current_exe().unwrap());
         command.args(["--exact", SCRIPTED_SUCCESSOR]).stdout(Stdio::null());
-        command.env("SUCCESSOR_SOCKET", socket).env("SUCCESSOR_SCRIPT", script).env("SUCCESSOR_DONE", &done);
-        Self { process: command.spawn().unwrap(), done }
+        command
+            .env("SUCCESSOR_SOCKET", socket)
+            .env("SUCCESSOR_SCRIPT", script)
+            .env("SUCCESSOR_DONE", &done_file);
+        Self { process: command.spawn().unwrap(), done_file }
     }
 
-    /// Starts one, and returns once its script is done.
-    fn done(fixture: &Fixture, script: &str) -> Self {
-        let successor = Self::start(&fixture.folder, &fixture.socket(), script);
-        wait_for("the script", || successor.done.exists());
+    /// Starts the process and returns once it has executed its script.
+    fn run_script(fixture: &Fixture, script: &str) -> Self {
+        let successor = Self::start(&fixture.directory, &fixture.socket(), script);
+        wait_for("the script", || successor.done_file.exists());
         successor
     }
 
-    /// The signal that ended it.
-    fn ended_by(&mut self) -> Option<i32> {
+    /// Waits for the end of the process and returns the signal that ended it.
+    fn exit_signal(&mut self) -> Option<i32> {
         use std::os::unix::process::ExitStatusExt;
         let mut status = None;
-        wait_for("the successor's end", || {
+        wait_for("the successor's exit", || {
             status = self.process.try_wait().unwrap();
             status.is_some()
         });
@@ -57,27 +61,27 @@
     }
 }
 
-/// The probation tests rely on a successor that does what its script says and nothing else. With a script in the environment
-/// this is that successor; without one, it starts itself so and looks at it from the predecessor's end.
+/// The probation tests rely on a successor that executes exactly its script. If the environment has a script, this test
+/// acts as that successor. Otherwise it starts itself as one and checks it from the predecessor's side.
 #[test]
-fn a_scripted_successor_requests_a_hand_over_and_lives_on() {
+fn a_scripted_successor_requests_a_hand_over_and_keeps_running() {
     if let Some(script) = std::env::var_os("SUCCESSOR_SCRIPT") {
         return act_as_successor(script.to_str().unwrap());
     }
-    let folder = TempDir::new();
-    let socket = folder.0.join("n.sock");
+    let directory = TempDir::new();
+    let socket = directory.0.join("n.sock");
     let listener = UnixListener::bind(&socket).unwrap();
-    let mut successor = SuccessorProcess::start(&folder, &socket, "request close");
+    let mut successor = SuccessorProcess::start(&directory, &socket, "request close");
     let mut link = Peer(listener.accept().unwrap().0);
-    let (kind, text) = REQUEST_WITH_PROBATION;
-    assert_eq!(link.expect(kind), serde_json::from_str::<serde_json::Value>(text).unwrap());
-    wait_for("the script", || successor.done.exists());
-    assert_eq!(successor.process.try_wait().unwrap(), None, "it lives until a signal ends it");
+    let (kind, payload) = REQUEST_WITH_PROBATION;
+    assert_eq!(link.expect(kind), serde_json::from_str::<serde_json::Value>(payload).unwrap());
+    wait_for("the script", || successor.done_file.exists());
+    assert_eq!(successor.process.try_wait().unwrap(), None, "the successor runs until a signal ends it");
 }
 
-/// Carries out the steps of a script on the link of the environment, and lives on.
+/// Executes a script on a link to the socket that the environment names, and then keeps running.
 fn act_as_successor(script: &str) {
-    let variable = |name| std::env::var_os(name).expect("set with the script");
+    let variable = |name| std::env::var_os(name).expect("a variable set with the script");
     let mut peer = Some(Peer(UnixStream::connect(variable("SUCCESSOR_SOCKET")).unwrap()));
     for step in script.split(' ') {
         let Some(link) = &mut peer else { break };
@@ -89,51 +93,53 @@
             "accepting" => link.send(ACCEPTING),
             "commit" => drop(link.expect(COMMIT)),
             "close" => peer = None,
-            other => panic!("no such step: {other}"),
+            other => panic!("unknown step: {other}"),
         }
     }
     std::fs::write(variable("SUCCESSOR_DONE"), "").unwrap();
     std::thread::sleep(TIMEOUT);
 }
 
-/// A successor that a node has started, and that outlives it. It is killed with the test.
-struct Spawned(rustix::process::Pid);
+/// A successor that a node has started and that outlives the node. It is killed on drop.
+struct SpawnedSuccessor(rustix::process::Pid);
 
-impl Spawned {
-    fn by(node: &Node) -> Self {
-        let number = |line: &String| line.split("successor ").nth(1)?.split(' ').next()?.parse().ok();
+impl SpawnedSuccessor {
+    /// Reads the PID of the successor from the log of the node that started it.
+    fn started_by(node: &Node) -> Self {
+        let pid = |line: &String| line.split("successor ").nth(1)?.split(' ').next()?.parse().ok();
         let log = node.log.lock().unwrap();
-        let line = log.iter().find(|line| line.ends_with(" started")).expect("a successor");
-        Self(rustix::process::Pid::from_raw(number(line).expect("its number")).unwrap())
+        let line =
+            log.iter().find(|line| line.ends_with(" started")).expect("the log line of a started successor");
+        Self(rustix::process::Pid::from_raw(pid(line).expect("a PID")).unwrap())
     }
 }
 
-impl Drop for Spawned {
+impl Drop for SpawnedSuccessor {
     fn drop(&mut self) {
         let _ = rustix::process::kill_process(self.0, rustix::process::Signal::KILL);
     }
 }
 
-/// The usual bad upgrade: a program that starts well and dies on its first real requests. Without a rollback, the service
-/// would be down until somebody intervened.
+/// The usual failed upgrade: the new program starts normally and dies on its first real requests. Without a rollback, the
+/// service would be down until an operator intervened.
 #[test]
 fn a_successor_that_dies_on_probation_is_rolled_back() {
     let (server, gate) = CacheServer::gated("a");
     let fixture = Fixture::with_long_probation(&server);
-    let notify = UnixDatagram::bind(fixture.folder.0.join("notify")).unwrap();
+    let notify = UnixDatagram::bind(fixture.directory.0.join("notify")).unwrap();
     notify.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut command = fixture.command();
-    command.env("NOTIFY_SOCKET", fixture.folder.0.join("notify"));
+    command.env("NOTIFY_SOCKET", fixture.directory.0.join("notify"));
     let predecessor = fixture.spawn(command);
     wait_for("the socket", || fixture.socket().exists());
     let mut accepted_by_predecessor = predecessor.client();
     accepted_by_predecessor.send(&read_request("read", 1, 20_000));
-    wait_for("the request", || server.request_count() == 1);
+    wait_for("the first request", || server.request_count() == 1);
     let mut successor = fixture.take_over(&predecessor);
     let mut accepted_by_successor = Client::connect(fixture.address);
     accepted_by_successor.send(&read_request("read", 2, 20_000));
-    wait_for("the request", || server.request_count() == 2);
-    // A client that comes while no process accepts waits, and is served.
+    wait_for("the second request", || server.request_count() == 2);
+    // A client that connects while no process accepts waits and is served later.
     rustix::process::kill_process(
         rustix::process::Pid::from_child(&successor.child),
         rustix::process::Signal::STOP,
@@ -143,11 +149,14 @@
     waiting.send(&read_request("read", 3, 20_000));
     successor.child.kill().unwrap();
     wait_for("the rollback", || predecessor.logged("has rolled back and serves again") == 1);
-    wait_for("the request", || server.request_count() == 3);
+    wait_for("the third request", || server.request_count() == 3);
     gate.open();
     assert_eq!(waiting.receive().unwrap().body, b"a");
     assert_eq!(accepted_by_predecessor.receive().unwrap().body, b"a");
-    assert!(accepted_by_successor.receive().is_none(), "lost with the process that had accepted it");
+    assert!(
+        accepted_by_successor.receive().is_none(),
+        "the connection is lost with the process that accepted it"
+    );
     for key in 4..20 {
         assert_eq!(fixture.read(key), b"a");
     }
@@ -155,8 +164,8 @@
     let mut reused = Client::connect(fixture.address);
     assert_eq!(reused.request(&read_request("read", 21, 20_000)).header("connection"), None);
     let mut notifications = Vec::new();
-    let main = format!("MAINPID={}", predecessor.child.id());
-    while !notifications.ends_with(&["READY=1".to_owned()]) || !notifications.contains(&main) {
+    let main_pid = format!("MAINPID={}", predecessor.child.id());
+    while !notifications.ends_with(&["READY=1".to_owned()]) || !notifications.contains(&main_pid) {
         notifications.push(common::receive_notification(&notify));
     }
     let status = "STATUS=serving: the successor has died, and its clients were taken back";
@@ -169,14 +178,14 @@
 }
 
 #[test]
-fn two_deaths_on_probation_reject_the_next_successor_until_the_backoff_ends() {
+fn successors_are_rejected_during_the_backoff_after_two_deaths_on_probation() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::with_long_probation(&server);
     let predecessor = fixture.start_ready();
-    for turn in 1..=2 {
-        // It is killed on probation.
+    for death in 1..=2 {
+        // Kills the successor on probation.
         drop(fixture.take_over(&predecessor));
-        wait_for("the rollback", || predecessor.logged("has rolled back") == turn);
+        wait_for("the rollback", || predecessor.logged("has rolled back") == death);
     }
     assert_eq!(predecessor.logged("further ones are rejected for 1s"), 1);
     predecessor.signal("-USR2");
@@ -199,7 +208,7 @@
 }
 
 #[test]
-fn a_stop_on_probation_is_no_death_on_either_side() {
+fn a_stop_of_either_process_on_probation_is_not_treated_as_a_death() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::with_long_probation(&server);
     let predecessor = fixture.start_ready();
@@ -213,7 +222,7 @@
     predecessor.terminate();
     assert!(predecessor.exit_status().success());
     assert_eq!(fixture.read(1), b"a");
-    // It has a socket of its own by now, and no process on standby behind it.
+    // The successor has its own hand-over socket by now, and no predecessor stands by.
     let next = fixture.take_over(&successor);
     assert_eq!(fixture.read(2), b"a");
     drop(next);
@@ -222,18 +231,18 @@
 }
 
 #[test]
-fn an_upgrade_on_probation_releases_the_first_and_signals_are_forwarded() {
+fn an_upgrade_on_probation_releases_the_first_process_and_signals_are_forwarded() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::with_long_probation(&server);
     let first = fixture.start_ready();
     let second = fixture.take_over(&first);
-    let text = format!("{}[[class]]\nname = \"new\"\neffect = \"safe\"\n", fixture.text);
-    first.reload(&text);
+    let config = format!("{}[[class]]\nname = \"new\"\neffect = \"safe\"\n", fixture.config);
+    first.reload(&config);
     wait_for("the reload", || second.logged("configuration read again: class new added") == 1);
     assert_eq!(first.logged("configuration read again"), 0);
     first.signal("-USR2");
     wait_for("the third process", || second.logged("stands by") == 1);
-    let third = Spawned::by(&second);
+    let third = SpawnedSuccessor::started_by(&second);
     assert!(first.exit_status().success());
     assert_eq!(Client::connect(fixture.address).request(&read_request("new", 1, 20_000)).body, b"a");
     second.terminate();
@@ -243,16 +252,17 @@
 }
 
 #[test]
-fn a_cut_off_successor_is_fenced_before_it_serves_and_left_alone_after() {
+fn a_successor_that_loses_its_link_is_fenced_only_before_it_serves() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::with_long_probation(&server);
     let predecessor = fixture.start_ready();
-    let mut fenced = SuccessorProcess::done(&fixture, "request offer ready proceed close");
-    assert_eq!(fenced.ended_by(), Some(15));
+    let mut fenced = SuccessorProcess::run_script(&fixture, "request offer ready proceed close");
+    assert_eq!(fenced.exit_signal(), Some(15));
     assert_eq!(fixture.read(1), b"a");
     assert_eq!(predecessor.logged("has lost its link, and lives"), 1);
-    // It may serve: only its death has an effect.
-    let mut serving = SuccessorProcess::done(&fixture, "request offer ready proceed accepting commit close");
+    // This successor may serve, so the lost link has no effect. Only its death does.
+    let mut serving =
+        SuccessorProcess::run_script(&fixture, "request offer ready proceed accepting commit close");
     wait_for("the lost link", || predecessor.logged("has lost its link, and lives") == 2);
     let mut waiting = Client::connect(fixture.address);
     waiting.send(&read_request("read", 2, 20_000));
@@ -264,15 +274,15 @@
 }
 
 #[test]
-fn a_rollback_succeeds_without_a_manager_and_without_a_socket() {
+fn a_rollback_succeeds_without_a_service_manager_and_without_a_socket() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::with_long_probation(&server);
     let mut command = fixture.command();
-    command.env("NOTIFY_SOCKET", fixture.folder.0.join("nobody"));
+    command.env("NOTIFY_SOCKET", fixture.directory.0.join("nobody"));
     let predecessor = fixture.spawn(command);
     wait_for("the socket", || fixture.socket().exists());
     let successor = fixture.take_over(&predecessor);
-    // A directory stands where its socket was.
+    // The predecessor cannot bind its socket again.
     fixture.block_socket();
     drop(successor);
     wait_for("the rollback", || predecessor.logged("has rolled back") == 1);
--- a/crates/cache-balancer/tests/handover_replicas.rs
+++ b/crates/cache-balancer/tests/handover_replicas.rs
@@ -1,4 +1,4 @@
-//! A hand-over to a process whose configuration names other replicas of discovery.
+//! Hand-overs to a process whose configuration has other discovery replicas.
 
 mod common;
 mod handover_support;
@@ -6,77 +6,80 @@
 use common::{wait_for, CacheServer, Discovery, Node};
 use handover_support::Fixture;
 
-/// The source of a pool's list in the file: these replicas.
-fn list_from(replicas: &[&Discovery]) -> String {
+/// Returns the line of the operator's file that sets the discovery replicas of a pool.
+fn discovery_setting(replicas: &[&Discovery]) -> String {
     let addresses: Vec<_> = replicas.iter().map(|replica| format!("\"{}\"", replica.address)).collect();
     format!("discovery = [{}]\n", addresses.join(", "))
 }
 
-/// Nodes whose file names these replicas. Nodes need a name of their own if there are several.
+/// Creates a fixture whose nodes poll these replicas. With several replicas, the configuration must set the node's
+/// name.
 fn fixture(replicas: &[&Discovery]) -> Fixture {
-    let mut fixture = Fixture::new(&list_from(replicas), "30s");
-    fixture.text = fixture.text.replacen("version = 1\n", "version = 1\nname = \"n0\"\n", 1);
+    let mut fixture = Fixture::new(&discovery_setting(replicas), "30s");
+    fixture.config = fixture.config.replacen("version = 1\n", "version = 1\nname = \"n0\"\n", 1);
     fixture
 }
 
-/// Starts a successor whose file names `after` in place of `before`. Returns once the predecessor stands by.
+/// Starts a successor whose configuration has the replicas `after` instead of `before`. Returns once the predecessor
+/// stands by.
 fn take_over(
     mut fixture: Fixture,
-    old: &Node,
+    predecessor: &Node,
     before: &[&Discovery],
     after: &[&Discovery],
 ) -> (Fixture, Node) {
-    fixture.text = fixture.text.replace(&list_from(before), &list_from(after));
-    let new = fixture.start();
-    wait_for("the hand-over", || old.logged("stands by: its successor serves, on probation") == 1);
-    (fixture, new)
+    fixture.config = fixture.config.replace(&discovery_setting(before), &discovery_setting(after));
+    let successor = fixture.start();
+    wait_for("the hand-over", || predecessor.logged("stands by: its successor serves, on probation") == 1);
+    (fixture, successor)
 }
 
-fn count_polls(replicas: &[&Discovery], path: impl Fn(&str) -> bool) -> usize {
+/// Counts the polls that the replicas received on matching paths.
+fn count_polls(replicas: &[&Discovery], matches: impl Fn(&str) -> bool) -> usize {
     let polls = |replica: &&Discovery| {
-        replica.received.lock().unwrap().iter().filter(|polled| path(polled.as_str())).count()
+        replica.received.lock().unwrap().iter().filter(|path| matches(path.as_str())).count()
     };
     replicas.iter().map(polls).sum()
 }
 
-fn snapshots(replicas: &[&Discovery]) -> usize {
+fn snapshot_count(replicas: &[&Discovery]) -> usize {
     count_polls(replicas, |path| path == "/v1/servers")
 }
 
-fn watches(replicas: &[&Discovery]) -> usize {
+fn watch_count(replicas: &[&Discovery]) -> usize {
     count_polls(replicas, |path| path.starts_with("/v1/servers?after=1&"))
 }
 
-/// Two replicas of one service.
-fn service(server: &CacheServer) -> [Discovery; 2] {
+/// Starts two replicas of one discovery service.
+fn start_replicas(server: &CacheServer) -> [Discovery; 2] {
     [(); 2].map(|()| Discovery::start(&[server.entry("a", "ready")]))
 }
 
-/// A fleet is upgraded while replicas are added. If each new process requested a snapshot, discovery would be overloaded for
-/// as long as the upgrade takes.
+/// Guards against an overload of discovery while a fleet is upgraded and replicas are added: it would last as long as
+/// the upgrade if each new process requested a snapshot.
 #[test]
-fn the_watch_continues_from_the_held_version_if_one_replica_remains() {
+fn the_watch_continues_from_the_known_version_if_one_replica_remains() {
     let server = CacheServer::serving("a");
-    let [one, other] = service(&server);
+    let [one, other] = start_replicas(&server);
     let fixture = fixture(&[&one]);
-    let old = fixture.start_ready();
+    let predecessor = fixture.start_ready();
     one.wait_until_notified(1);
-    let (_fixture, new) = take_over(fixture, &old, &[&one], &[&one, &other]);
-    wait_for("the new process's watch", || watches(&[&one, &other]) == 2);
-    assert_eq!(snapshots(&[&one, &other]), 1);
-    assert_eq!(new.read("read", 1).body, b"a");
+    let (_fixture, successor) = take_over(fixture, &predecessor, &[&one], &[&one, &other]);
+    wait_for("the successor's watch", || watch_count(&[&one, &other]) == 2);
+    assert_eq!(snapshot_count(&[&one, &other]), 1);
+    assert_eq!(successor.read("read", 1).body, b"a");
 }
 
 #[test]
 fn a_snapshot_is_requested_if_no_replica_remains() {
     let server = CacheServer::serving("a");
-    let ([one, other], [elsewhere, beside]) = (service(&server), service(&server));
+    let ([one, other], [new_one, new_other]) = (start_replicas(&server), start_replicas(&server));
     let fixture = fixture(&[&one, &other]);
-    let old = fixture.start_ready();
-    wait_for("the old process's watch", || watches(&[&one, &other]) == 1);
-    let (_fixture, new) = take_over(fixture, &old, &[&one, &other], &[&elsewhere, &beside]);
-    wait_for("the new process's watch", || watches(&[&elsewhere, &beside]) == 1);
-    assert_eq!(snapshots(&[&elsewhere, &beside]), 1);
-    assert_eq!(snapshots(&[&one, &other]), 1);
-    assert_eq!(new.read("read", 1).body, b"a");
+    let predecessor = fixture.start_ready();
+    wait_for("the predecessor's watch", || watch_count(&[&one, &other]) == 1);
+    let (_fixture, successor) = take_over(fixture, &predecessor, &[&one, &other], &[&new_one, &new_other]);
+    wait_for("the successor's watch", || watch_count(&[&new_one, &new_other]) == 1);
+    assert_eq!(snapshot_count(&[&new_one, &new_other]), 1);
+    assert_eq!(snapshot_count(&[&one, &other]), 1);
+    assert_eq!(successor.read("read", 1).body, b"a");
 }
--- a/crates/cache-balancer/tests/handover_versions.rs
+++ b/crates/cache-balancer/tests/handover_versions.rs
@@ -1,5 +1,5 @@
-//! Hand-overs between the version before and this one, in both directions, played with recorded frames of the version
-//! before.
+//! Hand-overs between the previous version and this one, in both directions. The previous version is played by its
+//! recorded frames.
 
 mod common;
 mod handover_support;
@@ -7,7 +7,7 @@
 use common::{
     output_before_timeout, response, serve_requests, wait_for, CacheServer, Discovery, ServerBehavior,
 };
-use handover_support::recorded::{form, kind, text, Recording};
+use handover_support::recorded::{frame_kind, frame_payload, schema, Recording};
 use handover_support::scripted::{Peer, ScriptedPredecessor, OFFER, PROCEED};
 use handover_support::{static_pool, Clients, Fixture};
 use serde_json::Value;
@@ -19,7 +19,7 @@
 const PREDECESSOR: &str = "predecessor";
 const SUCCESSOR: &str = "successor";
 
-/// The servers, the discovery service and the node's file as in the recording.
+/// Cache servers, discovery service and node configuration, as in the recording.
 struct Deployment {
     good: CacheServer,
     broken: CacheServer,
@@ -46,23 +46,23 @@
     }
 }
 
-/// What the recorded predecessor knew of a server.
-fn server<'a>(state: &'a Value, id: &str) -> &'a Value {
+/// Returns the learned state of a server.
+fn server_state<'a>(state: &'a Value, id: &str) -> &'a Value {
     let servers = state["pools"][0]["knowledge"]["servers"].as_array().unwrap();
     servers.iter().find(|server| server["id"] == id).unwrap_or_else(|| panic!("{id} in {state}"))
 }
 
-/// A request of this version, as the recorded one is.
-fn with_this_version(request: &[u8]) -> Value {
-    let mut request = text(request);
-    request["program"] = env!("CARGO_PKG_VERSION").into();
-    request
+/// Returns the payload of a recorded request with the version number of this program.
+fn with_current_version(request: &[u8]) -> Value {
+    let mut payload = frame_payload(request);
+    payload["program"] = env!("CARGO_PKG_VERSION").into();
+    payload
 }
 
-/// An upgrade would lose the endpoint list, the breakers or the cache marks if this version could not read what the version
-/// before sends, and would lose requests if the two disagreed on a message.
+/// An upgrade would lose the endpoint list, the breakers or the cache marks if this version could not read the state
+/// that the previous version sends, and would lose requests if the versions disagreed on a message.
 #[test]
-fn this_version_takes_over_from_the_version_before_with_its_state() {
+fn this_version_takes_over_from_the_previous_version_with_its_state() {
     let deployment = Deployment::new();
     deployment.discovery.notify(false, &[]);
     let Deployment { good, fixture, discovery, .. } = &deployment;
@@ -71,14 +71,17 @@
     let [offer, proceed, commit, departed] = &sent[..] else { panic!("{} frames", sent.len()) };
     let expected = recording.frames("handover", SUCCESSOR);
     let [request, ready, accepting] = &expected[..] else { panic!("{} frames", expected.len()) };
-    let predecessor = ScriptedPredecessor::at(fixture);
-    // They wait in the kernel's queue until the successor accepts.
+    let predecessor = ScriptedPredecessor::listen(fixture);
+    // The clients' connections wait in the kernel's queue until the successor accepts.
     let clients = Clients::start(fixture, 4);
     let (node, mut peer) = std::thread::scope(|scope| {
         let node = scope.spawn(|| fixture.start());
         let mut peer = predecessor.accept();
         let found = peer.receive_bytes().unwrap();
-        assert_eq!((kind(&found), text(&found)), (kind(request), with_this_version(request)));
+        assert_eq!(
+            (frame_kind(&found), frame_payload(&found)),
+            (frame_kind(request), with_current_version(request))
+        );
         peer.send_with_socket(offer, &predecessor.clients);
         assert_eq!(peer.receive_bytes().as_ref(), Some(ready));
         peer.0.write_all(proceed).unwrap();
@@ -87,29 +90,33 @@
         (node.join().unwrap(), peer)
     });
     wait_for("requests", || good.request_count() > 50);
-    let answers = clients.stop();
-    assert_eq!(good.request_count() as u64, answers, "each request is answered, and sent to `good` once");
-    // The watch goes on from the version handed over: no snapshot is requested.
+    let responses = clients.stop();
+    assert_eq!(
+        good.request_count() as u64,
+        responses,
+        "each request is sent to `good` once and gets a response"
+    );
+    // The watch continues from the version that was handed over, without a request for a snapshot.
     discovery.wait_until_notified(2);
     assert!(!discovery.received.lock().unwrap().iter().any(|path| path == "/v1/servers"));
     peer.0.write_all(departed).unwrap();
     drop(peer);
-    assert_state_was_restored(fixture, &text(proceed)["state"]);
+    assert_state_was_restored(fixture, &frame_payload(proceed)["state"]);
     node.terminate();
     assert!(node.exit_status().success());
 }
 
-/// The state that the node offers next has what the recorded one had.
+/// Asserts that the state that the node offers next contains the recorded state.
 fn assert_state_was_restored(fixture: &Fixture, recorded: &Value) {
     wait_for("the socket", || std::os::unix::net::UnixStream::connect(fixture.socket()).is_ok());
     let mut peer = fixture.request_hand_over();
     let state = peer.expect(OFFER)["state"].clone();
     assert_eq!(state["pools"][0]["listing"]["hosts"], recorded["pools"][0]["listing"]["hosts"]);
     assert_eq!(state["pools"][0]["listing"]["seq"], 2);
-    // The breaker is open, or its time has passed since without a success.
-    assert!(server(&state, "broken")["breaker"]["open_left"].is_u64(), "{state}");
-    assert!(server(recorded, "broken")["breaker"]["open_left"].is_u64());
-    assert!(server(&state, "good")["breaker"]["open_left"].is_null(), "{state}");
+    // The breaker is open, or its open period has passed since without a success.
+    assert!(server_state(&state, "broken")["breaker"]["open_left"].is_u64(), "{state}");
+    assert!(server_state(recorded, "broken")["breaker"]["open_left"].is_u64());
+    assert!(server_state(&state, "good")["breaker"]["open_left"].is_null(), "{state}");
     let marks = |state: &Value| -> Vec<u64> {
         let marks = state["pools"][0]["knowledge"]["warm"].as_array().unwrap().iter();
         marks.flat_map(|marks| marks.as_array().unwrap()).map(|mark| mark.as_u64().unwrap()).collect()
@@ -118,10 +125,10 @@
     assert!(recorded.len() > 50 && recorded.iter().all(|mark| restored.contains(mark)));
 }
 
-/// A rollback puts the version before back in place by the same hand-over. It would start without the state, or not at all,
-/// if this version sent another form of message.
+/// A rollback to the previous version uses the same hand-over. The previous version would start without the state, or
+/// not at all, if this version sent messages of another schema.
 #[test]
-fn this_version_hands_over_to_the_version_before_with_its_state() {
+fn this_version_hands_over_to_the_previous_version_with_its_state() {
     let deployment = Deployment::new();
     let Deployment { good, broken, fixture, discovery, .. } = &deployment;
     let recording = deployment.recording();
@@ -139,38 +146,38 @@
     let mut peer = fixture.connect();
     peer.0.write_all(request).unwrap();
     let (found, socket) = peer.receive_with_socket();
-    assert_same_form(&found, offer, OFFER);
-    assert_eq!(text(&found)["listeners"], text(offer)["listeners"]);
+    assert_same_schema(&found, offer, OFFER);
+    assert_eq!(frame_payload(&found)["listeners"], frame_payload(offer)["listeners"]);
     peer.0.write_all(ready).unwrap();
     let found = peer.receive_bytes().unwrap();
-    assert_same_form(&found, proceed, PROCEED);
-    let state = &text(&found)["state"];
-    assert_eq!(state["pools"][0]["listing"], text(proceed)["state"]["pools"][0]["listing"]);
-    assert!(server(state, "broken")["breaker"]["open_left"].is_u64(), "{state}");
+    assert_same_schema(&found, proceed, PROCEED);
+    let state = &frame_payload(&found)["state"];
+    assert_eq!(state["pools"][0]["listing"], frame_payload(proceed)["state"]["pools"][0]["listing"]);
+    assert!(server_state(state, "broken")["breaker"]["open_left"].is_u64(), "{state}");
     assert!(broken.request_count() > 0);
-    let served = serve(socket);
+    let served = serve_as_successor(socket);
     peer.0.write_all(accepting).unwrap();
     assert_eq!(peer.receive_bytes().as_ref(), Some(commit));
     wait_for("requests at the successor", || served.load(Ordering::SeqCst) > 50);
-    peer.0.write_all(&recording.frame_of("release", SUCCESSOR)).unwrap();
+    peer.0.write_all(&recording.only_frame("release", SUCCESSOR)).unwrap();
     drop(peer);
-    let answers = clients.stop();
+    let responses = clients.stop();
     assert!(node.exit_status().success());
     assert_eq!(
         good.request_count() as u64 + served.load(Ordering::SeqCst),
-        answers,
-        "each request is answered"
+        responses,
+        "each request gets a response"
     );
 }
 
-fn assert_same_form(found: &[u8], recorded: &[u8], expected_kind: u16) {
-    assert_eq!((kind(found), kind(recorded)), (expected_kind, expected_kind));
+fn assert_same_schema(found: &[u8], recorded: &[u8], expected_kind: u16) {
+    assert_eq!((frame_kind(found), frame_kind(recorded)), (expected_kind, expected_kind));
     assert_eq!(found[..8], recorded[..8]);
-    assert_eq!(form(&text(found)), form(&text(recorded)));
+    assert_eq!(schema(&frame_payload(found)), schema(&frame_payload(recorded)));
 }
 
-/// Answers the requests on all connections that come, in place of the successor. Returns their number so far.
-fn serve(socket: TcpListener) -> Arc<AtomicU64> {
+/// Responds to the requests on all connections in place of the successor. Returns the counter of the requests.
+fn serve_as_successor(socket: TcpListener) -> Arc<AtomicU64> {
     socket.set_nonblocking(false).unwrap();
     let served: Arc<AtomicU64> = Arc::default();
     let count = served.clone();
@@ -182,7 +189,7 @@
 }
 
 #[test]
-fn a_declining_successor_of_the_version_before_leaves_this_one_serving() {
+fn a_declining_successor_of_the_previous_version_leaves_this_one_serving() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&static_pool(&server), "20s");
     let recording = Recording::with_addresses(&[]);
@@ -190,22 +197,22 @@
     let mut peer = fixture.connect();
     peer.0.write_all(&recording.frames("handover", SUCCESSOR)[0]).unwrap();
     peer.expect(OFFER);
-    peer.0.write_all(&recording.frame_of("decline", SUCCESSOR)).unwrap();
+    peer.0.write_all(&recording.only_frame("decline", SUCCESSOR)).unwrap();
     drop(peer);
     wait_for("the end of the hand-over", || node.logged("declines") == 1);
     assert_eq!(fixture.read(1), b"a");
 }
 
 #[test]
-fn frames_that_end_a_hand_over_are_those_of_the_version_before() {
+fn frames_that_end_a_hand_over_match_the_previous_version() {
     let server = CacheServer::serving("a");
     let recording = Recording::with_addresses(&[]);
-    // A predecessor cancels, and departs.
+    // The first predecessor cancels, and the second departs.
     let fixture = Fixture::new(&static_pool(&server), "200ms");
     let node = fixture.start_ready();
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
-    assert_eq!(peer.receive_bytes().unwrap(), recording.frame_of("cancel", PREDECESSOR));
+    assert_eq!(peer.receive_bytes().unwrap(), recording.only_frame("cancel", PREDECESSOR));
     drop((peer, node));
     let fixture = Fixture::new(&static_pool(&server), "20s");
     let node = fixture.start_ready();
@@ -223,33 +230,33 @@
 }
 
 #[test]
-fn a_successor_stopped_on_probation_releases_as_the_version_before_does() {
+fn a_successor_stopped_on_probation_releases_as_the_previous_version_does() {
     let deployment = Deployment::new();
     let (fixture, recording) = (&deployment.fixture, deployment.recording());
     let sent = recording.frames("handover", PREDECESSOR);
-    let predecessor = ScriptedPredecessor::at(fixture);
+    let predecessor = ScriptedPredecessor::listen(fixture);
     let (node, mut peer) = std::thread::scope(|scope| {
         let node = scope.spawn(|| fixture.start());
         let mut peer = play_predecessor(&predecessor, &sent);
         peer.0.write_all(&sent[2]).unwrap();
         (node.join().unwrap(), peer)
     });
-    wait_for("its socket", || std::os::unix::net::UnixStream::connect(fixture.socket()).is_ok());
+    wait_for("the successor's socket", || std::os::unix::net::UnixStream::connect(fixture.socket()).is_ok());
     node.terminate();
-    assert_eq!(peer.receive_bytes().unwrap(), recording.frame_of("release", SUCCESSOR));
+    assert_eq!(peer.receive_bytes().unwrap(), recording.only_frame("release", SUCCESSOR));
     assert!(node.exit_status().success());
 }
 
 #[test]
-fn a_successor_cancelled_by_the_version_before_exits_with_its_reason() {
+fn a_successor_cancelled_by_the_previous_version_exits_with_its_reason() {
     let deployment = Deployment::new();
     let (fixture, recording) = (&deployment.fixture, deployment.recording());
     let offer = &recording.frames("handover", PREDECESSOR)[0];
-    let predecessor = ScriptedPredecessor::at(fixture);
+    let predecessor = ScriptedPredecessor::listen(fixture);
     let output = std::thread::scope(|scope| {
         let node = scope.spawn(|| output_before_timeout(fixture.command()));
         let mut peer = play_offer(&predecessor, offer);
-        peer.0.write_all(&recording.frame_of("cancel", PREDECESSOR)).unwrap();
+        peer.0.write_all(&recording.only_frame("cancel", PREDECESSOR)).unwrap();
         node.join().unwrap()
     });
     let log = String::from_utf8(output.stderr).unwrap();
@@ -258,20 +265,20 @@
 }
 
 #[test]
-fn a_successor_stopped_before_it_proceeds_declines_as_the_version_before_does() {
+fn a_successor_stopped_before_it_proceeds_declines_as_the_previous_version_does() {
     let deployment = Deployment::new();
     let (fixture, recording) = (&deployment.fixture, deployment.recording());
     let offer = &recording.frames("handover", PREDECESSOR)[0];
-    let predecessor = ScriptedPredecessor::at(fixture);
+    let predecessor = ScriptedPredecessor::listen(fixture);
     let mut node = fixture.command().stderr(std::process::Stdio::null()).spawn().unwrap();
     let mut peer = play_offer(&predecessor, offer);
     let pid = rustix::process::Pid::from_child(&node);
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).unwrap();
-    assert_eq!(peer.receive_bytes().unwrap(), recording.frame_of("decline", SUCCESSOR));
+    assert_eq!(peer.receive_bytes().unwrap(), recording.only_frame("decline", SUCCESSOR));
     assert!(node.wait().unwrap().success());
 }
 
-/// Plays the recorded predecessor until the successor is ready.
+/// Acts as the recorded predecessor until the successor is ready.
 fn play_offer(predecessor: &ScriptedPredecessor, offer: &[u8]) -> Peer {
     let mut peer = predecessor.accept();
     peer.receive_bytes().unwrap();
@@ -280,7 +287,7 @@
     peer
 }
 
-/// Plays the recorded predecessor until the successor accepts.
+/// Acts as the recorded predecessor until the successor accepts connections.
 fn play_predecessor(predecessor: &ScriptedPredecessor, frames: &[Vec<u8>]) -> Peer {
     let mut peer = play_offer(predecessor, &frames[0]);
     peer.0.write_all(&frames[1]).unwrap();
