--- a/crates/cache-balancer/src/config/mod.rs
+++ b/crates/cache-balancer/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! The configuration of a node: from the platform's environment, or from an operator's file. Both become one [`Config`].
+//! The configuration of a node. It comes from the platform's environment or from an operator's file; both are read into a
+//! [`Config`].
 
 pub mod operator;
 pub mod platform;
@@ -10,11 +11,12 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Descriptors reserved for the runtime, one listener, one pool's list and the standard streams.
+/// The number of descriptors reserved for the runtime, one listener, the endpoint list of one pool and the standard streams.
 pub const RESERVED_DESCRIPTORS: usize = 24;
-/// The fewest connections each way. With fewer than for a handful of clients, a node is of no use.
+/// The minimum number of client connections, and of connections to cache servers. A node that cannot serve a handful of
+/// clients is of no use.
 pub const MIN_CONNECTIONS: usize = 4;
-/// The fewest descriptors that hold the reserved ones and [`MIN_CONNECTIONS`] each way.
+/// The minimum number of descriptors: the reserved ones, and [`MIN_CONNECTIONS`] each for clients and cache servers.
 pub const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + 2 * MIN_CONNECTIONS;
 
 /// The configuration of a node, read at its start and at each reload.
@@ -22,27 +24,28 @@
 pub struct Config {
     /// The node's name in the log.
     pub name: String,
-    /// At least one.
+    /// One or more listeners.
     pub listeners: Vec<Listener>,
+    /// The seed of the node's random decisions.
     pub seed: u64,
-    /// The number of descriptors that the process may hold.
+    /// The maximum number of descriptors that the process may hold.
     pub descriptors: usize,
-    /// At least one.
+    /// One or more pools.
     pub pools: Vec<Pool>,
-    /// How another process may replace this one; `None` if it may not.
+    /// The settings for hand-overs to another process; `None` if hand-overs are disabled.
     pub handover: Option<HandoverConfig>,
-    /// Whether the log has a line of counts for each second.
+    /// Whether each pool logs a line of counts every second.
     pub tally: bool,
 }
 
-/// How one process hands over to another.
+/// Settings for the hand-over from one process to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HandoverConfig {
-    /// The path where the process that serves listens for its successor.
+    /// The path of the Unix socket on which the serving process listens for its successor.
     pub socket: PathBuf,
-    /// The time limit of each step of a hand-over; if it is exceeded, the process that serves goes on.
+    /// The time limit of each step of a hand-over. If it is exceeded, the serving process continues to serve.
     pub step_timeout: Duration,
-    /// The shortest time for which the predecessor stands by, and accepts again if its successor dies.
+    /// The minimum time for which the predecessor stands by. If its successor dies meanwhile, it accepts connections again.
     pub probation: Duration,
     /// The time for which successors are rejected after two have died while they served.
     pub backoff: Duration,
@@ -53,7 +56,7 @@
     pub const DEFAULT_PROBATION: Duration = Duration::from_secs(10);
     pub const DEFAULT_BACKOFF: Duration = Duration::from_secs(60);
 
-    /// Defaults, with the socket at this path.
+    /// Creates the default settings, with the socket at this path.
     pub fn with_socket(socket: PathBuf) -> Self {
         Self {
             socket,
@@ -72,21 +75,21 @@
 }
 
 impl Listener {
-    /// Whether both configure the same socket: their addresses are equal, whatever their names, since an address can be
-    /// bound only once. If the system picks the port, their names are equal, too.
+    /// Whether both configure the same socket: their addresses are equal. Names are ignored, since an address can be bound
+    /// only once. If the system picks the port, the names must be equal as well.
     pub fn is_same_socket(&self, other: &Self) -> bool {
         self.address == other.address && (self.address.port() != 0 || self.name == other.name)
     }
 }
 
-/// Cache servers that serve some request classes, and the settings for them.
+/// A pool of cache servers that serve some request classes.
 #[derive(Clone, Debug)]
 pub struct Pool {
     pub name: String,
     pub source: Source,
-    /// The cache servers that the configuration lists.
-    pub known: EndpointList,
-    /// With its request classes: the class of a request selects the pool.
+    /// The cache servers that the configuration itself lists.
+    pub configured_list: EndpointList,
+    /// The settings, including the request classes of this pool. The class of a request selects the pool.
     pub settings: Settings,
 }
 
@@ -95,40 +98,41 @@
 pub enum Source {
     /// A discovery service, at one address or at several replicas.
     Discovery(DiscoveryReplicas),
-    /// A file that is read again whenever it changes.
+    /// A file, which is read again whenever it changes.
     File(PathBuf),
     /// The configuration itself.
     Fixed,
 }
 
 impl Source {
-    /// Whether there are several replicas to choose from.
+    /// Whether this is a discovery service with several replicas.
     pub fn has_replicas(&self) -> bool {
         matches!(self, Self::Discovery(replicas) if replicas.addresses.len() > 1)
     }
 }
 
-/// The replicas of one discovery service. They share one sequence of versions, and may lag behind each other.
+/// The replicas of one discovery service. They share one sequence of list versions, and may lag behind each other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryReplicas {
-    /// 1 to [`DiscoveryReplicas::MOST`] distinct addresses, in ascending order, so that equal sets are equal.
+    /// 1 to [`DiscoveryReplicas::MAX`] distinct addresses. They are sorted, so that two lists of the same addresses compare
+    /// equal.
     pub addresses: Vec<SocketAddr>,
     /// The capacity of each replica; `None` if it is not stated.
     pub capacity: Option<ReplicaCapacity>,
 }
 
 impl DiscoveryReplicas {
-    /// The largest number of replicas.
-    pub const MOST: usize = 64;
+    /// The maximum number of replicas.
+    pub const MAX: usize = 64;
 
-    /// A service at these addresses, in any order.
+    /// Creates a service at these addresses, which may be in any order.
     pub fn new(mut addresses: Vec<SocketAddr>, capacity: Option<ReplicaCapacity>) -> Self {
         addresses.sort_unstable();
         Self { addresses, capacity }
     }
 
-    /// A service at one address, of unknown capacity.
-    pub fn one(address: SocketAddr) -> Self {
+    /// Creates a service at a single address, of unknown capacity.
+    pub fn single(address: SocketAddr) -> Self {
         Self { addresses: vec![address], capacity: None }
     }
 }
--- a/crates/cache-balancer/src/config/operator/discovery.rs
+++ b/crates/cache-balancer/src/config/operator/discovery.rs
@@ -1,4 +1,4 @@
-//! The replicas of discovery in an operator's file: one address or a list of them, and what each can send.
+//! The discovery settings of a pool in an operator's file: the address of each replica, and the capacity of a replica.
 
 use crate::config::DiscoveryReplicas;
 use balancer_core::discovery::ReplicaCapacity;
@@ -9,15 +9,16 @@
 const ADDRESSES: &str = "discovery";
 const LINES_PER_SECOND: &str = "discovery_lines_per_second";
 const CALL_LINES: &str = "discovery_call_lines";
-/// One that sends fewer lines than a list has servers is none; more than the upper end no machine sends.
+/// A replica that sends fewer lines per second than the shortest list has is useless, and no machine sends more than the upper
+/// bound.
 const LINES_PER_SECOND_RANGE: RangeInclusive<f64> = 1.0..=1e8;
-/// A call is never free: nodes would take a replica for one that can be asked without end.
+/// The cost of a call is never 0: nodes would assume that a replica can answer any number of calls.
 const CALL_LINES_RANGE: RangeInclusive<f64> = 0.01..=1e6;
 
-/// Reads them from a `[[pool]]`; `None` where it names none, or none of use.
+/// Reads the replicas from a `[[pool]]`. Returns `None` if there are none or their addresses are invalid.
 pub(super) fn read(pool: &Table) -> Option<DiscoveryReplicas> {
     let expected = "an address and port, such as \"127.0.0.1:7100\"";
-    let addresses = pool.parse_set(ADDRESSES, expected, DiscoveryReplicas::MOST);
+    let addresses = pool.parse_set(ADDRESSES, expected, DiscoveryReplicas::MAX);
     let capacity = capacity(pool);
     Some(DiscoveryReplicas::new(addresses?, capacity))
 }
@@ -27,22 +28,22 @@
     let call_lines = pool.number(CALL_LINES, CALL_LINES_RANGE);
     for (key, other) in [(LINES_PER_SECOND, CALL_LINES), (CALL_LINES, LINES_PER_SECOND)] {
         if pool.has(key) && !pool.has(other) {
-            pool.fault(key, format!("expected {other} beside it"));
+            pool.fault(key, format!("expected {other} to be set as well"));
         }
         if pool.has(key) && !pool.has(ADDRESSES) {
-            pool.fault(key, format!("expected {ADDRESSES} beside it"));
+            pool.fault(key, format!("expected {ADDRESSES} to be set as well"));
         }
     }
     Some(ReplicaCapacity { lines_per_second: lines_per_second?, call_lines: call_lines? })
 }
 
-/// Writes what [`read`] reads as the same.
+/// Writes the replicas in the form from which [`read`] reads equal ones.
 pub(super) fn write(text: &mut String, replicas: &DiscoveryReplicas) -> std::fmt::Result {
     match &replicas.addresses[..] {
-        [only] => writeln!(text, "{ADDRESSES} = \"{only}\"")?,
-        several => {
+        [address] => writeln!(text, "{ADDRESSES} = \"{address}\"")?,
+        addresses => {
             writeln!(text, "{ADDRESSES} = [")?;
-            for address in several {
+            for address in addresses {
                 writeln!(text, "    \"{address}\",")?;
             }
             writeln!(text, "]")?;
--- a/crates/cache-balancer/src/config/operator/effective.rs
+++ b/crates/cache-balancer/src/config/operator/effective.rs
@@ -1,4 +1,4 @@
-//! The effective configuration, written as an operator's file that reads as the same.
+//! Writes the effective configuration as an operator's file. Reading that file gives the same configuration.
 
 use super::{discovery, VERSION};
 use crate::config::{Config, HandoverConfig, Listener, Pool, Source};
@@ -8,17 +8,17 @@
 use std::fmt::{Result, Write};
 use std::time::Duration;
 
-/// The text of the effective configuration, with all defaults.
+/// Returns the text of the effective configuration, including all defaults.
 pub fn effective(config: &Config) -> String {
     let mut text = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string never fails.
     let _ = write_config(&mut text, config);
     text
 }
 
 fn write_config(text: &mut String, config: &Config) -> Result {
     writeln!(text, "version = {VERSION}\nname = \"{}\"", config.name)?;
-    // The settings of the first pool: these hold for all pools.
+    // The settings written here are the same in all pools, so those of the first pool are used.
     let Some(settings) = config.pools.first().map(|pool| &pool.settings) else { return Ok(()) };
     if let Some(zone) = &settings.zone {
         writeln!(text, "zone = \"{zone}\"")?;
@@ -75,26 +75,26 @@
         Source::File(path) => writeln!(text, "file = {:?}", path.display().to_string())?,
         Source::Fixed => {}
     }
-    for host in &pool.known.endpoints {
-        write_server(text, host)?;
+    for server in &pool.configured_list.endpoints {
+        write_server(text, server)?;
     }
     Ok(())
 }
 
-fn write_server(text: &mut String, host: &EndpointRecord) -> Result {
-    writeln!(text, "[[pool.server]]\nname = \"{}\"", host.id)?;
-    if let Some(address) = host.address {
+fn write_server(text: &mut String, server: &EndpointRecord) -> Result {
+    writeln!(text, "[[pool.server]]\nname = \"{}\"", server.id)?;
+    if let Some(address) = server.address {
         writeln!(text, "address = \"{address}\"")?;
     }
-    for (key, value) in [("zone", &host.zone), ("kind", &host.kind)] {
+    for (key, value) in [("zone", &server.zone), ("kind", &server.kind)] {
         if let Some(value) = value {
             writeln!(text, "{key} = \"{value}\"")?;
         }
     }
-    if let Some(cell) = host.cell {
+    if let Some(cell) = server.cell {
         writeln!(text, "cell = {cell}")?;
     }
-    writeln!(text, "health = \"{}\"\nweight = {:?}", host.state, host.weight.unwrap_or(1.0))
+    writeln!(text, "health = \"{}\"\nweight = {:?}", server.state, server.weight.unwrap_or(1.0))
 }
 
 fn write_class(text: &mut String, pool: &str, class: &RequestClass) -> Result {
--- a/crates/cache-balancer/src/config/platform.rs
+++ b/crates/cache-balancer/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration: the file that `LB_CONFIG` names, and further variables of the environment.
+//! The platform's configuration: the file that `LB_CONFIG` names, and environment variables that override its values.
 
 use super::{Config, DiscoveryReplicas, Listener, Pool, Source, MIN_DESCRIPTORS};
 use crate::endpoint_list::EndpointList;
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why the platform's configuration cannot be used.
+/// An error in the platform's configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     #[error("LB_CONFIG is not set")]
@@ -25,7 +25,7 @@
     Address(&'static str, String),
     #[error("the configuration's seed is not a hexadecimal number: {0}")]
     Seed(String),
-    #[error("a limit of {0} sockets leaves no room to work")]
+    #[error("limits.sockets: expected at least {MIN_DESCRIPTORS}, found {0}")]
     Sockets(usize),
 }
 
@@ -46,18 +46,18 @@
     sockets: usize,
 }
 
-/// The variable that takes precedence over the file's `discovery` at the start. At a reload it is out of date, since a process
-/// keeps the environment that it started with, and the file's value holds.
+/// The variable that overrides the file's `discovery` at the start. A reload uses the file's value, because a process keeps
+/// the environment that it was started with, and the variable may be out of date.
 pub const DISCOVERY: &str = "LB_DISCOVERY";
 
-/// Reads the file that `LB_CONFIG` names. Other variables take precedence over its values.
+/// Reads the file that `LB_CONFIG` names. Other variables override its values.
 pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let path = PathBuf::from(variable("LB_CONFIG").ok_or(ConfigError::NoPath)?);
     let text = std::fs::read(&path).map_err(|error| ConfigError::Unreadable(path.clone(), error))?;
     let file: File =
         serde_json::from_slice(&text).map_err(|error| ConfigError::Malformed(path.clone(), error))?;
-    let address = |name: &'static str, own: String| {
-        let text = variable(name).unwrap_or(own);
+    let address = |name: &'static str, file_value: String| {
+        let text = variable(name).unwrap_or(file_value);
         text.parse().map_err(|_| ConfigError::Address(name, text))
     };
     let sockets = file.limits.sockets;
@@ -72,8 +72,8 @@
     }
     let pool = Pool {
         name: "pool".into(),
-        source: Source::Discovery(DiscoveryReplicas::one(address(DISCOVERY, file.discovery)?)),
-        known: file.known,
+        source: Source::Discovery(DiscoveryReplicas::single(address(DISCOVERY, file.discovery)?)),
+        configured_list: file.known,
         settings,
     };
     Ok(Config {
@@ -83,25 +83,25 @@
         descriptors: sockets,
         pools: vec![pool],
         handover: None,
-        // `aggregate` adds up these lines of the whole fleet.
+        // The `aggregate` command adds up these lines over the whole fleet.
         tally: true,
     })
 }
 
-/// Flattens nested JSON to the pairs of path and value that the simulator's wire has.
+/// Flattens nested JSON into pairs of path and value, the form in which the simulator sends settings.
 fn flatten(path: String, value: &Value, pairs: &mut Vec<(String, String)>) {
-    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let join = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
         Value::Null => {}
         Value::Object(fields) => {
             for (name, value) in fields {
-                flatten(below(name), value, pairs);
+                flatten(join(name), value, pairs);
             }
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            pairs.push((below("count"), items.len().to_string()));
+            pairs.push((join("count"), items.len().to_string()));
             for (i, item) in items.iter().enumerate() {
-                flatten(below(&i.to_string()), item, pairs);
+                flatten(join(&i.to_string()), item, pairs);
             }
         }
         Value::Array(items) => {
--- a/crates/cache-balancer/src/daemon/change.rs
+++ b/crates/cache-balancer/src/daemon/change.rs
@@ -1,4 +1,4 @@
-//! What a new configuration changes: which listeners and pools go on, and the differences for the log. Without I/O.
+//! Compares two configurations: which listeners and pools are kept, and which differences are logged. Performs no I/O.
 
 use crate::config::{Config, DiscoveryReplicas, Listener, Pool, Source};
 use balancer_core::discovery::ReplicaCapacity;
@@ -6,19 +6,19 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The change from the current configuration to a new one.
+/// The differences between the current configuration and a new one.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Change {
-    /// For each new listener, the index of the current one that goes on as it.
+    /// For each listener of the new configuration, the index of the current listener that it keeps, if any.
     pub listeners: Vec<Option<usize>>,
-    /// The same for pools.
+    /// For each pool of the new configuration, the index of the current pool that it keeps, if any.
     pub pools: Vec<Option<usize>>,
     differences: Vec<Difference>,
 }
 
 impl Change {
-    /// Compares two configurations. Listeners are matched by [`Listener::is_same_socket`]; pools by name, so that what was
-    /// learned of their servers lives on whatever the source of their list.
+    /// Compares two configurations. Listeners are matched by [`Listener::is_same_socket`]. Pools are matched by name, so that
+    /// a pool keeps the learned state of its servers when the source of its endpoint list changes.
     pub fn between(current: &Config, new: &Config) -> Self {
         let same_listener =
             |listener: &Listener| current.listeners.iter().position(|other| listener.is_same_socket(other));
@@ -112,11 +112,11 @@
     Handover,
     Tally(bool),
     Descriptors(usize),
-    /// Settings that hold for all pools.
+    /// Settings shared by all pools.
     GeneralSettings,
 }
 
-/// What has a name of its own in a configuration.
+/// A kind of named item in a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Item {
     Listener,
@@ -144,32 +144,36 @@
             Self::Handover => f.write_str("hand-over changed"),
             Self::Tally(on) => write!(f, "tally {}", if *on { "on" } else { "off" }),
             Self::Descriptors(descriptors) => write!(f, "{descriptors} descriptors"),
-            Self::GeneralSettings => f.write_str("limits or what is known of servers changed"),
+            Self::GeneralSettings => f.write_str("limits or server settings changed"),
         }
     }
 }
 
-/// `same` has for each new item the index of the current one that goes on as it.
+/// Returns the differences for the items that were added or removed. `kept` has, for each item of the new configuration, the
+/// index of the current item that it keeps, if any.
 fn additions_and_removals(
     item: Item,
-    same: &[Option<usize>],
+    kept: &[Option<usize>],
     current: Vec<String>,
     new: Vec<String>,
 ) -> impl Iterator<Item = Difference> {
-    let kept: Vec<_> = same.to_vec();
+    let kept_indices: Vec<_> = kept.to_vec();
     let added: Vec<_> =
-        new.into_iter().zip(same).filter(|(_, same)| same.is_none()).map(|(name, _)| name).collect();
-    let removed = current.into_iter().enumerate().filter(move |(index, _)| !kept.contains(&Some(*index)));
+        new.into_iter().zip(kept).filter(|(_, kept)| kept.is_none()).map(|(name, _)| name).collect();
+    let removed =
+        current.into_iter().enumerate().filter(move |(index, _)| !kept_indices.contains(&Some(*index)));
     let added = added.into_iter().map(move |name| Difference::Added(item, name));
     added.chain(removed.map(move |(_, name)| Difference::Removed(item, name)))
 }
 
-/// What changed about the source of a pool's list, and about a list in the configuration itself.
+/// Describes the changes to the source of a pool's endpoint list, and to a list that the configuration itself contains.
 fn list_changes(before: &Pool, after: &Pool) -> Vec<String> {
     match (&before.source, &after.source) {
         (Source::Discovery(before), Source::Discovery(after)) => discovery_changes(before, after),
-        (Source::Fixed, Source::Fixed) if before.known.endpoints != after.known.endpoints => {
-            vec!["other servers".into()]
+        (Source::Fixed, Source::Fixed)
+            if before.configured_list.endpoints != after.configured_list.endpoints =>
+        {
+            vec!["server list changed".into()]
         }
         (before, after) if before != after => vec![format!("list from {}", describe_source(after))],
         _ => Vec::new(),
@@ -184,9 +188,9 @@
     if before.capacity != after.capacity {
         changes.push(match after.capacity {
             Some(ReplicaCapacity { lines_per_second, call_lines }) => {
-                format!("discovery of {lines_per_second} lines a second and {call_lines} a call")
+                format!("discovery capacity {lines_per_second} lines per second, {call_lines} lines per call")
             }
-            None => "discovery of unknown capacity".into(),
+            None => "discovery capacity unknown".into(),
         });
     }
     changes
@@ -196,7 +200,7 @@
     match source {
         Source::Discovery(replicas) => format!("discovery at {}", join(&replicas.addresses)),
         Source::File(path) => path.display().to_string(),
-        Source::Fixed => "the file itself".into(),
+        Source::Fixed => "the configuration file".into(),
     }
 }
 
@@ -205,13 +209,14 @@
     addresses.join(", ")
 }
 
-/// All classes, each with the name of its pool.
+/// Returns all request classes, each with the name of its pool.
 fn classes(config: &Config) -> Vec<(&str, &RequestClass)> {
     let pools = config.pools.iter();
     pools.flat_map(|pool| pool.settings.classes.iter().map(|class| (pool.name.as_str(), class))).collect()
 }
 
-/// The settings that hold for all pools: without the classes, and without what follows from the source of the list.
+/// Returns the settings shared by all pools: the classes, and the settings that follow from the source of the endpoint list,
+/// are reset.
 fn general_settings(settings: &Settings) -> Settings {
     Settings {
         classes: Vec::new(),
--- a/crates/cache-balancer/src/daemon/change/tests.rs
+++ b/crates/cache-balancer/src/daemon/change/tests.rs
@@ -8,7 +8,7 @@
 
 fn config(text: &str) -> Config {
     let text = format!("version = 1\nname = \"n0\"\nnodes = 3\nseed = 1\n{text}");
-    operator::read("cache-balancer.toml", &text, Path::new("/")).expect("a file without fault")
+    operator::read("cache-balancer.toml", &text, Path::new("/")).expect("a valid file")
 }
 
 fn listener(name: &str, port: u16) -> String {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_listener_goes_on_by_its_address_whatever_its_name_and_place() {
+fn listeners_are_matched_by_address_and_not_by_name_or_order() {
     let with = |listeners: &[(&str, u16)]| {
         let listeners: String = listeners.iter().map(|(name, port)| listener(name, *port)).collect();
         format!("{listeners}{POOL}{CLASS}")
@@ -38,7 +38,7 @@
         (&[("a", 1)], &[("z", 1)], &[Some(0)], "nothing changed"),
         (&[("a", 1)], &[("a", 2)], &[None], "listener a added, listener a removed"),
         (&[("a", 1)], &[("a", 1), ("b", 2)], &[Some(0), None], "listener b added"),
-        // The system picks the port of each: only the name tells which is which.
+        // The system picks both ports, so the listeners differ only in their names.
         (&[("a", 0), ("b", 0)], &[("b", 0)], &[Some(1)], "listener a removed"),
     ];
     for (current, new, indices, expected) in cases {
@@ -47,80 +47,76 @@
     }
 }
 
-/// Checks for each pair of configurations that the log names exactly these differences.
+/// Checks, for each pair of configurations, that exactly these differences are logged.
 fn assert_differences(cases: &[(String, String, &str)]) {
     for (current, new, expected) in cases {
-        // The number of descriptors is the system's where the file has none.
+        // Files without a number of descriptors get the system's limit, so their descriptors do not differ.
         assert_eq!(between(current, new).to_string(), *expected);
     }
 }
 
-/// A pool whose list stands in the file, with one server of this name.
-fn pool_of_server(name: &str) -> String {
+/// A pool whose endpoint list is in the configuration file: one server with this name.
+fn pool_with_server(name: &str) -> String {
     format!("[[pool]]\nname = \"p\"\n[[pool.server]]\nname = \"{name}\"\naddress = \"127.0.0.1:9\"\n{CLASS}")
 }
 
-/// A pool whose list comes from these replicas of discovery.
-fn pool_of_replicas(list: &str) -> String {
+/// A pool whose endpoint list comes from these discovery replicas.
+fn pool_with_replicas(list: &str) -> String {
     format!("[[pool]]\nname = \"p\"\ndiscovery = [{list}]\n{CLASS}")
 }
 
 #[test]
-fn each_difference_of_a_list_source_is_named_and_nothing_else() {
-    let good = format!("{POOL}{CLASS}");
+fn exactly_the_differences_of_list_sources_are_logged() {
+    let base = format!("{POOL}{CLASS}");
     assert_differences(&[
         (
-            good.clone(),
+            base.clone(),
             format!("{}{CLASS}", POOL.replace(":1\"", ":2\"")),
             "pool p: list from discovery at 127.0.0.1:2",
         ),
-        (good.clone(), pool_of_replicas("\"127.0.0.1:1\""), "nothing changed"),
+        (base.clone(), pool_with_replicas("\"127.0.0.1:1\""), "nothing changed"),
         (
-            good.clone(),
-            pool_of_replicas("\"127.0.0.1:2\", \"127.0.0.1:1\""),
+            base.clone(),
+            pool_with_replicas("\"127.0.0.1:2\", \"127.0.0.1:1\""),
             "pool p: list from discovery at 127.0.0.1:1, 127.0.0.1:2",
         ),
         (
-            pool_of_replicas("\"127.0.0.1:2\", \"127.0.0.1:1\""),
-            pool_of_replicas("\"127.0.0.1:1\", \"127.0.0.1:2\""),
+            pool_with_replicas("\"127.0.0.1:2\", \"127.0.0.1:1\""),
+            pool_with_replicas("\"127.0.0.1:1\", \"127.0.0.1:2\""),
             "nothing changed",
         ),
         (
-            good.clone(),
+            base.clone(),
             format!("{POOL}{CAPACITY}{CLASS}"),
-            "pool p: discovery of 200 lines a second and 2.5 a call",
+            "pool p: discovery capacity 200 lines per second, 2.5 lines per call",
         ),
-        (format!("{POOL}{CAPACITY}{CLASS}"), good.clone(), "pool p: discovery of unknown capacity"),
+        (format!("{POOL}{CAPACITY}{CLASS}"), base.clone(), "pool p: discovery capacity unknown"),
         (
-            pool_of_server("s"),
+            pool_with_server("s"),
             format!("{POOL}{CAPACITY}{CLASS}"),
             "pool p: list from discovery at 127.0.0.1:1",
         ),
-        (good.clone(), format!("[[pool]]\nname = \"p\"\nfile = \"/x\"\n{CLASS}"), "pool p: list from /x"),
-        (good.clone(), pool_of_server("s"), "pool p: list from the file itself"),
-        (pool_of_server("s"), pool_of_server("t"), "pool p: other servers"),
+        (base.clone(), format!("[[pool]]\nname = \"p\"\nfile = \"/x\"\n{CLASS}"), "pool p: list from /x"),
+        (base.clone(), pool_with_server("s"), "pool p: list from the configuration file"),
+        (pool_with_server("s"), pool_with_server("t"), "pool p: server list changed"),
     ]);
 }
 
 #[test]
-fn each_difference_of_classes_pools_and_limits_is_named_and_nothing_else() {
-    let good = format!("{POOL}{CLASS}");
+fn exactly_the_differences_of_classes_pools_and_limits_are_logged() {
+    let base = format!("{POOL}{CLASS}");
     assert_differences(&[
-        (good.clone(), format!("{good}[[class]]\nname = \"b\"\n"), "class b added"),
-        (good.clone(), format!("{good}effect = \"safe\"\n"), "class a changed"),
+        (base.clone(), format!("{base}[[class]]\nname = \"b\"\n"), "class b added"),
+        (base.clone(), format!("{base}effect = \"safe\"\n"), "class a changed"),
         (
-            good.clone(),
+            base.clone(),
             format!("{POOL}{}", CLASS.replace("\"a\"", "\"b\"")),
             "class b added, class a removed",
         ),
-        (good.clone(), format!("{good}[limits]\ndescriptors = 99\n"), "99 descriptors"),
+        (base.clone(), format!("{base}[limits]\ndescriptors = 99\n"), "99 descriptors"),
+        (base.clone(), format!("{base}[servers]\ncold_share = 0.9\n"), "limits or server settings changed"),
         (
-            good.clone(),
-            format!("{good}[servers]\ncold_share = 0.9\n"),
-            "limits or what is known of servers changed",
-        ),
-        (
-            good.clone(),
+            base.clone(),
             format!("{}{CLASS}", POOL.replace("\"p\"", "\"q\"")),
             "pool q added, pool p removed, class a changed",
         ),
--- a/crates/cache-balancer/src/daemon/error.rs
+++ b/crates/cache-balancer/src/daemon/error.rs
@@ -1,7 +1,7 @@
-//! Why a node does not start, or does not take a configuration.
+//! Errors that keep a node from starting or from applying a configuration.
 
 use super::graceful_restart::TakeoverError;
-use crate::config::{operator, platform};
+use crate::config::{operator, platform, MIN_CONNECTIONS};
 use crate::handover::HandoverError;
 use crate::service_manager::ActivationError;
 use std::io;
@@ -9,31 +9,34 @@
 use thiserror::Error;
 use tokio::task::JoinError;
 
-/// Why a configuration cannot be applied.
+/// An error that prevents a configuration from being applied.
 #[derive(Debug, Error)]
 pub enum ConfigureError {
     #[error("{0}")]
     Platform(#[from] platform::ConfigError),
     #[error("{0}")]
     Operator(#[from] operator::FileError),
-    #[error("{descriptors} descriptors leave no room to work beside {reserved} of the node's own")]
+    #[error(
+        "{descriptors} descriptors are too few: the node reserves {reserved}, and connections need at least {}",
+        2 * MIN_CONNECTIONS
+    )]
     Descriptors { descriptors: usize, reserved: usize },
     #[error("cannot listen on {address}: {error}")]
     Listen { address: SocketAddr, error: io::Error },
-    #[error("listener {name}: the socket that another process opened cannot be used: {error}")]
+    #[error("listener {name}: the inherited socket cannot be used: {error}")]
     InheritedSocket { name: String, error: io::Error },
     #[error("hand_over.socket: {0}")]
     HandoverSocket(io::Error),
-    #[error("the configuration was not read: {0}")]
+    #[error("the task that reads the configuration failed: {0}")]
     NotRead(#[from] JoinError),
 }
 
-/// Why a node does not start, or has to stop.
+/// An error that prevents a node from starting, or stops it.
 #[derive(Debug, Error)]
 pub enum StartError {
     #[error("{0}")]
     Configure(#[from] ConfigureError),
-    /// The runtime, or a signal handler.
+    /// The runtime could not be created, or a system call during startup failed.
     #[error("{0}")]
     System(#[from] io::Error),
     #[error("{0}")]
--- a/crates/cache-balancer/src/daemon/graceful_restart/mod.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/mod.rs
@@ -1,5 +1,5 @@
-//! Carries out on a node what [`balancer_core::graceful_restart`] decides: [`successor`] for the process that takes over,
-//! [`predecessor`] for the one that is replaced.
+//! Performs the actions that [`balancer_core::graceful_restart`] decides on: [`successor`] in the process that takes over,
+//! [`predecessor`] in the process that is replaced.
 
 mod predecessor;
 mod successor;
@@ -16,33 +16,32 @@
 use std::future::pending;
 use std::time::Duration;
 
-/// What a step of a hand-over means for the node.
+/// The change to the node's role that a step of a hand-over causes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Transition {
     None,
-    /// Another process serves, and this one stands by.
+    /// The successor serves on probation, and this process stands by.
     StandingBy,
-    /// This process serves again.
+    /// The successor has failed, and this process serves again.
     RolledBack,
-    /// Another process serves for good.
+    /// The successor has taken over permanently.
     Departed,
 }
 
-/// What happens to a process that serves.
+/// An event of a graceful restart in a serving process.
 #[derive(Debug)]
 pub(super) enum RestartEvent {
     /// The predecessor no longer stands by.
     PredecessorGone,
-    /// Something happened at the successor, or at the socket where it connects.
+    /// An event of the successor or of the socket to which it connects.
     Successor(PredecessorEvent),
 }
 
-/// The neighbours of this process: the predecessor that it replaced, while that stands by, and the successor that comes
-/// to replace it.
+/// The other processes of this node: the predecessor, as long as it stands by, and the successor that takes over.
 #[derive(Debug, Default)]
 pub(super) struct GracefulRestart {
     predecessor: Option<StandbyPredecessor>,
-    /// `None` without `[hand_over]`, or if a process that took over could not bind its socket.
+    /// `None` without `[hand_over]`, or if this process took over and could not bind the hand-over socket.
     outgoing: Option<OutgoingHandover>,
 }
 
@@ -54,34 +53,35 @@
         }
     }
 
-    /// Whether the predecessor stands by, in case this process dies. It is the service's main process meanwhile.
+    /// Whether the predecessor stands by in case this process dies. Until it exits, the predecessor is the service's main
+    /// process.
     pub fn on_probation(&self) -> bool {
         self.predecessor.is_some()
     }
 
-    /// Whether a hand-over to a successor is in progress that is not committed yet.
+    /// Whether a hand-over to a successor is in progress and not committed yet.
     pub fn is_handing_over(&self) -> bool {
         self.outgoing.as_ref().is_some_and(OutgoingHandover::is_handing_over)
     }
 
-    /// Whether the successor serves, and this process stands by.
+    /// Whether the successor serves on probation and this process stands by.
     pub fn is_standing_by(&self) -> bool {
         self.outgoing.as_ref().is_some_and(OutgoingHandover::is_standing_by)
     }
 
-    /// The time for which successors are still rejected.
+    /// Returns the remaining time for which successors are rejected, if any.
     pub fn backoff_remaining(&self) -> Option<Duration> {
         self.outgoing.as_ref()?.backoff_remaining()
     }
 
-    /// Sends a signal on to the successor.
+    /// Forwards a signal to the successor.
     pub fn forward_signal(&self, signal: Signal) {
         if let Some(outgoing) = &self.outgoing {
             outgoing.forward_signal(signal);
         }
     }
 
-    /// The next event. Cancel safe.
+    /// Waits for the next event. Cancel safe.
     pub async fn next(&mut self, node: &Node) -> RestartEvent {
         let Self { predecessor, outgoing } = self;
         let predecessor_gone = async {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Handles an event, and returns what it means for the node.
+    /// Handles an event and returns the transition that it causes.
     pub async fn handle(&mut self, event: RestartEvent, node: &Node, manager: &ServiceManager) -> Transition {
         match event {
             RestartEvent::PredecessorGone => {
@@ -127,7 +127,7 @@
             if *action == PredecessorAction::Offer {
                 release_predecessor(&mut self.predecessor, manager).await;
             }
-            let next = outgoing.carry_out(*action, event, node, manager).await;
+            let next = outgoing.perform(*action, event, node, manager).await;
             if next != Transition::None {
                 transition = next;
             }
@@ -136,7 +136,7 @@
         transition
     }
 
-    /// The process is told to stop. Returns whether a successor serves in its place.
+    /// Handles a request to stop. Returns whether a successor serves in place of this process.
     pub async fn stop(&mut self, manager: &ServiceManager) -> bool {
         if let Some(predecessor) = &mut self.predecessor {
             predecessor.handle(SuccessorEvent::StopRequested).await;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Applies a new configuration. `endpoint` listens at its socket if that has moved.
+    /// Applies a new configuration. `endpoint` is the new hand-over endpoint if the path of its socket has changed.
     pub fn reconfigure(&mut self, endpoint: Option<PredecessorEndpoint>, config: &Config) {
         match (&config.handover, endpoint, &mut self.outgoing) {
             (None, ..) => self.outgoing = None,
@@ -158,8 +158,8 @@
     }
 }
 
-/// Before this process hands over itself, the predecessor has to be gone: otherwise, if this process died, both the
-/// predecessor and the successor would accept.
+/// Makes the predecessor exit before this process hands over. Otherwise, if this process died, both the predecessor and the
+/// successor would accept connections.
 async fn release_predecessor(predecessor: &mut Option<StandbyPredecessor>, manager: &ServiceManager) {
     if let Some(mut predecessor) = predecessor.take() {
         predecessor.handle(SuccessorEvent::HandoverStarted).await;
--- a/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
@@ -1,4 +1,4 @@
-//! The hand-over to a successor.
+//! Hands over to a successor.
 
 use super::Transition;
 use crate::config::HandoverConfig;
@@ -12,13 +12,13 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// The hand-over to a successor, from the start of this process on.
+/// The predecessor's side of a hand-over, created when this process starts to serve or its hand-over socket changes.
 #[derive(Debug)]
 pub(super) struct OutgoingHandover {
     machine: Predecessor,
     endpoint: PredecessorEndpoint,
-    /// The successor is on probation until then, and until every connection that this process accepted
-    /// has ended.
+    /// The earliest end of the successor's probation. The probation also lasts until every connection that this process
+    /// accepted has ended.
     probation_until: Option<Instant>,
 }
 
@@ -47,7 +47,7 @@
         self.endpoint.config = config;
     }
 
-    /// The next event. Cancel safe.
+    /// Waits for the next event. Cancel safe.
     pub async fn next(&mut self, node: &Node) -> PredecessorEvent {
         let probation_over = probation_over(self.probation_until, node);
         tokio::select! {
@@ -57,14 +57,14 @@
         }
     }
 
-    /// Handles an event, and returns the actions to carry out with [`Self::carry_out`].
+    /// Handles an event and returns the actions for [`Self::perform`].
     pub fn handle(&mut self, event: PredecessorEvent) -> &'static [PredecessorAction] {
         self.log_event(event);
         self.machine.handle(event)
     }
 
-    /// Carries out an action that `event` led to, and returns what it means for the node.
-    pub async fn carry_out(
+    /// Performs an action that `event` led to, and returns the transition that it causes.
+    pub async fn perform(
         &mut self,
         action: PredecessorAction,
         event: PredecessorEvent,
@@ -97,14 +97,14 @@
         Transition::None
     }
 
-    /// Ends the link with a successor whose hand-over is over.
+    /// Disconnects from the successor if no hand-over is in progress.
     pub fn disconnect_if_serving(&mut self) {
         if self.machine.state() == PredecessorState::Serving {
             self.endpoint.disconnect();
         }
     }
 
-    /// The process is told to stop. Returns whether the successor serves in its place.
+    /// Handles a request to stop. Returns whether the successor serves in place of this process.
     pub async fn stop(&mut self, manager: &ServiceManager) -> bool {
         let mut departed = false;
         for action in self.machine.stop() {
@@ -114,7 +114,7 @@
                     self.depart(manager).await;
                     departed = true;
                 }
-                // A stop leads to no other action.
+                // A stop causes no other actions.
                 _ => {}
             }
         }
@@ -142,8 +142,8 @@
     }
 
     async fn depart(&mut self, manager: &ServiceManager) {
-        // The service manager has to know the successor before this process exits, or it would take the service to have
-        // ended.
+        // The service manager has to know the successor before this process exits. Otherwise it would consider the service
+        // stopped.
         if let Some(process) = self.endpoint.successor_process() {
             manager.notify_main_process(process);
         }
@@ -161,18 +161,19 @@
     }
 
     fn log_event(&self, event: PredecessorEvent) {
-        let what = match event {
+        let description = match event {
             PredecessorEvent::SuccessorDied => "has died",
             PredecessorEvent::LinkLost => "has lost its link, and lives",
             PredecessorEvent::Declined => "declines",
             _ => return,
         };
         let process = self.endpoint.successor_process().unwrap_or_default();
-        log!("hand-over: the successor {process} {what}");
+        log!("hand-over: the successor {process} {description}");
     }
 }
 
-/// Waits until the probation has passed and every connection of this process has ended; forever without a probation.
+/// Waits until the probation time has passed and every connection of this process has ended. Without a probation, waits
+/// forever.
 async fn probation_over(until: Option<Instant>, node: &Node) {
     match until {
         Some(until) => sleep_until(until).await,
--- a/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
@@ -1,6 +1,6 @@
-//! The takeover from a predecessor.
+//! Takes over from a predecessor.
 
-use crate::daemon::listeners::Bound;
+use crate::daemon::listeners::BoundSockets;
 use crate::daemon::node::Node;
 use crate::handover::{CancelCause, Message, SuccessorEndpoint};
 use crate::log::log;
@@ -15,13 +15,13 @@
 pub(in crate::daemon) enum Takeover {
     /// This process serves.
     Serving(StandbyPredecessor),
-    /// This process was told to stop.
+    /// This process was asked to stop.
     Terminated,
-    /// The predecessor goes on by itself. The requests in flight have to be finished.
+    /// The predecessor continues to serve. This process has to finish its requests in flight.
     Cancelled(TakeoverError),
 }
 
-/// Why a predecessor goes on by itself.
+/// The reason why a predecessor continues to serve.
 #[derive(Debug, Error)]
 pub enum TakeoverError {
     #[error("the predecessor goes on by itself: {0}")]
@@ -32,16 +32,17 @@
     OutOfOrder,
 }
 
-/// Takes over from the predecessor at the other end. `bound` has a socket for each listener.
+/// Takes over from the predecessor that `endpoint` is connected to. `bound` has a socket for each listener.
 ///
-/// An error if the predecessor goes on by itself before this process has accepted a connection.
+/// # Errors
+/// The predecessor continues to serve, and this process has not accepted any connection.
 pub(in crate::daemon) async fn take_over(
     node: &mut Node,
     endpoint: SuccessorEndpoint,
-    bound: Bound,
+    bound: BoundSockets,
     terminate: &mut Signal,
 ) -> Result<Takeover, TakeoverError> {
-    let takeover = InProgress {
+    let takeover = TakeoverInProgress {
         node,
         machine: Successor::default(),
         endpoint,
@@ -52,28 +53,28 @@
     takeover.run(terminate).await
 }
 
-struct InProgress<'a> {
+struct TakeoverInProgress<'a> {
     node: &'a mut Node,
     machine: Successor,
     endpoint: SuccessorEndpoint,
-    /// The sockets, until connections are accepted on them.
-    bound: Option<Bound>,
-    /// This process was told to stop.
+    /// The listening sockets, until the node accepts connections on them.
+    bound: Option<BoundSockets>,
+    /// Whether this process was asked to stop.
     stopping: bool,
-    /// The reason if the takeover fails.
+    /// The error that is reported if the takeover fails.
     error: TakeoverError,
 }
 
 /// How a takeover ends.
 enum End {
     Serving,
-    /// Requests may be in flight.
+    /// Connections were accepted, so requests may be in flight.
     Drain,
     /// No connection was accepted.
     Exit,
 }
 
-impl InProgress<'_> {
+impl TakeoverInProgress<'_> {
     async fn run(mut self, terminate: &mut Signal) -> Result<Takeover, TakeoverError> {
         match self.until_end(terminate).await {
             End::Serving => {
@@ -104,7 +105,7 @@
                 }
             };
             for action in self.machine.handle(event) {
-                if let ControlFlow::Break(end) = self.carry_out(*action).await {
+                if let ControlFlow::Break(end) = self.perform(*action).await {
                     return end;
                 }
             }
@@ -133,7 +134,7 @@
         }
     }
 
-    async fn carry_out(&mut self, action: SuccessorAction) -> ControlFlow<End> {
+    async fn perform(&mut self, action: SuccessorAction) -> ControlFlow<End> {
         match action {
             SuccessorAction::SendReady => self.endpoint.send_ready(),
             SuccessorAction::Accept => {
@@ -145,7 +146,7 @@
             SuccessorAction::Decline => self.endpoint.decline().await,
             SuccessorAction::Release => self.endpoint.release().await,
             SuccessorAction::TerminatePredecessor => self.endpoint.terminate_predecessor(),
-            // Only now: a successor that may still be cancelled does not notify the service manager.
+            // The service manager is notified only after this action, since until then the takeover may be cancelled.
             SuccessorAction::TakeOwnership => return ControlFlow::Break(End::Serving),
             SuccessorAction::Drain => return ControlFlow::Break(End::Drain),
             SuccessorAction::Exit => return ControlFlow::Break(End::Exit),
@@ -166,7 +167,7 @@
         self.machine.state() == SuccessorState::OnProbation
     }
 
-    /// Waits until it no longer stands by. Cancel safe.
+    /// Waits until the predecessor no longer stands by. Cancel safe.
     pub async fn gone(&mut self) {
         while self.is_standing_by() {
             let event = match self.endpoint.next().await {
@@ -184,7 +185,7 @@
             match action {
                 SuccessorAction::Release => self.endpoint.release().await,
                 SuccessorAction::TerminatePredecessor => self.endpoint.terminate_predecessor(),
-                // Actions of a process that does not serve yet.
+                // These actions occur only before this process serves.
                 SuccessorAction::SendReady
                 | SuccessorAction::Accept
                 | SuccessorAction::SendAccepting
--- a/crates/cache-balancer/src/daemon/listeners.rs
+++ b/crates/cache-balancer/src/daemon/listeners.rs
@@ -1,5 +1,5 @@
-//! The listeners of a node, each with a shutdown phase of its own: one that a reload removes closes as all do when the node
-//! stops.
+//! The listeners of a node. Each has its own shutdown phase, so that a listener that a reload removes closes in the same way
+//! as all of them do when the node stops.
 
 use super::change::Change;
 use super::error::ConfigureError;
@@ -18,25 +18,25 @@
 use tokio::task::{spawn_local, JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-/// The time for which a listener that stops still accepts. Fronts send new connections for up to 0.4 s after SIGTERM,
+/// How long a closing listener continues to accept connections. Fronts send new connections for up to 0.4 s after SIGTERM,
 /// until they notice.
 const DRAIN_DELAY: Duration = Duration::from_millis(500);
 
 /// Listening sockets, each with the index of its listener in the configuration.
-pub type Bound = Vec<(usize, TcpListener)>;
+pub type BoundSockets = Vec<(usize, TcpListener)>;
 
 /// Listening sockets that another process opened.
 #[derive(Debug, Default)]
 pub struct InheritedSockets {
-    /// The service manager's.
+    /// Sockets from the service manager.
     pub activation: ActivationSockets,
-    /// The predecessor's.
+    /// Sockets from the predecessor, each with its listener.
     pub handed_over: Vec<(Listener, std::net::TcpListener)>,
 }
 
 impl InheritedSockets {
     fn take(&mut self, listener: &Listener) -> Option<std::net::TcpListener> {
-        // If the system picked the port, the file may name it by now.
+        // If the system picked the port, the new configuration may state that port.
         let is_bound = |socket: &std::net::TcpListener| socket.local_addr().ok() == Some(listener.address);
         let is_listener = |(other, socket): &(Listener, std::net::TcpListener)| {
             other.is_same_socket(listener) || is_bound(socket)
@@ -48,12 +48,13 @@
     }
 }
 
-/// Listens for each of `listeners` whose index is in `indices`: on an inherited socket, or on its address.
+/// Listens for each of `listeners` whose index is in `indices`, on its inherited socket if there is one and else on its
+/// address.
 pub async fn bind(
     listeners: &[Listener],
     indices: impl Iterator<Item = usize>,
     inherited: &mut InheritedSockets,
-) -> Result<Bound, ConfigureError> {
+) -> Result<BoundSockets, ConfigureError> {
     let mut bound = Vec::new();
     for index in indices {
         let listener = &listeners[index];
@@ -66,8 +67,8 @@
                 bound.map_err(|error| ConfigureError::Listen { address, error })?
             }
         };
-        // From here on, so that requests that come before the first accept tell when they came. Where the system cannot,
-        // they count from their read.
+        // Enabled before the first accept, so that the arrival times of earlier requests are known as well. Where the
+        // system does not support it, the time of the read is used.
         note_arrivals(&socket);
         bound.push((index, socket));
     }
@@ -82,58 +83,58 @@
 /// The listeners, in the order of the configuration.
 pub struct Listeners {
     front: Rc<Front>,
-    running: Vec<Running>,
+    running: Vec<RunningListener>,
     /// Removed listeners that have not closed yet.
     removed: JoinSet<()>,
 }
 
-struct Running {
-    /// The task that serves holds it open.
+struct RunningListener {
+    /// The socket is held open by the `serving` task.
     socket: Weak<TcpListener>,
     phase: watch::Sender<ShutdownPhase>,
     serving: JoinHandle<()>,
 }
 
-impl Running {
+impl RunningListener {
     async fn close(self) {
         self.phase.send_replace(ShutdownPhase::Draining);
         sleep(DRAIN_DELAY).await;
         self.phase.send_replace(ShutdownPhase::Closing);
-        // A task that panicked has ended, too.
+        // An error means that the task panicked: it has ended in that case, too.
         let _ = self.serving.await;
     }
 }
 
 impl Listeners {
-    /// No listeners yet.
+    /// Creates an empty set of listeners.
     pub fn new(front: Rc<Front>) -> Self {
         Self { front, running: Vec::new(), removed: JoinSet::new() }
     }
 
-    /// Applies a new configuration. `bound` has a socket for each listener that it adds. A listener that it lacks finishes
-    /// its requests and closes.
-    pub fn change(&mut self, name: &str, change: &Change, bound: Bound) {
+    /// Applies a new configuration. `bound` has a socket for each added listener. A removed listener finishes its requests
+    /// and closes.
+    pub fn change(&mut self, name: &str, change: &Change, bound: BoundSockets) {
         while self.removed.try_join_next().is_some() {}
-        let mut before: Vec<_> = std::mem::take(&mut self.running).into_iter().map(Some).collect();
+        let mut previous: Vec<_> = std::mem::take(&mut self.running).into_iter().map(Some).collect();
         let mut bound = bound.into_iter();
         for index in &change.listeners {
-            let running = match index.and_then(|index| before[index].take()) {
+            let running = match index.and_then(|index| previous[index].take()) {
                 Some(running) => Some(running),
                 None => bound.next().map(|(_, socket)| self.start(name, socket)),
             };
             self.running.extend(running);
         }
-        for removed in before.into_iter().flatten() {
+        for removed in previous.into_iter().flatten() {
             self.removed.spawn_local(removed.close());
         }
     }
 
-    /// Waits until removed listeners have closed: the next configuration may add one of them again.
+    /// Waits until removed listeners have closed, since the next configuration may add one of them again.
     pub async fn wait_for_removed(&mut self) {
         while self.removed.join_next().await.is_some() {}
     }
 
-    fn start(&self, name: &str, socket: TcpListener) -> Running {
+    fn start(&self, name: &str, socket: TcpListener) -> RunningListener {
         if let Ok(address) = socket.local_addr() {
             log!("node {name} listens on {address}");
         }
@@ -141,7 +142,7 @@
         let socket = Rc::new(socket);
         let weak = Rc::downgrade(&socket);
         let serving = spawn_local(serve(socket, watched_phase, self.front.clone()));
-        Running { socket: weak, phase, serving }
+        RunningListener { socket: weak, phase, serving }
     }
 
     /// Stops accepting until [`Listeners::resume`]. The sockets stay open.
@@ -160,15 +161,15 @@
         }
     }
 
-    /// A descriptor of each socket, with the index of its listener in the configuration. A socket that cannot be duplicated
-    /// is left out.
+    /// Duplicates the descriptor of each socket, and returns it with the index of its listener in the configuration.
+    /// Sockets that cannot be duplicated are left out.
     pub fn sockets(&self) -> Vec<(usize, OwnedFd)> {
         let all = self.running.iter().enumerate();
-        let socket = |running: &Running| running.socket.upgrade()?.as_fd().try_clone_to_owned().ok();
+        let socket = |running: &RunningListener| running.socket.upgrade()?.as_fd().try_clone_to_owned().ok();
         all.filter_map(|(index, running)| Some((index, socket(running)?))).collect()
     }
 
-    /// Leaves accepting to the successor, until [`Listeners::resume`].
+    /// Stops accepting while the successor is on probation, until [`Listeners::resume`].
     pub fn stand_by(&self) {
         self.enter(ShutdownPhase::StandingBy);
     }
@@ -178,12 +179,12 @@
         self.front.table.drained().await;
     }
 
-    /// Leaves accepting to another process for good.
+    /// Stops accepting permanently, because another process has taken over.
     pub fn hand_over(&self) {
         self.enter(ShutdownPhase::HandedOver);
     }
 
-    /// Waits until every connection has ended by itself; idle ones end by their time limit.
+    /// Waits until every connection has ended, without closing any. Idle connections end by their timeout.
     pub async fn ended(&mut self) {
         self.wait_for_removed().await;
         self.front.table.drained().await;
--- a/crates/cache-balancer/src/daemon/mod.rs
+++ b/crates/cache-balancer/src/daemon/mod.rs
@@ -1,9 +1,9 @@
 //! The daemon of one node.
 //!
-//! * [`startup`]: from the configuration to a node that serves, alone or in place of another process.
-//! * [`serve`]: the loop that handles signals and the graceful restart.
-//! * [`node`]: the parts of a node, and its reload; [`change`] compares two configurations.
-//! * [`graceful_restart`]: carries out what [`balancer_core::graceful_restart`] decides.
+//! * [`startup`]: starts a node from its configuration, with or without a predecessor process to take over from.
+//! * [`serve`]: runs the event loop for signals and graceful restarts.
+//! * [`node`]: owns the components of a node and reloads its configuration; [`change`] compares two configurations.
+//! * [`graceful_restart`]: carries out the actions that [`balancer_core::graceful_restart`] decides on.
 
 mod change;
 mod error;
@@ -33,15 +33,15 @@
     Operator(PathBuf),
 }
 
-/// Serves with the configuration of the platform's environment, until SIGTERM.
+/// Runs a node with the configuration from the platform's environment, until SIGTERM.
 pub fn start() -> Result<(), StartError> {
     let config = platform::load(|name| std::env::var(name).ok()).map_err(ConfigureError::from)?;
     block_on(config, ConfigSource::Platform)
 }
 
-/// Serves with the configuration of an operator's file, until SIGTERM or until another process has taken over.
+/// Runs a node with the configuration from an operator's file, until SIGTERM or until another process has taken over.
 ///
-/// Ends with the process that started it if `with_parent` is set.
+/// If `with_parent` is set, this process receives SIGTERM when its parent exits.
 pub fn start_from(path: &Path, with_parent: bool) -> Result<(), StartError> {
     if with_parent {
         rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::TERM))
@@ -52,10 +52,10 @@
 }
 
 fn block_on(config: Config, source: ConfigSource) -> Result<(), StartError> {
-    // A node has one core: one thread, and no locks between its parts.
+    // A node has one core, so it runs on one thread and its components need no locks.
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
     let result = LocalSet::new().block_on(&runtime, startup::run(config, source));
-    // A read of a file that blocks must not delay the exit.
+    // A blocked file read must not delay the exit.
     runtime.shutdown_background();
     result
 }
@@ -64,7 +64,7 @@
 fn limit_descriptors(mut config: Config) -> Config {
     let limit = operator::descriptor_limit();
     if config.descriptors > limit {
-        log!("the system lets this process hold {limit} descriptors, not {}", config.descriptors);
+        log!("descriptors limited to {limit} by the system; {} are configured", config.descriptors);
         config.descriptors = limit;
     }
     config
--- a/crates/cache-balancer/src/daemon/node.rs
+++ b/crates/cache-balancer/src/daemon/node.rs
@@ -1,8 +1,8 @@
-//! The parts of a node, and how it applies a new configuration.
+//! The components of a node, and the reload of its configuration.
 
 use super::change::Change;
 use super::error::ConfigureError;
-use super::listeners::{bind, Bound, InheritedSockets, Listeners};
+use super::listeners::{bind, BoundSockets, InheritedSockets, Listeners};
 use super::pools::Pools;
 use super::{limit_descriptors, ConfigSource};
 use crate::config::{operator, platform, Config, HandoverConfig, MIN_CONNECTIONS, RESERVED_DESCRIPTORS};
@@ -17,12 +17,12 @@
 use tokio::sync::watch;
 use tokio::task::{spawn_blocking, spawn_local};
 
-/// The largest number of client connections, and of connections to cache servers, that the node can hold.
+/// Returns the largest number of client connections, which is also that of connections to cache servers.
 pub fn max_connections(config: &Config) -> Result<usize, ConfigureError> {
-    // A hand-over needs its socket, its link, and a second descriptor for each listener.
+    // A hand-over needs a listening socket, a connection, and a second descriptor for each listener.
     let handover = config.handover.as_ref().map_or(0, |_| 2 + config.listeners.len());
     let reserved = RESERVED_DESCRIPTORS + (config.listeners.len() - 1) + (config.pools.len() - 1) + handover;
-    // A request holds a client connection for as long as a connection to a cache server.
+    // A request can hold a client connection and a connection to a cache server at the same time.
     let connections = config.descriptors.saturating_sub(reserved) / 2;
     if connections < MIN_CONNECTIONS {
         return Err(ConfigureError::Descriptors { descriptors: config.descriptors, reserved });
@@ -30,7 +30,7 @@
     Ok(connections)
 }
 
-/// A node that serves.
+/// The components of a node.
 pub struct Node {
     pub config: Config,
     upstream: Rc<ConnectionLimit>,
@@ -41,18 +41,18 @@
     pub listeners: Listeners,
 }
 
-/// A new configuration, with everything that could fail done.
+/// A new configuration that is ready to be applied: every step that can fail has succeeded.
 pub struct PreparedReload {
     config: Config,
     change: Change,
     max_connections: usize,
-    bound: Bound,
-    /// The end for hand-overs, if its socket has moved.
+    bound: BoundSockets,
+    /// The new hand-over endpoint, if the path of its socket has changed.
     endpoint: Option<PredecessorEndpoint>,
 }
 
 impl Node {
-    /// Starts a node that does not accept connections yet. `learned` is the state of its predecessor's pools.
+    /// Starts a node that does not accept connections yet. `learned` is the state of the predecessor's pools.
     pub fn start(config: Config, max_connections: usize, learned: Vec<PoolState>) -> Self {
         let upstream = Rc::new(ConnectionLimit::new(max_connections));
         let pools = Pools::start(&config, upstream.clone(), learned);
@@ -65,14 +65,14 @@
         Self { config, upstream, pools, drivers, readiness, front, listeners }
     }
 
-    /// Accepts connections on these sockets, one for each listener.
-    pub fn listen(&mut self, bound: Bound) {
+    /// Starts to accept connections. `bound` has one socket for each configured listener.
+    pub fn listen(&mut self, bound: BoundSockets) {
         let without_listeners = Config { listeners: Vec::new(), ..self.config.clone() };
         let change = Change::between(&without_listeners, &self.config);
         self.listeners.change(&self.config.name, &change, bound);
     }
 
-    /// The learned state, for a successor.
+    /// Returns the learned state of the pools, for a successor.
     pub async fn learned_state(&self) -> State {
         State::new(self.pools.learned_state().await)
     }
@@ -82,11 +82,12 @@
         self.pools.restore(state.pools);
     }
 
-    /// Reads the configuration again, and does everything that can fail. The node itself does not change.
+    /// Reads the configuration again and performs every step that can fail, without changing the running node.
     pub async fn prepare_reload(&mut self, source: &ConfigSource) -> Result<PreparedReload, ConfigureError> {
         let config = match source.clone() {
-            ConfigSource::Platform => self.config_with_moved_discovery()?,
-            // Not on the thread of all requests: a file on an unreachable share blocks its reader.
+            ConfigSource::Platform => self.config_with_new_discovery()?,
+            // Read on another thread than the one that serves requests: a file on an unreachable network share blocks
+            // its reader.
             ConfigSource::Operator(path) => {
                 let config = spawn_blocking(move || operator::load(&path)).await?;
                 limit_descriptors(config?)
@@ -104,7 +105,7 @@
         Ok(PreparedReload { config, change, max_connections, bound, endpoint })
     }
 
-    /// Listens for a successor if `config` has another socket for that.
+    /// Listens for a successor if `config` has a hand-over socket at another path than the current configuration.
     fn bind_moved_endpoint(&self, config: &Config) -> Result<Option<PredecessorEndpoint>, ConfigureError> {
         let is_moved = |new: &HandoverConfig| {
             self.config.handover.as_ref().is_none_or(|current| current.socket != new.socket)
@@ -113,8 +114,9 @@
         moved.map(PredecessorEndpoint::bind).transpose().map_err(ConfigureError::HandoverSocket)
     }
 
-    /// The current configuration with the platform's new `discovery`; the rest holds from the start on.
-    fn config_with_moved_discovery(&self) -> Result<Config, ConfigureError> {
+    /// Returns the current configuration with the platform's new `discovery`. The platform's other settings are only
+    /// read at the start.
+    fn config_with_new_discovery(&self) -> Result<Config, ConfigureError> {
         let new = platform::load(|name| std::env::var(name).ok().filter(|_| name != platform::DISCOVERY))?;
         let mut config = self.config.clone();
         for (pool, new) in config.pools.iter_mut().zip(new.pools) {
@@ -123,8 +125,8 @@
         Ok(config)
     }
 
-    /// Applies a new configuration in one step: no request sees part of one and part of the other. Returns the end for
-    /// hand-overs, if its socket has moved.
+    /// Applies a new configuration in one step, so that no request sees a mixture of both. Returns the new hand-over
+    /// endpoint, if the path of its socket has changed.
     pub fn apply(&mut self, prepared: PreparedReload) -> Option<PredecessorEndpoint> {
         let PreparedReload { config, change, max_connections, bound, endpoint } = prepared;
         log!("configuration read again: {change}");
--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -1,4 +1,4 @@
-//! The pools of a node: each has a driver with decisions of its own, connections, and a source of its endpoint list.
+//! The pools of a node. Each has a driver with its own balancer, upstream connections, and a source of its endpoint list.
 
 use super::change::Change;
 use crate::config::{Config, DiscoveryReplicas, Pool, Source};
@@ -23,28 +23,28 @@
 
 /// The pools, in the order of the configuration.
 pub struct Pools {
-    running: Vec<Running>,
+    running: Vec<RunningPool>,
     connection_limit: Rc<ConnectionLimit>,
     /// The name of the node.
     node: String,
-    /// Whether the pools log a line of counts for each second.
+    /// Whether each pool logs a line of counts every second.
     tally: Rc<Cell<bool>>,
     seed: u64,
-    /// The number of pools started so far: each has a random sequence of its own.
+    /// The number of pools started so far. Added to the seed, so that each pool has its own random sequence.
     started: u64,
 }
 
-struct Running {
+struct RunningPool {
     pool: Pool,
-    /// Leads to its driver.
+    /// Sends to the pool's driver.
     driver_inputs: UnboundedSender<DriverInput>,
     ready: watch::Receiver<bool>,
     list: ListWatch,
-    /// What polls of discovery depend on, shared with the poller.
+    /// The settings of discovery polls, shared with the poller.
     poll_settings: Rc<Cell<PollSettings>>,
 }
 
-/// The task that follows the source of an endpoint list.
+/// The task that watches the source of an endpoint list.
 enum ListWatch {
     Discovery(watch::Sender<DiscoveryReplicas>, AbortHandle),
     File(AbortHandle),
@@ -60,11 +60,12 @@
     }
 }
 
-impl Running {
-    /// Restores the state of the predecessor's pool. A list in the configuration itself goes before the predecessor's.
+impl RunningPool {
+    /// Restores the state of the predecessor's pool. A list that the configuration itself contains takes precedence over the
+    /// predecessor's.
     fn restore(&self, PoolState { endpoint_list, learned_state, .. }: PoolState) {
         let endpoint_list = match self.pool.source {
-            Source::Fixed => self.pool.known.clone(),
+            Source::Fixed => self.pool.configured_list.clone(),
             Source::Discovery(_) | Source::File(_) => endpoint_list,
         };
         // The driver ends only once its pool is removed.
@@ -90,7 +91,7 @@
         pools
     }
 
-    /// Restores the latest state of the predecessor's pools.
+    /// Restores the latest learned state of the predecessor's pools.
     pub fn restore(&self, learned: Vec<PoolState>) {
         for learned in learned {
             if let Some(running) = self.running.iter().find(|running| running.pool.name == learned.name) {
@@ -99,52 +100,52 @@
         }
     }
 
-    /// The learned state of each pool.
+    /// Requests the learned state of each pool from its driver.
     pub async fn learned_state(&self) -> Vec<PoolState> {
         let mut states = Vec::new();
-        for Running { pool, driver_inputs, .. } in &self.running {
-            let (answer, state) = oneshot::channel();
+        for RunningPool { pool, driver_inputs, .. } in &self.running {
+            let (response, state) = oneshot::channel();
             // The driver ends only once its pool is removed.
-            let _ = driver_inputs.send(DriverInput::StateRequested(answer));
+            let _ = driver_inputs.send(DriverInput::StateRequested(response));
             let Ok((endpoint_list, learned_state)) = state.await else { continue };
             states.push(PoolState::new(&pool.name, &pool.source, endpoint_list, learned_state));
         }
         states
     }
 
-    /// Applies a new configuration. A pool that it lacks finishes its requests and ends.
+    /// Applies a new configuration. A removed pool finishes its requests and ends.
     pub fn change(&mut self, change: &Change, config: &Config) {
         self.tally.set(config.tally);
-        let mut before: Vec<_> = std::mem::take(&mut self.running).into_iter().map(Some).collect();
+        let mut previous: Vec<_> = std::mem::take(&mut self.running).into_iter().map(Some).collect();
         for (index, pool) in change.pools.iter().zip(&config.pools) {
-            let running = match index.and_then(|index| before[index].take()) {
+            let running = match index.and_then(|index| previous[index].take()) {
                 Some(running) => self.reconfigure_pool(running, pool.clone()),
                 None => self.start_pool(pool.clone(), None),
             };
             self.running.push(running);
         }
-        for removed in before.into_iter().flatten() {
-            // Its driver ends only once its pool is removed.
+        for removed in previous.into_iter().flatten() {
+            // The driver ends only once its pool is removed.
             let _ = removed.driver_inputs.send(DriverInput::PoolRemoved);
         }
     }
 
-    /// The inputs of the drivers.
+    /// Returns the input channel of each pool's driver.
     pub fn drivers(&self) -> Vec<UnboundedSender<DriverInput>> {
         self.running.iter().map(|running| running.driver_inputs.clone()).collect()
     }
 
-    /// Whether each pool has had a server that takes work.
+    /// Returns, for each pool, whether it has had a server that accepts requests.
     pub fn ready(&self) -> Vec<readiness::Pool> {
         self.running.iter().map(|running| (running.pool.name.clone(), running.ready.clone())).collect()
     }
 
-    /// The pool of each class.
+    /// Returns the request classes with their pools, and the names of the tenants.
     pub fn routes(&self) -> Routes {
-        let classes = |running: &Running| {
+        let classes = |running: &RunningPool| {
             Class::all(&running.pool.settings, &running.driver_inputs).collect::<Vec<_>>()
         };
-        let tenants = |running: &Running| {
+        let tenants = |running: &RunningPool| {
             running.pool.settings.tenants.iter().map(|tenant| tenant.name.clone()).collect::<Vec<_>>()
         };
         Routes {
@@ -153,15 +154,15 @@
         }
     }
 
-    fn start_pool(&mut self, pool: Pool, learned: Option<PoolState>) -> Running {
+    fn start_pool(&mut self, pool: Pool, learned: Option<PoolState>) -> RunningPool {
         let seed = self.seed.wrapping_add(self.started);
         self.started += 1;
-        // The number of connections bounds it: each has one request, or one attempt, in the channel.
+        // The number of connections bounds the channel: each has at most one request or one attempt in it.
         let (driver_inputs, inputs) = mpsc::unbounded_channel();
         let (has_servers, ready) = watch::channel(false);
-        let Pool { settings, known, .. } = &pool;
-        let (connecting, idle) = (settings.connect_timeout, settings.server_idle_timeout);
-        let upstream = Rc::new(Upstream::new(self.connection_limit.clone(), connecting, idle));
+        let Pool { settings, configured_list, .. } = &pool;
+        let (connect_timeout, idle_timeout) = (settings.connect_timeout, settings.server_idle_timeout);
+        let upstream = Rc::new(Upstream::new(self.connection_limit.clone(), connect_timeout, idle_timeout));
         spawn_local(Upstream::close_idle_on_time(Rc::downgrade(&upstream)));
         let validator = initial_validator(&pool, learned.as_ref());
         let poll_settings = Rc::new(Cell::new(PollSettings::from(settings)));
@@ -170,29 +171,29 @@
         let balancer = Balancer::new(settings.clone(), seed);
         let tally = Tally::new(&self.node, &pool.name, self.tally.clone());
         let driver = Driver::new(balancer, upstream, has_servers, driver_inputs.clone(), tally);
-        spawn_local(driver.run(known.clone(), inputs));
-        let running = Running { pool, driver_inputs, ready, list, poll_settings };
+        spawn_local(driver.run(configured_list.clone(), inputs));
+        let running = RunningPool { pool, driver_inputs, ready, list, poll_settings };
         if let Some(learned) = learned {
             running.restore(learned);
         }
         running
     }
 
-    /// Applies a new configuration to a pool that goes on.
-    fn reconfigure_pool(&self, mut running: Running, pool: Pool) -> Running {
-        let before = std::mem::replace(&mut running.pool, pool);
-        let Pool { source, known, settings, .. } = &running.pool;
+    /// Applies a new configuration to a pool that is kept.
+    fn reconfigure_pool(&self, mut running: RunningPool, pool: Pool) -> RunningPool {
+        let previous = std::mem::replace(&mut running.pool, pool);
+        let Pool { source, configured_list, settings, .. } = &running.pool;
         running.poll_settings.set(PollSettings::from(settings));
-        if *settings != before.settings {
+        if *settings != previous.settings {
             // The driver ends only once its pool is removed.
             let _ = running.driver_inputs.send(DriverInput::Reconfigured(Box::new(settings.clone())));
         }
         match (source, &running.list) {
             (Source::Discovery(new), ListWatch::Discovery(current, _)) => {
-                // The watch of a replica that stays goes on.
+                // The poller keeps its watch if the watched replica is still listed.
                 current.send_if_modified(|current| std::mem::replace(current, new.clone()) != *new);
             }
-            _ if *source == before.source => {}
+            _ if *source == previous.source => {}
             _ => {
                 let seed = self.seed.wrapping_add(self.started);
                 let validator = ListValidator::default();
@@ -207,18 +208,20 @@
             }
         }
         if *source == Source::Fixed
-            && (before.source != Source::Fixed || known.endpoints != before.known.endpoints)
+            && (previous.source != Source::Fixed
+                || configured_list.endpoints != previous.configured_list.endpoints)
         {
-            let _ = running
-                .driver_inputs
-                .send(DriverInput::EndpointList(EndpointList { is_snapshot: true, ..known.clone() }));
+            let _ = running.driver_inputs.send(DriverInput::EndpointList(EndpointList {
+                is_snapshot: true,
+                ..configured_list.clone()
+            }));
         }
         running
     }
 }
 
 impl ListWatch {
-    /// Starts to follow `source`. `validator` is what the driver holds of the list, and `node` the name of the node.
+    /// Starts to watch `source`. `validator` describes the list that the driver holds, and `node` is the name of the node.
     fn start(
         node: &str,
         source: &Source,
@@ -229,11 +232,12 @@
     ) -> Self {
         match source {
             Source::Discovery(replicas) => {
-                // With a random sequence for each, pools that lost discovery together do not return together.
+                // Each pool has its own random sequence, so that pools that lost discovery at the same time do not retry at
+                // the same time.
                 let random = fastrand::Rng::with_seed(seed);
                 let (sender, replicas) = watch::channel(replicas.clone());
                 let (poll_settings, driver_inputs) = (poll_settings.clone(), driver_inputs.clone());
-                let watching = DiscoveryPoller {
+                let poller = DiscoveryPoller {
                     node: node.to_owned(),
                     replicas,
                     validator,
@@ -241,7 +245,7 @@
                     random,
                     driver_inputs,
                 };
-                Self::Discovery(sender, spawn_local(watching.run()).abort_handle())
+                Self::Discovery(sender, spawn_local(poller.run()).abort_handle())
             }
             Source::File(path) => {
                 Self::File(spawn_local(list_file::watch(path.clone(), driver_inputs.clone())).abort_handle())
@@ -251,16 +255,16 @@
     }
 }
 
-/// The list that a pool starts with. A watch goes on from the version of the predecessor, if that is of the same discovery
-/// service.
+/// Returns the validator for the list that a pool starts with. If the predecessor used the same discovery service, the watch
+/// continues from the predecessor's version.
 fn initial_validator(pool: &Pool, learned: Option<&PoolState>) -> ListValidator {
     match learned {
         Some(learned) if learned.shares_versions_with(&pool.source) => {
             ListValidator::new(Some(learned.endpoint_list.version), learned.endpoint_list.ready_ids())
         }
         _ => {
-            let known = &pool.known;
-            ListValidator::new((!known.endpoints.is_empty()).then_some(known.version), known.ready_ids())
+            let list = &pool.configured_list;
+            ListValidator::new((!list.endpoints.is_empty()).then_some(list.version), list.ready_ids())
         }
     }
 }
--- a/crates/cache-balancer/src/daemon/serve.rs
+++ b/crates/cache-balancer/src/daemon/serve.rs
@@ -1,4 +1,4 @@
-//! The loop of a node that serves: signals, reloads and the graceful restart.
+//! The event loop of a serving node: signals, reloads and graceful restarts.
 
 use super::graceful_restart::{GracefulRestart, RestartEvent, Transition};
 use super::node::Node;
@@ -12,7 +12,7 @@
 use tokio::signal::unix::Signal;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// A node that serves.
+/// A serving node with its connections to the service manager and to other processes of the node.
 pub(super) struct Daemon {
     node: Node,
     restart: GracefulRestart,
@@ -22,8 +22,8 @@
     watchdog: JoinHandle<()>,
 }
 
-/// What the loop reacts to.
-enum Wake {
+/// An event that the loop handles.
+enum DaemonEvent {
     Terminate,
     Restart(RestartEvent),
     Reload,
@@ -37,37 +37,37 @@
         Self { node, restart, manager, source, spawned: SpawnedSuccessor::default(), watchdog }
     }
 
-    /// Serves until the process is told to stop, or another one has taken over for good.
+    /// Serves until SIGTERM, or until a successor has taken over and its probation has ended.
     pub async fn serve(mut self, mut signals: Signals) {
         loop {
             match self.next(&mut signals).await {
-                Wake::Terminate => return self.stop().await,
-                Wake::Restart(event) => {
+                DaemonEvent::Terminate => return self.stop().await,
+                DaemonEvent::Restart(event) => {
                     if self.handle_restart(event).await == Transition::Departed {
                         return self.depart(&mut signals.terminate).await;
                     }
                 }
-                Wake::Reload => {
+                DaemonEvent::Reload => {
                     if self.handle_reload(&mut signals.terminate).await.is_break() {
                         return self.stop().await;
                     }
                 }
-                Wake::Upgrade => self.start_successor(),
-                Wake::SpawnedSuccessorExited => {}
+                DaemonEvent::Upgrade => self.start_successor(),
+                DaemonEvent::SpawnedSuccessorExited => {}
             }
         }
     }
 
-    async fn next(&mut self, signals: &mut Signals) -> Wake {
-        // A reload waits for the end of a hand-over: what was offered stays valid.
+    async fn next(&mut self, signals: &mut Signals) -> DaemonEvent {
+        // A reload waits for the end of a hand-over, so that the offered sockets and state stay valid.
         let handing_over = self.restart.is_handing_over();
         tokio::select! {
             biased;
-            _ = signals.terminate.recv() => Wake::Terminate,
-            event = self.restart.next(&self.node) => Wake::Restart(event),
-            _ = signals.reload.recv(), if !handing_over => Wake::Reload,
-            _ = signals.upgrade.recv() => Wake::Upgrade,
-            () = self.spawned.exited() => Wake::SpawnedSuccessorExited,
+            _ = signals.terminate.recv() => DaemonEvent::Terminate,
+            event = self.restart.next(&self.node) => DaemonEvent::Restart(event),
+            _ = signals.reload.recv(), if !handing_over => DaemonEvent::Reload,
+            _ = signals.upgrade.recv() => DaemonEvent::Upgrade,
+            () = self.spawned.exited() => DaemonEvent::SpawnedSuccessorExited,
         }
     }
 
@@ -77,7 +77,7 @@
         match transition {
             Transition::None => {}
             Transition::StandingBy => {
-                // The process that serves feeds the watchdog.
+                // The successor feeds the watchdog from now on.
                 self.watchdog.abort();
                 log!("node {name} stands by: its successor serves, on probation");
             }
@@ -91,17 +91,17 @@
         transition
     }
 
-    /// Reads the configuration again and applies it. Breaks if the process is told to stop meanwhile.
+    /// Reads the configuration again and applies it. Returns `Break` if SIGTERM arrives meanwhile.
     async fn handle_reload(&mut self, terminate: &mut Signal) -> ControlFlow<()> {
         if self.restart.is_standing_by() {
             self.restart.forward_signal(SignalNumber::HUP);
             return ControlFlow::Continue(());
         }
-        let notifies = self.node.readiness.reached();
-        if notifies {
+        let notify_reloading = self.node.readiness.reached();
+        if notify_reloading {
             self.manager.notify_reloading();
         }
-        // Signals that arrive meanwhile count as one more: the configuration is read again afterwards.
+        // Reload signals that arrive meanwhile are merged into one: the configuration is read once more afterwards.
         let prepared = tokio::select! {
             biased;
             _ = terminate.recv() => return ControlFlow::Break(()),
@@ -138,22 +138,22 @@
         }
     }
 
-    /// The process is told to stop. A successor that was told to proceed goes on in its place.
+    /// Stops the process. A successor that was told to proceed replaces it.
     async fn stop(mut self) {
         let name = &self.node.config.name;
         if self.restart.stop(&self.manager).await {
-            log!("node {name} is told to stop, and has handed over");
+            log!("node {name} is stopping and has handed over");
             self.node.listeners.hand_over();
             self.node.listeners.close().await;
             self.manager.flush().await;
         } else {
-            log!("node {name} is told to stop");
+            log!("node {name} is stopping");
             self.manager.notify_stopping();
             self.node.listeners.close().await;
         }
     }
 
-    /// Another process serves for good.
+    /// Finishes the requests in flight after another process has taken over permanently.
     async fn depart(self, terminate: &mut Signal) {
         finish(self.node, terminate).await;
         self.manager.flush().await;
@@ -164,7 +164,8 @@
     spawn_local(manager.clone().feed_watchdog(node.drivers.subscribe()))
 }
 
-/// Finishes the requests in flight while another process accepts. A termination signal also closes idle connections.
+/// Finishes the requests in flight while another process accepts connections. On SIGTERM, idle connections are closed as
+/// well.
 pub(super) async fn finish(mut node: Node, terminate: &mut Signal) {
     node.listeners.hand_over();
     tokio::select! {
--- a/crates/cache-balancer/src/daemon/startup.rs
+++ b/crates/cache-balancer/src/daemon/startup.rs
@@ -1,8 +1,8 @@
-//! The start of a node, alone or in place of the process that serves.
+//! Starts a node. If another process of the node is serving, this process takes over from it.
 
 use super::error::{ConfigureError, StartError};
 use super::graceful_restart::{take_over, GracefulRestart, Takeover};
-use super::listeners::{bind, Bound, InheritedSockets};
+use super::listeners::{bind, BoundSockets, InheritedSockets};
 use super::node::{max_connections, Node};
 use super::serve::{finish, Daemon};
 use super::ConfigSource;
@@ -15,9 +15,9 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// Starts the node, and serves until it is told to stop or another process has taken over.
+/// Starts the node and serves until SIGTERM or until another process has taken over.
 pub(super) async fn run(config: Config, source: ConfigSource) -> Result<(), StartError> {
-    // Before anything else: a signal without a handler ends the process.
+    // The handlers are installed first, because a signal without a handler ends the process.
     let mut signals = Signals::install()?;
     let (manager, activation) = connect_service_manager(&config, &source)?;
     let max_connections = max_connections(&config)?;
@@ -34,7 +34,7 @@
                 }
                 restart
             }
-            // The service manager is not notified: the process that serves may go on.
+            // The service manager is not notified, since the predecessor may continue to serve.
             Takeover::Terminated => {
                 node.listeners.hand_over();
                 node.listeners.close().await;
@@ -64,7 +64,7 @@
     }
 }
 
-/// Requests a hand-over from the process that serves, if there is one. Returns the endpoint, the inherited sockets and
+/// Requests a hand-over from the predecessor, if one is serving. Returns the connection to it, the inherited sockets and
 /// the learned state of the pools.
 async fn request_handover(
     config: &Config,
@@ -83,21 +83,24 @@
     })
 }
 
-/// Serves without a predecessor. A socket for hand-overs that cannot be bound is an error: no client is lost by it.
-fn serve_alone(node: &mut Node, bound: Bound) -> Result<GracefulRestart, StartError> {
+/// Serves without a predecessor. Fails if the hand-over socket cannot be bound: no client has connected yet, so none is
+/// lost.
+fn serve_alone(node: &mut Node, bound: BoundSockets) -> Result<GracefulRestart, StartError> {
     let endpoint = node.config.handover.clone().map(PredecessorEndpoint::bind).transpose();
     let endpoint = endpoint.map_err(ConfigureError::HandoverSocket)?;
     node.listen(bound);
     Ok(GracefulRestart::new(None, endpoint))
 }
 
-/// Listens for a successor, in place of the predecessor. This process has clients by now, and serves on if that fails.
+/// Listens for a successor in place of the predecessor. A failure is only logged, because this process already serves
+/// clients.
 fn listen_for_successor(node: &Node) -> Option<PredecessorEndpoint> {
     let endpoint = node.config.handover.clone().map(PredecessorEndpoint::bind).transpose();
     endpoint.inspect_err(|error| log!("hand-over: no successor can connect: {error}")).unwrap_or_default()
 }
 
-/// Notifies the service manager once every pool has had a server that takes work, and until then of the pool that has not.
+/// Notifies the service manager once every pool has had a server that accepts requests. Until then, reports the pool that
+/// the node is waiting for.
 async fn notify_readiness(manager: ServiceManager, readiness: Rc<Readiness>) {
     readiness.wait(|pool| manager.notify_status(format!("waiting for cache servers of pool {pool}"))).await;
     manager.notify_ready();
--- a/crates/cache-balancer/src/readiness.rs
+++ b/crates/cache-balancer/src/readiness.rs
@@ -1,12 +1,13 @@
-//! Whether the node can serve: every pool of its start has had a cache server that takes work.
+//! Readiness of the node: it can serve once every pool has had a cache server that accepts requests.
 
 use std::cell::Cell;
 use tokio::sync::watch;
 
-/// The name of a pool, and whether it has had a server that takes work.
+/// The name of a pool, and whether it has had a server that accepts requests.
 pub type Pool = (String, watch::Receiver<bool>);
 
-/// Once reached, readiness holds for good: a pool that a reload adds must not turn away the clients of the others.
+/// Tracks the readiness of the node. Once reached, readiness is kept: a pool that a reload adds must not cause clients of
+/// the other pools to be rejected.
 #[derive(Debug)]
 pub struct Readiness {
     pools: watch::Sender<Vec<Pool>>,
@@ -14,7 +15,7 @@
 }
 
 impl Readiness {
-    /// The readiness of these pools.
+    /// Tracks the readiness of these pools.
     pub fn new(pools: Vec<Pool>) -> Self {
         Self { pools: watch::Sender::new(pools), reached: Cell::default() }
     }
@@ -24,7 +25,7 @@
         self.pools.send_replace(pools);
     }
 
-    /// Whether the node can serve.
+    /// Whether the node can serve, or could at an earlier check.
     pub fn reached(&self) -> bool {
         if !self.reached.get() {
             self.reached.set(self.pools.borrow().iter().all(|(_, ready)| *ready.borrow()));
@@ -32,13 +33,13 @@
         self.reached.get()
     }
 
-    /// Waits until the node can serve. Calls `waits_for` with the name of each pool that is waited for.
-    pub async fn wait(&self, waits_for: impl Fn(&str)) {
+    /// Waits until the node can serve. Calls `on_wait` with the name of each pool before it waits for that pool.
+    pub async fn wait(&self, on_wait: impl Fn(&str)) {
         let mut changes = self.pools.subscribe();
         while !self.reached() {
-            let missing = changes.borrow_and_update().iter().find(|(_, ready)| !*ready.borrow()).cloned();
-            let Some((name, mut pool)) = missing else { continue };
-            waits_for(&name);
+            let pending = changes.borrow_and_update().iter().find(|(_, ready)| !*ready.borrow()).cloned();
+            let Some((name, mut pool)) = pending else { continue };
+            on_wait(&name);
             tokio::select! {
                 Ok(_) = pool.wait_for(|ready| *ready) => {}
                 Ok(()) = changes.changed() => {}
--- a/crates/cache-balancer/src/service_manager/activation.rs
+++ b/crates/cache-balancer/src/service_manager/activation.rs
@@ -1,31 +1,31 @@
-//! Listening sockets that the service manager opened before the node started (sd_listen_fds(3)).
+//! Socket activation: listening sockets that the service manager opened before the node started (sd_listen_fds(3)).
 
 use listenfd::ListenFd;
 use std::io;
 use std::net::TcpListener;
 use thiserror::Error;
 
-/// The name that sd_listen_fds(3) gives to a socket without one.
+/// The name that sd_listen_fds(3) gives to an unnamed socket.
 const UNNAMED: &str = "unknown";
 
-/// Why the sockets that were passed cannot be used.
+/// An error in the sockets that the service manager passed.
 #[derive(Debug, Error)]
 pub enum ActivationError {
-    #[error("the service manager passed a socket \"{0}\", and there is no listener of this name")]
+    #[error("the service manager passed a socket \"{0}\", but there is no listener of this name")]
     UnknownName(String),
-    #[error("the service manager passed two sockets \"{0}\", and a listener has one address")]
+    #[error("the service manager passed two sockets \"{0}\", but a listener can use only one")]
     Duplicate(String),
-    #[error("the socket \"{0}\" that the service manager passed is no listening TCP socket: {1}")]
+    #[error("the socket \"{0}\" that the service manager passed is not a listening TCP socket: {1}")]
     Unusable(String, io::Error),
 }
 
-/// The sockets, each with the name of its listener.
+/// The passed sockets, each with the name of its listener.
 #[derive(Debug, Default)]
 pub struct ActivationSockets(Vec<(String, TcpListener)>);
 
 impl ActivationSockets {
-    /// The sockets that the environment names, for listeners of these names. A single socket goes to a single listener,
-    /// whatever its name.
+    /// Takes the sockets that the environment describes, and matches them to the listeners by name. If there is one socket
+    /// and one listener, the name of the socket is ignored.
     pub fn from_env(listeners: &[&str]) -> Result<Self, ActivationError> {
         // Read before `ListenFd::from_env` removes the other variables.
         let names = std::env::var("LISTEN_FDNAMES").unwrap_or_default();
@@ -33,10 +33,10 @@
         let mut descriptors = ListenFd::from_env();
         let mut sockets: Vec<(String, TcpListener)> = Vec::new();
         for index in 0..descriptors.len() {
-            let own_name = names.next().filter(|name| !name.is_empty()).unwrap_or(UNNAMED);
+            let passed_name = names.next().filter(|name| !name.is_empty()).unwrap_or(UNNAMED);
             let name = match listeners {
-                [only] if descriptors.len() == 1 => only,
-                _ => own_name,
+                [listener] if descriptors.len() == 1 => listener,
+                _ => passed_name,
             };
             if !listeners.contains(&name) {
                 return Err(ActivationError::UnknownName(name.to_owned()));
@@ -51,7 +51,7 @@
         Ok(Self(sockets))
     }
 
-    /// Takes the socket of the listener of this name.
+    /// Removes and returns the socket for the listener of this name, if there is one.
     pub fn take(&mut self, listener: &str) -> Option<TcpListener> {
         let index = self.0.iter().position(|(name, _)| name == listener)?;
         Some(self.0.swap_remove(index).1)
--- a/crates/cache-balancer/src/service_manager/mod.rs
+++ b/crates/cache-balancer/src/service_manager/mod.rs
@@ -1,5 +1,5 @@
-//! The service manager: notified of the node's state by the protocol of sd_notify(3), and asked for listening sockets by
-//! that of sd_listen_fds(3). Without a service manager, both do nothing.
+//! The interface to the service manager: sd_notify(3) reports the node's state, and sd_listen_fds(3) passes listening sockets
+//! to the node. Without a service manager, both do nothing.
 
 mod activation;
 mod notifier;
@@ -14,7 +14,7 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::timeout;
 
-/// The time for which a process that exits waits until its last notifications are sent.
+/// How long an exiting process waits for its last notifications to be sent.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A handle to the service manager. Its methods do not block.
@@ -22,12 +22,12 @@
 pub struct ServiceManager(Option<Notifier>);
 
 impl ServiceManager {
-    /// No service manager.
+    /// Returns a handle that discards all notifications.
     pub fn none() -> Self {
         Self(None)
     }
 
-    /// The service manager that the environment names, if any.
+    /// Returns a handle to the service manager that `NOTIFY_SOCKET` names, if it is set.
     pub fn from_env() -> Self {
         match std::env::var_os("NOTIFY_SOCKET") {
             Some(_) => Self(Notifier::start()),
@@ -35,26 +35,26 @@
         }
     }
 
-    /// The node can serve.
+    /// Reports that the node can serve.
     pub fn notify_ready(&self) {
         self.notify(Notification::Status("serving".into()));
         self.notify(Notification::Ready);
     }
 
-    /// The node reads its configuration again. [`Self::notify_ready`] or [`Self::notify_reload_failed`] ends it.
+    /// Reports the start of a reload. [`Self::notify_ready`] or [`Self::notify_reload_failed`] reports its end.
     pub fn notify_reloading(&self) {
         self.notify(Notification::Status("reloading".into()));
         self.notify(Notification::Reloading);
     }
 
-    /// The node serves with the configuration from before, since the new one cannot be used.
+    /// Reports that the new configuration was rejected, and that the node serves with the previous one.
     pub fn notify_reload_failed(&self, error: &str) {
         let first_line = error.lines().next().unwrap_or_default();
-        self.notify(Notification::Status(format!("serving as before: {first_line}")));
+        self.notify(Notification::Status(format!("serving with the previous configuration: {first_line}")));
         self.notify(Notification::Ready);
     }
 
-    /// The node serves again, since its successor has died.
+    /// Reports that this process serves again, because its successor has died.
     pub fn notify_rolled_back(&self) {
         self.notify_main_process(std::process::id());
         let status = "serving: the successor has died, and its clients were taken back";
@@ -62,35 +62,35 @@
         self.notify(Notification::Ready);
     }
 
-    /// This process is the main process of the service.
+    /// Reports the id of the main process of the service.
     pub fn notify_main_process(&self, process: u32) {
         self.notify(Notification::MainProcess(process));
     }
 
-    /// The node was told to stop.
+    /// Reports that the node is stopping.
     pub fn notify_stopping(&self) {
         self.notify(Notification::Stopping);
-        self.notify(Notification::Status("stopping: finishing what was taken".into()));
+        self.notify(Notification::Status("stopping: finishing the accepted requests".into()));
     }
 
-    /// Sets the status that the service manager shows to people.
+    /// Sets the status text that the service manager displays.
     pub fn notify_status(&self, text: impl Into<String>) {
         self.notify(Notification::Status(text.into()));
     }
 
-    /// Waits until all notifications are sent, for [`FLUSH_TIMEOUT`] at the most: a service manager that reads nothing must
-    /// not keep the process alive.
+    /// Waits until all notifications are sent, but no longer than [`FLUSH_TIMEOUT`]: a service manager that does not read its
+    /// socket must not keep the process alive.
     pub async fn flush(&self) {
         if self.0.is_none() {
             return;
         }
         let (flushed, done) = oneshot::channel();
         self.notify(Notification::Flush(flushed));
-        // Once the time is up, or the thread has ended, nothing more can be done.
+        // After a timeout, or if the thread has ended, nothing more can be done.
         let _ = timeout(FLUSH_TIMEOUT, done).await;
     }
 
-    /// Feeds the watchdog for as long as all drivers answer, if the service manager has one.
+    /// Feeds the watchdog as long as all drivers respond, if the service manager has enabled it.
     pub async fn feed_watchdog(self, drivers: watch::Receiver<Vec<UnboundedSender<DriverInput>>>) {
         let Some(limit) = sd_notify::watchdog_enabled() else { return };
         watchdog::feed(limit, || drivers.borrow().clone(), || self.notify(Notification::Watchdog)).await;
--- a/crates/cache-balancer/src/service_manager/notifier.rs
+++ b/crates/cache-balancer/src/service_manager/notifier.rs
@@ -1,5 +1,5 @@
-//! The thread that sends notifications. A write to the socket of a service manager that reads nothing blocks, and must not
-//! hold up requests.
+//! Sends notifications from a separate thread. A write blocks if the service manager does not read its socket, and must not
+//! delay requests.
 
 use crate::log::log;
 use sd_notify::NotifyState;
@@ -12,27 +12,27 @@
 #[derive(Debug)]
 pub(super) enum Notification {
     Ready,
-    /// The main process of the service has this number.
+    /// The id of the main process of the service.
     MainProcess(u32),
     Reloading,
     Stopping,
     Watchdog,
     Status(String),
-    /// Not sent: answered once everything before it is sent.
+    /// Not sent to the service manager. Acknowledged once all earlier notifications are sent.
     Flush(oneshot::Sender<()>),
 }
 
-/// A queue to the thread. Unbounded, since a lost `READY=1` would leave the start pending at the manager. It holds a few
-/// notifications per pool at the start, two at the end, and at most one of the watchdog.
+/// The queue of the sending thread. The queue is unbounded, because the service manager would wait for the start forever if
+/// `READY=1` were lost. It holds a few notifications per pool at the start, two at the end, and at most one of the watchdog.
 #[derive(Clone, Debug)]
 pub(super) struct Notifier {
     queue: Sender<Notification>,
-    /// A notification of the watchdog is queued.
+    /// Whether a notification of the watchdog is queued.
     watchdog_queued: Arc<AtomicBool>,
 }
 
 impl Notifier {
-    /// Starts the thread; `None` if the system has none left.
+    /// Starts the thread. Returns `None` if the system cannot create one.
     pub fn start() -> Option<Self> {
         let (queue, notifications) = channel();
         let watchdog_queued = Arc::new(AtomicBool::new(false));
@@ -41,7 +41,7 @@
         match thread.spawn(move || send_all(notifications, &queued)) {
             Ok(_) => Some(Self { queue, watchdog_queued }),
             Err(error) => {
-                log!("the service manager is not notified: {error}");
+                log!("cannot notify the service manager: {error}");
                 None
             }
         }
@@ -52,7 +52,7 @@
         if is_watchdog && self.watchdog_queued.swap(true, Ordering::Relaxed) {
             return;
         }
-        // The thread ends with the process.
+        // The thread runs until the process ends.
         let _ = self.queue.send(notification);
     }
 }
@@ -63,7 +63,7 @@
     for notification in notifications {
         let result = match notification {
             Notification::Flush(flushed) => {
-                // The process that waits may have given up.
+                // The waiting task may have timed out.
                 let _ = flushed.send(());
                 continue;
             }
@@ -80,7 +80,7 @@
         };
         if let Err(error) = &result {
             if !failed {
-                log!("the service manager is not notified: {error}");
+                log!("cannot notify the service manager: {error}");
             }
         }
         failed = result.is_err();
--- a/crates/cache-balancer/src/service_manager/watchdog.rs
+++ b/crates/cache-balancer/src/service_manager/watchdog.rs
@@ -1,4 +1,5 @@
-//! The watchdog. It is fed only while the loops that do the work answer: a timer alone would feed it for a stuck node.
+//! Feeds the service manager's watchdog. It is fed only while the drivers respond: a timer alone would also feed it while the
+//! node is stuck.
 
 use crate::input::DriverInput;
 use std::time::Duration;
@@ -6,7 +7,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{interval, timeout, MissedTickBehavior};
 
-/// Calls `notify` twice within each `limit`, for as long as all drivers answer.
+/// Calls `notify` twice within each `limit` as long as all drivers respond.
 pub(super) async fn feed(
     limit: Duration,
     drivers: impl Fn() -> Vec<UnboundedSender<DriverInput>>,
@@ -16,19 +17,19 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if timeout(limit, all_answer(drivers())).await == Ok(true) {
+        if timeout(limit, all_respond(drivers())).await == Ok(true) {
             notify();
         }
     }
 }
 
-/// Whether every driver takes a question out of its queue and answers it.
-async fn all_answer(drivers: Vec<UnboundedSender<DriverInput>>) -> bool {
+/// Whether every driver responds to a liveness check.
+async fn all_respond(drivers: Vec<UnboundedSender<DriverInput>>) -> bool {
     for driver in drivers {
-        let (answer, answered) = oneshot::channel();
-        // The driver of a removed pool ends when its work is done, also with a question in its queue.
-        if driver.send(DriverInput::LivenessCheck(answer)).is_ok()
-            && answered.await.is_err()
+        let (response, responded) = oneshot::channel();
+        // The driver of a removed pool ends when its requests are complete, and may leave a check in its queue.
+        if driver.send(DriverInput::LivenessCheck(response)).is_ok()
+            && responded.await.is_err()
             && !driver.is_closed()
         {
             return false;
--- a/crates/cache-balancer/src/signals.rs
+++ b/crates/cache-balancer/src/signals.rs
@@ -1,20 +1,21 @@
-//! The signals that the daemon and a fleet handle alike.
+//! The signals that the daemon and the fleet supervisor handle.
 
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
+/// Streams of the handled signals.
 #[derive(Debug)]
 pub struct Signals {
-    /// SIGTERM: stop.
+    /// SIGTERM: stops the process.
     pub terminate: Signal,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reloads the configuration.
     pub reload: Signal,
-    /// SIGUSR2: upgrade to the program that is at the path by now.
+    /// SIGUSR2: upgrades to the program that is now at the path of this process's program.
     pub upgrade: Signal,
 }
 
 impl Signals {
-    /// Installs the handlers. Without them, each of the signals ends the process.
+    /// Installs the handlers. Without a handler, each of these signals ends the process.
     pub fn install() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
--- a/crates/cache-balancer/tests/common/files.rs
+++ b/crates/cache-balancer/tests/common/files.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Distinguishes the names and addresses that one test process creates.
+/// Makes the names and addresses that this test process creates unique.
 static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
 /// A temporary directory, removed when this is dropped.
@@ -18,7 +18,7 @@
         Self(path)
     }
 
-    /// Writes a file in it and returns its path.
+    /// Writes a file in the directory and returns its path.
     pub fn write(&self, name: &str, text: &str) -> std::path::PathBuf {
         let path = self.0.join(name);
         std::fs::write(&path, text).unwrap();
@@ -40,11 +40,11 @@
     path
 }
 
-/// A loopback address that no other test uses, with a port on which nothing listens.
+/// Returns a loopback address that no other test uses, with a port on which nothing listens.
 ///
-/// A port that a listener has found free and released is not safe to use: a process that another test is just
-/// starting may still hold it (its file descriptors are copied, and closed only when the program begins), and
-/// on 127.0.0.1 another test's connection may take it meanwhile.
+/// Binding a free port and releasing it again is not safe: a process that another test is just starting may still
+/// hold the port, because file descriptors are inherited and closed only when the program begins. On 127.0.0.1,
+/// a connection of another test may also use the port meanwhile.
 pub fn unique_address() -> SocketAddr {
     let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst) % 250;
     let [.., high, low] = std::process::id().to_be_bytes();
--- a/crates/cache-balancer/tests/common/manager.rs
+++ b/crates/cache-balancer/tests/common/manager.rs
@@ -1,10 +1,10 @@
-//! The service manager's end of the notification socket of a node.
+//! Receives the notifications of a node to its service manager.
 
 use std::io::ErrorKind;
 use std::os::unix::net::UnixDatagram;
 
-/// Receives the next notification of a node to its service manager. It reads again after a signal (also one that stops
-/// and continues the whole test), since the system does not resume a read with a time limit.
+/// Receives the next notification of a node to its service manager. The read is repeated after a signal (for example if
+/// the test is stopped and continued), since the system does not resume a read with a timeout.
 pub fn receive_notification(manager: &UnixDatagram) -> String {
     let mut bytes = [0; 4096];
     let length = loop {
--- a/crates/cache-balancer/tests/common/mod.rs
+++ b/crates/cache-balancer/tests/common/mod.rs
@@ -1,7 +1,6 @@
 //! Test fixtures on loopback: node processes, and stand-ins for cache servers, discovery, clients and the service
 //! manager.
 
-// Each test file is a program of its own and uses a part of this.
 #![allow(
     dead_code,
     unused_imports,
--- a/crates/cache-balancer/tests/common/node.rs
+++ b/crates/cache-balancer/tests/common/node.rs
@@ -1,4 +1,4 @@
-//! A node as a process, and its configuration.
+//! Starts node processes, and provides their configurations.
 
 use super::cache_server::CacheServer;
 use super::client::Client;
@@ -18,7 +18,7 @@
 pub struct Node {
     /// The address on which it listens.
     pub address: SocketAddr,
-    /// The process.
+    /// The node's process.
     pub child: Child,
     /// The log before the line with the listening address.
     pub startup_log: String,
@@ -31,29 +31,31 @@
     /// Starts a node and waits until it listens.
     pub fn start(config: &Value) -> Self {
         let path = write_config(&config.to_string());
-        // The platform sets this one beside the configuration.
+        // The platform sets this variable in addition to the configuration.
         let discovery = config["discovery"].as_str().unwrap();
         let mut command = command();
         command.env("LB_CONFIG", &path).env("LB_DISCOVERY", discovery);
         Self::spawn(command, path)
     }
 
-    /// Starts a node by this command and waits until it listens. `config` is the file that the command names; it is
-    /// removed when this is dropped.
+    /// Starts a node with this command and waits until it listens. `config` is the configuration file that the command
+    /// names; it is removed when the `Node` is dropped.
     pub fn spawn(mut command: Command, config: std::path::PathBuf) -> Self {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        // The lines before it listens.
         let mut startup_log = String::new();
         let address = loop {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).unwrap() > 0, "it ended before it listened: {startup_log}");
+            assert!(
+                log.read_line(&mut line).unwrap() > 0,
+                "the node exited before it listened: {startup_log}"
+            );
             if let Some((_, address)) = line.trim_end().split_once(" listens on ") {
                 break address.parse().unwrap();
             }
             startup_log += &line;
         };
-        // The rest of its log must not fill the pipe.
+        // The rest of the log is read continuously: a full pipe would block the node.
         let lines: Arc<Mutex<Vec<String>>> = Arc::default();
         let collected = lines.clone();
         thread::spawn(move || {
@@ -114,10 +116,10 @@
 
     /// Replaces the configuration file and waits until the node has accepted or rejected it.
     pub fn reconfigure(&self, text: &str) {
-        let read = || self.logged("configuration read again: ") + self.logged("configuration not taken: ");
-        let before = read();
+        let reloads = || self.logged("configuration read again: ") + self.logged("configuration not taken: ");
+        let before = reloads();
         self.reload(text);
-        wait_for("the reload's log line", || read() > before);
+        wait_for("the reload's log line", || reloads() > before);
     }
 
     /// Waits until the process has exited and returns its exit status.
@@ -128,14 +130,14 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // It may have exited by itself.
+        // The process may already have exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.config);
     }
 }
 
-/// The platform's configuration of a node with an empty endpoint list and this discovery service.
+/// Returns a platform configuration with an empty endpoint list and this discovery service.
 pub fn config(discovery: SocketAddr) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "dedup_scope": "all", "promise_us": 5_000_000,
@@ -165,7 +167,7 @@
     node
 }
 
-/// Starts a node with this limit of file descriptors, and one server that responds to every request.
+/// Starts a node with this limit on file descriptors, and one server that responds to every request.
 pub fn node_with_descriptor_limit(descriptors: usize) -> (CacheServer, Discovery, Node) {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
--- a/crates/cache-balancer/tests/common/operator_file.rs
+++ b/crates/cache-balancer/tests/common/operator_file.rs
@@ -1,4 +1,4 @@
-//! Parts of operator's files.
+//! Building blocks of operator's files.
 
 use super::cache_server::CacheServer;
 
@@ -9,7 +9,7 @@
 /// A listener `clients` on a free port of loopback.
 pub const CLIENT_LISTENER: &str = "[[listener]]\nname = \"clients\"\naddress = \"127.0.0.1:0\"\n";
 
-/// The table of a static endpoint of the pool before it.
+/// Returns the table of a server that belongs to the preceding pool.
 pub fn server_table(name: &str, server: &CacheServer) -> String {
     format!("[[pool.server]]\nname = \"{name}\"\naddress = \"{}\"\n", server.address)
 }
--- a/crates/cache-balancer/tests/common/program.rs
+++ b/crates/cache-balancer/tests/common/program.rs
@@ -1,11 +1,11 @@
-//! Runs of the program as a command.
+//! Runs the program as a command.
 
 use super::wait::{wait_for, TIMEOUT};
 use std::process::{Child, Command, ExitStatus, Output, Stdio};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A command that runs the program, without the environment variables by which the platform configures it.
+/// Returns a command that runs the program without the platform's environment variables.
 pub fn command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cache-balancer"));
     for variable in ["LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
@@ -44,7 +44,7 @@
     status.unwrap()
 }
 
-/// Output as text; panics if it is not UTF-8.
+/// Returns output as text; panics if it is not UTF-8.
 pub fn utf8(bytes: &[u8]) -> &str {
     std::str::from_utf8(bytes).unwrap()
 }
--- a/crates/cache-balancer/tests/common/wait.rs
+++ b/crates/cache-balancer/tests/common/wait.rs
@@ -3,7 +3,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The time after which a wait fails. Far longer than anything that the tests wait for.
+/// The time after which a wait fails. It is far longer than any expected wait.
 pub const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Polls `condition` until it holds; panics with `what` after [`TIMEOUT`].
--- a/crates/cache-balancer/tests/lifecycle.rs
+++ b/crates/cache-balancer/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! How the node starts and stops, on loopback sockets.
+//! Start, reload and stop of a node with the platform's configuration, on loopback sockets.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::sync::{Arc, Condvar, Mutex};
 
-/// A planned restart could lose the requests in flight.
+/// Guards against a planned restart that loses requests in flight.
 #[test]
 fn a_terminated_node_finishes_its_requests_and_exits_with_success() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
@@ -26,17 +26,17 @@
     let served = idle.request(&read_request("read", 2, 20_000));
     assert_eq!((served.status(), served.header("connection")), (200, None));
     node.terminate();
-    // An idle connection ends when the node has stopped accepting; the accepted request is still in flight.
+    // Idle connections are closed when the node stops accepting. The accepted request is still in flight.
     assert_eq!(idle.receive(), None);
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
-    let served = waiting.receive().expect("the answer to an accepted request");
+    let served = waiting.receive().expect("the response to an accepted request");
     assert_eq!((served.status(), &served.body[..]), (200, &b"value"[..]));
     assert_eq!(served.header("connection"), Some("close"));
     assert!(node.exit_status().success());
 }
 
-/// Idle clients could keep a node from its exit.
+/// Guards against idle clients that keep a node from exiting.
 #[test]
 fn a_terminated_node_does_not_wait_for_idle_clients() {
     let server = CacheServer::serving("value");
@@ -50,9 +50,9 @@
     assert!(node.exit_status().success());
 }
 
-/// A node could start with half a configuration, or exit with the many lines of a panic.
+/// Guards against a start with an incomplete configuration, and against a panic message in place of a one-line error.
 #[test]
-fn a_missing_or_broken_configuration_is_one_line_and_a_failure() {
+fn an_unusable_configuration_fails_the_start_with_a_one_line_error() {
     let good = config("127.0.0.1:1".parse().unwrap());
     let changed = |path: &str, value: serde_json::Value| {
         let mut broken = good.clone();
@@ -84,7 +84,7 @@
     }
 }
 
-/// A node could start with settings it has to guess at, or report a fault without its place.
+/// Guards against a start with defaults in place of invalid settings, and against an error that does not name the setting.
 #[test]
 fn an_invalid_setting_fails_the_start_with_its_name_and_expectation() {
     let good = config("127.0.0.1:1".parse().unwrap());
@@ -105,7 +105,7 @@
     for (path, value, message) in cases {
         let mut broken = good.clone();
         *broken["settings"].pointer_mut(&format!("/{path}")).unwrap_or(&mut json!(null)) = value.clone();
-        // Some are in no configuration of these tests.
+        // Some settings are not in the configuration of these tests and have to be added.
         if broken["settings"].pointer(&format!("/{path}")).is_none() {
             let (parent, name) = path.rsplit_once('/').unwrap();
             broken["settings"].pointer_mut(&format!("/{parent}")).unwrap()[name] = value;
@@ -117,7 +117,7 @@
         assert!(!output.status.success(), "{path}");
         assert_eq!(error, format!("cache-balancer: {message}\n"));
     }
-    // A reload names the fault as well, and changes nothing.
+    // A reload logs the same error and changes nothing.
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let good = config(discovery.address);
@@ -128,10 +128,10 @@
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-/// SIGHUP could end the node, leave it with its old discovery, or have it poll the new one for changes after a version of
-/// the old one.
+/// Guards against a reload that ends the node, keeps the old discovery service, or polls the new one for changes since a
+/// version of the old one.
 #[test]
-fn a_reload_moves_the_watch_to_the_new_discovery_from_a_snapshot_on() {
+fn a_reload_requests_a_snapshot_from_the_new_discovery_service_and_watches_it() {
     let servers = [CacheServer::serving("0"), CacheServer::serving("1"), CacheServer::serving("2")];
     let services = servers.each_ref().map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
     let node = Node::start_ready(&config(services[0].address));
@@ -144,7 +144,7 @@
         assert_eq!(discovery.received.lock().unwrap()[0], "/v1/servers");
         assert_eq!(client.request(&read_request("read", 1, 20_000)).body, i.to_string().as_bytes());
     }
-    // The old discovery services have no effect any more.
+    // The previous discovery services have no effect any more.
     services[0].notify(true, &[servers[0].entry("s-1", "ready")]);
     services[2].notify(false, &[]);
     services[2].wait_until_notified(2);
@@ -152,9 +152,10 @@
     assert_eq!(services.each_ref().map(|discovery| discovery.request_count()), [2, 2, 3]);
 }
 
-/// A reload could end the node or leave it without a list: it serves with the old one while the new discovery is silent.
+/// Guards against a reload that ends the node or leaves it without a list. While the new discovery service does not
+/// respond, the node serves with the old list.
 #[test]
-fn a_bad_reload_is_one_line_and_a_silent_discovery_leaves_the_old_list() {
+fn a_rejected_reload_logs_one_line_and_a_silent_discovery_service_keeps_the_old_list() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let good = config(discovery.address);
@@ -171,24 +172,24 @@
         wait_for("a line in the log", || rejections() == i + 1);
         assert_eq!(node.read("read", 1).status(), 200);
     }
-    // The old watch goes on.
+    // The watch of the current discovery service continues.
     discovery.notify(false, &[]);
     discovery.wait_until_notified(2);
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     node.reload(&config(silent.local_addr().unwrap()).to_string());
-    let _call = silent.accept().unwrap();
+    let _poll = silent.accept().unwrap();
     assert_eq!(node.read("read", 1).status(), 200);
-    // A discovery service that never answers can be left again.
-    let calls = discovery.request_count();
+    // A reload can also replace a discovery service that never responds.
+    let polls = discovery.request_count();
     node.reload(&good.to_string());
-    wait_for("a call", || discovery.request_count() > calls);
-    assert_eq!(discovery.received.lock().unwrap()[calls], "/v1/servers");
+    wait_for("a poll", || discovery.request_count() > polls);
+    assert_eq!(discovery.received.lock().unwrap()[polls], "/v1/servers");
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-/// A planned restart at full capacity could lose the connections that wait in the kernel's queue.
+/// Guards against a planned restart at full capacity that loses the connections in the kernel's queue.
 #[test]
-fn a_terminated_node_at_capacity_answers_unaccepted_connections_too() {
+fn a_terminated_node_at_capacity_serves_queued_connections() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
     let opened = gate.clone();
     let server = CacheServer::start(move |_| {
@@ -200,12 +201,12 @@
     let mut small = config(discovery.address);
     small["limits"]["sockets"] = json!(40);
     let node = Node::start_ready(&small);
-    // Capacity for eight requests, all of which is used.
+    // The node has capacity for eight requests, and all of it is used.
     let mut clients: Vec<_> = (0..8).map(|_| node.client()).collect();
     for (key, client) in clients.iter_mut().enumerate() {
         client.send(&read_request("read", key as u64, 60_000));
     }
-    wait_for("attempts", || server.request_count() == 8);
+    wait_for("eight attempts", || server.request_count() == 8);
     let mut waiting: Vec<_> = (0..3).map(|_| node.client()).collect();
     for (key, client) in waiting.iter_mut().enumerate() {
         client.send(&read_request("read", 8 + key as u64, 60_000));
@@ -216,7 +217,7 @@
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
     for client in clients.iter_mut().chain(&mut waiting) {
-        let served = client.receive().expect("the answer to an accepted request");
+        let served = client.receive().expect("the response to an accepted request");
         assert_eq!((served.status(), served.header("connection")), (200, Some("close")));
         assert_eq!(client.receive(), None);
     }
--- a/crates/cache-balancer/tests/operator.rs
+++ b/crates/cache-balancer/tests/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's file: checked, and served from.
+//! Operator's files: the `check` command, and nodes that serve with such a file.
 
 mod common;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_example_has_no_fault_and_shows_the_effective_configuration() {
+fn the_example_is_valid_and_its_effective_configuration_is_printed() {
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/cache-balancer.toml");
     let checked = check(&example);
     assert!(checked.status.success(), "{}", utf8(&checked.stderr));
@@ -35,16 +35,16 @@
     ] {
         assert!(effective.lines().any(|other| other == line), "{line}\n{effective}");
     }
-    // The effective configuration is a file that reads as the same.
+    // The effective configuration is a valid file, and its own effective configuration is the same.
     let folder = TempDir::new();
     let again = check(&folder.write("effective.toml", effective));
     assert_eq!(utf8(&again.stdout), effective, "{}", utf8(&again.stderr));
 }
 
-/// A default could apply only if its table is in the file, or a path could mean another file once the effective
-/// configuration is written to another folder.
+/// Guards against defaults that apply only if their table is in the file, and against relative paths in the effective
+/// configuration, which would name another file once it is written to another directory.
 #[test]
-fn the_shortest_file_has_the_defaults_of_the_example_and_keeps_its_paths() {
+fn a_minimal_file_gets_the_defaults_and_absolute_paths() {
     let folder = TempDir::new();
     let pool = "[[pool]]\nname = \"p\"\nfile = \"boxes.toml\"\n";
     folder.write("short.toml", &format!("version = 1\n{pool}{CLASS}"));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_systems_limit_on_descriptors_holds_and_too_few_fail_the_start() {
+fn descriptors_are_limited_by_the_system_and_too_few_fail_the_start() {
     let server = CacheServer::serving("a");
     let folder = TempDir::new();
     let pool = format!("[[pool]]\nname = \"p\"\n{}", server_table("box", &server));
@@ -71,7 +71,10 @@
     let output = output_before_timeout(few);
     assert_eq!(output.status.code(), Some(1));
     let stderr = utf8(&output.stderr);
-    assert!(stderr.contains("40 descriptors leave no room to work beside 35 of the node's own"), "{stderr}");
+    assert!(
+        stderr.contains("40 descriptors are too few: the node reserves 35, and connections need at least 8"),
+        "{stderr}"
+    );
     let many = format!("version = 1\n[limits]\ndescriptors = 65536\n{}{pool}{CLASS}", listener("l"));
     let path = folder.write("many.toml", &many);
     let script = "ulimit -n 256; exec \"$0\" run --config \"$1\"";
@@ -84,12 +87,12 @@
         .unwrap();
     let _ = node.kill();
     let _ = node.wait();
-    assert_eq!(first.trim_end(), "the system lets this process hold 256 descriptors, not 65536");
+    assert_eq!(first.trim_end(), "descriptors limited to 256 by the system; 65536 are configured");
 }
 
-/// Units could call a command that the program no longer has.
+/// Guards against systemd units that call a command which the program no longer has.
 #[test]
-fn the_units_call_commands_that_the_program_has() {
+fn the_systemd_units_call_existing_commands() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let example = deploy.join("cache-balancer.toml");
     for unit in ["cache-balancer.service", "cache-balancer@.service"] {
@@ -105,14 +108,14 @@
             let words = call.split_once('=').unwrap().1.split(' ').skip(1);
             let words =
                 words.map(|word| if word.starts_with('/') { example.to_str().unwrap() } else { word });
-            // With an unknown argument before it, `--help` would fail.
+            // `--help` fails if an argument before it is unknown.
             let called = command().args(words).arg("--help").output().unwrap();
             assert!(called.status.success(), "{call}: {}", utf8(&called.stderr));
         }
     }
 }
 
-/// The faults of a file with these lines after its first.
+/// Checks a file with these lines after the version, and returns its faults.
 fn faults(lines: &str) -> Vec<String> {
     let folder = TempDir::new();
     let path = folder.write("bad.toml", &format!("version = 1\n{lines}"));
@@ -124,7 +127,7 @@
 }
 
 #[test]
-fn each_fault_has_its_line_its_field_and_an_expectation() {
+fn each_fault_names_line_field_and_expectation() {
     let pool = "[[pool]]\nname = \"p\"\ndiscovery = \"127.0.0.1:1\"\n";
     let good = format!("{pool}{CLASS}");
     let class = |rest: &str| format!("{pool}[[class]]\nname = \"a\"\n{rest}");
@@ -144,7 +147,7 @@
         ),
         (
             format!("{good}{}{}", listener("a"), listener("a")),
-            "bad.toml:15: listener[1].name: expected a name of its own, found \"a\" again",
+            "bad.toml:15: listener[1].name: expected a unique name, found \"a\" again",
         ),
         (
             format!("{good}[[listener]]\nname = \"a\"\naddress = \"localhost\""),
@@ -168,7 +171,7 @@
             class("aim = \"2s\"\ndeadline = \"1s\""),
             "bad.toml:8: class[0].deadline: expected a time no shorter than the aim",
         ),
-        (format!("{good}{CLASS}"), "bad.toml:12: class[1].name: expected a name of its own, found \"read\" again"),
+        (format!("{good}{CLASS}"), "bad.toml:12: class[1].name: expected a unique name, found \"read\" again"),
     ];
     for (lines, expected) in cases {
         let found = faults(&lines);
@@ -178,7 +181,7 @@
 }
 
 #[test]
-fn all_faults_are_reported_in_one_reading_and_fail_the_start() {
+fn all_faults_are_reported_at_once_and_fail_the_start() {
     let bad = "nodes = 0\nodd = 1\n[limits]\nmax_attempts = 99\n[[listener]]\naddress = \"x\"\n";
     let found = faults(bad);
     let fields: Vec<_> = found.iter().filter_map(|line| line.split(": ").nth(1)).collect();
@@ -198,7 +201,7 @@
 }
 
 #[test]
-fn every_listener_serves_every_class_from_its_own_pool() {
+fn every_listener_serves_every_class_from_the_pool_of_the_class() {
     let (one, other) = (CacheServer::serving("one"), CacheServer::serving("other"));
     let class = |name: &str, pool: &str| {
         format!("[[class]]\nname = \"{name}\"\npool = \"{pool}\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n")
@@ -226,7 +229,7 @@
 }
 
 #[test]
-fn a_pool_that_follows_discovery_is_not_ready_before_its_list_arrives() {
+fn a_pool_with_discovery_is_not_ready_before_its_list_arrives() {
     let server = CacheServer::serving("a");
     let discovery = Discovery::start(&[]);
     let folder = TempDir::new();
@@ -243,9 +246,9 @@
     assert_eq!(node.read("read", 1).body, b"a");
 }
 
-/// A file that is replaced half-written, or missing for a while, could lose the list.
+/// Guards against the loss of the list while its file is incomplete or missing.
 #[test]
-fn a_list_in_a_file_is_followed_and_an_unreadable_one_changes_nothing() {
+fn changes_of_a_list_file_are_applied_and_an_unusable_file_changes_nothing() {
     let (one, other) = (CacheServer::serving("one"), CacheServer::serving("other"));
     let list = |entries: &[(&str, &CacheServer, &str)]| {
         let tables = entries.iter().map(|(name, server, health)| {
@@ -258,7 +261,7 @@
     };
     let folder = TempDir::new();
     folder.write("boxes.toml", &list(&[("one", &one, "ready")]));
-    // No slow start for a server that is added to the list.
+    // Slow start is disabled, so that an added server gets requests at once.
     let pool = "[servers]\ncold_share = 1.0\n[[pool]]\nname = \"p\"\nfile = \"boxes.toml\"\n";
     let node =
         start_with_operator_file(&folder, &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
@@ -272,19 +275,17 @@
     wait_for("the missing file in the log", || logged("boxes.toml: No such file"));
     assert_eq!(node.read("read", 3).body, b"one");
     folder.write("boxes.toml", &"#".repeat((8 << 20) + 1));
-    wait_for("the file that is too long in the log", || {
-        logged("expected a list of 8388608 bytes at the most")
-    });
+    wait_for("the file that is too long in the log", || logged("expected a list of at most 8388608 bytes"));
     assert_eq!(node.read("read", 7).body, b"one");
     let before = one.request_count();
     folder.write("boxes.toml", &list(&[("one", &one, "draining"), ("other", &other, "ready")]));
     wait_for("the new list", || node.read("read", 4).body == b"other");
     assert_eq!(node.read("read", 5).body, b"other");
-    // The old list was in use until the new one was read.
-    let meanwhile = one.request_count() - before;
+    // The old list was in use until the new one was read, so `one` may have got requests.
+    let requests_before_new_list = one.request_count() - before;
     folder.write("boxes.toml", &list(&[("other", &other, "ready")]));
     assert_eq!(node.read("read", 6).body, b"other");
-    assert_eq!(one.request_count() - before, meanwhile);
+    assert_eq!(one.request_count() - before, requests_before_new_list);
 }
 
 #[test]
--- a/crates/cache-balancer/tests/reload.rs
+++ b/crates/cache-balancer/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads of an operator's node: later requests go by the new file, and those in flight are finished by the old one.
+//! Reloads of an operator's file: requests in flight keep the old configuration, and later requests use the new one.
 
 mod common;
 
@@ -30,17 +30,17 @@
     format!("version = 1\n{CLIENT_LISTENER}{}", parts.concat())
 }
 
-/// An address on which no process listens.
+/// Returns an address on which no process listens.
 fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// Sends a request on a connection of its own. The thread returns the answer.
+/// Sends a request on a new connection. The thread returns the status and body of the response.
 fn spawn_request(node: &Node, class: &str, key: u64) -> std::thread::JoinHandle<(u16, Vec<u8>)> {
     let (mut client, text) = (node.client(), read_request(class, key, 20_000));
     std::thread::spawn(move || {
-        let answer = client.request(&text);
-        (answer.status(), answer.body)
+        let response = client.request(&text);
+        (response.status(), response.body)
     })
 }
 
@@ -52,7 +52,7 @@
     let node = start_with_operator_file(&folder, &file(&[&pool, &safe("read"), &safe("gone")]));
     let in_flight = [spawn_request(&node, "read", 1), spawn_request(&node, "gone", 2)];
     wait_for("both requests", || server.request_count() == 2);
-    // Another class has the index of the removed one now.
+    // The new class gets the index of the removed one.
     node.reconfigure(&file(&[&pool, &class("read", ""), &safe("new")]));
     assert_eq!(node.logged("class read changed, class new added, class gone removed"), 1);
     assert_eq!(node.read("gone", 3).status(), 400);
@@ -63,9 +63,10 @@
     assert_eq!(node.read("new", 4).status(), 200);
 }
 
-/// A request is accepted with its last byte. One whose header came before the reload was served under the old file.
+/// A request is accepted when its last byte arrives. Guards against using the old configuration because the header arrived
+/// before the reload.
 #[test]
-fn a_request_whose_body_arrives_after_a_reload_goes_by_the_new_file() {
+fn a_request_whose_body_arrives_after_a_reload_uses_the_new_configuration() {
     let (one, other) = (CacheServer::serving("one"), CacheServer::serving("other"));
     let folder = TempDir::new();
     let pools = format!("{}{}", pool("p", &[&one]), pool("q", &[&other]));
@@ -74,7 +75,7 @@
     let header = "PUT /api/1 HTTP/1.1\r\nHost: s\r\nReq-Id: 1\r\nReq-Kind: write\r\nReq-Deadline-Ms: 20000\r\nContent-Length: 4\r\n\r\n";
     let (mut moved, mut removed) = (node.client(), node.client());
     moved.send(&format!("{header}bo"));
-    // Its header has been read once a later request on another connection is answered.
+    // The header has been read once a later request on another connection has got its response.
     assert_eq!(node.read("write", 9).body, b"one");
     node.reconfigure(&file(&[&pools, &to("q")]));
     moved.send("dy");
@@ -92,7 +93,7 @@
 fn a_removed_pool_finishes_its_requests_and_an_added_one_serves() {
     let ((old, gate), new) = (CacheServer::gated("old"), CacheServer::serving("new"));
     let folder = TempDir::new();
-    // No connection is closed for being idle.
+    // The idle timeout is so long that no connection is closed for being idle.
     let idle = "[servers]\nidle = \"60min\"\n";
     let node = start_with_operator_file(&folder, &file(&[idle, &pool("p", &[&old]), &safe("read")]));
     let in_flight = [1, 2].map(|key| spawn_request(&node, "read", key));
@@ -107,7 +108,7 @@
     assert_eq!((old.request_count(), node.get("/healthz").status()), (2, 200));
 }
 
-/// A pool that was started anew because the source of its list changed would lose its requests in flight.
+/// Guards against restarting a pool when the source of its list changes: its requests in flight would be lost.
 #[test]
 fn a_pool_may_change_the_source_of_its_list_with_requests_in_flight() {
     let (gate, other) = (Gate::default(), CacheServer::serving("other"));
@@ -132,7 +133,8 @@
     node.reconfigure(&from(&format!("discovery = \"{}\"\n", discovery.address)));
     discovery.wait_until_notified(1);
     assert_eq!(node.read("read", 3).body, b"other");
-    // Changes of the file have no effect any more, nor those of discovery once the configuration itself has the list.
+    // Changes of the file have no effect any more. Once the configuration itself has the list, neither have changes of
+    // discovery.
     folder.write("boxes.toml", &list.replace("box", "tub"));
     node.reconfigure(&file(&[&pool("p", &[&other]), &safe("read")]));
     discovery.notify(true, &[]);
@@ -141,9 +143,9 @@
     assert_eq!(in_flight.join().unwrap(), (200, b"slow".to_vec()));
 }
 
-/// A reload that lost the learned state would close breakers, and send requests to a broken server.
+/// Guards against a reload that loses the learned state: breakers would close, and a broken server would get requests.
 #[test]
-fn a_reload_leaves_breakers_as_they_are() {
+fn a_reload_keeps_the_state_of_breakers() {
     let broken = CacheServer::start(|_| ServerBehavior::RespondAndClose(String::new()));
     let good = CacheServer::serving("good");
     let folder = TempDir::new();
@@ -170,7 +172,7 @@
 }
 
 #[test]
-fn a_removed_listener_finishes_its_requests_and_closes_until_it_is_back() {
+fn a_removed_listener_finishes_its_requests_and_can_be_added_again() {
     let (server, gate) = CacheServer::gated("a");
     let folder = TempDir::new();
     let second = free_address();
@@ -189,9 +191,9 @@
     wait_for("the idle connection's end", || !idle.is_open());
     assert_eq!(node.get("/healthz").status(), 200);
     gate.open();
-    let answered = in_flight.receive().unwrap();
-    assert_eq!((answered.status(), answered.header("connection")), (200, Some("close")));
-    // Added again, and removed and added before it has closed.
+    let response = in_flight.receive().unwrap();
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
+    // The listener is added again, then removed, and added once more before it has closed.
     node.reconfigure(&with);
     node.reconfigure(&without);
     node.reconfigure(&with);
@@ -199,15 +201,15 @@
     assert_eq!(node.logged("configuration not taken"), 0);
 }
 
-/// A file with a fault could be applied in part.
+/// Guards against a partially applied file.
 #[test]
-fn a_file_with_a_fault_changes_nothing_and_the_log_names_the_fault() {
-    let (server, taken) = (CacheServer::serving("a"), TcpListener::bind("127.0.0.1:0").unwrap());
+fn an_invalid_file_changes_nothing_and_its_fault_is_logged() {
+    let (server, other_listener) = (CacheServer::serving("a"), TcpListener::bind("127.0.0.1:0").unwrap());
     let folder = TempDir::new();
     let pool = pool("p", &[&server]);
     let good = file(&[&pool, &safe("read")]);
     let node = start_with_operator_file(&folder, &good);
-    let occupied = taken.local_addr().unwrap();
+    let occupied = other_listener.local_addr().unwrap();
     let listener = format!("[[listener]]\nname = \"second\"\naddress = \"{occupied}\"\n");
     let cases = [
         (good.replace("version = 1", "version = 2"), "cache-balancer.toml:1: version: expected "),
@@ -220,13 +222,13 @@
                 CLIENT_LISTENER.replace("clients", "more"),
                 safe("new")
             ),
-            "descriptors leave no room to work",
+            "32 descriptors are too few: ",
         ),
     ];
-    for (number, (text, why)) in cases.iter().enumerate() {
+    for (number, (text, message)) in cases.iter().enumerate() {
         node.reconfigure(text);
         assert_eq!(node.logged("configuration not taken: "), number + 1, "{text}");
-        assert!(node.logged(why) >= 1, "{why}: {:?}", node.log.lock().unwrap());
+        assert!(node.logged(message) >= 1, "{message}: {:?}", node.log.lock().unwrap());
         assert_eq!((node.read("read", 1).status(), node.read("new", 2).status()), (200, 400));
     }
     std::fs::remove_file(folder.0.join("cache-balancer.toml")).unwrap();
@@ -237,17 +239,17 @@
 }
 
 #[test]
-fn more_descriptors_are_used_at_once_and_fewer_end_no_request() {
+fn a_higher_descriptor_limit_applies_at_once_and_a_lower_one_ends_no_request() {
     let (server, gate) = CacheServer::gated("a");
     let folder = TempDir::new();
     let rest = format!("{CLIENT_LISTENER}{}{}", pool("p", &[&server]), safe("read"));
     let with = |descriptors: u32| format!("version = 1\n[limits]\ndescriptors = {descriptors}\n{rest}");
-    // Capacity for four requests.
+    // The node has capacity for four requests.
     let node = start_with_operator_file(&folder, &with(32));
     let in_flight: Vec<_> = (0..6).map(|key| spawn_request(&node, "read", key)).collect();
-    wait_for("as many requests as there is capacity for", || server.request_count() == 4);
+    wait_for("as many requests as the node has capacity for", || server.request_count() == 4);
     node.reconfigure(&with(200));
-    wait_for("the others", || server.request_count() == 6);
+    wait_for("the other requests", || server.request_count() == 6);
     node.reconfigure(&with(32));
     assert_eq!(server.request_count(), 6);
     gate.open();
@@ -258,21 +260,21 @@
 }
 
 #[test]
-fn a_hundred_reloads_a_second_with_half_written_files_lose_no_answer() {
+fn a_hundred_reloads_in_a_row_with_truncated_files_lose_no_response() {
     let server = CacheServer::serving("a");
     let folder = TempDir::new();
-    let rest = |turn: u32| {
+    let file_of_turn = |turn: u32| {
         let limits = format!("[limits]\nmax_attempts = {}\n", 1 + turn % 9);
         format!("version = 1\n{CLIENT_LISTENER}{limits}{}{}", pool("p", &[&server]), safe("read"))
     };
-    let node = Arc::new(start_with_operator_file(&folder, &rest(1)));
-    let over = Arc::new(AtomicBool::new(false));
+    let node = Arc::new(start_with_operator_file(&folder, &file_of_turn(1)));
+    let stopping = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..4_u64)
         .map(|number| {
-            let (node, over) = (node.clone(), over.clone());
+            let (node, stopping) = (node.clone(), stopping.clone());
             std::thread::spawn(move || {
                 let (mut client, mut key) = (node.client(), number << 32);
-                while !over.load(Ordering::SeqCst) {
+                while !stopping.load(Ordering::SeqCst) {
                     key += 1;
                     assert_eq!(client.request(&read_request("read", key, 20_000)).status(), 200);
                 }
@@ -281,18 +283,18 @@
         })
         .collect();
     for turn in 0..100 {
-        let text = rest(turn + 2);
+        let text = file_of_turn(turn + 2);
         // Every third file is truncated.
-        let cut = if turn % 3 == 0 { text.len() * (turn as usize + 1) / 101 } else { text.len() };
-        node.reload(&text[..cut]);
+        let length = if turn % 3 == 0 { text.len() * (turn as usize + 1) / 101 } else { text.len() };
+        node.reload(&text[..length]);
     }
-    // The last file is applied, however many signals were merged.
-    let last = format!("{}{}", rest(7), safe("last"));
+    // The last file is applied, regardless of how many signals were merged.
+    let last = format!("{}{}", file_of_turn(7), safe("last"));
     node.reload(&last);
     wait_for("the last file", || node.read("last", u64::MAX).status() == 200);
-    over.store(true, Ordering::SeqCst);
-    let answers: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    // Each request was forwarded once, and that of the last class once.
+    stopping.store(true, Ordering::SeqCst);
+    let responses: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
+    // Each request was forwarded exactly once. The request of the class `last` adds one.
     let keys: std::collections::BTreeSet<_> = server
         .received
         .lock()
@@ -300,29 +302,29 @@
         .iter()
         .map(|request| request.header("req-id").unwrap().to_owned())
         .collect();
-    assert_eq!((server.request_count() as u64, keys.len() as u64), (answers + 1, answers + 1));
+    assert_eq!((server.request_count() as u64, keys.len() as u64), (responses + 1, responses + 1));
     assert!(node.logged("configuration read again: ") > 0);
 }
 
-/// A file whose read blocks could keep a node from serving, or from stopping.
+/// Guards against a configuration file whose read blocks and keeps the node from serving or stopping.
 #[test]
-fn a_node_whose_file_blocks_serves_and_can_be_stopped() {
+fn a_blocked_file_read_delays_neither_requests_nor_a_stop() {
     let server = CacheServer::serving("a");
     let folder = TempDir::new();
     let node = start_with_operator_file(&folder, &file(&[&pool("p", &[&server]), &safe("read")]));
     let path = folder.0.join("cache-balancer.toml");
     std::fs::remove_file(&path).unwrap();
-    // An open of it blocks until there is a writer.
+    // Opening the named pipe blocks until there is a writer.
     assert!(std::process::Command::new("mkfifo").arg(&path).status().unwrap().success());
     node.signal("-HUP");
-    // Files are read on threads of their own.
+    // The file is read on a separate thread.
     wait_for("the reader", || blocks_on_open(node.child.id()));
     assert_eq!(node.read("read", 1).status(), 200);
     node.terminate();
     assert!(node.exit_status().success());
 }
 
-/// Whether a thread of this process blocks in the call that opens a file.
+/// Whether a thread of this process is blocked in the system call that opens a file.
 fn blocks_on_open(process: u32) -> bool {
     /// The number of openat(2) on Linux.
     const OPENAT: &str = if cfg!(target_arch = "x86_64") { "257 " } else { "56 " };
@@ -333,7 +335,7 @@
 }
 
 #[test]
-fn the_manager_is_notified_of_the_start_the_end_and_the_failure_of_a_reload() {
+fn the_manager_is_notified_of_the_start_end_and_failure_of_a_reload() {
     let (server, folder) = (CacheServer::serving("a"), TempDir::new());
     let socket = UnixDatagram::bind(folder.0.join("notify")).unwrap();
     socket.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -348,7 +350,7 @@
     let mut since = now();
     for (text, status) in [
         (format!("{good}{}", safe("new")), "STATUS=serving".to_owned()),
-        (good.replace("safe", "odd"), "STATUS=serving as before: ".to_owned()),
+        (good.replace("safe", "odd"), "STATUS=serving with the previous configuration: ".to_owned()),
     ] {
         node.reload(&text);
         assert_eq!(notification(), "STATUS=reloading");
--- a/crates/cache-balancer/tests/reload_replicas.rs
+++ b/crates/cache-balancer/tests/reload_replicas.rs
@@ -1,4 +1,4 @@
-//! A reload of a node whose file names other replicas of discovery: which watches go on, and where a new one starts.
+//! Reloads that change the discovery replicas of a pool: when the current watch continues, and where a new one starts.
 
 mod common;
 
@@ -8,165 +8,168 @@
 const CLIENTS: &str = "[[listener]]\nname = \"clients\"\naddress = \"127.0.0.1:0\"\n";
 const CAPACITY: &str = "discovery_lines_per_second = 200\ndiscovery_call_lines = 10\n";
 
-/// A file whose only pool has these lines, from line 5 on.
-fn file(lines: &str) -> String {
+/// Returns a file whose only pool has these lines, starting at line 5.
+fn operator_file(lines: &str) -> String {
     format!("version = 1\nname = \"n0\"\n[[pool]]\nname = \"p\"\n{lines}{READ_CLASS}{CLIENTS}")
 }
 
-/// A `discovery` that names these addresses, each on a line of its own.
-fn list(addresses: &[SocketAddr]) -> String {
+/// Returns a `discovery` setting with these addresses, each on a separate line.
+fn discovery_list(addresses: &[SocketAddr]) -> String {
     let addresses: Vec<_> = addresses.iter().map(|address| format!("\"{address}\"")).collect();
     format!("discovery = [\n{}]\n", addresses.join(",\n"))
 }
 
-/// The polls for changes after this version, at all of these replicas.
-fn watches(replicas: &[Discovery], version: u64) -> usize {
-    replicas.iter().map(|replica| watches_at(replica, version)).sum()
+/// Returns the number of polls for changes after this version, at all of these replicas.
+fn count_watches(replicas: &[Discovery], version: u64) -> usize {
+    replicas.iter().map(|replica| count_watches_at(replica, version)).sum()
 }
 
-fn watches_at(replica: &Discovery, version: u64) -> usize {
+fn count_watches_at(replica: &Discovery, version: u64) -> usize {
     let prefix = format!("/v1/servers?after={version}&");
     replica.received.lock().unwrap().iter().filter(|path| path.starts_with(&prefix)).count()
 }
 
-fn snapshots(replicas: &[Discovery]) -> usize {
-    let lists = |replica: &Discovery| {
+fn count_snapshots(replicas: &[Discovery]) -> usize {
+    let count = |replica: &Discovery| {
         replica.received.lock().unwrap().iter().filter(|path| *path == "/v1/servers").count()
     };
-    replicas.iter().map(lists).sum()
+    replicas.iter().map(count).sum()
 }
 
-fn calls(replicas: &[Discovery]) -> usize {
+fn count_polls(replicas: &[Discovery]) -> usize {
     replicas.iter().map(Discovery::request_count).sum()
 }
 
-/// Replicas of one service whose list has this server.
-fn service<const COUNT: usize>(server: &CacheServer) -> [Discovery; COUNT] {
+/// Starts replicas of one discovery service whose list has this server.
+fn start_replicas<const COUNT: usize>(server: &CacheServer) -> [Discovery; COUNT] {
     [(); COUNT].map(|()| Discovery::start(&[server.entry("box", "ready")]))
 }
 
-/// A node that watches one of these replicas, and the index of that one. A snapshot and the watch are its only polls.
-fn watching(folder: &TempDir, replicas: &[Discovery]) -> (Node, usize) {
-    let node = start_with_operator_file(folder, &file(&list(&addresses(replicas))));
-    wait_for("the watch at one of them", || watches(replicas, 1) == 1);
-    assert_eq!(calls(replicas), 2);
+/// Starts a node that watches one of these replicas, and returns it with the index of that replica. A snapshot and the watch
+/// are its only polls so far.
+fn start_watching_node(folder: &TempDir, replicas: &[Discovery]) -> (Node, usize) {
+    let node = start_with_operator_file(folder, &operator_file(&discovery_list(&addresses(replicas))));
+    wait_for("the watch of a replica", || count_watches(replicas, 1) == 1);
+    assert_eq!(count_polls(replicas), 2);
     let current = replicas.iter().position(|replica| replica.request_count() == 2);
-    (node, current.expect("list and watch at the same replica"))
+    (node, current.expect("snapshot and watch at the same replica"))
 }
 
 fn addresses(replicas: &[Discovery]) -> Vec<SocketAddr> {
     replicas.iter().map(|replica| replica.address).collect()
 }
 
-/// If the good half of a faulty file took effect, the node would run with a configuration that is in no file.
+/// Guards against applying the valid part of an invalid file: the node would run with a configuration that is in no file.
 #[test]
-fn a_faulty_reload_is_logged_and_changes_nothing() {
+fn a_reload_of_an_invalid_file_is_logged_and_changes_nothing() {
     let (server, other) = (CacheServer::serving("a"), CacheServer::serving("b"));
     let discovery = Discovery::start(&[server.entry("a", "ready")]);
-    let elsewhere = Discovery::start(&[other.entry("b", "ready")]);
+    let other_discovery = Discovery::start(&[other.entry("b", "ready")]);
     let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &file(&list(&[discovery.address])));
+    let node = start_with_operator_file(&folder, &operator_file(&discovery_list(&[discovery.address])));
     discovery.wait_until_notified(1);
-    let calls = discovery.request_count();
-    let twice = list(&[elsewhere.address, elsewhere.address]);
-    let faulty = [
-        (twice, "cache-balancer.toml:7: pool[0].discovery[1]: expected each once"),
+    let polls = discovery.request_count();
+    let duplicates = discovery_list(&[other_discovery.address, other_discovery.address]);
+    let invalid = [
+        (duplicates, "cache-balancer.toml:7: pool[0].discovery[1]: expected each once"),
         (
             "discovery = []\n".to_owned(),
             "cache-balancer.toml:5: pool[0].discovery: expected an address and port",
         ),
         (
-            format!("{}discovery_call_lines = 1\n", list(&[elsewhere.address])),
-            "pool[0].discovery_call_lines: expected discovery_lines_per_second beside it",
+            format!("{}discovery_call_lines = 1\n", discovery_list(&[other_discovery.address])),
+            "pool[0].discovery_call_lines: expected discovery_lines_per_second to be set as well",
         ),
     ];
-    for (number, (lines, why)) in faulty.iter().enumerate() {
-        node.reconfigure(&file(lines));
+    for (number, (lines, message)) in invalid.iter().enumerate() {
+        node.reconfigure(&operator_file(lines));
         assert_eq!(node.logged("configuration not taken: "), number + 1, "{lines}");
-        assert_eq!(node.logged(why), 1, "{why}: {:?}", node.log.lock().unwrap());
+        assert_eq!(node.logged(message), 1, "{message}: {:?}", node.log.lock().unwrap());
     }
-    assert_eq!((discovery.request_count(), elsewhere.request_count()), (calls, 0));
-    // The watch that was open still reports.
+    assert_eq!((discovery.request_count(), other_discovery.request_count()), (polls, 0));
+    // The open watch still reports changes.
     discovery.notify(true, &[other.entry("b", "ready")]);
     discovery.wait_until_notified(2);
     assert_eq!(node.read("read", 1).body, b"b");
-    assert_eq!((discovery.request_count(), elsewhere.request_count()), (calls + 1, 0));
+    assert_eq!((discovery.request_count(), other_discovery.request_count()), (polls + 1, 0));
 }
 
 #[test]
 fn replicas_in_another_order_change_nothing() {
     let (server, folder) = (CacheServer::serving("a"), TempDir::new());
-    let replicas: [_; 2] = service(&server);
-    let (node, current) = watching(&folder, &replicas);
+    let replicas: [_; 2] = start_replicas(&server);
+    let (node, current) = start_watching_node(&folder, &replicas);
     let mut addresses = addresses(&replicas);
     addresses.reverse();
-    node.reconfigure(&file(&list(&addresses)));
+    node.reconfigure(&operator_file(&discovery_list(&addresses)));
     assert_eq!(node.logged("configuration read again: nothing changed"), 1);
-    still_watches(&node, &replicas, current);
+    assert_still_watches(&node, &replicas, current);
 }
 
 #[test]
-fn a_watch_goes_on_while_other_replicas_are_added_and_removed() {
+fn a_watch_continues_while_other_replicas_are_added_and_removed() {
     let (server, folder) = (CacheServer::serving("a"), TempDir::new());
-    let replicas: [_; 2] = service(&server);
-    let (node, current) = watching(&folder, &replicas);
-    let added: [_; 3] = service(&server);
+    let replicas: [_; 2] = start_replicas(&server);
+    let (node, current) = start_watching_node(&folder, &replicas);
+    let added: [_; 3] = start_replicas(&server);
     let more = [addresses(&replicas), addresses(&added)].concat();
-    node.reconfigure(&file(&list(&more)));
-    node.reconfigure(&file(&list(&[replicas[current].address])));
-    node.reconfigure(&file(&list(&addresses(&replicas))));
+    node.reconfigure(&operator_file(&discovery_list(&more)));
+    node.reconfigure(&operator_file(&discovery_list(&[replicas[current].address])));
+    node.reconfigure(&operator_file(&discovery_list(&addresses(&replicas))));
     assert_eq!(node.logged("configuration read again: pool p: list from discovery at "), 3);
-    assert_eq!(calls(&added), 0);
-    still_watches(&node, &replicas, current);
+    assert_eq!(count_polls(&added), 0);
+    assert_still_watches(&node, &replicas, current);
 }
 
 #[test]
-fn a_watch_goes_on_when_the_capacity_is_added_or_removed() {
+fn a_watch_continues_when_the_capacity_is_added_or_removed() {
     let (server, folder) = (CacheServer::serving("a"), TempDir::new());
-    let replicas: [_; 2] = service(&server);
-    let (node, current) = watching(&folder, &replicas);
-    let without = list(&addresses(&replicas));
-    node.reconfigure(&file(&format!("{without}{CAPACITY}")));
-    node.reconfigure(&file(&without));
-    for message in ["discovery of 200 lines a second and 10 a call", "discovery of unknown capacity"] {
+    let replicas: [_; 2] = start_replicas(&server);
+    let (node, current) = start_watching_node(&folder, &replicas);
+    let without = discovery_list(&addresses(&replicas));
+    node.reconfigure(&operator_file(&format!("{without}{CAPACITY}")));
+    node.reconfigure(&operator_file(&without));
+    for message in
+        ["discovery capacity 200 lines per second, 10 lines per call", "discovery capacity unknown"]
+    {
         assert_eq!(node.logged(&format!("configuration read again: pool p: {message}")), 1, "{message}");
     }
-    still_watches(&node, &replicas, current);
+    assert_still_watches(&node, &replicas, current);
 }
 
-/// Checks that the watch which the node opened first is still open and reports the next change.
-fn still_watches(node: &Node, replicas: &[Discovery], current: usize) {
-    assert_eq!((calls(replicas), watches_at(&replicas[current], 1)), (2, 1));
+/// Checks that the node's first watch is still open and reports the next change.
+fn assert_still_watches(node: &Node, replicas: &[Discovery], current: usize) {
+    assert_eq!((count_polls(replicas), count_watches_at(&replicas[current], 1)), (2, 1));
     let other = CacheServer::serving("other");
     replicas[current].notify(true, &[other.entry("other", "ready")]);
     replicas[current].wait_until_notified(2);
     assert_eq!(node.read("read", 1).body, b"other");
-    assert_eq!(calls(replicas), 3);
+    assert_eq!(count_polls(replicas), 3);
 }
 
-/// If each node of a removed replica requested a snapshot elsewhere, the other replicas would be overloaded.
+/// Guards against snapshot requests from every node of a removed replica, which would overload the other replicas.
 #[test]
-fn a_node_of_a_removed_replica_watches_another_from_the_held_version() {
+fn a_node_of_a_removed_replica_watches_another_one_from_its_current_version() {
     let (server, folder) = (CacheServer::serving("a"), TempDir::new());
-    let replicas: [_; 3] = service(&server);
-    let (node, current) = watching(&folder, &replicas);
+    let replicas: [_; 3] = start_replicas(&server);
+    let (node, current) = start_watching_node(&folder, &replicas);
     let rest: Vec<_> =
         addresses(&replicas).into_iter().filter(|address| *address != replicas[current].address).collect();
-    node.reconfigure(&file(&list(&rest)));
-    wait_for("the watch at another one", || watches(&replicas, 1) == 2);
+    node.reconfigure(&operator_file(&discovery_list(&rest)));
+    wait_for("the watch of another replica", || count_watches(&replicas, 1) == 2);
     // The removed replica is not polled any more, and no second snapshot is requested.
-    assert_eq!((replicas[current].request_count(), snapshots(&replicas)), (2, 1));
+    assert_eq!((replicas[current].request_count(), count_snapshots(&replicas)), (2, 1));
     assert_eq!(node.read("read", 1).body, b"a");
 }
 
 #[test]
 fn a_snapshot_is_requested_if_no_replica_remains() {
     let ((server, other), folder) = ((CacheServer::serving("a"), CacheServer::serving("b")), TempDir::new());
-    let replicas: [_; 2] = service(&server);
-    let (node, _) = watching(&folder, &replicas);
-    let elsewhere: [_; 2] = service(&other);
-    node.reconfigure(&file(&list(&addresses(&elsewhere))));
-    wait_for("the watch elsewhere", || watches(&elsewhere, 1) == 1);
-    assert_eq!((calls(&replicas), snapshots(&elsewhere)), (2, 1));
+    let replicas: [_; 2] = start_replicas(&server);
+    let (node, _) = start_watching_node(&folder, &replicas);
+    let new_replicas: [_; 2] = start_replicas(&other);
+    node.reconfigure(&operator_file(&discovery_list(&addresses(&new_replicas))));
+    wait_for("the watch of a new replica", || count_watches(&new_replicas, 1) == 1);
+    assert_eq!((count_polls(&replicas), count_snapshots(&new_replicas)), (2, 1));
     assert_eq!(node.read("read", 1).body, b"b");
 }
