--- a/crates/cache-balancer/src/config/operator/discovery.rs
+++ b/crates/cache-balancer/src/config/operator/discovery.rs
@@ -9,7 +9,7 @@
 const ADDRESSES: &str = "discovery";
 const LINES_PER_SECOND: &str = "discovery_lines_per_second";
 const CALL_LINES: &str = "discovery_call_lines";
-/// A replica that sends fewer lines per second than the shortest list has is useless, and no machine sends more than the upper
+/// A replica that sends fewer lines per second than a list has servers is useless, and no machine sends more than the upper
 /// bound.
 const LINES_PER_SECOND_RANGE: RangeInclusive<f64> = 1.0..=1e8;
 /// The cost of a call is never 0: nodes would assume that a replica can answer any number of calls.
--- a/crates/cache-balancer/src/daemon/graceful_restart/mod.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/mod.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether the predecessor stands by in case this process dies. Until it exits, the predecessor is the service's main
+    /// Whether the predecessor stands by in case this process dies. While it stands by, the predecessor is the service's main
     /// process.
     pub fn on_probation(&self) -> bool {
         self.predecessor.is_some()
@@ -158,8 +158,8 @@
     }
 }
 
-/// Makes the predecessor exit before this process hands over. Otherwise, if this process died, both the predecessor and the
-/// successor would accept connections.
+/// Ends the standby of the predecessor before this process hands over itself. Otherwise, if this process died, both the
+/// predecessor and the successor would accept connections.
 async fn release_predecessor(predecessor: &mut Option<StandbyPredecessor>, manager: &ServiceManager) {
     if let Some(mut predecessor) = predecessor.take() {
         predecessor.handle(SuccessorEvent::HandoverStarted).await;
--- a/crates/cache-balancer/src/daemon/startup.rs
+++ b/crates/cache-balancer/src/daemon/startup.rs
@@ -83,8 +83,8 @@
     })
 }
 
-/// Serves without a predecessor. Fails if the hand-over socket cannot be bound: no client has connected yet, so none is
-/// lost.
+/// Serves without a predecessor. Fails if the hand-over socket cannot be bound. No client is lost in that case, since this
+/// process has not accepted any connection yet.
 fn serve_alone(node: &mut Node, bound: BoundSockets) -> Result<GracefulRestart, StartError> {
     let endpoint = node.config.handover.clone().map(PredecessorEndpoint::bind).transpose();
     let endpoint = endpoint.map_err(ConfigureError::HandoverSocket)?;
