--- a/crates/cache-balancer/src/aggregate/logs.rs
+++ b/crates/cache-balancer/src/aggregate/logs.rs
@@ -1,4 +1,4 @@
-//! Reads the tally lines of nodes' logs.
+//! Reads tally lines from the logs of nodes.
 
 use crate::tally::{TallyLine, LINE_PREFIX};
 use std::collections::BTreeMap;
@@ -6,35 +6,35 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// The longest line that is read; longer ones are not written by a node.
+/// Maximum length of a line. Nodes never write longer ones.
 pub(super) const MAX_LINE_BYTES: u64 = 1 << 20;
-/// The longest span of time, in seconds, that logs cover: a wrong clock must not fill the table.
+/// Maximum time span of all logs, in seconds. It keeps a node with a wrong clock from filling the table.
 const MAX_SECONDS: usize = 1 << 20;
-/// The number of bad lines of which each is reported; further ones are counted only.
+/// Maximum number of bad lines that are reported one by one. Further ones are only counted.
 const MAX_REPORTED_LINES: usize = 20;
 
-/// Why a line of a log is skipped.
+/// The reason for skipping a line.
 #[derive(Debug, Error)]
 enum LineError {
-    #[error("no tally: {0}")]
+    #[error("invalid tally line: {0}")]
     Json(#[from] serde_json::Error),
     #[error("longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
-    #[error("a second that lies more than {MAX_SECONDS} seconds from the others")]
+    #[error("its second is more than {MAX_SECONDS} seconds away from other lines")]
     DistantSecond,
 }
 
 /// The tally lines of all logs.
 #[derive(Debug, Default)]
 pub(super) struct TallyLogs {
-    /// By second of Unix time.
+    /// Tally lines by second of Unix time.
     pub(super) seconds: BTreeMap<u64, Vec<TallyLine>>,
-    /// The number of bad lines.
+    /// Number of bad lines.
     pub(super) skipped: usize,
 }
 
 impl TallyLogs {
-    /// Reads a log. Bad lines are reported by file and line, and skipped.
+    /// Reads a log. Bad lines are reported with file and line number, and skipped.
     pub(super) fn read(&mut self, name: &Path, log: impl Read) -> io::Result<()> {
         let mut log = BufReader::new(log);
         let mut line = Vec::new();
@@ -61,9 +61,9 @@
 
     fn add_line(&mut self, line: &[u8]) -> Result<(), LineError> {
         let Some(tally) = parse(line)? else { return Ok(()) };
-        let near = |other: &u64| tally.second.abs_diff(*other) < MAX_SECONDS as u64;
-        let ends = [self.seconds.keys().next(), self.seconds.keys().next_back()];
-        if !ends.into_iter().flatten().all(near) {
+        let is_in_range = |other: &u64| tally.second.abs_diff(*other) < MAX_SECONDS as u64;
+        let first_and_last = [self.seconds.keys().next(), self.seconds.keys().next_back()];
+        if !first_and_last.into_iter().flatten().all(is_in_range) {
             return Err(LineError::DistantSecond);
         }
         self.seconds.entry(tally.second).or_default().push(tally);
@@ -71,15 +71,15 @@
     }
 }
 
-/// The tally of a line, or `None` for a line of another kind. Whoever collected the log may have put text of
-/// its own before the node's.
+/// Parses a tally line. Returns `None` for other lines. Log collectors may put text of their own before the
+/// node's.
 fn parse(line: &[u8]) -> Result<Option<TallyLine>, LineError> {
     let prefix = LINE_PREFIX.as_bytes();
     let Some(start) = line.windows(prefix.len()).position(|window| window == prefix) else { return Ok(None) };
-    let rest = line[start + prefix.len()..].trim_ascii();
-    // The word may occur in the text of another line.
-    if !rest.starts_with(b"{") {
+    let json = line[start + prefix.len()..].trim_ascii();
+    // Other lines may contain the prefix in their text.
+    if !json.starts_with(b"{") {
         return Ok(None);
     }
-    Ok(Some(serde_json::from_slice(rest)?))
+    Ok(Some(serde_json::from_slice(json)?))
 }
--- a/crates/cache-balancer/src/aggregate/mod.rs
+++ b/crates/cache-balancer/src/aggregate/mod.rs
@@ -1,6 +1,6 @@
-//! `cache-balancer aggregate`: adds up the tally lines of many nodes' logs, second by second, and sets what the nodes did
-//! beside what any of them had been notified of by then. An attempt at a server that some node knew to be removed, made
-//! by one that did not, shows in no single log.
+//! `cache-balancer aggregate`: sums the tally lines in the logs of many nodes, second by second, and classifies attempts
+//! by the state of their server as known to any node at that time. No single log shows that a node sent an attempt to a
+//! server that another node already knew to be removed.
 
 mod logs;
 mod rows;
@@ -13,23 +13,23 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit code: some lines were bad and skipped; the others are counted.
+/// Exit code if bad lines were skipped; all other lines are counted.
 const LINES_SKIPPED: u8 = 1;
-/// Exit code: a log cannot be read.
+/// Exit code if a log cannot be read.
 const UNREADABLE_LOG: u8 = 2;
 
 #[derive(Debug, Args)]
 pub struct Arguments {
-    /// The nodes' logs
+    /// Paths of the nodes' logs
     #[arg(required = true)]
     logs: Vec<PathBuf>,
-    /// Seconds after its start for which a server counts as cold
+    /// Number of seconds after its start during which a server counts as cold
     #[arg(long, default_value_t = 8)]
     warm_within: u64,
-    /// Seconds a row
+    /// Number of seconds per row
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=86_400))]
     every: u64,
-    /// Prints a line of JSON for each row, rather than a table
+    /// Prints one line of JSON per row instead of a table
     #[arg(long)]
     json: bool,
 }
--- a/crates/cache-balancer/src/aggregate/rows.rs
+++ b/crates/cache-balancer/src/aggregate/rows.rs
@@ -1,4 +1,4 @@
-//! What all nodes did together, as rows of a table.
+//! Aggregates the tally lines of all nodes into the rows of a table.
 
 use super::logs::TallyLogs;
 use crate::tally::{AttemptCounts, NotifiedState, TallyLine};
@@ -7,14 +7,14 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A server is an outlier in a second in which at least this fraction of its attempts failed.
+/// Fraction of failed attempts in a second from which a server counts as an outlier.
 const OUTLIER_FAILURE_FRACTION: f64 = 0.4;
-/// A server with fewer attempts in a second is not judged.
-const MIN_ATTEMPTS_TO_JUDGE: u64 = 4;
+/// Minimum number of attempts in a second for a server to count as an outlier.
+const MIN_OUTLIER_ATTEMPTS: u64 = 4;
 
-/// What all nodes did in a span of time. The last five counts are attempts, by the state of their server.
+/// Counts of all nodes in one time span. The last five counts are attempts by the state of their server.
 ///
-/// Its JSON is read by scripts: the names of its fields stay.
+/// Scripts read the JSON, so the serialized field names must not change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub(super) struct Row {
     pub(super) nodes: usize,
@@ -47,7 +47,7 @@
 }
 
 impl Row {
-    /// Adds the counts of a line that are not by server.
+    /// Adds the counts of a line that are not broken down by server.
     fn add_line(&mut self, line: &TallyLine) {
         for (sum, count) in [
             (&mut self.served, line.served),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Adds a second's attempts at one server, of which this was known.
+    /// Adds the attempts of one second at one server with this known state.
     fn add_attempts(&mut self, counts: &AttemptCounts, known: KnownServer, second: u64, warm_within_s: u64) {
         self.connect_errors += u64::from(counts.connect_errors);
         self.timeouts += u64::from(counts.timeouts);
@@ -104,19 +104,19 @@
 fn is_outlier(counts: &AttemptCounts) -> bool {
     let total = counts.total();
     let failed = total - u64::from(counts.ok);
-    total >= MIN_ATTEMPTS_TO_JUDGE && failed as f64 >= OUTLIER_FAILURE_FRACTION * total as f64
+    total >= MIN_OUTLIER_ATTEMPTS && failed as f64 >= OUTLIER_FAILURE_FRACTION * total as f64
 }
 
-/// What any node had been notified of a server.
+/// Latest state of a server of which any node was notified.
 ///
-/// Notifications reach nodes at different times. Late ones of an incarnation bring no server back, and a
-/// later start is another incarnation. A drain that is taken back within one incarnation cannot be distinguished
-/// from a late notification.
+/// Notifications reach nodes at different times. A late `Ready` does not revive a server that is draining or removed,
+/// unless its start time is later, which means a new incarnation. A drain that is revoked within one incarnation
+/// cannot be distinguished from a late notification.
 #[derive(Clone, Copy, Debug, Default)]
 struct KnownServer {
-    /// When its incarnation started, in seconds of Unix time; 0 if that is unknown.
+    /// Start of the server's incarnation, in seconds of Unix time; 0 if unknown.
     started_at_s: u64,
-    /// `Draining` or `Removed`, once a notification of this incarnation said so.
+    /// `Draining` or `Removed` after such a notification for this incarnation.
     end: Option<NotifiedState>,
 }
 
@@ -132,8 +132,8 @@
     }
 }
 
-/// What all nodes did, by spans of `span_s` seconds. A server counts as warming up for `warm_within_s`
-/// seconds after its start.
+/// Aggregates the counts of all nodes by time spans of `span_s` seconds. A server counts as warming up for
+/// `warm_within_s` seconds after its start.
 pub(super) fn rows(logs: &TallyLogs, span_s: u64, warm_within_s: u64) -> BTreeMap<u64, Row> {
     let mut rows: BTreeMap<u64, Row> = BTreeMap::new();
     let mut nodes: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
@@ -163,7 +163,7 @@
     rows
 }
 
-/// The rows as a table; seconds count from the first row.
+/// Renders the rows as a table. Seconds are relative to the first row.
 pub(super) fn table(rows: &BTreeMap<u64, Row>) -> Table {
     let mut table = Table::new();
     table.load_preset(UTF8_HORIZONTAL_ONLY).set_header([
--- a/crates/cache-balancer/src/cli/mod.rs
+++ b/crates/cache-balancer/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! What the commands of the command line have in common: exit codes, players, scripts, progress.
+//! Code shared by the commands: exit codes, players, scripts and progress output.
 
 pub mod progress;
 pub mod scripts;
@@ -9,32 +9,32 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Exit code: a file, script or result that cannot be used, or a run that came to nothing. A run that misses what
-/// its script expects ends with 1.
+/// Exit code for a file, script or result that cannot be used, and for a run that produced no result. A run that
+/// does not meet the expectations of its script exits with 1.
 pub const UNUSABLE: u8 = 2;
 
-/// This program's file could not be found.
+/// The path of this program's executable cannot be determined.
 #[derive(Debug, Error)]
-#[error("this program does not find itself: {0}")]
+#[error("cannot determine the path of this program's executable: {0}")]
 pub struct ProgramNotFound(#[from] io::Error);
 
-/// The file of this program, to start it as another process.
+/// Returns the path of this program's executable, to start further processes of it.
 pub fn program() -> Result<PathBuf, ProgramNotFound> {
     Ok(std::env::current_exe()?)
 }
 
-/// What runs a script. Its values have no help text, so that `--help` lists them in one line.
+/// How a script is run. The values have no help text, so that `--help` lists them in one line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Player {
-    /// Processes of this program, on loopback and in real time.
+    /// With processes of this program, on loopback and in real time.
     #[value(help = None)]
     Sockets,
-    /// The decisions alone, in virtual time.
+    /// With the balancing logic alone, in virtual time.
     #[value(help = None)]
     Virtual,
 }
 
-/// The exit code of a run: success if its report meets the expectations of its script.
+/// Returns the exit code of a run: success if its report meets the expectations of its script.
 pub fn exit_code(expectations_met: bool) -> ExitCode {
     if expectations_met {
         ExitCode::SUCCESS
@@ -43,7 +43,7 @@
     }
 }
 
-/// Ends with Ctrl-C. Where the signal can't be had, a run goes to its end.
+/// Completes on Ctrl-C. Never completes if no handler can be installed, so that the run goes on to its end.
 pub async fn interrupted() {
     if tokio::signal::ctrl_c().await.is_err() {
         std::future::pending().await
--- a/crates/cache-balancer/src/cli/scripts.rs
+++ b/crates/cache-balancer/src/cli/scripts.rs
@@ -1,31 +1,31 @@
-//! Scripts that the command line names: shipped with the program, or in files.
+//! Loads the scripts named on the command line from files.
 
 use checked_toml::Fault;
 use std::io;
 use std::path::Path;
 use thiserror::Error;
 
-/// Why a script cannot be used. The text has a line for each fault.
+/// An error that makes a script unusable. The message has one line for each fault.
 #[derive(Debug, Error)]
 pub enum ScriptError {
-    /// There is no such file, nor a shipped script of this name.
-    #[error("{name}: {error}; a scenario's name is expected, or a file")]
+    /// The argument is neither the name of a built-in scenario nor a readable file.
+    #[error("{name}: {error}; expected the name of a scenario or the path of a script")]
     Unreadable {
-        /// What the command line names.
+        /// The argument on the command line.
         name: String,
-        /// Why it can't be read as a file.
+        /// The error from reading it as a file.
         error: io::Error,
     },
-    /// Its text has faults.
-    #[error("{}", lines(.0))]
+    /// The script has faults.
+    #[error("{}", join_lines(.0))]
     Invalid(Vec<Fault>),
 }
 
-fn lines(faults: &[Fault]) -> String {
+fn join_lines(faults: &[Fault]) -> String {
     faults.iter().map(Fault::to_string).collect::<Vec<_>>().join("\n")
 }
 
-/// Reads the script in a file. `parse` gets the file's name and its text.
+/// Reads a script from a file. `parse` gets the file's path and its text.
 pub fn from_file<S>(
     path: &Path,
     parse: impl FnOnce(&str, &str) -> Result<S, Vec<Fault>>,
--- a/crates/cache-balancer/src/fleet/command.rs
+++ b/crates/cache-balancer/src/fleet/command.rs
@@ -1,4 +1,4 @@
-//! The commands that a fleet reads from standard input, one a line.
+//! Commands that a fleet reads from standard input, one per line.
 
 use balancer_core::supervisor::Event;
 use std::io::BufRead;
@@ -6,22 +6,22 @@
 use thiserror::Error;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
-const COMMANDS: &str = "state, roll, reload, drain N, drain all, start N and stop";
-/// An unknown command is quoted up to this length.
+const VALID_COMMANDS: &str = "state, roll, reload, drain N, drain all, start N and stop";
+/// Maximum number of characters of an unknown command that an error message quotes.
 const MAX_QUOTED_CHARS: usize = 80;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Command {
     /// Print the state of each instance.
     State,
-    /// Read the fleet's file again.
+    /// Reload the fleet's configuration file.
     Reload,
-    /// Have the supervisor handle this event.
+    /// Pass this event to the supervisor.
     Supervise(Event),
 }
 
 #[derive(Debug, Error)]
-#[error("expected one of {COMMANDS}, found \"{0}\"")]
+#[error("expected one of {VALID_COMMANDS}, found \"{0}\"")]
 pub(super) struct UnknownCommand(String);
 
 impl FromStr for Command {
@@ -44,7 +44,7 @@
     }
 }
 
-/// The lines of standard input, from a thread that ends with it.
+/// Returns the lines of standard input. A thread reads them, until the input ends.
 pub(super) fn lines() -> UnboundedReceiver<String> {
     let (sender, receiver) = unbounded_channel();
     std::thread::spawn(move || {
--- a/crates/cache-balancer/src/fleet/files.rs
+++ b/crates/cache-balancer/src/fleet/files.rs
@@ -1,4 +1,5 @@
-//! The files of a fleet's instances, made from one file: each instance has a name, addresses and a hand-over socket of its own.
+//! Derives the configuration files of a fleet's instances from one file. Each instance gets its own name, addresses and
+//! hand-over socket.
 
 use crate::config::operator::{self, FileError};
 use crate::config::{Config, HandoverConfig, Listener};
@@ -8,12 +9,12 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a file makes no fleet.
+/// An error in deriving or writing the files of a fleet's instances.
 #[derive(Debug, Error)]
 pub enum FilesError {
     #[error("{0}")]
     File(#[from] FileError),
-    #[error("listener {listener}: there is no port {port} for instance {instance}")]
+    #[error("listener {listener}: instance {instance} would need port {port}, expected at most 65535")]
     Port { listener: String, port: u32, instance: usize },
     #[error(
         "{0} would be the address of two listeners: leave as many ports between them as there are instances"
@@ -23,20 +24,22 @@
     Unwritable(PathBuf, io::Error),
 }
 
-/// The configuration of each instance, made from the file at `path`. The hand-over sockets are in `folder`.
+/// Derives the configuration of each instance from the file at `path`. The hand-over sockets are in `folder`.
 pub fn configs(path: &Path, folder: &Path, instances: usize) -> Result<Vec<Config>, FilesError> {
     let base = operator::load(path)?;
-    let mut taken = BTreeMap::new();
+    let mut instance_by_address = BTreeMap::new();
     (0..instances)
         .map(|instance| {
             let listeners = base
                 .listeners
                 .iter()
-                .map(|listener| shifted(listener, instance))
+                .map(|listener| with_port_offset(listener, instance))
                 .collect::<Result<_, _>>()?;
             let mut config = Config { name: format!("{}-{instance}", base.name), listeners, ..base.clone() };
-            for Listener { address, .. } in config.listeners.iter().filter(|one| one.address.port() != 0) {
-                if taken.insert(*address, instance).is_some() {
+            for Listener { address, .. } in
+                config.listeners.iter().filter(|listener| listener.address.port() != 0)
+            {
+                if instance_by_address.insert(*address, instance).is_some() {
                     return Err(FilesError::DuplicateAddress(*address));
                 }
             }
@@ -53,29 +56,29 @@
         .collect()
 }
 
-/// The listener of an instance: its port is `instance` higher, unless the system picks it.
-fn shifted(listener: &Listener, instance: usize) -> Result<Listener, FilesError> {
+/// Returns the listener with its port increased by `instance`. Port 0, which the system replaces, stays 0.
+fn with_port_offset(listener: &Listener, instance: usize) -> Result<Listener, FilesError> {
     let Listener { name, mut address } = listener.clone();
     if address.port() != 0 {
         let port = u32::from(address.port()) + instance as u32;
-        let fits =
+        let valid_port =
             u16::try_from(port).map_err(|_| FilesError::Port { listener: name.clone(), port, instance });
-        address.set_port(fits?);
+        address.set_port(valid_port?);
     }
     Ok(Listener { name, address })
 }
 
-/// The path of the file of an instance.
+/// Returns the path of an instance's configuration file.
 pub fn path(folder: &Path, instance: usize) -> PathBuf {
     folder.join(format!("{instance}.toml"))
 }
 
-/// Writes the files of all instances, each in one step.
+/// Writes the files of all instances. Each one replaces its predecessor atomically.
 pub fn write(folder: &Path, configs: &[Config]) -> Result<(), FilesError> {
     for (instance, config) in configs.iter().enumerate() {
-        let (path, beside) = (path(folder, instance), folder.join(format!("{instance}.new")));
-        let written = std::fs::write(&beside, operator::effective(config))
-            .and_then(|()| std::fs::rename(&beside, &path));
+        let (path, temporary) = (path(folder, instance), folder.join(format!("{instance}.new")));
+        let written = std::fs::write(&temporary, operator::effective(config))
+            .and_then(|()| std::fs::rename(&temporary, &path));
         written.map_err(|error| FilesError::Unwritable(path, error))?;
     }
     Ok(())
--- a/crates/cache-balancer/src/fleet/mod.rs
+++ b/crates/cache-balancer/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! `cache-balancer fleet`: many instances of one file on one machine, kept running, upgraded and drained, for trials.
-//! [`balancer_core::supervisor`] decides what happens when; this module starts the processes and sends the signals.
+//! `cache-balancer fleet`: runs, upgrades and drains many instances of one configuration file on one machine, for trials.
+//! [`balancer_core::supervisor`] decides on the actions; this module starts the processes and sends the signals.
 
 mod command;
 mod files;
@@ -28,41 +28,42 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep_until, Instant};
 
-/// Keeps many instances of one file going. Instance 0 listens where the file says, each further one a port higher; `nodes`
-/// is the number of instances. Reads commands, a line each: state, roll, reload, drain N, drain all, start N, stop.
+/// Runs many instances of one configuration file. Instance 0 uses the ports in the file, and each further instance the
+/// next higher ones. `nodes` is set to the number of instances. Reads commands from standard input, one per line: state,
+/// roll, reload, drain N, drain all, start N, stop.
 #[derive(clap::Args, Debug)]
 pub struct Arguments {
-    /// How many
+    /// Number of instances
     #[arg(long, value_parser = clap::value_parser!(u16).range(1..=500))]
     instances: u16,
-    /// The file, as for `cache-balancer run`
+    /// Path of the configuration file, as for `cache-balancer run`
     #[arg(long)]
     config: PathBuf,
-    /// Where the instances' files and sockets are; by default a folder of its own that goes with it
+    /// Folder for the files and sockets of the instances; by default a temporary one that is removed at the end
     #[arg(long)]
     folder: Option<PathBuf>,
 }
 
-/// Why a fleet does not start.
+/// An error that prevents the fleet from starting.
 #[derive(Debug, Error)]
 enum FleetError {
     #[error("{folder}: {error}", folder = folder.display())]
     Folder { folder: PathBuf, error: io::Error },
     #[error("{0}")]
     Files(#[from] FilesError),
-    /// The runtime, or a signal handler.
+    /// An error from the runtime or from installing a signal handler.
     #[error("{0}")]
     System(#[from] io::Error),
 }
 
-/// Runs until all instances are told to stop and have exited.
+/// Runs the fleet until it is stopped and all instances have exited.
 pub fn run(arguments: Arguments) -> ExitCode {
     let temporary = arguments.folder.is_none();
-    let own = || std::env::temp_dir().join(format!("cache-balancer-fleet-{}", std::process::id()));
-    let folder = arguments.folder.clone().unwrap_or_else(own);
+    let default_folder = || std::env::temp_dir().join(format!("cache-balancer-fleet-{}", std::process::id()));
+    let folder = arguments.folder.clone().unwrap_or_else(default_folder);
     let result = run_in(&folder, &arguments);
     if temporary {
-        // Its files are of no further use.
+        // A temporary folder that cannot be removed does no harm.
         let _ = std::fs::remove_dir_all(&folder);
     }
     match result {
@@ -121,7 +122,7 @@
         let mut lines = command::lines();
         self.handle(Event::TimerExpired);
         while !self.supervisor.is_finished() {
-            let timer = sleep_to(self.timer.map(|at| self.instant(at)));
+            let timer = sleep_until_or_forever(self.timer.map(|at| self.instant(at)));
             tokio::select! {
                 // `self.events` keeps the channel open.
                 Some(event) = events.recv() => self.handle(event),
@@ -130,14 +131,14 @@
                 _ = interrupt.recv() => self.handle(Event::Stop),
                 _ = signals.reload.recv() => self.reload(),
                 _ = signals.upgrade.recv() => self.handle(Event::Upgrade),
-                Some(line) = lines.recv() => self.execute(&line),
+                Some(line) = lines.recv() => self.execute_command(&line),
             }
         }
-        log!("all instances have ended");
+        log!("all instances have exited");
         Ok(())
     }
 
-    fn execute(&mut self, line: &str) {
+    fn execute_command(&mut self, line: &str) {
         match line.parse() {
             Ok(Command::State) => self.print_state(),
             Ok(Command::Reload) => self.reload(),
@@ -155,11 +156,11 @@
         self.timer = None;
         self.supervisor.handle(now, event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute_action(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute_action(&mut self, action: Action) {
         match action {
             Action::Start { instance, process } => self.start(instance, process),
             Action::Terminate(process) => self.signal(process, SignalNumber::TERM),
@@ -179,7 +180,7 @@
             }
             Err(error) => {
                 log!("instance {instance}: process {id} cannot be started: {error}");
-                // The loop that reads it runs for as long as the fleet.
+                // Sending cannot fail: the receiving loop runs as long as the fleet.
                 let _ = self.events.send(Event::Exited(id));
             }
         }
@@ -191,11 +192,11 @@
         }
     }
 
-    /// Reads the file again, writes the instances' files, and has the instances read them.
+    /// Reloads the configuration file, rewrites the instances' files, and makes the instances reload them.
     fn reload(&mut self) {
-        let written = files::configs(&self.config_path, &self.folder, self.configs.len())
+        let written_configs = files::configs(&self.config_path, &self.folder, self.configs.len())
             .and_then(|configs| files::write(&self.folder, &configs).map(|()| configs));
-        match written {
+        match written_configs {
             Ok(configs) => {
                 self.configs = configs;
                 self.handle(Event::Reload);
@@ -233,7 +234,8 @@
     }
 }
 
-/// The limits of the supervisor. A process that has handed over stands by for its probation before it has to exit.
+/// Returns the limits of the supervisor. The termination timeout includes the probation, during which a process that has
+/// handed over stands by for its successor.
 fn limits(configs: &[Config]) -> Limits {
     let probations = configs.iter().filter_map(|config| Some(config.handover.as_ref()?.probation));
     let mut limits = Limits::default();
@@ -241,7 +243,7 @@
     limits
 }
 
-async fn sleep_to(time: Option<Instant>) {
+async fn sleep_until_or_forever(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
         None => pending().await,
--- a/crates/cache-balancer/src/fleet/process.rs
+++ b/crates/cache-balancer/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! The processes of a fleet: their start, their notifications (sd_notify(3)), and their exit.
+//! Starts the processes of a fleet and reports their notifications (sd_notify(3)) and exits.
 
 use crate::handover::{program, PROCESS_VARIABLES};
 use balancer_core::supervisor::{Event, ProcessId};
@@ -12,17 +12,18 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::task::spawn_local;
 
-/// The longest notification.
+/// Maximum length of a notification.
 const MAX_NOTIFICATION_BYTES: usize = 4 << 10;
 
-/// A process that was started.
+/// A started process of a fleet.
 #[derive(Debug)]
 pub(super) struct Process {
     pub pid: Pid,
 }
 
 impl Process {
-    /// Starts a process that serves from `file`, and reports to `events` what it does. It ends with this process.
+    /// Starts a process that serves the configuration in `file`, and reports its notifications and exit to `events`.
+    /// It exits when this process does.
     pub fn start(
         id: ProcessId,
         file: &Path,
@@ -31,15 +32,15 @@
     ) -> io::Result<Self> {
         let path = file.with_extension(format!("{id}.notify"));
         let socket = UnixDatagram::bind(&path)?;
-        let child = spawn(file, &path, watchdog_timeout).inspect_err(|_| remove(&path))?;
+        let child = spawn(file, &path, watchdog_timeout).inspect_err(|_| remove_socket(&path))?;
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32)).ok_or(io::ErrorKind::NotFound)?;
-        spawn_local(report(id, child, socket, path, events));
+        spawn_local(report_events(id, child, socket, path, events));
         Ok(Self { pid })
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal.
     pub fn signal(&self, signal: Signal) {
-        // It may have exited by itself.
+        // The process may have exited already.
         let _ = kill_process(self.pid, signal);
     }
 }
@@ -47,7 +48,7 @@
 fn spawn(file: &Path, notify_socket: &Path, watchdog_timeout: Duration) -> io::Result<Child> {
     let mut command = Command::new(program());
     command.arg("run").arg("--with-parent").arg("--config").arg(file);
-    // They would name the process that this process's own service manager started.
+    // These variables describe this process to its own service manager, not the new one.
     for variable in PROCESS_VARIABLES {
         command.env_remove(variable);
     }
@@ -56,24 +57,24 @@
     command.stdin(Stdio::null()).stdout(Stdio::null()).spawn()
 }
 
-/// Reports the notifications of a process, and its exit.
-async fn report(
+/// Reports the notifications and the exit of a process.
+async fn report_events(
     id: ProcessId,
     mut child: Child,
     socket: UnixDatagram,
     path: PathBuf,
     events: UnboundedSender<Event>,
 ) {
-    let receiving = spawn_local(receive(id, socket, events.clone()));
-    // An error means that the exit is known already.
+    let receiving = spawn_local(receive_notifications(id, socket, events.clone()));
+    // An error means that the exit was already observed.
     let _ = child.wait().await;
     receiving.abort();
-    remove(&path);
-    // The receiver ends with the whole program.
+    remove_socket(&path);
+    // Sending fails only when the whole program ends.
     let _ = events.send(Event::Exited(id));
 }
 
-async fn receive(id: ProcessId, socket: UnixDatagram, events: UnboundedSender<Event>) {
+async fn receive_notifications(id: ProcessId, socket: UnixDatagram, events: UnboundedSender<Event>) {
     let mut bytes = [0; MAX_NOTIFICATION_BYTES];
     while let Ok(length) = socket.recv(&mut bytes).await {
         for line in String::from_utf8_lossy(&bytes[..length]).lines() {
@@ -87,7 +88,7 @@
     }
 }
 
-fn remove(socket: &Path) {
-    // A socket that is left goes with the folder.
+fn remove_socket(socket: &Path) {
+    // A socket that cannot be removed is removed with the folder.
     let _ = std::fs::remove_file(socket);
 }
--- a/crates/cache-balancer/src/main.rs
+++ b/crates/cache-balancer/src/main.rs
@@ -1,4 +1,4 @@
-//! `cache-balancer`: the command line. Without arguments it is the platform's node.
+//! Command line of `cache-balancer`. Without a subcommand it runs a node that the platform configures.
 
 mod aggregate;
 mod cli;
@@ -29,7 +29,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Load-balancing node for fleets of cache servers. Without a command it serves with the configuration of LB_CONFIG.
+/// Load-balancing node for fleets of cache servers. Without a command it serves with the configuration in LB_CONFIG.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
@@ -39,34 +39,34 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serves with the configuration of an operator's file
+    /// Serves with the configuration in an operator's file
     Run {
-        /// The file
+        /// Path of the configuration file
         #[arg(long)]
         config: PathBuf,
-        /// Ends when the process that started it does
+        /// Exits when its parent process exits
         #[arg(long)]
         with_parent: bool,
     },
-    /// Keeps many instances of one file going, for trials
+    /// Runs many instances of one configuration file on this machine, for trials
     Fleet(fleet::Arguments),
-    /// Prints all faults of an operator's file, or its effective configuration
+    /// Prints all errors in an operator's file, or its effective configuration
     Check {
-        /// The file
+        /// Path of the configuration file
         file: PathBuf,
     },
-    /// Adds up the tallies of many nodes' logs, second by second
+    /// Sums the tally lines in the logs of many nodes, second by second
     #[command(alias = "count")]
     Aggregate(aggregate::Arguments),
-    /// Runs scripted faults against the real decisions, and judges the outcome
+    /// Runs a script of faults against the balancing logic, and checks the outcome
     #[command(alias = "rehearse")]
     Scenario(scenario::Arguments),
-    /// Measures hundreds of hollow nodes against discovery by replicas, and fits lines to the results
+    /// Measures how discovery replicas serve hundreds of hollow nodes, and fits lines to the results
     Scale(scale::Arguments),
-    /// One replica of the stand-in discovery of a scale run
+    /// Runs one replica of the simulated discovery service of a scale run
     #[command(hide = true)]
     ScaleReplica,
-    /// Hollow nodes of a scale run
+    /// Runs hollow nodes of a scale run
     #[command(hide = true)]
     ScaleHollow,
 }
--- a/crates/cache-balancer/src/tally/mod.rs
+++ b/crates/cache-balancer/src/tally/mod.rs
@@ -1,6 +1,6 @@
-//! What the driver of a pool did in each second, as one line of the log: a word, and JSON behind it. One line
-//! a second of bounded length costs a busy node nothing that can be measured, and the lines of all nodes
-//! together show what none of them sees (`cache-balancer aggregate`).
+//! Logs the activity of a pool's driver as one line per second: a prefix followed by JSON. The line has a bounded
+//! length, so its cost on a busy node is too small to measure. `cache-balancer aggregate` combines the lines of all
+//! nodes, which shows problems that no single node sees.
 
 use crate::log::log;
 use balancer_core::{AttemptStatus, EndpointState, ServerId, Timestamp};
@@ -9,21 +9,21 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The first word of such a line.
+/// Prefix of a tally line.
 pub const LINE_PREFIX: &str = "tally ";
-/// The number of servers that a line names; the attempts at others are added up. No fleet that a node was
-/// built for has more, and a line of this number is a small part of what `aggregate` reads as one.
+/// Maximum number of servers listed in a line; attempts at other servers are summed. Nodes are not designed for
+/// larger fleets, and a line with this many servers is far shorter than the longest that `aggregate` reads.
 const MAX_SERVERS: usize = 1024;
-/// The name under which the others are added up: no server has it, since discovery's names are not empty.
+/// Key of the sum over servers that are not listed. No server has this name, since names from discovery are not empty.
 pub const OTHER_SERVERS: &str = "";
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A line. Counts are of one second, and those of 0 are left out.
+/// A tally line: the counts of one second. Zero counts are omitted from the JSON.
 ///
-/// Its JSON is stored in logs and read by later versions: the names of its fields stay.
+/// The JSON is stored in logs and read by later versions, so the serialized field names must not change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TallyLine {
-    /// The second of Unix time.
+    /// Unix time in seconds.
     pub second: u64,
     /// The name of the node.
     pub node: String,
@@ -38,7 +38,7 @@
     /// Requests that failed.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub failed: u32,
-    /// Attempts of a request after its first.
+    /// Attempts after the first one of a request.
     #[serde(rename = "repeats", default, skip_serializing_if = "is_zero")]
     pub retries: u32,
     /// Circuit breakers that tripped.
@@ -50,49 +50,49 @@
     /// Calls to discovery that failed.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub lists_failed: u32,
-    /// Servers of which a list notified a new state.
+    /// Servers whose state changed in an endpoint list, with the new state.
     #[serde(rename = "told", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub notified: BTreeMap<String, NotifiedState>,
-    /// Attempts that ended, by server.
+    /// Finished attempts by server.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub servers: BTreeMap<String, AttemptCounts>,
 }
 
-/// The state of a server of which a list notified.
+/// State of a server, as notified by an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NotifiedState {
-    /// It takes requests, and started at this second of Unix time; 0 if that is unknown.
+    /// The server accepts requests. It started at this Unix time in seconds; 0 if unknown.
     Ready(u64),
-    /// It takes no further requests.
+    /// The server accepts no new requests.
     Draining,
-    /// It has left the fleet.
+    /// The server has left the fleet.
     #[serde(rename = "gone")]
     Removed,
 }
 
-/// How many attempts at a server ended in which way.
+/// Number of attempts at a server by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptCounts {
-    /// With a response that was of use.
+    /// The server responded with a value or a miss.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub ok: u32,
-    /// Without a connection.
+    /// No connection could be established.
     #[serde(rename = "connect", default, skip_serializing_if = "is_zero")]
     pub connect_errors: u32,
-    /// Without a response in time.
+    /// No response arrived in time.
     #[serde(rename = "timeout", default, skip_serializing_if = "is_zero")]
     pub timeouts: u32,
-    /// Rejected by the server, whose queue was full.
+    /// The server rejected the attempt because its queue was full.
     #[serde(rename = "full", default, skip_serializing_if = "is_zero")]
     pub queue_full: u32,
-    /// With an error or a reset.
+    /// The server responded with an error or reset the connection.
     #[serde(rename = "error", default, skip_serializing_if = "is_zero")]
     pub errors: u32,
 }
 
 impl AttemptCounts {
-    /// Counts an attempt, unless its status is not the server's doing.
+    /// Counts an attempt. Attempts that the node canceled or never sent are not counted.
     fn record(&mut self, status: AttemptStatus) {
         *match status {
             AttemptStatus::Ok | AttemptStatus::Miss => &mut self.ok,
@@ -104,7 +104,7 @@
         } += 1;
     }
 
-    /// Adds those of another line; a sum stays at its largest value.
+    /// Adds other counts, saturating at the maximum value.
     pub fn add(&mut self, other: &Self) {
         for (sum, count) in [
             (&mut self.ok, other.ok),
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The number of attempts.
+    /// Returns the total number of attempts.
     pub fn total(&self) -> u64 {
         [self.ok, self.connect_errors, self.timeouts, self.queue_full, self.errors]
             .map(u64::from)
@@ -136,22 +136,22 @@
         Self { second, node: node.to_owned(), pool: pool.to_owned(), ..Self::default() }
     }
 
-    /// Whether nothing was counted.
+    /// Returns whether nothing was counted.
     fn is_empty(&self) -> bool {
         *self == Self::empty(self.second, &self.node, &self.pool)
     }
 
-    /// Counts an attempt at this server that ended.
+    /// Counts a finished attempt at this server.
     pub fn record_attempt(&mut self, server: &ServerId, status: AttemptStatus) {
-        let named = self.servers.len() < MAX_SERVERS || self.servers.contains_key(server.as_str());
-        let name = if named { server.as_str() } else { OTHER_SERVERS };
+        let is_listed = self.servers.len() < MAX_SERVERS || self.servers.contains_key(server.as_str());
+        let name = if is_listed { server.as_str() } else { OTHER_SERVERS };
         match self.servers.get_mut(name) {
             Some(counts) => counts.record(status),
             None => self.servers.entry(name.to_owned()).or_default().record(status),
         }
     }
 
-    /// Records that a list notified a new state of a server. At most [`MAX_SERVERS`] of a second are kept.
+    /// Records the new state of a server from an endpoint list. At most [`MAX_SERVERS`] servers are kept per second.
     pub fn record_notification(
         &mut self,
         server: &ServerId,
@@ -171,20 +171,20 @@
     }
 }
 
-/// Adds a second up, and writes its line once something is counted in a later one. The last line is written
-/// when the driver ends.
+/// Collects the counts of the current second. A line is written when the first event of a later second is counted; the
+/// last line is written on drop.
 pub struct Tally {
     enabled: Rc<Cell<bool>>,
     line: TallyLine,
 }
 
 impl Tally {
-    /// The tally of a pool's driver. `enabled` follows the configuration.
+    /// Creates the tally of a pool's driver. Lines are written only while `enabled` is set.
     pub fn new(node: &str, pool: &str, enabled: Rc<Cell<bool>>) -> Self {
         Self { enabled, line: TallyLine::empty(0, node, pool) }
     }
 
-    /// The line in which what happens at this time is counted.
+    /// Returns the line that counts events at this time. Writes the previous line if its second has passed.
     pub fn line_at(&mut self, now: Timestamp) -> &mut TallyLine {
         let second = now.as_micros() / MICROS_PER_SECOND;
         if second != self.line.second {
@@ -198,7 +198,7 @@
         if !self.enabled.get() || self.line.is_empty() {
             return;
         }
-        // Only maps with keys that are no text can fail, and there are none.
+        // Serialization fails only for maps whose keys are not strings, and there are none.
         if let Ok(json) = serde_json::to_string(&self.line) {
             log!("{LINE_PREFIX}{json}");
         }
--- a/crates/cache-balancer/src/tally/tests.rs
+++ b/crates/cache-balancer/src/tally/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// A line that grew with the servers met would fill a log, and be longer than `aggregate` reads.
+/// If lines grew with the number of servers, they would fill the log and exceed the limit of `aggregate`.
 #[test]
-fn a_line_is_bounded_whatever_servers_there_are_and_reads_back_as_it_was() {
+fn lines_have_bounded_length_and_round_trip_through_json() {
     let mut tally = Tally::new("n1", "pool", Rc::new(Cell::new(false)));
     let line = tally.line_at(Timestamp::from_micros(7_500_000));
     for i in 0..3_000 {
-        // The servers of a fleet of this size are counted one by one.
+        // Up to 1024 servers are listed individually.
         if i == 1_024 {
             assert_eq!((line.servers.len(), line.notified.len()), (1_024, 1_024));
             assert!(!line.servers.contains_key(OTHER_SERVERS));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_second_begins_with_nothing_of_the_one_before() {
+fn counts_start_at_zero_in_each_second() {
     let mut tally = Tally::new("n1", "pool", Rc::new(Cell::new(false)));
     tally.line_at(Timestamp::from_micros(7_999_999)).served += 1;
     assert_eq!(tally.line_at(Timestamp::from_micros(7_999_999)).served, 1);
--- a/crates/cache-balancer/tests/aggregate.rs
+++ b/crates/cache-balancer/tests/aggregate.rs
@@ -73,7 +73,7 @@
         "a word\ntally {\"second\":1}\ntally {\"second\":1,\"node\":\"a\",\"pool\":\"p\",\"served\":2}\n";
     let (row, code, complaints) = aggregated(&[log]);
     assert_eq!((row["served"].as_u64(), code), (Some(2), 1));
-    assert!(complaints.contains("0.log:2: no tally: missing field `node`"), "{complaints}");
+    assert!(complaints.contains("0.log:2: invalid tally line: missing field `node`"), "{complaints}");
     let mut command = command();
     command.args(["aggregate", "no-such.log"]);
     let output = output_before_timeout(command);
--- a/crates/cache-balancer/tests/fleet.rs
+++ b/crates/cache-balancer/tests/fleet.rs
@@ -217,7 +217,7 @@
     let listener =
         |name: &str, port: u16| format!("[[listener]]\nname = \"{name}\"\naddress = \"127.0.0.1:{port}\"\n");
     for (listeners, why) in [
-        (listener("a", 65_534), "listener a: there is no port 65536 for instance 2"),
+        (listener("a", 65_534), "listener a: instance 2 would need port 65536, expected at most 65535"),
         (
             listener("a", 7_000) + &listener("b", 7_002),
             "127.0.0.1:7002 would be the address of two listeners",
--- a/crates/cache-balancer/tests/scale.rs
+++ b/crates/cache-balancer/tests/scale.rs
@@ -212,7 +212,7 @@
         "{too_large}"
     );
     let none_such = refused(&["none-such"]);
-    assert!(none_such.contains("a scenario's name is expected, or a file"), "{none_such}");
+    assert!(none_such.contains("expected the name of a scenario or the path of a script"), "{none_such}");
     let out_of_range = refused(&["quiet", "--replicas", "65"]);
     assert!(out_of_range.contains("65 is not in 1..=64"), "{out_of_range}");
     let nothing_to_fit = refused(&["fit", "none-such.json"]);
--- a/crates/cache-balancer/tests/scale_virtual.rs
+++ b/crates/cache-balancer/tests/scale_virtual.rs
@@ -43,7 +43,7 @@
 #[test]
 fn what_cannot_be_run_is_refused_and_named() {
     let cases: [(&[&str], &str); 3] = [
-        (&["quake", "--player", "virtual"], "a scenario's name is expected, or a file"),
+        (&["quake", "--player", "virtual"], "expected the name of a scenario or the path of a script"),
         (&["quiet", "--player", "virtual", "--svg", "x.svg"], "--svg: expected --player sockets"),
         (&["quiet", "--player", "virtual", "--lines-per-second", "0"], "--lines-per-second"),
     ];
--- a/crates/cache-balancer/tests/scenario.rs
+++ b/crates/cache-balancer/tests/scenario.rs
@@ -74,7 +74,7 @@
     }
     let output = cache_balancer(&["scenario", "no-such-scenario"]);
     assert_eq!((output.status.code(), utf8(&output.stdout)), (Some(2), ""));
-    assert!(utf8(&output.stderr).contains("a scenario's name is expected, or a file"));
+    assert!(utf8(&output.stderr).contains("expected the name of a scenario or the path of a script"));
 }
 
 #[test]
