--- a/crates/cache-balancer/src/aggregate/mod.rs
+++ b/crates/cache-balancer/src/aggregate/mod.rs
@@ -1,6 +1,6 @@
-//! `cache-balancer aggregate`: sums the tally lines in the logs of many nodes, second by second, and classifies attempts
-//! by the state of their server as known to any node at that time. No single log shows that a node sent an attempt to a
-//! server that another node already knew to be removed.
+//! `cache-balancer aggregate`: sums the tally lines in the logs of many nodes, second by second, and
+//! classifies attempts by the state of their server as known to any node at that time. No single log shows
+//! that a node sent an attempt to a server that another node already knew to be removed.
 
 mod logs;
 mod rows;
--- a/crates/cache-balancer/src/aggregate/rows.rs
+++ b/crates/cache-balancer/src/aggregate/rows.rs
@@ -109,9 +109,9 @@
 
 /// Latest state of a server of which any node was notified.
 ///
-/// Notifications reach nodes at different times. A late `Ready` does not revive a server that is draining or removed,
-/// unless its start time is later, which means a new incarnation. A drain that is revoked within one incarnation
-/// cannot be distinguished from a late notification.
+/// Notifications reach nodes at different times. A late `Ready` does not revive a server that is draining or
+/// removed, unless its start time is later, which means a new incarnation. A drain that is revoked within one
+/// incarnation cannot be distinguished from a late notification.
 #[derive(Clone, Copy, Debug, Default)]
 struct KnownServer {
     /// Start of the server's incarnation, in seconds of Unix time; 0 if unknown.
--- a/crates/cache-balancer/src/aggregate/tests.rs
+++ b/crates/cache-balancer/src/aggregate/tests.rs
@@ -11,7 +11,8 @@
     lines
 }
 
-/// The sending node is notified late, so classifying by its own notifications alone would miss these attempts.
+/// The sending node is notified late, so classifying by its own notifications alone would miss these
+/// attempts.
 #[test]
 fn attempts_at_a_server_that_another_node_knew_to_be_removed_count_as_removed() {
     let one = r#"tally {"second":10,"node":"a","pool":"p","served":2,"told":{"s":"gone"},"servers":{"t":{"ok":2}}}"#;
@@ -29,7 +30,8 @@
     assert_eq!(by_span.keys().copied().collect::<Vec<_>>(), [0, 10]);
 }
 
-/// Nodes are notified at different times: one may still report a server as ready that others know to be draining.
+/// Nodes are notified at different times: one may still report a server as ready that others know to be
+/// draining.
 #[test]
 fn late_notifications_revive_no_server_and_started_servers_warm_up() {
     let log = r#"
--- a/crates/cache-balancer/src/cli/mod.rs
+++ b/crates/cache-balancer/src/cli/mod.rs
@@ -9,8 +9,8 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Exit code for a file, script or result that cannot be used, and for a run that produced no result. A run that
-/// does not meet the expectations of its script exits with 1.
+/// Exit code for a file, script or result that cannot be used, and for a run that produced no result. A run
+/// that does not meet the expectations of its script exits with 1.
 pub const UNUSABLE: u8 = 2;
 
 /// The path of this program's executable cannot be determined.
--- a/crates/cache-balancer/src/fleet/files.rs
+++ b/crates/cache-balancer/src/fleet/files.rs
@@ -1,5 +1,5 @@
-//! Derives the configuration files of a fleet's instances from one file. Each instance gets its own name, addresses and
-//! hand-over socket.
+//! Derives the configuration files of a fleet's instances from one file. Each instance gets its own name,
+//! addresses and hand-over socket.
 
 use crate::config::operator::{self, FileError};
 use crate::config::{Config, HandoverConfig, Listener};
--- a/crates/cache-balancer/src/fleet/mod.rs
+++ b/crates/cache-balancer/src/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! `cache-balancer fleet`: runs, upgrades and drains many instances of one configuration file on one machine, for trials.
-//! [`balancer_core::supervisor`] decides on the actions; this module starts the processes and sends the signals.
+//! `cache-balancer fleet`: runs, upgrades and drains many instances of one configuration file on one machine,
+//! for trials. [`balancer_core::supervisor`] decides on the actions; this module starts the processes and
+//! sends the signals.
 
 mod command;
 mod files;
@@ -28,9 +29,9 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep_until, Instant};
 
-/// Runs many instances of one configuration file. Instance 0 uses the ports in the file, and each further instance the
-/// next higher ones. `nodes` is set to the number of instances. Reads commands from standard input, one per line: state,
-/// roll, reload, drain N, drain all, start N, stop.
+/// Runs many instances of one configuration file. Instance 0 uses the ports in the file, and each further
+/// instance the next higher ones. `nodes` is set to the number of instances. Reads commands from standard
+/// input, one per line: state, roll, reload, drain N, drain all, start N, stop.
 #[derive(clap::Args, Debug)]
 pub struct Arguments {
     /// Number of instances
@@ -39,7 +40,8 @@
     /// Path of the configuration file, as for `cache-balancer run`
     #[arg(long)]
     config: PathBuf,
-    /// Folder for the files and sockets of the instances; by default a temporary one that is removed at the end
+    /// Folder for the files and sockets of the instances; by default a temporary one that is removed at the
+    /// end
     #[arg(long)]
     folder: Option<PathBuf>,
 }
@@ -234,8 +236,8 @@
     }
 }
 
-/// Returns the limits of the supervisor. The termination timeout includes the probation, during which a process that has
-/// handed over stands by for its successor.
+/// Returns the limits of the supervisor. The termination timeout includes the probation, during which a
+/// process that has handed over stands by for its successor.
 fn limits(configs: &[Config]) -> Limits {
     let probations = configs.iter().filter_map(|config| Some(config.handover.as_ref()?.probation));
     let mut limits = Limits::default();
--- a/crates/cache-balancer/src/fleet/process.rs
+++ b/crates/cache-balancer/src/fleet/process.rs
@@ -22,8 +22,8 @@
 }
 
 impl Process {
-    /// Starts a process that serves the configuration in `file`, and reports its notifications and exit to `events`.
-    /// It exits when this process does.
+    /// Starts a process that serves the configuration in `file`, and reports its notifications and exit to
+    /// `events`. It exits when this process does.
     pub fn start(
         id: ProcessId,
         file: &Path,
--- a/crates/cache-balancer/src/hollow/mod.rs
+++ b/crates/cache-balancer/src/hollow/mod.rs
@@ -1,7 +1,7 @@
-//! `cache-balancer scale-hollow`: hollow nodes, hundreds in one process on one thread.
+//! `cache-balancer scale-hollow`: runs hundreds of hollow nodes in one process on one thread.
 //!
-//! The term is Kubemark's: each is the real client of discovery with a connection of its own, the real decisions and the real
-//! driver, without a data path.
+//! The term comes from Kubemark. Each hollow node consists of the real client of discovery with its own
+//! connection, the real balancing logic and the real driver, without a data path.
 
 mod node;
 mod record;
@@ -23,8 +23,8 @@
 
 type Commands = Receiver<Result<HollowCommand, ProcessError>>;
 
-/// Reads [`HollowCommand`]s from standard input and writes [`HollowEvent`]s to standard output, until the stop command or the
-/// end of the input.
+/// Reads [`HollowCommand`]s from standard input and writes [`HollowEvent`]s to standard output, until the
+/// stop command or the end of the input.
 ///
 /// # Errors
 ///
@@ -55,8 +55,8 @@
             let setup = SharedSetup { fleet, seed, zones, replicas: watched_replicas, record: Rc::default() };
             let mut nodes =
                 HollowNodes { first, count, setup, replicas, running: BTreeMap::new(), launches: 0 };
-            let known = version.map(|version| endpoint_list(version, servers)).unwrap_or_default();
-            nodes.launch((0..count).map(|index| first.saturating_add(index)), &known).await?;
+            let initial_list = version.map(|version| endpoint_list(version, servers)).unwrap_or_default();
+            nodes.launch((0..count).map(|index| first.saturating_add(index)), &initial_list).await?;
             nodes
         }
         Some(HollowCommand::Stop) | None => return Ok(()),
@@ -86,27 +86,28 @@
     replicas: watch::Sender<DiscoveryReplicas>,
     /// Running nodes by number.
     running: BTreeMap<u32, HollowNode>,
-    /// The number of launches so far, which seeds the random numbers of the next.
+    /// Number of launches so far, which is part of the seed of the next launch.
     launches: u64,
 }
 
 impl HollowNodes {
-    /// Starts these nodes with this list, in place of running ones, and waits until they have applied it.
+    /// Starts the nodes of these numbers with this list and waits until they have applied it. A node that
+    /// runs already is replaced.
     async fn launch(
         &mut self,
         numbers: impl Iterator<Item = u32>,
-        known: &EndpointList,
+        initial_list: &EndpointList,
     ) -> Result<(), ProcessError> {
         let mut launched = Vec::new();
         for number in numbers {
             self.check_number(number)?;
             self.launches += 1;
-            let node = HollowNode::launch(number, &self.setup, self.launches, known.clone());
+            let node = HollowNode::launch(number, &self.setup, self.launches, initial_list.clone());
             launched.push(node.started());
             self.running.insert(number, node);
         }
         for started in launched {
-            // It fails for a node that has been replaced by a later launch.
+            // Fails for a node that a later launch has replaced.
             let _ = started.await;
         }
         Ok(())
@@ -120,19 +121,19 @@
         Ok(())
     }
 
-    /// Makes all nodes poll these replicas from now on, each of the same capacity as before.
+    /// Makes all nodes poll these replicas from now on. The capacity per replica stays the same.
     fn replace_replicas(&self, replicas: Vec<SocketAddr>) -> Result<(), ProcessError> {
         if replicas.is_empty() {
             return Err(ProcessError::NoReplica);
         }
         self.replicas.send_if_modified(|current| {
-            let wanted = DiscoveryReplicas::new(replicas, current.capacity);
-            std::mem::replace(current, wanted.clone()) != wanted
+            let new = DiscoveryReplicas::new(replicas, current.capacity);
+            std::mem::replace(current, new.clone()) != new
         });
         Ok(())
     }
 
-    /// Returns an error unless this process runs the node of this number.
+    /// Returns an error if the node of this number does not belong to this process.
     fn check_number(&self, node: u32) -> Result<(), ProcessError> {
         let (first, count) = (self.first, self.count);
         if node.checked_sub(first).is_some_and(|index| index < count) {
@@ -142,7 +143,7 @@
     }
 }
 
-/// The discovery service of these replicas, each of this capacity.
+/// Returns the discovery service with these replicas, each of this capacity.
 fn discovery_replicas(
     replicas: Vec<SocketAddr>,
     capacity: Option<ReplicaCapacity>,
--- a/crates/cache-balancer/src/hollow/node.rs
+++ b/crates/cache-balancer/src/hollow/node.rs
@@ -1,4 +1,4 @@
-//! One hollow node: what a node runs for one pool, without clients.
+//! A hollow node: everything a node runs for one pool, except connections to clients.
 
 use super::ActivityRecord;
 use crate::config::DiscoveryReplicas;
@@ -17,26 +17,27 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::{spawn_local, AbortHandle};
 
-/// [`Settings::drain_grace`], as on the platform.
+/// [`Settings::drain_grace`] of hollow nodes, the same as on the platform.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// [`Settings::max_poll_interval`], as on the platform.
+/// [`Settings::max_poll_interval`] of hollow nodes, the same as on the platform.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
-/// The bound of connections to cache servers. Without clients none is opened.
+/// Maximum number of connections to cache servers. None is opened, since there are no clients.
 const MAX_CONNECTIONS: usize = 4;
-/// Spreads consecutive numbers over 64 bits: 2^64 divided by the golden ratio (D. Knuth, TAOCP vol. 3, 6.4).
+/// Multiplier that spreads consecutive numbers over 64 bits: 2^64 divided by the golden ratio (D. Knuth,
+/// TAOCP vol. 3, 6.4).
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What all hollow nodes of a process share.
+/// Settings and state that all hollow nodes of a process share.
 pub struct SharedSetup {
-    /// The number of nodes of the whole fleet.
+    /// Number of nodes in the whole fleet.
     pub fleet: u32,
-    /// The seed of random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The zones of the nodes, assigned in turn by their numbers.
+    /// Zones, assigned to nodes round-robin by node number.
     pub zones: Vec<String>,
-    /// The replicas of discovery that they poll.
+    /// Replicas of discovery that the nodes poll.
     pub replicas: watch::Receiver<DiscoveryReplicas>,
-    /// Where they record what they did.
+    /// Record of the nodes' activity.
     pub record: Rc<ActivityRecord>,
 }
 
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The random numbers of one launch of a node.
+    /// Returns the random number generator of one launch of a node.
     fn random(&self, number: u32, launch: u64) -> fastrand::Rng {
         let stream = u64::from(number) << 32 | launch & u64::from(u32::MAX);
         let mut random = fastrand::Rng::with_seed(self.seed.wrapping_add(stream.wrapping_mul(GOLDEN_RATIO)));
@@ -77,8 +78,9 @@
 }
 
 impl HollowNode {
-    /// Starts a node with this list, which may be empty. `launch` is different for each launch in this process.
-    pub fn launch(number: u32, setup: &SharedSetup, launch: u64, known: EndpointList) -> Self {
+    /// Starts a node with this list, which may be empty. `launch` must be unique among the launches in this
+    /// process.
+    pub fn launch(number: u32, setup: &SharedSetup, launch: u64, initial_list: EndpointList) -> Self {
         let mut random = setup.random(number, launch);
         let settings = setup.settings(number);
         let name = format!("h{number}");
@@ -93,30 +95,31 @@
             node: name.clone(),
             replicas: setup.replicas.clone(),
             validator: ListValidator::new(
-                (!known.endpoints.is_empty()).then_some(known.version),
-                known.ready_ids(),
+                (!initial_list.endpoints.is_empty()).then_some(initial_list.version),
+                initial_list.ready_ids(),
             ),
             poll_settings: Rc::new(Cell::new(PollSettings::from(&settings))),
             random: random.fork(),
             driver_inputs: driver_inputs.clone(),
         };
         let balancer = Balancer::new(settings, random.u64(..));
-        // The readiness of a hollow node is not observed.
+        // Nothing observes the readiness of a hollow node.
         let ready = watch::Sender::new(false);
         let tally = Tally::new(&name, "pool", Rc::new(Cell::new(false)));
         let record = setup.record.clone();
         let driver = Driver::new(balancer, upstream, ready, driver_inputs.clone(), tally)
             .observed(Box::new(move |event| record.add(number, event)));
-        let driver = spawn_local(driver.run(known, inputs)).abort_handle();
+        let driver = spawn_local(driver.run(initial_list, inputs)).abort_handle();
         let discovery = spawn_local(discovery.run()).abort_handle();
         Self { driver_inputs, driver, discovery }
     }
 
-    /// Completes when the node has applied the list that it started with; fails if the node was killed before.
+    /// Returns a receiver that completes when the node has applied its initial list, and fails if the node
+    /// was killed before.
     pub fn started(&self) -> oneshot::Receiver<()> {
-        let (answer, started) = oneshot::channel();
+        let (reply, started) = oneshot::channel();
         // The node may have been killed.
-        let _ = self.driver_inputs.send(DriverInput::LivenessCheck(answer));
+        let _ = self.driver_inputs.send(DriverInput::LivenessCheck(reply));
         started
     }
 }
--- a/crates/cache-balancer/src/hollow/record.rs
+++ b/crates/cache-balancer/src/hollow/record.rs
@@ -1,16 +1,16 @@
-//! What the hollow nodes of this process have done since the last report.
+//! Records the activity of the hollow nodes of this process since the last report.
 
 use crate::driver::DiscoveryEvent;
 use std::cell::RefCell;
 use std::time::{SystemTime, UNIX_EPOCH};
 use testbed::scale::messages::{Applied, HollowReport};
 
-/// The shared record of all nodes of this process.
+/// Activity record that all hollow nodes of this process share.
 #[derive(Debug, Default)]
 pub struct ActivityRecord(RefCell<HollowReport>);
 
 impl ActivityRecord {
-    /// Records what a node's decisions just processed. An answer without changes is not recorded.
+    /// Records a discovery event of a node. Answers without changes are not recorded.
     pub fn add(&self, node: u32, event: DiscoveryEvent) {
         let mut report = self.0.borrow_mut();
         match event {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Microseconds of Unix time.
+/// Returns the Unix time in microseconds.
 fn now_us() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX)
--- a/crates/cache-balancer/src/main.rs
+++ b/crates/cache-balancer/src/main.rs
@@ -29,7 +29,8 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Load-balancing node for fleets of cache servers. Without a command it serves with the configuration in LB_CONFIG.
+/// Load-balancing node for fleets of cache servers. Without a command it serves with the configuration in
+/// LB_CONFIG.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
--- a/crates/cache-balancer/src/scale/fit.rs
+++ b/crates/cache-balancer/src/scale/fit.rs
@@ -8,7 +8,7 @@
 
 /// Fits the results, prints the fit and returns the exit code.
 pub(super) fn run(arguments: &FitArguments) -> Result<ExitCode, ScaleError> {
-    let fit = fit(arguments)?;
+    let fit = fit_results(arguments)?;
     if arguments.json {
         println!("{}", serde_json::to_string(&fit).map_err(|error| ScaleError::Json("fit", error))?);
     } else {
@@ -17,7 +17,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn fit(arguments: &FitArguments) -> Result<Fit, ScaleError> {
+fn fit_results(arguments: &FitArguments) -> Result<Fit, ScaleError> {
     let results = arguments.results.iter().map(|path| read_result(path)).collect::<Result<Vec<_>, _>>()?;
     let predicted = arguments.predict.as_deref().map(read_result).transpose()?;
     let fit = fit::fit(&results, predicted.as_ref()).map_err(|error| ScaleError::Run(error.into()))?;
--- a/crates/cache-balancer/src/scale/mod.rs
+++ b/crates/cache-balancer/src/scale/mod.rs
@@ -1,4 +1,5 @@
-//! `cache-balancer scale`: hundreds of hollow nodes in each of a few processes, against discovery by replicas.
+//! `cache-balancer scale`: runs hundreds of hollow nodes in each of a few processes against replicas of a
+//! simulated discovery service.
 
 mod fit;
 mod run;
@@ -21,7 +22,7 @@
 const LINES_PER_SECOND: RangeInclusive<u64> = 1..=1_000_000_000;
 const CALL_LINES: RangeInclusive<u64> = 0..=1_000_000;
 
-/// Why the command comes to nothing.
+/// An error that makes the command fail.
 #[derive(Debug, Error)]
 enum ScaleError {
     #[error(transparent)]
@@ -30,7 +31,7 @@
     Program(#[from] ProgramNotFound),
     #[error("{0}")]
     Run(Box<dyn std::error::Error>),
-    #[error("--svg: expected --player sockets; times in virtual time are not plotted")]
+    #[error("--svg: expected --player sockets; runs in virtual time cannot be plotted")]
     PlotOfVirtualTime,
     #[error("{file}: the plot could not be drawn: {error}")]
     Plot { file: String, error: PlotError },
@@ -38,7 +39,7 @@
     File { file: String, error: io::Error },
     #[error("{file}: expected a result of `cache-balancer scale --json`: {error}")]
     Result { file: String, error: serde_json::Error },
-    #[error("the {0} can't be written: {1}")]
+    #[error("the {0} cannot be written as JSON: {1}")]
     Json(&'static str, serde_json::Error),
 }
 
@@ -59,46 +60,47 @@
 
 #[derive(Debug, Args)]
 struct RunArguments {
-    /// A script's file, or the name of a scenario that ships with the program
+    /// Path of a script, or name of a built-in scenario
     #[arg(default_value = scenarios::DEFAULT)]
     script: String,
-    /// Hollow nodes, rather than the script's own number
-    #[arg(long, value_parser = within(&NODES))]
+    /// Number of hollow nodes, instead of the script's own
+    #[arg(long, value_parser = number_in(&NODES))]
     nodes: Option<u32>,
-    /// Servers on the list, rather than the script's own number
-    #[arg(long, value_parser = within(&SERVERS))]
+    /// Number of servers on the endpoint list, instead of the script's own
+    #[arg(long, value_parser = number_in(&SERVERS))]
     servers: Option<u32>,
-    /// Replicas of discovery, rather than the script's own number
-    #[arg(long, value_parser = within(&REPLICAS))]
+    /// Number of replicas of discovery, instead of the script's own
+    #[arg(long, value_parser = number_in(&REPLICAS))]
     replicas: Option<u32>,
-    /// Processes that share the hollow nodes, rather than the script's own number
-    #[arg(long, value_parser = within(&HOLLOW_PROCESSES))]
+    /// Number of processes that share the hollow nodes, instead of the script's own
+    #[arg(long, value_parser = number_in(&HOLLOW_PROCESSES))]
     processes: Option<u32>,
-    /// Real nodes under load beside the hollow ones, rather than the script's own number
-    #[arg(long, value_parser = within(&REAL_NODES))]
+    /// Number of real nodes under load in addition to the hollow ones, instead of the script's own
+    #[arg(long, value_parser = number_in(&REAL_NODES))]
     real: Option<u32>,
-    /// Lines that one replica sends in a second, rather than the script's own number
-    #[arg(long, value_parser = within(&LINES_PER_SECOND))]
+    /// Number of lines that one replica can send per second, instead of the script's own
+    #[arg(long, value_parser = number_in(&LINES_PER_SECOND))]
     lines_per_second: Option<u32>,
-    /// Lines that a call costs which opens a watch or asks for the whole list, rather than the script's own number
-    #[arg(long, value_parser = within(&CALL_LINES))]
+    /// Cost in lines of a call that opens a watch or requests the whole list, instead of the script's own
+    #[arg(long, value_parser = number_in(&CALL_LINES))]
     call_lines: Option<u32>,
-    /// Lines that a call costs which continues a watch, rather than the script's own number
-    #[arg(long, value_parser = within(&CALL_LINES))]
+    /// Cost in lines of a call that continues a watch, instead of the script's own
+    #[arg(long, value_parser = number_in(&CALL_LINES))]
     continued_call_lines: Option<u32>,
-    /// Draws everything anew from this seed, rather than from the script's own
+    /// Seed of all random numbers, instead of the script's own
     #[arg(long)]
     seed: Option<u64>,
-    /// Who plays: this program's processes on `sockets`, or clients of discovery alone in `virtual` time
+    /// How to run it: processes of this program on `sockets`, or clients of discovery alone in `virtual` time
     #[arg(long, value_enum, default_value_t = Player::Sockets)]
     player: Player,
-    /// Whether nodes know all replicas and what each can do, or the first one's address only
+    /// Whether nodes know all replicas and their capacity (on), or only the address of the first replica
+    /// (off)
     #[arg(long, value_enum)]
     mechanism: Option<Mechanism>,
     /// Prints one line of JSON instead of the tables
     #[arg(long)]
     json: bool,
-    /// Writes a plot of the times from a change to the nodes that act on it to this file
+    /// Writes a plot to this file: the times from a change until nodes act on it
     #[arg(long)]
     svg: Option<PathBuf>,
 }
@@ -111,23 +113,23 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Lists the scripts that ship with the program
+    /// Lists the built-in scenarios
     List,
-    /// Says what is wrong with a script, or what it needs, and runs nothing
+    /// Prints the faults of a script, or the resources that it needs, without running it
     Check {
-        /// The script's file, or the name of a scenario
+        /// Path of a script, or name of a built-in scenario
         script: String,
     },
-    /// Lays a line through the figures of runs at three sizes or more
+    /// Fits lines to the results of runs at three or more sizes
     Fit(FitArguments),
 }
 
 #[derive(Debug, Args)]
 struct FitArguments {
-    /// Results of `cache-balancer scale --json`, one in each file
+    /// Files with one result of `cache-balancer scale --json` each
     #[arg(required = true)]
     results: Vec<PathBuf>,
-    /// A result that is predicted from the others, and compared with what was measured
+    /// File with a result that is predicted from the others and compared with the prediction
     #[arg(long)]
     predict: Option<PathBuf>,
     /// Prints one line of JSON instead of the table
@@ -138,8 +140,8 @@
     svg: Option<PathBuf>,
 }
 
-/// A parser of numbers in a range of the script's.
-fn within(range: &RangeInclusive<u64>) -> clap::builder::RangedU64ValueParser<u32> {
+/// Returns a parser of numbers in a range that scripts allow.
+fn number_in(range: &RangeInclusive<u64>) -> clap::builder::RangedU64ValueParser<u32> {
     clap::builder::RangedU64ValueParser::new().range(range.clone())
 }
 
@@ -174,27 +176,27 @@
 }
 
 fn check(name: &str) -> Result<ExitCode, ScaleError> {
-    let script = script(name)?;
+    let script = load_script(name)?;
     println!("{}: {} over {}", name, script.name, time_text(script.length));
-    let needs = testbed::scale::requirements::Requirements::of(&script);
-    let mib = needs.memory_bytes.div_ceil(1 << 20);
+    let requirements = testbed::scale::requirements::Requirements::of(&script);
+    let mib = requirements.memory_bytes.div_ceil(1 << 20);
     println!(
         "  needs {} processes, {} descriptors in one of them, {mib} MiB",
-        needs.processes, needs.descriptors
+        requirements.processes, requirements.descriptors
     );
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reads the script of a scenario's name, or of a file.
-fn script(name: &str) -> Result<ScaleScript, ScriptError> {
+/// Loads the built-in scenario of this name, or else the script at this path.
+fn load_script(name: &str) -> Result<ScaleScript, ScriptError> {
     match scenarios::named(name) {
         Some(scenario) => ScaleScript::parse(scenario.name, scenario.text).map_err(ScriptError::Invalid),
         None => scripts::from_file(Path::new(name), ScaleScript::parse),
     }
 }
 
-/// The script with what the arguments set in place of its own.
-fn overridden(mut script: ScaleScript, arguments: &RunArguments) -> ScaleScript {
+/// Replaces values of the script by those that the arguments set.
+fn apply_overrides(mut script: ScaleScript, arguments: &RunArguments) -> ScaleScript {
     script.nodes = arguments.nodes.unwrap_or(script.nodes);
     script.servers = arguments.servers.unwrap_or(script.servers);
     script.replicas = arguments.replicas.unwrap_or(script.replicas);
@@ -203,10 +205,10 @@
     script.seed = arguments.seed.unwrap_or(script.seed);
     script.mechanism = arguments.mechanism.map_or(script.mechanism, |mechanism| mechanism == Mechanism::On);
     let capacity = &mut script.capacity;
-    let or = |lines: Option<u32>, own: f64| lines.map_or(own, f64::from);
-    capacity.lines_per_second = or(arguments.lines_per_second, capacity.lines_per_second);
-    capacity.call_lines = or(arguments.call_lines, capacity.call_lines);
-    capacity.continued_call_lines = or(arguments.continued_call_lines, capacity.continued_call_lines);
+    let lines_or = |lines: Option<u32>, default: f64| lines.map_or(default, f64::from);
+    capacity.lines_per_second = lines_or(arguments.lines_per_second, capacity.lines_per_second);
+    capacity.call_lines = lines_or(arguments.call_lines, capacity.call_lines);
+    capacity.continued_call_lines = lines_or(arguments.continued_call_lines, capacity.continued_call_lines);
     script
 }
 
--- a/crates/cache-balancer/src/scale/run.rs
+++ b/crates/cache-balancer/src/scale/run.rs
@@ -1,6 +1,6 @@
-//! Runs a script with processes of this program.
+//! `cache-balancer scale --player sockets`: runs a script with processes of this program.
 
-use super::{overridden, script, write_plot, RunArguments, ScaleError};
+use super::{apply_overrides, load_script, write_plot, RunArguments, ScaleError};
 use crate::cli::progress::ProgressDisplay;
 use crate::cli::{exit_code, interrupted, program};
 use std::process::ExitCode;
@@ -10,9 +10,9 @@
 
 /// Runs a script, prints its report and returns the exit code.
 pub(super) fn run(arguments: &RunArguments) -> Result<ExitCode, ScaleError> {
-    let script = overridden(script(&arguments.script)?, arguments);
+    let script = apply_overrides(load_script(&arguments.script)?, arguments);
     eprintln!("{}: {}", script.name, script.about);
-    let report = report(&script)?;
+    let report = run_script(&script)?;
     if let Some(path) = &arguments.svg {
         write_plot(path, plot::propagation(&report))?;
     }
@@ -24,7 +24,7 @@
     Ok(exit_code(report.all_met()))
 }
 
-fn report(script: &ScaleScript) -> Result<ScaleReport, ScaleError> {
+fn run_script(script: &ScaleScript) -> Result<ScaleReport, ScaleError> {
     let program = program()?;
     let mut display = ProgressDisplay::for_standard_error();
     let mut last_phase = None;
@@ -35,7 +35,7 @@
             let new_phase = last_phase.replace(progress.phase) != Some(progress.phase);
             display.show(&progress_line(progress), new_phase);
         },
-        stopped(),
+        stop_signal(),
     );
     display.finish();
     report.map_err(|error| ScaleError::Run(error.into()))
@@ -50,13 +50,14 @@
     };
     let (elapsed_s, length_s) = (progress.elapsed.as_secs(), progress.length.as_secs());
     format!(
-        "{phase} {elapsed_s} of {length_s} s: {} changes, {} nodes behind when asked last",
+        "{phase} {elapsed_s} of {length_s} s: {} changes, {} nodes behind at the last report",
         progress.changes, progress.behind
     )
 }
 
-/// Ends with Ctrl-C, or SIGTERM. Where these can't be had, the run goes to its end.
-async fn stopped() {
+/// Completes on Ctrl-C or SIGTERM. Never completes if no handler can be installed, so that the run goes on to
+/// its end.
+async fn stop_signal() {
     let terminated = async {
         match signal(SignalKind::terminate()) {
             Ok(mut terminated) => terminated.recv().await,
--- a/crates/cache-balancer/src/scale/virtual_time.rs
+++ b/crates/cache-balancer/src/scale/virtual_time.rs
@@ -1,12 +1,13 @@
-//! `cache-balancer scale --player virtual`: clients of discovery alone, without sockets and clock.
+//! `cache-balancer scale --player virtual`: simulates only the clients of discovery, without sockets and in
+//! virtual time.
 
-use super::{overridden, script, RunArguments, ScaleError};
+use super::{apply_overrides, load_script, RunArguments, ScaleError};
 use std::process::ExitCode;
 use testbed::scale::scenarios;
 use testbed::scale::virtual_time::scenes::{self, Size, VIRTUAL_ONLY};
 use testbed::scale::virtual_time::{self, table, Scene};
 
-/// Runs a scene, prints its outcome and returns the exit code.
+/// Runs a scene, prints the outcome and returns the exit code.
 pub(super) fn run(arguments: &RunArguments) -> Result<ExitCode, ScaleError> {
     if arguments.svg.is_some() {
         return Err(ScaleError::PlotOfVirtualTime);
@@ -21,12 +22,13 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The scene of a script, or one that exists in virtual time only and takes its size from the default script.
+/// Returns the scene of a script, or a scene that exists in virtual time only. The latter takes its size from
+/// the default script.
 fn scene(arguments: &RunArguments) -> Result<Scene, ScaleError> {
     let name = arguments.script.as_str();
     let virtual_only = VIRTUAL_ONLY.iter().any(|(known, _)| *known == name);
-    let script = script(if virtual_only { scenarios::DEFAULT } else { name })?;
-    let script = overridden(script, arguments);
+    let script = load_script(if virtual_only { scenarios::DEFAULT } else { name })?;
+    let script = apply_overrides(script, arguments);
     let scene =
         if virtual_only { scenes::named(name, &Size::of(&script)) } else { scenes::of_script(script) };
     scene.map_err(|error| ScaleError::Run(error.into()))
--- a/crates/cache-balancer/src/scenario/mod.rs
+++ b/crates/cache-balancer/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! `cache-balancer scenario`: runs a script of faults and reports the result.
+//! `cache-balancer scenario`: runs a script of faults and reports the outcome.
 
 mod run;
 mod sockets;
@@ -13,7 +13,7 @@
 use testbed::report::describe_fault;
 use testbed::{scenarios, Script};
 
-/// Exit code: the machine was too busy for the figures of the run to be the program's.
+/// Exit code of a void run: the machine was too busy for the results to reflect the program.
 const VOID: u8 = 3;
 
 #[derive(Debug, Args)]
@@ -27,55 +27,56 @@
 
 #[derive(Debug, Args)]
 struct RunArguments {
-    /// A script's file, or the name of a scenario that ships with the program
+    /// Path of a script, or name of a built-in scenario
     #[arg(default_value = scenarios::DEFAULT)]
     script: String,
-    /// Draws everything anew from this seed, rather than from the script's own
+    /// Seed of all random numbers, instead of the script's own
     #[arg(long)]
     seed: Option<u64>,
-    /// The number of nodes, rather than the script's own
+    /// Number of nodes, instead of the script's own
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=10_000))]
     nodes: Option<u32>,
-    /// Prints one line of JSON instead of the table and the picture
+    /// Prints one line of JSON instead of the table and the charts
     #[arg(long)]
     json: bool,
-    /// Who plays it: `sockets`, this program on loopback in real time, or `virtual` time, the decisions alone
+    /// How to run it: processes of this program on loopback `sockets` in real time, or the balancing logic
+    /// alone in `virtual` time
     #[arg(long, value_enum, default_value_t = Player::Sockets)]
     player: Player,
-    /// Writes the timelines to this file, as one HTML page
+    /// Writes the timelines to this file as an HTML page
     #[arg(long)]
     html: Option<PathBuf>,
 }
 
 #[derive(Debug, Args)]
 struct SpreadArguments {
-    /// Scripts' files or names of scenarios; all scenarios where there are none
+    /// Paths of scripts, or names of built-in scenarios; all built-in scenarios by default
     scripts: Vec<String>,
-    /// Plays of each script with its own seed
+    /// Number of runs of each script with its own seed
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u32).range(0..=1_000))]
     plays: u32,
-    /// Seeds that are played once each, from the script's own on
+    /// Number of consecutive seeds, starting at the script's own, with which each script is run once
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u32).range(0..=1_000))]
     seeds: u32,
-    /// The number of nodes, rather than the scripts' own
+    /// Number of nodes, instead of the scripts' own
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=10_000))]
     nodes: Option<u32>,
-    /// Who plays them
+    /// How to run them, as for `scenario run`
     #[arg(long, value_enum, default_value_t = Player::Virtual)]
     player: Player,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Runs a scenario and judges it; the same as the command without a subcommand
+    /// Runs a scenario and checks the outcome; the default without a subcommand
     Run(RunArguments),
-    /// Lists the scenarios that ship with the program
+    /// Lists the built-in scenarios
     List,
-    /// Plays scripts again and again, and shows how far their figures lie apart
+    /// Runs scripts several times and shows how much their results vary
     Spread(SpreadArguments),
-    /// Says what is wrong with a script, and plays nothing
+    /// Prints the faults of a script, or its incidents, without running it
     Check {
-        /// The script's file
+        /// Path of the script
         file: PathBuf,
     },
 }
@@ -104,26 +105,26 @@
 fn check(file: &Path) -> ExitCode {
     let script = match scripts::from_file(file, Script::parse) {
         Ok(script) => script,
-        Err(error) => return unusable(&error),
+        Err(error) => return report_unusable(&error),
     };
     println!("{}: {} over {}", file.display(), script.name, time_text(script.length));
     for incident in &script.incidents {
-        let (at, over) = (time_text(incident.at), time_text(incident.duration));
-        println!("  {at}: {} for {over}", describe_fault(&incident.fault));
+        let (at, duration) = (time_text(incident.at), time_text(incident.duration));
+        println!("  {at}: {} for {duration}", describe_fault(&incident.fault));
     }
     ExitCode::SUCCESS
 }
 
-/// Reads the script of a scenario's name, or of a file.
-fn script(name: &str) -> Result<Script, ScriptError> {
+/// Loads the built-in scenario of this name, or else the script at this path.
+fn load_script(name: &str) -> Result<Script, ScriptError> {
     match scenarios::named(name) {
         Some(scenario) => Script::parse(scenario.name, scenario.text).map_err(ScriptError::Invalid),
         None => scripts::from_file(Path::new(name), Script::parse),
     }
 }
 
-/// Prints an error and returns the exit code of what cannot be used.
-fn unusable(error: &impl std::error::Error) -> ExitCode {
+/// Prints an error and returns the exit code [`UNUSABLE`].
+fn report_unusable(error: &impl std::error::Error) -> ExitCode {
     eprintln!("{error}");
     ExitCode::from(UNUSABLE)
 }
--- a/crates/cache-balancer/src/scenario/run.rs
+++ b/crates/cache-balancer/src/scenario/run.rs
@@ -1,7 +1,7 @@
-//! Runs one scenario.
+//! `cache-balancer scenario run`: runs one scenario.
 
 use super::sockets::{self, SocketRunError};
-use super::{script, unusable, RunArguments, VOID};
+use super::{load_script, report_unusable, RunArguments, VOID};
 use crate::cli::{exit_code, Player};
 use std::path::Path;
 use std::process::ExitCode;
@@ -10,9 +10,9 @@
 use testbed::{virtual_time, Script};
 use thiserror::Error;
 
-/// The page of timelines could not be written.
+/// The HTML page could not be written.
 #[derive(Debug, Error)]
-#[error("{file}: the page could not be written: {cause}")]
+#[error("{file}: the HTML page could not be written: {cause}")]
 struct PageError {
     file: String,
     cause: Box<dyn std::error::Error>,
@@ -20,26 +20,26 @@
 
 /// Runs a scenario, prints its report and returns the exit code.
 pub(super) fn run(arguments: &RunArguments) -> ExitCode {
-    let mut script = match script(&arguments.script) {
+    let mut script = match load_script(&arguments.script) {
         Ok(script) => script,
-        Err(error) => return unusable(&error),
+        Err(error) => return report_unusable(&error),
     };
     script.seed = arguments.seed.unwrap_or(script.seed);
     script.nodes = arguments.nodes.unwrap_or(script.nodes);
     if !arguments.json {
         eprintln!("{}: {}", script.name, script.about);
     }
-    let report = match report(&script, arguments) {
+    let report = match run_script(&script, arguments) {
         Ok(report) => report,
         Err(SocketRunError::Void(void)) => {
             eprintln!("{void}");
             return ExitCode::from(VOID);
         }
-        Err(error) => return unusable(&error),
+        Err(error) => return report_unusable(&error),
     };
     if let Some(path) = &arguments.html {
         if let Err(error) = write_page(path, &report) {
-            return unusable(&error);
+            return report_unusable(&error);
         }
     }
     if arguments.json {
@@ -50,15 +50,15 @@
     exit_code(report.all_met())
 }
 
-fn report(script: &Script, arguments: &RunArguments) -> Result<Report, SocketRunError> {
-    let (played, partial) = match arguments.player {
+fn run_script(script: &Script, arguments: &RunArguments) -> Result<Report, SocketRunError> {
+    let (result, partial) = match arguments.player {
         Player::Virtual => (virtual_time::run(script), false),
         Player::Sockets => {
             let run = sockets::run(script, !arguments.json)?;
             (run.result, run.partial)
         }
     };
-    Ok(Report { partial, ..Report::new(script, played) })
+    Ok(Report { partial, ..Report::new(script, result) })
 }
 
 fn write_page(path: &Path, report: &Report) -> Result<(), PageError> {
--- a/crates/cache-balancer/src/scenario/sockets.rs
+++ b/crates/cache-balancer/src/scenario/sockets.rs
@@ -7,24 +7,24 @@
 use testbed::Script;
 use thiserror::Error;
 
-/// Why a run on sockets has no result.
+/// An error because of which a run on sockets has no result.
 #[derive(Debug, Error)]
 pub(super) enum SocketRunError {
-    /// The nodes could not be started.
+    /// The executable to start the nodes with could not be determined.
     #[error(transparent)]
     Program(#[from] ProgramNotFound),
-    /// The run could not be carried out.
+    /// The run failed.
     #[error("{0}")]
     Run(Box<dyn std::error::Error>),
-    /// The machine was too busy for its figures to be the program's.
+    /// The machine was too busy for the results to reflect the program.
     #[error(transparent)]
     Void(#[from] VoidRun),
 }
 
-/// The machine was too busy for a run: its timers rang late.
+/// The machine was too busy during a run: its timers fired late.
 #[derive(Debug, Error)]
 #[error(
-    "VOID: this machine was too busy, timers rang {percentile_99:?} late at the 99th percentile and {max:?} at most"
+    "VOID: this machine was too busy: timers fired {percentile_99:?} late at the 99th percentile and {max:?} late at most"
 )]
 pub(super) struct VoidRun {
     percentile_99: Duration,
@@ -34,11 +34,11 @@
 /// The result of a run on sockets.
 pub(super) struct SocketRun {
     pub(super) result: RunResult,
-    /// Whether it was broken off.
+    /// Whether the run ended early.
     pub(super) partial: bool,
 }
 
-/// Runs a scenario until its end, or until Ctrl-C. `show_progress` shows a line of progress each second.
+/// Runs a scenario until its end or Ctrl-C. With `show_progress`, prints a progress line each second.
 pub(super) fn run(script: &Script, show_progress: bool) -> Result<SocketRun, SocketRunError> {
     let program = program()?;
     let length_s = script.length.as_secs();
@@ -54,7 +54,7 @@
         eprintln!();
     }
     if let Some(error) = &live.error {
-        eprintln!("the play is broken off: {error}");
+        eprintln!("the run ended early: {error}");
     }
     if live.is_void() {
         let testbed::sockets::TimerLag { p99, max } = live.timer_lag;
@@ -66,7 +66,7 @@
 fn progress_line(at: Duration, length_s: u64, sample: &Sample) -> String {
     let Sample { servers, warming_servers, requests_in_servers, origin_queue, .. } = sample;
     format!(
-        "{:>4} of {length_s} s: {servers} boxes, {warming_servers} cold, {requests_in_servers} requests in them, {origin_queue} wait at the origin",
+        "{:>4} of {length_s} s: {servers} servers, {warming_servers} cold, {requests_in_servers} requests in them, {origin_queue} waiting at the origin",
         at.as_secs()
     )
 }
--- a/crates/cache-balancer/src/scenario/spread.rs
+++ b/crates/cache-balancer/src/scenario/spread.rs
@@ -1,7 +1,7 @@
-//! Runs scenarios several times and shows how far their figures lie apart.
+//! `cache-balancer scenario spread`: runs scenarios several times and shows how much their results vary.
 
 use super::sockets::{self, SocketRunError};
-use super::{script, unusable, SpreadArguments, VOID};
+use super::{load_script, report_unusable, SpreadArguments, VOID};
 use crate::cli::{exit_code, Player};
 use std::process::ExitCode;
 use testbed::report::Report;
@@ -11,14 +11,14 @@
 
 /// Runs each script several times, prints a table and returns the exit code.
 pub(super) fn run(arguments: &SpreadArguments) -> ExitCode {
-    let scripts = match scripts(arguments) {
+    let scripts = match load_scripts(arguments) {
         Ok(scripts) => scripts,
         Err(code) => return code,
     };
     let mut rows = Vec::new();
     for script in scripts {
         eprintln!("{}", script.name);
-        match row(&script, arguments) {
+        match measure_variance(&script, arguments) {
             Ok(row) => rows.push(row),
             Err(code) => return code,
         }
@@ -27,28 +27,28 @@
     exit_code(rows.iter().all(Variance::all_met))
 }
 
-/// All scripts, which are read before the first is run. Each that can't be used is reported.
-fn scripts(arguments: &SpreadArguments) -> Result<Vec<Script>, ExitCode> {
+/// Loads all scripts, so that each unusable one is reported before any is run.
+fn load_scripts(arguments: &SpreadArguments) -> Result<Vec<Script>, ExitCode> {
     let all = || scenarios::ALL.iter().map(|scenario| scenario.name.to_owned()).collect();
     let names = if arguments.scripts.is_empty() { all() } else { arguments.scripts.clone() };
-    let results: Vec<_> = names.iter().map(|name| script(name).map_err(|error| unusable(&error))).collect();
+    let results: Vec<_> =
+        names.iter().map(|name| load_script(name).map_err(|error| report_unusable(&error))).collect();
     results.into_iter().collect()
 }
 
-/// The row of one script: its runs with its own seed, then those with further seeds.
-fn row(script: &Script, arguments: &SpreadArguments) -> Result<Variance, ExitCode> {
+/// Runs a script with its own seed, then with other seeds, and returns its row of the table.
+fn measure_variance(script: &Script, arguments: &SpreadArguments) -> Result<Variance, ExitCode> {
     let mut row = Variance::new(&script.name);
     let own_seed = (0..arguments.plays).map(|_| (script.seed, true));
-    let further_seeds =
-        (0..u64::from(arguments.seeds)).map(|offset| (script.seed.wrapping_add(offset), false));
-    for (seed, repeated) in own_seed.chain(further_seeds) {
+    let other_seeds = (0..u64::from(arguments.seeds)).map(|offset| (script.seed.wrapping_add(offset), false));
+    for (seed, repeated) in own_seed.chain(other_seeds) {
         let nodes = arguments.nodes.unwrap_or(script.nodes);
         let script = Script { seed, nodes, ..script.clone() };
-        let Some(played) = play(&script, arguments.player)? else {
+        let Some(result) = run_once(&script, arguments.player)? else {
             row.add_void();
             continue;
         };
-        let report = Report::new(&script, played);
+        let report = Report::new(&script, result);
         if repeated {
             row.add_same_seed(&report);
         } else {
@@ -58,19 +58,19 @@
     Ok(row)
 }
 
-/// Runs a script once. Returns `None` if the machine was too busy, and an exit code if no further run makes sense.
-fn play(script: &Script, player: Player) -> Result<Option<RunResult>, ExitCode> {
+/// Runs a script once. Returns `None` if the machine was too busy, and an exit code if all runs have to end.
+fn run_once(script: &Script, player: Player) -> Result<Option<RunResult>, ExitCode> {
     if player == Player::Virtual {
         return Ok(Some(virtual_time::run(script)));
     }
     match sockets::run(script, false) {
-        // Broken off by the operator.
+        // The operator interrupted the run.
         Ok(run) if run.partial => Err(ExitCode::from(VOID)),
         Ok(run) => Ok(Some(run.result)),
         Err(SocketRunError::Void(void)) => {
             eprintln!("{void}");
             Ok(None)
         }
-        Err(error) => Err(unusable(&error)),
+        Err(error) => Err(report_unusable(&error)),
     }
 }
--- a/crates/cache-balancer/src/tally/mod.rs
+++ b/crates/cache-balancer/src/tally/mod.rs
@@ -1,6 +1,6 @@
-//! Logs the activity of a pool's driver as one line per second: a prefix followed by JSON. The line has a bounded
-//! length, so its cost on a busy node is too small to measure. `cache-balancer aggregate` combines the lines of all
-//! nodes, which shows problems that no single node sees.
+//! Logs the activity of a pool's driver as one line per second: a prefix followed by JSON. The line has a
+//! bounded length, so its cost on a busy node is too small to measure. `cache-balancer aggregate` combines
+//! the lines of all nodes, which shows problems that no single node sees.
 
 use crate::log::log;
 use balancer_core::{AttemptStatus, EndpointState, ServerId, Timestamp};
@@ -11,10 +11,12 @@
 
 /// Prefix of a tally line.
 pub const LINE_PREFIX: &str = "tally ";
-/// Maximum number of servers listed in a line; attempts at other servers are summed. Nodes are not designed for
-/// larger fleets, and a line with this many servers is far shorter than the longest that `aggregate` reads.
+/// Maximum number of servers listed in a line; attempts at other servers are summed. Nodes are not designed
+/// for larger fleets, and a line with this many servers is far shorter than the longest that `aggregate`
+/// reads.
 const MAX_SERVERS: usize = 1024;
-/// Key of the sum over servers that are not listed. No server has this name, since names from discovery are not empty.
+/// Key of the sum over servers that are not listed. No server has this name, since names from discovery are
+/// not empty.
 pub const OTHER_SERVERS: &str = "";
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
@@ -151,7 +153,8 @@
         }
     }
 
-    /// Records the new state of a server from an endpoint list. At most [`MAX_SERVERS`] servers are kept per second.
+    /// Records the new state of a server from an endpoint list. At most [`MAX_SERVERS`] servers are kept per
+    /// second.
     pub fn record_notification(
         &mut self,
         server: &ServerId,
@@ -171,8 +174,8 @@
     }
 }
 
-/// Collects the counts of the current second. A line is written when the first event of a later second is counted; the
-/// last line is written on drop.
+/// Collects the counts of the current second. A line is written when the first event of a later second is
+/// counted; the last line is written on drop.
 pub struct Tally {
     enabled: Rc<Cell<bool>>,
     line: TallyLine,
