--- a/crates/cache-balancer/tests/aggregate.rs
+++ b/crates/cache-balancer/tests/aggregate.rs
@@ -1,4 +1,4 @@
-//! `cache-balancer aggregate`: what several nodes did together, counted from their logs.
+//! `cache-balancer aggregate`: sums the tally lines in the logs of several nodes.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use serde_json::Value;
 use std::net::TcpListener;
 
-/// The one row into which these logs are aggregated, the exit code and the complaints.
-fn aggregated(logs: &[&str]) -> (Value, i32, String) {
+/// Aggregates logs into one row. Returns the row, the exit code and standard error.
+fn aggregate(logs: &[&str]) -> (Value, i32, String) {
     let folder = TempDir::new();
     let mut command = command();
     command.args(["aggregate", "--json", "--every", "86400"]);
@@ -17,13 +17,13 @@
     let output = output_before_timeout(command);
     let rows = String::from_utf8(output.stdout).unwrap();
     let rows: Vec<Value> = rows.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
-    assert!(rows.len() <= 1, "a run over midnight: {rows:?}");
+    assert!(rows.len() <= 1, "the logs span midnight UTC: {rows:?}");
     let row = rows.first().map_or(Value::Null, |row| row["row"].clone());
     (row, output.status.code().unwrap(), String::from_utf8(output.stderr).unwrap())
 }
 
 #[test]
-fn the_logs_of_three_nodes_give_the_requests_and_attempts_of_all() {
+fn requests_and_attempts_of_three_nodes_are_summed() {
     let good = CacheServer::serving("value");
     let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let discovery = Discovery::start(&[good.entry("s-1", "ready"), endpoint("s-2", unused_address, "ready")]);
@@ -50,30 +50,30 @@
         assert!(node.exit_status().success());
     }
     let text = |log: &std::sync::Mutex<Vec<String>>| log.lock().unwrap().join("\n") + "\n";
-    // The line of the last second is written when the node ends.
-    let served = |log: &std::sync::Mutex<Vec<String>>| aggregated(&[&text(log)]).0["served"].as_u64();
+    // A node writes the line of its last second when it exits.
+    let served = |log: &std::sync::Mutex<Vec<String>>| aggregate(&[&text(log)]).0["served"].as_u64();
     logs.iter().for_each(|log| wait_for("a node's last line", || served(log) == Some(21)));
     let texts: Vec<_> = logs.iter().map(|log| text(log)).collect();
-    let (row, code, complaints) = aggregated(&texts.iter().map(String::as_str).collect::<Vec<_>>());
-    assert_eq!((code, complaints.as_str()), (0, ""));
-    let of = |name: &str| row[name].as_u64().unwrap();
-    assert_eq!((of("nodes"), of("served"), of("refused"), of("failed")), (3, 63, 0, 0));
+    let (row, code, errors) = aggregate(&texts.iter().map(String::as_str).collect::<Vec<_>>());
+    assert_eq!((code, errors.as_str()), (0, ""));
+    let count = |name: &str| row[name].as_u64().unwrap();
+    assert_eq!((count("nodes"), count("served"), count("refused"), count("failed")), (3, 63, 0, 0));
     assert_eq!(good.request_count(), 63);
-    assert!(of("connect") >= 3, "each met the server that is not there: {row}");
-    assert_eq!(of("repeats"), of("connect"), "{row}");
-    assert!(of("trips") >= 3, "{row}");
+    assert!(count("connect") >= 3, "each node tried the unreachable server: {row}");
+    assert_eq!(count("repeats"), count("connect"), "{row}");
+    assert!(count("trips") >= 3, "{row}");
     // Each attempt is counted under one state of its server.
-    let met: u64 = ["well", "cold", "bad", "draining", "gone"].map(of).iter().sum();
-    assert_eq!(met, 63 + of("connect"));
+    let attempts: u64 = ["well", "cold", "bad", "draining", "gone"].map(count).iter().sum();
+    assert_eq!(attempts, 63 + count("connect"));
 }
 
 #[test]
-fn a_bad_line_is_reported_by_file_and_line_and_the_others_are_aggregated() {
+fn bad_lines_are_reported_by_file_and_line_number_and_the_others_are_aggregated() {
     let log =
         "a word\ntally {\"second\":1}\ntally {\"second\":1,\"node\":\"a\",\"pool\":\"p\",\"served\":2}\n";
-    let (row, code, complaints) = aggregated(&[log]);
+    let (row, code, errors) = aggregate(&[log]);
     assert_eq!((row["served"].as_u64(), code), (Some(2), 1));
-    assert!(complaints.contains("0.log:2: invalid tally line: missing field `node`"), "{complaints}");
+    assert!(errors.contains("0.log:2: invalid tally line: missing field `node`"), "{errors}");
     let mut command = command();
     command.args(["aggregate", "no-such.log"]);
     let output = output_before_timeout(command);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_node_tallies_where_its_operators_file_says_so() {
+fn a_reload_of_the_operators_file_enables_the_tally() {
     let server = CacheServer::serving("value");
     let folder = TempDir::new();
     let file = |log: &str| {
@@ -102,7 +102,8 @@
     });
 }
 
-/// Operators' scripts of version 0.2 call `count`; a name that is gone would stop them at their next run.
+/// Operators' scripts written for version 0.2 call `count`. Without this name they would fail after an
+/// upgrade.
 #[test]
 fn the_former_command_name_is_accepted() {
     let run = |name| run_program(&[name, "no-such.log"]);
--- a/crates/cache-balancer/tests/hollow.rs
+++ b/crates/cache-balancer/tests/hollow.rs
@@ -1,4 +1,5 @@
-//! A process of hollow nodes with replicas of the simulated discovery, as a scale run starts and commands them.
+//! Tests a process of hollow nodes with replicas of the simulated discovery service, started and controlled
+//! as in a scale run.
 
 mod common;
 
@@ -18,8 +19,8 @@
     ReplicaCommand, ReplicaEvent, ReplicaReport,
 };
 
-/// The version of the first list.
-const FIRST: u64 = 100;
+/// Version of the first list.
+const FIRST_VERSION: u64 = 100;
 const FIRST_NODE: u32 = 40;
 const NODES: u32 = 8;
 const CAPACITY: ReplicaCapacity = ReplicaCapacity {
@@ -29,13 +30,12 @@
     queue_limit_ms: 3_000,
 };
 
-/// A process that reads commands and writes events, a line each.
+/// A process that reads commands and writes events, one per line.
 struct Process<C, E> {
     child: Child,
     commands: Option<ChildStdin>,
     events: Receiver<E>,
-    /// Its standard error.
-    errors: Option<thread::JoinHandle<String>>,
+    stderr: Option<thread::JoinHandle<String>>,
     command: PhantomData<C>,
 }
 
@@ -52,10 +52,10 @@
                 let _ = sender.send(serde_json::from_str(&line).unwrap());
             }
         });
-        let mut errors = child.stderr.take().unwrap();
-        let errors = thread::spawn(move || std::io::read_to_string(&mut errors).unwrap());
+        let mut stderr = child.stderr.take().unwrap();
+        let stderr = thread::spawn(move || std::io::read_to_string(&mut stderr).unwrap());
         let commands = child.stdin.take();
-        let mut process = Self { child, commands, events, errors: Some(errors), command: PhantomData };
+        let mut process = Self { child, commands, events, stderr: Some(stderr), command: PhantomData };
         process.send(first);
         process
     }
@@ -66,22 +66,23 @@
         self.commands.as_mut().unwrap().write_all(&line).unwrap();
     }
 
-    fn event(&self) -> E {
+    fn next_event(&self) -> E {
         self.events.recv_timeout(TIMEOUT).expect("an event")
     }
 
-    /// Ends its input and waits for its end. Returns whether it succeeded, and its standard error.
+    /// Closes the process's input and waits until it exits. Returns whether it succeeded, and its standard
+    /// error.
     fn finish(mut self) -> (bool, String) {
         self.commands = None;
         let status = wait_for_exit(&mut self.child);
-        let errors = self.errors.take().unwrap().join().unwrap();
-        (status.success(), errors)
+        let stderr = self.stderr.take().unwrap().join().unwrap();
+        (status.success(), stderr)
     }
 }
 
 impl<C, E> Drop for Process<C, E> {
     fn drop(&mut self) {
-        // The process may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -100,10 +101,10 @@
                 listen: (Ipv4Addr::LOCALHOST, 0).into(),
                 capacity: CAPACITY,
                 version,
-                servers: list(servers),
+                servers: server_list(servers),
             },
         );
-        let ReplicaEvent::Listening { address } = process.event() else { panic!("expected an address") };
+        let ReplicaEvent::Listening { address } = process.next_event() else { panic!("expected an address") };
         Self { process: RefCell::new(process), address }
     }
 
@@ -117,7 +118,7 @@
 
     fn report(&self) -> ReplicaReport {
         self.send(&ReplicaCommand::Report);
-        match self.process.borrow().event() {
+        match self.process.borrow().next_event() {
             ReplicaEvent::Report(report) => report,
             other => panic!("{other:?}"),
         }
@@ -135,10 +136,10 @@
 }
 
 impl Hollow {
-    /// Starts nodes with this list, or without one.
+    /// Starts nodes with a list of this version and number of servers, or without a list.
     fn start(replicas: Vec<SocketAddr>, version: Option<u64>, servers: u32) -> Self {
-        let process = Process::start("scale-hollow", &start(replicas, version, servers));
-        assert_eq!(process.event(), HollowEvent::Started);
+        let process = Process::start("scale-hollow", &start_command(replicas, version, servers));
+        assert_eq!(process.next_event(), HollowEvent::Started);
         Self { process: RefCell::new(process), report: RefCell::default() }
     }
 
@@ -146,10 +147,13 @@
         self.process.borrow_mut().send(command);
     }
 
-    /// Returns everything reported so far. The process carries out commands in order, so all earlier ones are done.
+    /// Returns everything reported so far. The process executes commands in order, so all earlier ones are
+    /// done.
     fn report(&self) -> HollowReport {
         self.send(&HollowCommand::Report);
-        let HollowEvent::Report(new) = self.process.borrow().event() else { panic!("expected a report") };
+        let HollowEvent::Report(new) = self.process.borrow().next_event() else {
+            panic!("expected a report")
+        };
         let mut report = self.report.borrow_mut();
         report.applied.extend(new.applied);
         report.failed_calls += new.failed_calls;
@@ -164,7 +168,7 @@
         applied
     }
 
-    /// Waits until each of these nodes holds this version.
+    /// Waits until each of these nodes has applied this version.
     fn wait_for_version(&self, nodes: impl Iterator<Item = u32> + Clone, version: u64) {
         wait_for("a version", || {
             let applied = self.report().applied;
@@ -173,7 +177,7 @@
     }
 }
 
-fn start(replicas: Vec<SocketAddr>, version: Option<u64>, servers: u32) -> HollowCommand {
+fn start_command(replicas: Vec<SocketAddr>, version: Option<u64>, servers: u32) -> HollowCommand {
     HollowCommand::Start {
         first: FIRST_NODE,
         count: NODES,
@@ -181,7 +185,7 @@
         replicas,
         capacity: Some(CAPACITY),
         version,
-        servers: list(servers),
+        servers: server_list(servers),
         seed: 7,
         zones: vec!["a".into(), "b".into()],
     }
@@ -200,7 +204,7 @@
     }
 }
 
-fn list(servers: u32) -> Vec<ListedServer> {
+fn server_list(servers: u32) -> Vec<ListedServer> {
     (0..servers).map(|number| server(number, "ready")).collect()
 }
 
@@ -214,16 +218,20 @@
 
 #[test]
 fn nodes_with_a_list_apply_each_change_in_order() {
-    let replica = Replica::start(FIRST, 10);
-    let hollow = Hollow::start(vec![replica.address], Some(FIRST), 10);
+    let replica = Replica::start(FIRST_VERSION, 10);
+    let hollow = Hollow::start(vec![replica.address], Some(FIRST_VERSION), 10);
     replica.wait_for_calls(NODES.into());
-    let changes = [(FIRST + 1, 3, "draining"), (FIRST + 2, 3, "gone"), (FIRST + 7, 11, "ready")];
+    let changes = [
+        (FIRST_VERSION + 1, 3, "draining"),
+        (FIRST_VERSION + 2, 3, "gone"),
+        (FIRST_VERSION + 7, 11, "ready"),
+    ];
     let mut times = vec![now_us()];
     for (number, (version, server, health)) in changes.into_iter().enumerate() {
         replica.change(version, server, health);
         hollow.wait_for_lists(NODES as usize * (number + 1));
         times.push(now_us());
-        // Each node opens its next watch.
+        // Each node has opened its next watch.
         replica.wait_for_calls(u64::from(NODES) * (number as u64 + 2));
     }
     let applied = hollow.report().applied;
@@ -242,14 +250,14 @@
 
 #[test]
 fn nodes_without_a_list_request_a_snapshot() {
-    let replica = Replica::start(FIRST, 30);
+    let replica = Replica::start(FIRST_VERSION, 30);
     let hollow = Hollow::start(vec![replica.address], None, 0);
     let applied = hollow.wait_for_lists(NODES as usize);
-    assert!(applied.iter().all(|list| list.whole && list.version == FIRST), "{applied:?}");
+    assert!(applied.iter().all(|list| list.whole && list.version == FIRST_VERSION), "{applied:?}");
     let mut nodes_with_list: Vec<_> = applied.iter().map(|list| list.node).collect();
     nodes_with_list.sort_unstable();
     assert_eq!(nodes_with_list, Vec::from_iter(nodes()));
-    // Each node has a connection of its own, which its watch uses as well.
+    // Each node uses its own connection, also for its watch.
     replica.wait_for_calls(u64::from(NODES) * 2);
     let report = replica.report();
     assert_eq!((report.calls, report.whole_lists), (u64::from(NODES) * 2, NODES.into()));
@@ -258,65 +266,65 @@
 
 #[test]
 fn killed_nodes_are_not_notified_and_restart_without_a_list() {
-    let replica = Replica::start(FIRST, 10);
-    let hollow = Hollow::start(vec![replica.address], Some(FIRST), 10);
+    let replica = Replica::start(FIRST_VERSION, 10);
+    let hollow = Hollow::start(vec![replica.address], Some(FIRST_VERSION), 10);
     replica.wait_for_calls(NODES.into());
     let killed = vec![FIRST_NODE, FIRST_NODE + 5];
     hollow.send(&HollowCommand::Kill { nodes: killed.clone() });
     hollow.report();
-    replica.change(FIRST + 1, 3, "draining");
-    let up = NODES as usize - killed.len();
-    let applied = hollow.wait_for_lists(up);
+    replica.change(FIRST_VERSION + 1, 3, "draining");
+    let running = NODES as usize - killed.len();
+    let applied = hollow.wait_for_lists(running);
     assert!(applied.iter().all(|list| !killed.contains(&list.node) && !list.whole), "{applied:?}");
     hollow.send(&HollowCommand::Launch { nodes: killed.clone() });
-    let applied = hollow.wait_for_lists(up + killed.len());
-    let new: Vec<_> = applied[up..].iter().map(|list| (list.version, list.whole)).collect();
-    assert_eq!(new, [(FIRST + 1, true); 2]);
-    assert!(applied[up..].iter().all(|list| killed.contains(&list.node)), "{applied:?}");
-    // A running node restarts as well, and all others go on.
+    let applied = hollow.wait_for_lists(running + killed.len());
+    let new: Vec<_> = applied[running..].iter().map(|list| (list.version, list.whole)).collect();
+    assert_eq!(new, [(FIRST_VERSION + 1, true); 2]);
+    assert!(applied[running..].iter().all(|list| killed.contains(&list.node)), "{applied:?}");
+    // A running node can be restarted as well; the others keep running.
     hollow.send(&HollowCommand::Launch { nodes: vec![FIRST_NODE + 1] });
-    let applied = hollow.wait_for_lists(up + killed.len() + 1);
+    let applied = hollow.wait_for_lists(running + killed.len() + 1);
     assert_eq!(applied.last().map(|list| (list.node, list.whole)), Some((FIRST_NODE + 1, true)));
-    replica.change(FIRST + 2, 3, "gone");
-    hollow.wait_for_version(nodes(), FIRST + 2);
+    replica.change(FIRST_VERSION + 2, 3, "gone");
+    hollow.wait_for_version(nodes(), FIRST_VERSION + 2);
     assert_eq!(hollow.report().failed_calls, 0);
 }
 
 #[test]
 fn failed_polls_are_counted_and_missed_changes_are_applied_later() {
-    let replica = Replica::start(FIRST, 10);
-    let hollow = Hollow::start(vec![replica.address], Some(FIRST), 10);
+    let replica = Replica::start(FIRST_VERSION, 10);
+    let hollow = Hollow::start(vec![replica.address], Some(FIRST_VERSION), 10);
     replica.wait_for_calls(NODES.into());
     replica.send(&ReplicaCommand::Answer { answering: Answering::Away });
-    // Every watch breaks off.
+    // All watches are interrupted.
     wait_for("failed polls", || hollow.report().failed_calls >= NODES.into());
-    replica.change(FIRST + 1, 3, "draining");
+    replica.change(FIRST_VERSION + 1, 3, "draining");
     replica.send(&ReplicaCommand::Answer { answering: Answering::Up });
-    hollow.wait_for_version(nodes(), FIRST + 1);
+    hollow.wait_for_version(nodes(), FIRST_VERSION + 1);
     assert!(hollow.report().applied.iter().all(|list| !list.whole));
 }
 
 #[test]
-fn a_replaced_set_of_replicas_is_polled_from_then_on() {
-    let (before, after) = (Replica::start(FIRST, 10), Replica::start(FIRST + 50, 12));
-    let hollow = Hollow::start(vec![before.address], Some(FIRST), 10);
+fn after_a_replacement_of_the_replicas_only_the_new_ones_are_polled() {
+    let (before, after) = (Replica::start(FIRST_VERSION, 10), Replica::start(FIRST_VERSION + 50, 12));
+    let hollow = Hollow::start(vec![before.address], Some(FIRST_VERSION), 10);
     before.wait_for_calls(NODES.into());
     hollow.send(&HollowCommand::Replicas { replicas: vec![after.address] });
-    hollow.wait_for_version(nodes(), FIRST + 50);
-    after.change(FIRST + 51, 0, "draining");
-    hollow.wait_for_version(nodes(), FIRST + 51);
+    hollow.wait_for_version(nodes(), FIRST_VERSION + 50);
+    after.change(FIRST_VERSION + 51, 0, "draining");
+    hollow.wait_for_version(nodes(), FIRST_VERSION + 51);
     assert_eq!(before.report().calls, u64::from(NODES));
 }
 
 #[test]
-fn nodes_fail_over_to_the_replica_that_answers() {
-    let replicas = [Replica::start(FIRST, 10), Replica::start(FIRST, 10)];
+fn nodes_fail_over_to_an_available_replica() {
+    let replicas = [Replica::start(FIRST_VERSION, 10), Replica::start(FIRST_VERSION, 10)];
     let addresses = replicas.iter().map(|replica| replica.address).collect();
-    let hollow = Hollow::start(addresses, Some(FIRST), 10);
+    let hollow = Hollow::start(addresses, Some(FIRST_VERSION), 10);
     let calls = || replicas.iter().map(|replica| replica.report().calls).sum::<u64>();
     wait_for("calls", || calls() >= u64::from(NODES));
-    // Each replica is away once, whichever of them a node prefers.
-    for (version, away, up) in [(FIRST + 1, 0, 1), (FIRST + 21, 1, 0)] {
+    // Each replica is unavailable once, so that every node has to fail over, whichever one it prefers.
+    for (version, away, up) in [(FIRST_VERSION + 1, 0, 1), (FIRST_VERSION + 21, 1, 0)] {
         for replica in &replicas {
             replica.change(version, 3, "draining");
         }
@@ -340,34 +348,34 @@
 
 #[test]
 fn processes_end_on_the_stop_command_or_at_the_end_of_input() {
-    let replica = Replica::start(FIRST, 3);
-    let hollow = Hollow::start(vec![replica.address], Some(FIRST), 3);
+    let replica = Replica::start(FIRST_VERSION, 3);
+    let hollow = Hollow::start(vec![replica.address], Some(FIRST_VERSION), 3);
     replica.wait_for_calls(NODES.into());
     hollow.send(&HollowCommand::Stop);
     assert_eq!(hollow.process.into_inner().finish(), (true, String::new()));
-    let hollow = Hollow::start(vec![replica.address], Some(FIRST), 3);
+    let hollow = Hollow::start(vec![replica.address], Some(FIRST_VERSION), 3);
     assert!(hollow.process.into_inner().finish().0);
     replica.send(&ReplicaCommand::Stop);
     assert_eq!(replica.process.into_inner().finish(), (true, String::new()));
-    let replica = Replica::start(FIRST, 3);
+    let replica = Replica::start(FIRST_VERSION, 3);
     assert!(replica.process.into_inner().finish().0);
 }
 
 #[test]
-fn a_command_that_cannot_be_carried_out_ends_the_process_with_an_error() {
-    let replica = Replica::start(FIRST, 3);
-    let hollow = Hollow::start(vec![replica.address], Some(FIRST), 3);
+fn invalid_commands_end_the_process_with_an_error() {
+    let replica = Replica::start(FIRST_VERSION, 3);
+    let hollow = Hollow::start(vec![replica.address], Some(FIRST_VERSION), 3);
     hollow.send(&HollowCommand::Kill { nodes: vec![FIRST_NODE + NODES] });
     let (succeeded, errors) = hollow.process.into_inner().finish();
     assert!(!succeeded);
     assert!(errors.contains("node 48: expected one from 40 to 47"), "{errors}");
     let cases = [
         (HollowCommand::Report, "line 1 of the commands: expected the command start"),
-        (start(Vec::new(), None, 0), "replicas: expected one address or more, found none"),
+        (start_command(Vec::new(), None, 0), "replicas: expected one address or more, found none"),
     ];
-    for (first, message) in cases {
-        let (succeeded, errors) = Process::<_, HollowEvent>::start("scale-hollow", &first).finish();
-        assert!(!succeeded && errors.contains(message), "{errors}; expected {message}");
+    for (first_command, expected) in cases {
+        let (succeeded, errors) = Process::<_, HollowEvent>::start("scale-hollow", &first_command).finish();
+        assert!(!succeeded && errors.contains(expected), "{errors}; expected {expected}");
     }
     let (succeeded, errors) = Process::<_, ReplicaEvent>::start("scale-replica", &"rest").finish();
     assert!(!succeeded && errors.contains("line 1 of the commands: "), "{errors}");
--- a/crates/cache-balancer/tests/scale.rs
+++ b/crates/cache-balancer/tests/scale.rs
@@ -1,4 +1,4 @@
-//! `cache-balancer scale` as a command, at a size that fits into a test.
+//! `cache-balancer scale` run as a command, at a size suitable for a test.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader};
@@ -10,13 +10,13 @@
 use testbed::scale::{ScaleReport, ScaleScript};
 
 const NODES: u64 = 300;
-/// The time after which a wait fails. Far longer than anything that the tests wait for.
+/// Time after which a wait fails, far longer than any expected wait.
 const TIMEOUT: Duration = Duration::from_secs(300);
-/// Processes of a run have a variable of this name in their environment, with a value of its own.
-const MARK: &str = "PINHEAD_SCALE_TEST";
+/// Environment variable that marks the processes of a run. Its value is unique to the run.
+const MARK_VARIABLE: &str = "CACHE_BALANCER_SCALE_TEST";
 
-/// A replica is lost in the middle of changes, and does not come back. It is one of three of small capacity;
-/// without the mechanism it is the one that all nodes know.
+/// Script in which a replica is lost during changes and does not return. It is one of three replicas of small
+/// capacity; without the mechanism it is the only one that nodes know.
 const SCRIPT: &str = r#"
 version = 1
 name = "test"
@@ -58,7 +58,7 @@
     SCRIPT.replace("MECHANISM", &mechanism.to_string()).replace("CATCH_UP", catch_up)
 }
 
-/// A run in a folder of its own, which is where its script is, and where its temporary files would be.
+/// A run with its own folder, which holds the script and any temporary files.
 struct Run {
     folder: tempfile::TempDir,
     mark: String,
@@ -74,7 +74,7 @@
         let child = Command::new(env!("CARGO_BIN_EXE_cache-balancer"))
             .args(["scale", "--json"])
             .arg(&file)
-            .env(MARK, &mark)
+            .env(MARK_VARIABLE, &mark)
             .env("TMPDIR", folder.path())
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
@@ -84,7 +84,7 @@
         Self { folder, mark, child }
     }
 
-    /// Its one line of result, and how it ended.
+    /// Waits until the run exits. Returns its result and exit status.
     fn result(mut self) -> (ScaleReport, ExitStatus) {
         let stderr = self.child.stderr.take().unwrap();
         let progress =
@@ -98,23 +98,24 @@
         (ScaleReport::parse(&lines[0]).unwrap(), status)
     }
 
-    /// Waits until it measures: then all of its processes run.
+    /// Waits until the run measures. By then all of its processes are running.
     fn wait_until_measuring(&mut self) {
         let stderr = self.child.stderr.as_mut().unwrap();
-        let begun =
+        let is_measuring =
             BufReader::new(stderr).lines().map_while(Result::ok).any(|line| line.starts_with("measuring"));
-        assert!(begun, "the run ended before it measured");
+        assert!(is_measuring, "the run ended before it measured");
     }
 
     fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Waits until none of its processes runs, and looks for files other than the script.
+    /// Waits until all processes of the run have exited, then checks that only the script is left in the
+    /// folder.
     fn assert_nothing_left(&self) {
-        let until = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         while !processes_with(&self.mark).is_empty() {
-            assert!(Instant::now() < until, "processes run on: {:?}", processes_with(&self.mark));
+            assert!(Instant::now() < deadline, "processes are left: {:?}", processes_with(&self.mark));
             std::thread::sleep(Duration::from_millis(50));
         }
         let files: Vec<_> =
@@ -123,9 +124,9 @@
     }
 }
 
-/// Processes that run and have this mark.
+/// Returns the running processes with this mark.
 fn processes_with(mark: &str) -> Vec<String> {
-    let wanted = format!("{MARK}={mark}");
+    let wanted = format!("{MARK_VARIABLE}={mark}");
     let has_mark = |folder: &Path| {
         let environment = std::fs::read(folder.join("environ")).unwrap_or_default();
         environment.split(|byte| *byte == 0).any(|variable| variable == wanted.as_bytes())
@@ -135,18 +136,18 @@
     marked.map(|folder| folder.display().to_string()).collect()
 }
 
-/// The number of changes that the script has after the replica is lost.
+/// Returns the number of changes in the script after the replica is lost.
 fn changes_after_the_loss(text: &str) -> u64 {
     let script = ScaleScript::parse("test", text).unwrap();
     let steps = plan(&script, &servers_at_start(&script));
-    let lost = |step: &Step| matches!(step, Step::Answer { answering: Answering::Away, .. });
-    let lost = steps.iter().position(|planned| lost(&planned.step)).unwrap();
-    steps[lost..].iter().filter(|planned| matches!(planned.step, Step::Change { .. })).count() as u64
+    let is_loss = |step: &Step| matches!(step, Step::Answer { answering: Answering::Away, .. });
+    let loss = steps.iter().position(|planned| is_loss(&planned.step)).unwrap();
+    steps[loss..].iter().filter(|planned| matches!(planned.step, Step::Change { .. })).count() as u64
 }
 
-/// Nodes that know all replicas poll another one: none misses a change.
+/// Nodes that know all replicas switch to another one and miss no change.
 #[test]
-fn every_node_acts_on_every_change_though_a_replica_is_lost() {
+fn every_node_acts_on_every_change_despite_a_lost_replica() {
     let text = script(true, "60s");
     let (report, status) = Run::start("on", &text).result();
     let shown = report.text();
@@ -163,7 +164,7 @@
     assert!(report.all_met() && status.success(), "{shown}");
 }
 
-/// The comparison that shows that the test above can fail.
+/// Shows that the test above can fail: without the mechanism, nodes miss changes.
 #[test]
 fn without_the_mechanism_no_node_acts_on_a_change_after_its_replica_is_lost() {
     let text = script(false, "5s");
@@ -182,13 +183,13 @@
     assert_eq!(status.code(), Some(1), "{shown}");
 }
 
-/// Processes of a run outlived it and took the machine's time from the next one.
+/// Processes that outlived their run used to take processor time from the next run.
 #[test]
 fn a_run_that_is_interrupted_or_killed_leaves_no_process_and_no_file() {
     for signal in [Signal::INT, Signal::TERM, Signal::KILL] {
         let mut run = Run::start("ended", &script(true, "5s"));
         run.wait_until_measuring();
-        // The run, 2 processes of hollow nodes, 3 replicas and 3 real nodes.
+        // The run itself, 2 processes of hollow nodes, 3 replicas and 3 real nodes.
         assert_eq!(processes_with(&run.mark).len(), 9);
         run.signal(signal);
         let status = run.child.wait().unwrap();
@@ -198,7 +199,7 @@
 }
 
 #[test]
-fn a_faulty_script_and_a_run_that_does_not_fit_are_refused_at_once() {
+fn unusable_scripts_and_runs_that_exceed_resources_are_refused_before_they_start() {
     let refused = |arguments: &[&str]| {
         let output =
             Command::new(env!("CARGO_BIN_EXE_cache-balancer")).arg("scale").args(arguments).output().unwrap();
@@ -211,8 +212,8 @@
         too_large.contains("does not fit") && too_large.contains("memory: the run needs "),
         "{too_large}"
     );
-    let none_such = refused(&["none-such"]);
-    assert!(none_such.contains("expected the name of a scenario or the path of a script"), "{none_such}");
+    let unknown = refused(&["none-such"]);
+    assert!(unknown.contains("expected the name of a scenario or the path of a script"), "{unknown}");
     let out_of_range = refused(&["quiet", "--replicas", "65"]);
     assert!(out_of_range.contains("65 is not in 1..=64"), "{out_of_range}");
     let nothing_to_fit = refused(&["fit", "none-such.json"]);
--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -1,5 +1,5 @@
-//! The real nodes of a scale run with the real program: stand-in cache servers and clients around them,
-//! judged by the rules.
+//! Runs the real nodes of a scale run with the real program between simulated cache servers and clients, and
+//! checks that they keep the rules.
 
 mod common;
 
@@ -13,22 +13,22 @@
 };
 use tokio::time::sleep;
 
-/// The time after which a wait fails. Far longer than anything that the tests wait for.
+/// Time after which a wait fails, far longer than any expected wait.
 const TIMEOUT: Duration = Duration::from_secs(120);
 const NODES: u32 = 3;
 const SERVERS: u32 = 40;
-/// The largest number of requests that are in flight at one node.
+/// Maximum number of requests in flight at one node.
 const MAX_IN_FLIGHT: u64 = 32;
 
-/// A fleet of cache servers, what discovery has of it, and nodes.
+/// Nodes, and the endpoint list that discovery sends them.
 struct Run {
-    listed: Vec<ListedServer>,
+    servers: Vec<ListedServer>,
     discovery: Discovery,
     nodes: RealNodes,
 }
 
-fn entries(listed: &[ListedServer]) -> Vec<Value> {
-    let present = listed.iter().filter(|server| server.health != "gone");
+fn entries(servers: &[ListedServer]) -> Vec<Value> {
+    let present = servers.iter().filter(|server| server.health != "gone");
     present.map(|server| serde_json::to_value(server).unwrap()).collect()
 }
 
@@ -57,41 +57,41 @@
         let listed = servers.servers();
         let discovery = Discovery::start(&entries(&listed));
         let nodes = RealNodes::start(&servers, settings(&discovery)).await.unwrap();
-        Self { listed, discovery, nodes }
+        Self { servers: listed, discovery, nodes }
     }
 
-    /// Waits until this number of further requests were made.
+    /// Waits until clients have sent this number of further requests.
     async fn wait_for_requests(&self, requests: u64) {
-        let (start, enough) = (Instant::now(), self.nodes.requests() + requests);
-        while self.nodes.requests() < enough {
+        let (start, target) = (Instant::now(), self.nodes.requests() + requests);
+        while self.nodes.requests() < target {
             assert!(start.elapsed() < TIMEOUT, "timed out waiting for {requests} requests");
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Changes entries of the list, and notifies the judge and the servers.
-    fn change(&mut self, places: std::ops::Range<usize>, change: impl Fn(&mut ListedServer)) {
-        for place in places {
-            change(&mut self.listed[place]);
-            self.nodes.notify(&self.listed[place], now_us()).unwrap();
+    /// Changes entries of the list, and notifies the judge and the cache servers, but not the nodes.
+    fn change(&mut self, range: std::ops::Range<usize>, change: impl Fn(&mut ListedServer)) {
+        for index in range {
+            change(&mut self.servers[index]);
+            self.nodes.notify(&self.servers[index], now_us()).unwrap();
         }
     }
 
-    /// Has discovery send the list.
+    /// Makes discovery send the list to the nodes.
     fn send_list(&self) {
-        self.discovery.notify(true, &entries(&self.listed));
+        self.discovery.notify(true, &entries(&self.servers));
     }
 }
 
-fn health(health: &'static str) -> impl Fn(&mut ListedServer) {
+fn set_health(health: &'static str) -> impl Fn(&mut ListedServer) {
     move |server| server.health = health.into()
 }
 
-/// Each request has one outcome.
+/// Checks that each request has exactly one outcome.
 fn assert_accounted(report: &RealReport, sent: u64) {
     let answers = report.served + report.refused + report.failed + report.unanswered;
     assert_eq!(report.requests, answers, "{report:#?}");
-    // A request that was not accepted met no node.
+    // Requests that no node accepted are not in the report.
     assert!(report.requests <= sent, "{report:#?}");
     assert!(report.attempts >= report.served, "{report:#?}");
     assert_eq!((report.turned_away, report.nodes.len()), (0, NODES as usize));
@@ -99,10 +99,10 @@
 }
 
 #[tokio::test]
-async fn nodes_keep_the_rules_through_drains_removals_a_cold_return_and_a_kill() {
+async fn nodes_keep_the_rules_despite_drains_removals_cold_restarts_and_a_kill() {
     let mut run = Run::start().await;
     run.wait_for_requests(100).await;
-    run.change(0..8, health("draining"));
+    run.change(0..8, set_health("draining"));
     run.send_list();
     let drained = Instant::now();
     run.wait_for_requests(100).await;
@@ -112,11 +112,11 @@
     assert!(matches!(run.nodes.kill(NODES).await, Err(RealError::NoNode { .. })));
     run.nodes.launch(1).await.unwrap();
     assert!(matches!(run.nodes.launch(1).await, Err(RealError::NoNode { node: 1, expected: "was killed" })));
-    run.change(0..4, health("gone"));
+    run.change(0..4, set_health("gone"));
     run.send_list();
-    // From then on the judge counts requests to draining servers.
-    let term = NOTIFIED_AFTER + DRAIN_GRACE * 2;
-    sleep(term.saturating_sub(drained.elapsed())).await;
+    // After this time the judge counts requests to draining servers.
+    let grace = NOTIFIED_AFTER + DRAIN_GRACE * 2;
+    sleep(grace.saturating_sub(drained.elapsed())).await;
     run.wait_for_requests(100).await;
     run.change(0..2, |server| {
         server.host += ".1";
@@ -139,13 +139,13 @@
     assert!(report.latency.p50_us <= report.latency.p99_us);
 }
 
-/// The judge must see what it is there for.
+/// Checks that the judge detects violations of rule 3.
 #[tokio::test]
-async fn a_drain_of_which_nodes_are_never_notified_breaks_the_rule() {
+async fn requests_to_a_drained_server_of_which_nodes_are_not_notified_break_rule_3() {
     let mut run = Run::start().await;
     run.wait_for_requests(50).await;
-    // Discovery does not send it: nodes go on sending requests there.
-    run.change(0..SERVERS as usize / 2, health("draining"));
+    // Discovery does not send the drain, so nodes keep sending requests to these servers.
+    run.change(0..SERVERS as usize / 2, set_health("draining"));
     sleep(NOTIFIED_AFTER + DRAIN_GRACE * 2).await;
     run.wait_for_requests(100).await;
     let report = run.nodes.finish().await;
@@ -156,11 +156,11 @@
 }
 
 #[tokio::test]
-async fn an_outage_of_discovery_excuses_what_nodes_were_not_notified_of() {
+async fn requests_to_draining_servers_are_excused_during_an_outage_of_discovery() {
     let mut run = Run::start().await;
     run.wait_for_requests(50).await;
     let from = now_us();
-    run.change(0..SERVERS as usize / 2, health("draining"));
+    run.change(0..SERVERS as usize / 2, set_health("draining"));
     sleep(NOTIFIED_AFTER + DRAIN_GRACE * 2).await;
     run.wait_for_requests(100).await;
     let sent = run.nodes.requests();
@@ -180,11 +180,11 @@
     costly.iter_mut().for_each(|class| class.mean_work = Duration::from_secs(5));
     let nodes = RealNodes::start(&servers, RealSettings { classes: costly, ..settings(&discovery) });
     let nodes = nodes.await.unwrap();
-    // Nodes are not notified that they are cold, and so send them as much as others.
+    // Nodes are not notified that the servers are cold, so they send them the full load.
     for server in &listed {
         nodes.notify(&ListedServer { born_ms: now_us() / 1_000, ..server.clone() }, now_us()).unwrap();
     }
-    let run = Run { listed, discovery, nodes };
+    let run = Run { servers: listed, discovery, nodes };
     run.wait_for_requests(100).await;
     let report = run.nodes.finish().await;
     let RulesBroken { lost, repeated_effect, after_drain, cold_server_fell } = report.rules_broken;
@@ -207,33 +207,33 @@
 }
 
 #[tokio::test]
-async fn files_and_processes_end_with_the_nodes() {
+async fn files_are_removed_and_processes_exit_with_the_nodes() {
     let run = Run::start().await;
     let folder = run.nodes.folder().to_owned();
     let files = std::fs::read_dir(&folder).unwrap().count();
     assert_eq!(files, NODES as usize);
     let processes = run.nodes.processes();
     assert_eq!(processes.len(), NODES as usize);
-    // Each in a group of its own: Ctrl-C at a terminal is for the run alone.
-    assert!(processes.iter().all(|id| group(*id) == Some(*id)));
+    // Each process has its own process group, so that Ctrl-C at a terminal reaches only the run.
+    assert!(processes.iter().all(|id| process_group(*id) == Some(*id)));
     drop(run);
     assert!(!folder.exists());
-    // Killed and not waited for, they are gone once the runtime has reaped them.
+    // The processes are killed but not waited for; they disappear once the runtime has reaped them.
     let start = Instant::now();
-    while processes.iter().any(|id| runs(*id)) {
+    while processes.iter().any(|id| is_running(*id)) {
         assert!(start.elapsed() < TIMEOUT, "a node outlives its run");
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// The group of a process: the third field behind its name.
-fn group(process: u32) -> Option<u32> {
+/// Returns the process group of a process, the third field after its name in `/proc/PID/stat`.
+fn process_group(process: u32) -> Option<u32> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
     stat.rsplit_once(") ")?.1.split(' ').nth(2)?.parse().ok()
 }
 
-/// Whether a process runs and is no zombie.
-fn runs(process: u32) -> bool {
+/// Returns whether a process exists and is not a zombie.
+fn is_running(process: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat"));
     stat.is_ok_and(|stat| !stat.rsplit_once(") ").is_some_and(|(_, rest)| rest.starts_with('Z')))
 }
--- a/crates/cache-balancer/tests/scenario.rs
+++ b/crates/cache-balancer/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! `cache-balancer scenario`, as an operator calls it.
+//! `cache-balancer scenario` run as a command.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// The output of the program with these arguments; what runs, runs in virtual time.
+/// Runs the program with these arguments and returns its output. Scenarios run in virtual time.
 fn cache_balancer(arguments: &[&str]) -> Output {
     if arguments.contains(&"list") || arguments.contains(&"check") {
         return run_program(arguments);
@@ -24,7 +24,7 @@
 const SHORT: &str = "version = 1\nname = \"short\"\nlength = \"4s\"\nnodes = 2\n";
 
 #[test]
-fn without_a_script_the_default_is_run_and_shown_as_a_table_and_a_picture() {
+fn without_a_script_the_default_is_run_and_shown_as_a_table_and_charts() {
     let played = cache_balancer(&["scenario"]);
     let shown = utf8(&played.stdout);
     assert!(played.status.success(), "{shown}");
@@ -32,7 +32,8 @@
     assert!(shown.contains("held: service "), "{shown}");
 }
 
-/// Operators' scripts of version 0.2 call `rehearse`; a name that is gone would stop them at their next run.
+/// Operators' scripts written for version 0.2 call `rehearse`. Without this name they would fail after an
+/// upgrade.
 #[test]
 fn the_former_command_name_is_accepted() {
     let former = cache_balancer(&["rehearse", "list"]);
@@ -41,15 +42,15 @@
 }
 
 #[test]
-fn the_list_names_the_scenarios_that_ship() {
+fn built_in_scenarios_are_listed() {
     let listed = cache_balancer(&["scenario", "list"]);
     let names: Vec<_> = utf8(&listed.stdout).lines().filter_map(|line| line.split(' ').next()).collect();
     assert!(names.len() >= 11 && names.contains(&"calm") && names.contains(&"rolling-deploy"), "{names:?}");
 }
 
-/// A figure that cannot be had again from its script and seed explains nothing.
+/// Results must be reproducible from a script and its seed.
 #[test]
-fn a_script_in_a_file_runs_to_the_same_line_of_json_again() {
+fn two_runs_of_a_script_file_print_the_same_line_of_json() {
     let folder = TempDir::new();
     let file = script_file(&folder, "short.toml", SHORT);
     let first = cache_balancer(&["scenario", &file, "--json"]);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn an_unusable_script_is_reported_in_one_line_with_code_2_and_not_run() {
+fn an_unusable_script_is_reported_in_one_line_with_exit_code_2_and_not_run() {
     let folder = TempDir::new();
     let bad = script_file(&folder, "bad.toml", &format!("{SHORT}speed = 3\n"));
     let fault = format!("{bad}:5: speed: unknown key; ");
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_checked_script_is_described_and_a_missed_expectation_ends_with_code_1() {
+fn check_describes_a_script_and_a_missed_expectation_exits_with_code_1() {
     let folder = TempDir::new();
     let incident =
         "[[incident]]\nkind = \"pause\"\nat = \"1s\"\nover = \"2s\"\nshare = 1.0\n[expect]\nservice = 1.0\n";
@@ -96,18 +97,18 @@
 }
 
 #[test]
-fn the_page_fetches_nothing_and_shows_every_timeline() {
+fn the_html_page_is_self_contained_and_shows_every_timeline() {
     let folder = TempDir::new();
     let (file, page) = (script_file(&folder, "page.toml", SHORT), script_file(&folder, "page.html", ""));
     assert!(cache_balancer(&["scenario", &file, "--html", &page]).status.success());
     let html = std::fs::read_to_string(&page).unwrap();
     assert_eq!(html.matches("<svg").count(), 5);
-    assert!(!html.contains("src=") && !html.contains("href="), "nothing is fetched");
+    assert!(!html.contains("src=") && !html.contains("href="), "the page refers to other files");
     assert!(html.contains("held: rules broken 0 expected"));
 }
 
 #[test]
-fn several_runs_of_a_script_stand_side_by_side_in_a_table() {
+fn spread_prints_a_table_row_for_several_runs_of_a_script() {
     let folder = TempDir::new();
     let file = script_file(&folder, "spread.toml", SHORT);
     let spread = ["scenario", "spread", &file, "--plays", "3", "--seeds", "4"];
@@ -117,17 +118,20 @@
     let row: Vec<_> = shown.lines().last().unwrap().split('|').map(str::trim).collect();
     assert_eq!(row[1..4], ["short", "3", "3 of 3"], "{shown}");
     assert_eq!((row[5], row[6], row[9], row[10]), ("0.00%", "4", "0", "0"), "{shown}");
-    // A missed expectation shows in the exit code; an unusable script is reported before any is run.
+    // A missed expectation exits with code 1; an unusable script is reported before any script is run.
     let missed = script_file(&folder, "spread-missed.toml", &format!("{SHORT}[expect]\nservice = 1.0\n"));
     assert_eq!(cache_balancer(&["scenario", "spread", &missed, "--plays", "1"]).status.code(), Some(1));
-    let none = cache_balancer(&["scenario", "spread", &file, "no-such-scenario"]);
-    assert_eq!(none.status.code(), Some(2));
-    assert!(utf8(&none.stderr).starts_with("no-such-scenario: ") && none.stdout.is_empty());
+    let unknown = cache_balancer(&["scenario", "spread", &file, "no-such-scenario"]);
+    assert_eq!(unknown.status.code(), Some(2));
+    assert!(utf8(&unknown.stderr).starts_with("no-such-scenario: ") && unknown.stdout.is_empty());
 }
 
-/// The number of runs after which a machine counts as too busy to judge.
+/// Maximum number of runs. If all of them are void, the machine is too busy and the test passes without a
+/// verdict.
 const MAX_RUNS: u32 = 3;
 
+/// Script in which nodes are killed and shut down, servers drain, leave and are cut off, and the network
+/// loses packets, resets connections and forgets them.
 const ROUGH: &str = "version = 1\nname = \"rough\"\nlength = \"5s\"\nnodes = 3\n[load]\nrate = 100\n\
     [[box]]\nname = \"box\"\ncount = 20\nidle = \"200ms\"\n\
     [[incident]]\nkind = \"loss\"\nat = \"500ms\"\nover = \"4s\"\nshare = 0.3\nrate = 0.05\n\
@@ -139,36 +143,36 @@
     [[incident]]\nkind = \"half-open\"\nat = \"2s\"\nover = \"1s\"\nshare = 1.0\n\
     [[incident]]\nkind = \"delay\"\nat = \"3s\"\nover = \"1s\"\nshare = 0.5\nextra = \"5ms\"\n";
 
-/// Twenty nodes: a server that returns cold, all nodes reloaded again and again, and replaced by hand-over
-/// meanwhile; then all killed at once.
+/// Script with twenty nodes. A server returns cold while all nodes are reloaded repeatedly and replaced by
+/// hand-over; then all nodes are killed at once.
 const FLEET: &str = "version = 1\nname = \"fleet\"\nlength = \"8s\"\nnodes = 20\n[load]\nrate = 100\n\
     [[incident]]\nkind = \"crash\"\nat = \"500ms\"\nover = \"1s\"\nshare = 0.05\n\
     [[incident]]\nkind = \"reload\"\nat = \"1s\"\nover = \"4s\"\nshare = 1.0\ntimes = 5\n\
     [[incident]]\nkind = \"upgrade\"\nat = \"1500ms\"\nover = \"4s\"\nshare = 1.0\nbatch = 0.1\n\
     [[incident]]\nkind = \"restart-nodes\"\nat = \"7s\"\nover = \"0s\"\nshare = 1.0\nbatch = 1.0\ndown = \"100ms\"\nkilled = true\n";
 
-/// The daemon itself, with nodes that are killed and shut down, servers that drain, leave and are cut off,
-/// and a network that loses packets, resets connections and forgets them.
+/// Runs the daemon itself with the faults of [`ROUGH`].
 #[test]
 fn the_daemon_keeps_the_rules_on_sockets_or_the_run_is_reported_void() {
-    keeps_the_rules("rough.toml", ROUGH);
+    assert_rules_kept("rough.toml", ROUGH);
 }
 
 #[test]
 fn twenty_daemons_that_reload_hand_over_and_restart_keep_the_rules() {
-    keeps_the_rules("fleet.toml", FLEET);
+    assert_rules_kept("fleet.toml", FLEET);
 }
 
-fn keeps_the_rules(name: &str, script: &str) {
+fn assert_rules_kept(name: &str, script: &str) {
     let folder = TempDir::new();
     let file = script_file(&folder, name, script);
     let arguments = ["scenario", &file, "--player=sockets", "--json"];
-    let play = || run_program(&arguments);
-    let void = |played: &Output| played.status.code() == Some(3);
-    // On a busy machine there is no figure, and a line that says why; a few runs find a quieter moment.
-    let played = (1..MAX_RUNS).fold(play(), |played, _| if void(&played) { play() } else { played });
+    let run = || run_program(&arguments);
+    let is_void = |played: &Output| played.status.code() == Some(3);
+    // A run on a busy machine is void and prints only the reason. It is repeated in case the load is
+    // temporary.
+    let played = (1..MAX_RUNS).fold(run(), |played, _| if is_void(&played) { run() } else { played });
     let stderr = utf8(&played.stderr);
-    if void(&played) {
+    if is_void(&played) {
         assert!(stderr.contains("VOID: this machine was too busy") && played.stdout.is_empty(), "{stderr}");
         eprintln!("not judged: void in {MAX_RUNS} of {MAX_RUNS} runs");
         return;
@@ -181,13 +185,15 @@
     assert_eq!(json["partial"], false);
 }
 
-/// How long the player is held up, once a second, and how often.
-const HELD_UP: Duration = Duration::from_millis(150);
-const TIMES_HELD_UP: u32 = 3;
+/// Time for which the player is stopped in each pause.
+const PAUSE_DURATION: Duration = Duration::from_millis(150);
+/// Number of pauses, one per second.
+const PAUSES: u32 = 3;
 
-/// Answers that the player had no processor time to read were reported as late or missing.
+/// If the player got no processor time, answers that it had not read yet used to be reported as late or
+/// missing.
 #[test]
-fn a_player_that_is_held_up_blames_no_node() {
+fn pauses_of_the_player_are_not_counted_against_nodes() {
     let folder = TempDir::new();
     let file = script_file(&folder, "held-up.toml", &format!("{SHORT}[load]\nrate = 200\n"));
     let mut command = command();
@@ -195,10 +201,10 @@
     let player = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
     let id = player.id().to_string();
     let signal = |name| assert!(Command::new("kill").args([name, id.as_str()]).status().unwrap().success());
-    for _ in 0..TIMES_HELD_UP {
+    for _ in 0..PAUSES {
         thread::sleep(Duration::from_secs(1));
         signal("-STOP");
-        thread::sleep(HELD_UP);
+        thread::sleep(PAUSE_DURATION);
         signal("-CONT");
     }
     let played = player.wait_with_output().unwrap();
@@ -212,9 +218,10 @@
     assert!(verdict["answers"][0].as_u64() > Some(300), "{verdict}");
 }
 
-/// Processes outlived the run that started them, and a part of a run passed for the whole.
+/// Processes used to outlive the run that started them, and the report of an interrupted run looked like a
+/// complete one.
 #[test]
-fn an_interrupted_run_reports_it_and_leaves_no_process_behind() {
+fn an_interrupted_run_is_reported_as_partial_and_leaves_no_process() {
     let folder = TempDir::new();
     let file = script_file(
         &folder,
@@ -225,7 +232,7 @@
     command.args(["scenario", &file]).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut player = command.spawn().unwrap();
     let mut progress = BufReader::new(player.stderr.take().unwrap()).bytes().map_while(Result::ok);
-    // A line of progress begins with a return to the line's start.
+    // A progress line begins with a carriage return.
     assert!(progress.any(|byte| byte == b'\r'), "no progress");
     let id = player.id().to_string();
     let children = std::fs::read_to_string(format!("/proc/{id}/task/{id}/children")).unwrap();
@@ -233,13 +240,13 @@
     assert!(Command::new("kill").args(["-INT", &id]).status().unwrap().success());
     progress.for_each(drop);
     let output = player.wait_with_output().unwrap();
-    // A busy machine has no figure to show, and nothing to mark.
+    // On a busy machine the run is void and prints no report.
     let shown = utf8(&output.stdout);
     assert!(output.status.code() == Some(3) || shown.contains("PARTIAL: broken off"), "{shown}");
     for child in children.split_whitespace() {
-        let gone = || {
+        let has_exited = || {
             std::fs::read_to_string(format!("/proc/{child}/stat")).map_or(true, |stat| stat.contains(") Z "))
         };
-        wait_for("each process of the run to end", gone);
+        wait_for("each process of the run to exit", has_exited);
     }
 }
--- a/crates/cache-balancer/tests/soak.rs
+++ b/crates/cache-balancer/tests/soak.rs
@@ -1,5 +1,6 @@
-//! A soak under restarts: a node and its successors under signals in series, with clients that use their connections until
-//! these end and a kill at the platform's earliest. Seeded; `SOAK_SEEDS` names other seeds, for example `1..50`.
+//! Soak test of restarts. A node and its successors get series of random signals, while clients reuse their
+//! connections until these are closed. Processes are killed as early as the platform may kill them.
+//! `SOAK_SEEDS` selects other seeds, for example `1..50`.
 
 mod common;
 mod handover_support;
@@ -8,28 +9,29 @@
 use common::*;
 use handover_support::{static_pool, Fixture};
 use soak_support::clients::{Clients, Findings, DEADLINE};
-use soak_support::crowd;
+use soak_support::idle_connections;
 use soak_support::processes::Processes;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Seeds in CI.
+/// Seeds if `SOAK_SEEDS` is not set, as in CI.
 const DEFAULT_SEEDS: std::ops::RangeInclusive<u64> = 1..=8;
 const CLIENTS: usize = 8;
-const CROWD: usize = 300;
-/// The platform kills a process no earlier than this after it was told to stop: the longest deadline and 0.7 s.
+/// Number of connections that are opened and then left unused.
+const IDLE_CONNECTIONS: usize = 300;
+/// Earliest time after SIGTERM at which the platform kills a process: the longest deadline plus 0.7 s.
 const KILL_AFTER: Duration = DEADLINE.saturating_add(Duration::from_millis(700));
-/// Clients open connections for no longer than this after the first process was told to stop.
-const FRONT_NOTICES_AFTER: Duration = Duration::from_millis(300);
-const LONGEST_GAP: Duration = Duration::from_secs(1);
-const LONGEST_WORK: Duration = Duration::from_millis(80);
-const STEP: Duration = Duration::from_millis(5);
-/// The number of requests that a run may send.
-const REQUESTS_OF_A_RUN: u64 = 1 << 32;
+/// Time after the first SIGTERM after which clients open no more connections.
+const FRONT_NOTICE_DELAY: Duration = Duration::from_millis(300);
+const MAX_GAP: Duration = Duration::from_secs(1);
+const MAX_SERVICE_TIME: Duration = Duration::from_millis(80);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum number of requests of a run. It keeps the request numbers of different seeds apart.
+const MAX_REQUESTS_PER_RUN: u64 = 1 << 32;
 
-/// A run: what is started, and which signals come.
+/// A run with one seed.
 struct Run {
     random: fastrand::Rng,
     processes: Processes,
@@ -38,7 +40,7 @@
 }
 
 impl Run {
-    /// Lets this time pass, in which processes appear and overdue ones are killed.
+    /// Waits for this time. Meanwhile discovers new processes and kills overdue ones.
     fn wait(&mut self, time: Duration) {
         let end = Instant::now() + time;
         loop {
@@ -47,61 +49,61 @@
             if Instant::now() >= end {
                 return;
             }
-            thread::sleep(STEP);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// A random time up to the longest gap; in one of three cases none.
-    fn gap(&mut self) -> Duration {
+    /// Returns a random time of at most [`MAX_GAP`]; zero in a third of the cases.
+    fn random_gap(&mut self) -> Duration {
         if self.random.u32(..3) == 0 {
             return Duration::ZERO;
         }
-        LONGEST_GAP.mul_f64(self.random.f64().powi(2))
+        MAX_GAP.mul_f64(self.random.f64().powi(2))
     }
 
-    /// Sends a signal to a random process.
-    fn signal_one(&mut self, name: &str) {
+    /// Sends a signal to a random running process.
+    fn signal_random_process(&mut self, name: &str) {
         let running = self.processes.running();
         if let Some(id) = self.random.choice(running) {
             self.processes.signal(id, name);
         }
     }
 
-    /// Signals that go on serving, then termination of one, and of all.
-    fn play(&mut self) {
+    /// Sends random reloads and upgrades, then terminates a random process, then all processes.
+    fn send_signals(&mut self) {
         self.wait(Duration::from_millis(200));
         for _ in 0..self.random.u32(..4) {
             let name = if self.random.bool() { "-USR2" } else { "-HUP" };
-            self.signal_one(name);
-            let gap = self.gap();
+            self.signal_random_process(name);
+            let gap = self.random_gap();
             self.wait(gap);
         }
-        self.clients.stop_connecting_in(FRONT_NOTICES_AFTER);
-        self.signal_one("-TERM");
-        let gap = self.gap();
+        self.clients.stop_connecting_in(FRONT_NOTICE_DELAY);
+        self.signal_random_process("-TERM");
+        let gap = self.random_gap();
         self.wait(gap);
         if self.random.bool() {
-            self.signal_one("-HUP");
+            self.signal_random_process("-HUP");
         }
         while !self.processes.running().is_empty() {
             for id in self.processes.running() {
                 self.processes.signal(id, "-TERM");
             }
-            let gap = self.gap().max(STEP);
+            let gap = self.random_gap().max(POLL_INTERVAL);
             self.wait(gap);
         }
     }
 }
 
-/// Plays one seed. Returns what broke.
-fn play(seed: u64) -> Vec<String> {
+/// Runs the test with one seed and returns the failures.
+fn run_seed(seed: u64) -> Vec<String> {
     let server = CacheServer::start(|request| {
         let id = request.header("req-id").map_or(0, |id| u64::from_str_radix(id, 16).unwrap_or(0));
-        thread::sleep(LONGEST_WORK.mul_f64(fastrand::Rng::with_seed(id).f64()));
+        thread::sleep(MAX_SERVICE_TIME.mul_f64(fastrand::Rng::with_seed(id).f64()));
         ServerBehavior::Respond(response("200 OK", "", "value"))
     });
     let mut random = fastrand::Rng::with_seed(seed);
-    let (with_operator_file, with_crowd) = (random.bool(), random.u32(..3) == 0);
+    let (with_operator_file, with_idle_connections) = (random.bool(), random.u32(..3) == 0);
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let fixture = Fixture::new(&static_pool(&server), "2s");
     let node = if with_operator_file {
@@ -109,36 +111,47 @@
     } else {
         Node::start_ready(&config(discovery.address))
     };
-    let crowd = if with_crowd { crowd::open(node.address, CROWD) } else { Vec::new() };
-    let (findings, killed) = run(&node, node.address, random, seed);
-    drop(crowd);
+    let idle_connections = if with_idle_connections {
+        idle_connections::open(node.address, IDLE_CONNECTIONS)
+    } else {
+        Vec::new()
+    };
+    let (findings, killed) = run_clients_and_signals(&node, node.address, random, seed);
+    drop(idle_connections);
     let forwarded: BTreeSet<u64> = {
         let received = server.received.lock().unwrap();
         let ids = received.iter().filter_map(|request| request.header("req-id"));
         ids.filter_map(|id| u64::from_str_radix(id, 16).ok()).collect()
     };
-    let Findings { answered, closed_unread, mut broken } = findings;
-    let lost = closed_unread.intersection(&forwarded);
-    broken.extend(lost.map(|request| format!("request {request:x} was forwarded and its connection closed")));
+    let Findings { answered, closed_unread, mut failures } = findings;
+    let lost_requests = closed_unread.intersection(&forwarded);
+    failures.extend(
+        lost_requests.map(|request| format!("request {request:x} was forwarded and its connection closed")),
+    );
     if answered == 0 {
-        broken.push("no request was answered".into());
+        failures.push("no request was answered".into());
     }
     if node.logged("panicked") > 0 {
-        broken.push("a process panicked".into());
+        failures.push("a process panicked".into());
     }
     eprintln!(
-        "seed {seed}: operator's file {with_operator_file}, crowd {with_crowd}: {answered} answered, {} closed unread, \
-         {killed} killed, {} broken",
+        "seed {seed}: operator's file {with_operator_file}, idle connections {with_idle_connections}: \
+         {answered} answered, {} closed unread, {killed} killed, {} failures",
         closed_unread.len(),
-        broken.len()
+        failures.len()
     );
-    broken.into_iter().map(|what| format!("seed {seed}: {what}")).collect()
+    failures.into_iter().map(|failure| format!("seed {seed}: {failure}")).collect()
 }
 
-fn run(node: &Node, address: SocketAddr, random: fastrand::Rng, seed: u64) -> (Findings, usize) {
-    let clients = Clients::start(address, CLIENTS, seed * REQUESTS_OF_A_RUN);
+fn run_clients_and_signals(
+    node: &Node,
+    address: SocketAddr,
+    random: fastrand::Rng,
+    seed: u64,
+) -> (Findings, usize) {
+    let clients = Clients::start(address, CLIENTS, seed * MAX_REQUESTS_PER_RUN);
     let mut run = Run { random, processes: Processes::of(node), clients, killed: 0 };
-    run.play();
+    run.send_signals();
     (run.clients.join(), run.killed)
 }
 
@@ -148,9 +161,10 @@
     first.parse().expect("the first seed")..=last.parse().expect("the last seed")
 }
 
-/// Requests could be lost, or processes left, where signals cross each other, a hand-over or the end of connections.
+/// Requests could be lost, or processes left, if signals coincide with each other, a hand-over or closing
+/// connections.
 #[test]
-fn no_request_is_lost_and_no_process_left_under_signals_in_series() {
-    let broken: Vec<String> = seeds().flat_map(play).collect();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn series_of_signals_lose_no_request_and_leave_no_process() {
+    let failures: Vec<String> = seeds().flat_map(run_seed).collect();
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
--- a/crates/cache-balancer/tests/soak_support/clients.rs
+++ b/crates/cache-balancer/tests/soak_support/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that use their connections until these end, and what they find broken.
+//! Clients that reuse their connections until these are closed, and record failures.
 
 use crate::common::{read_request, Client, Message};
 use std::collections::BTreeSet;
@@ -8,54 +8,56 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The time that clients give a request.
+/// Deadline of the clients' requests.
 pub const DEADLINE: Duration = Duration::from_millis(500);
-/// An answer later than this after its deadline is lost, by the operators' acceptance.
+/// Time after the deadline after which an answer counts as lost, according to the operators' acceptance
+/// criteria.
 const LOST_AFTER: Duration = Duration::from_millis(500);
-/// The pause of a client between two requests.
+/// Time between two requests of a client.
 const PAUSE: Duration = Duration::from_millis(3);
+/// Value of `no_connections_from_ms` while there is no limit.
 const NEVER: u64 = u64::MAX;
 
-/// What all clients of a run share.
+/// State that all clients of a run share.
 #[derive(Debug)]
 pub struct Shared {
     address: SocketAddr,
     started_at: Instant,
-    /// From this time on, in milliseconds of the run, no new connection is opened.
+    /// Time from which no new connection is opened, in milliseconds since the start of the run.
     no_connections_from_ms: AtomicU64,
     next_request: AtomicU64,
     answered: AtomicU64,
-    /// Requests whose connection ended before the node read them, as far as the client can tell.
+    /// Requests whose connection was closed, as far as the client can tell, before the node read them.
     closed_unread: Mutex<BTreeSet<u64>>,
-    broken: Mutex<Vec<String>>,
+    failures: Mutex<Vec<String>>,
 }
 
-/// How an exchange ended.
-enum End {
+/// Outcome of an exchange.
+enum Outcome {
     Answered { stays_open: bool },
     Closed,
     TimedOut,
 }
 
-/// Running clients.
+/// Running clients, one per thread.
 pub struct Clients {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// What the clients of a run found.
+/// Results of the clients of a run.
 #[derive(Debug)]
 pub struct Findings {
-    /// The number of answers.
+    /// Number of answered requests.
     pub answered: u64,
-    /// Requests that were closed unread. None of them may have reached a cache server.
+    /// Requests whose connection was closed before the node read them. None of them may reach a cache server.
     pub closed_unread: BTreeSet<u64>,
-    /// What broke a rule.
-    pub broken: Vec<String>,
+    /// Descriptions of broken rules.
+    pub failures: Vec<String>,
 }
 
 impl Clients {
-    /// Starts this number of clients, a thread each. Requests are numbered from `first_request`.
+    /// Starts this number of clients. Requests are numbered from `first_request`.
     pub fn start(address: SocketAddr, count: usize, first_request: u64) -> Self {
         let shared = Arc::new(Shared {
             address,
@@ -64,7 +66,7 @@
             next_request: AtomicU64::new(first_request),
             answered: AtomicU64::new(0),
             closed_unread: Mutex::default(),
-            broken: Mutex::default(),
+            failures: Mutex::default(),
         });
         let start = |_| {
             let shared = shared.clone();
@@ -73,20 +75,20 @@
         Self { threads: (0..count).map(start).collect(), shared }
     }
 
-    /// No new connection is opened from this time after now on: the front has noticed.
-    pub fn stop_connecting_in(&self, time: Duration) {
-        let at = (self.shared.started_at.elapsed() + time).as_millis() as u64;
+    /// Stops opening connections after this delay, as the front does once it has noticed that the node stops.
+    pub fn stop_connecting_in(&self, delay: Duration) {
+        let at = (self.shared.started_at.elapsed() + delay).as_millis() as u64;
         self.shared.no_connections_from_ms.fetch_min(at, Ordering::SeqCst);
     }
 
-    /// Waits until each client's connection has ended.
+    /// Waits until all clients have finished and returns their results.
     pub fn join(self) -> Findings {
         self.threads.into_iter().for_each(|thread| thread.join().expect("no panic"));
-        let lock = |found: &Mutex<Vec<String>>| found.lock().expect("no panic").clone();
+        let lock = |failures: &Mutex<Vec<String>>| failures.lock().expect("no panic").clone();
         Findings {
             answered: self.shared.answered.load(Ordering::SeqCst),
             closed_unread: self.shared.closed_unread.lock().expect("no panic").clone(),
-            broken: lock(&self.shared.broken),
+            failures: lock(&self.shared.failures),
         }
     }
 }
@@ -111,7 +113,7 @@
             let reused = connection.is_some();
             let Some(client) = connection.take().or_else(|| self.connect()) else {
                 if self.may_connect() {
-                    // No process listens in this moment.
+                    // No process listens at this moment.
                     thread::sleep(PAUSE);
                     continue;
                 }
@@ -122,41 +124,49 @@
         }
     }
 
-    /// Sends a request, and once more on a new connection if an idle one was closed. Returns the connection if it is open.
+    /// Sends a request. Returns the connection if it stays open. If a reused connection is closed, the
+    /// request counts as closed unread.
     fn send_request(&self, mut client: Client, reused: bool) -> Option<Client> {
         let request = self.next_request.fetch_add(1, Ordering::SeqCst);
         let sent_at = Instant::now();
         match exchange(&mut client, request) {
-            End::Answered { stays_open } => {
+            Outcome::Answered { stays_open } => {
                 self.answered.fetch_add(1, Ordering::SeqCst);
                 return stays_open.then_some(client);
             }
-            End::Closed if reused => {
+            Outcome::Closed if reused => {
                 self.closed_unread.lock().expect("no panic").insert(request);
             }
-            End::Closed => self.found(request, sent_at, "was closed without an answer on a new connection"),
-            End::TimedOut => self.found(request, sent_at, "was never answered"),
+            Outcome::Closed => {
+                self.record_failure(request, sent_at, "was closed without an answer on a new connection")
+            }
+            Outcome::TimedOut => self.record_failure(request, sent_at, "was never answered"),
         }
         None
     }
 
-    fn found(&self, request: u64, sent_at: Instant, what: &str) {
+    fn record_failure(&self, request: u64, sent_at: Instant, failure: &str) {
         let at = sent_at.duration_since(self.started_at);
-        self.broken.lock().expect("no panic").push(format!("request {request:x} of {at:?} {what}"));
+        self.failures
+            .lock()
+            .expect("no panic")
+            .push(format!("request {request:x}, sent at {at:?}, {failure}"));
     }
 }
 
-fn exchange(client: &mut Client, request: u64) -> End {
+fn exchange(client: &mut Client, request: u64) -> Outcome {
     use std::io::{ErrorKind, Write};
     let text = read_request("read", request, DEADLINE.as_millis() as u64);
     client.0.get_ref().set_read_timeout(Some(DEADLINE + LOST_AFTER)).expect("a timeout");
     if client.0.get_mut().write_all(text.as_bytes()).is_err() {
-        return End::Closed;
+        return Outcome::Closed;
     }
     match Message::read(&mut client.0) {
-        Ok(Some(message)) => End::Answered { stays_open: message.header("connection") != Some("close") },
-        Ok(None) => End::Closed,
-        Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => End::TimedOut,
-        Err(_) => End::Closed,
+        Ok(Some(message)) => Outcome::Answered { stays_open: message.header("connection") != Some("close") },
+        Ok(None) => Outcome::Closed,
+        Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+            Outcome::TimedOut
+        }
+        Err(_) => Outcome::Closed,
     }
 }
--- a/crates/cache-balancer/tests/soak_support/idle_connections.rs
+++ b/crates/cache-balancer/tests/soak_support/idle_connections.rs
@@ -1,10 +1,10 @@
-//! Connections that are held and not used: a third sent nothing, a third had an answer, a third stopped in the middle of a
-//! request.
+//! Idle connections. On a third of them nothing was sent, on a third a request was answered, and on a third a
+//! request was sent only in part.
 
 use crate::common::{read_request, Client};
 use std::net::SocketAddr;
 
-/// Opens connections of all three kinds. They stay open until this is dropped.
+/// Opens connections of all three kinds. They stay open until the returned clients are dropped.
 pub fn open(address: SocketAddr, connections: usize) -> Vec<Client> {
     (0..connections).map(|number| connect(address, number)).collect()
 }
--- a/crates/cache-balancer/tests/soak_support/mod.rs
+++ b/crates/cache-balancer/tests/soak_support/mod.rs
@@ -1,5 +1,5 @@
-//! Clients, a crowd and processes of the soak under restarts.
+//! Clients, idle connections and processes of the soak test of restarts.
 
 pub mod clients;
-pub mod crowd;
+pub mod idle_connections;
 pub mod processes;
--- a/crates/cache-balancer/tests/soak_support/processes.rs
+++ b/crates/cache-balancer/tests/soak_support/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of a node and of the successors that it starts, by their ids.
+//! Tracks the processes of a node and of its successors.
 
 use crate::common::Node;
 use std::collections::BTreeMap;
@@ -6,21 +6,21 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// All processes of one node that were ever seen.
+/// All processes of one node that were discovered so far.
 pub struct Processes {
     program: PathBuf,
-    /// When each was first told to stop.
+    /// Time of the first SIGTERM by process id.
     terminated_at: BTreeMap<u32, Option<Instant>>,
 }
 
 impl Processes {
-    /// The process of a node that has just been started.
+    /// Tracks the process of a node that has just been started.
     pub fn of(node: &Node) -> Self {
         let program = std::fs::canonicalize(env!("CARGO_BIN_EXE_cache-balancer")).expect("the program");
         Self { program, terminated_at: BTreeMap::from([(node.child.id(), None)]) }
     }
 
-    /// Adds the successors that were started since.
+    /// Adds successors that were started since the last call.
     pub fn discover(&mut self) {
         let known: Vec<u32> = self.terminated_at.keys().copied().collect();
         for id in known {
@@ -32,15 +32,15 @@
         }
     }
 
-    /// Those that run, the oldest first.
+    /// Returns the ids of running processes in ascending order.
     pub fn running(&self) -> Vec<u32> {
         self.terminated_at.keys().copied().filter(|id| self.is_running(*id)).collect()
     }
 
-    /// Sends a signal, given as the option of `kill`, to one that runs.
+    /// Sends a signal to a process if it runs. `name` is the option of `kill`, such as `-TERM`.
     pub fn signal(&mut self, id: u32, name: &str) {
         if self.is_running(id) {
-            // It may end in this moment.
+            // The process may have exited since the check.
             let _ = Command::new("kill")
                 .args([name, &id.to_string()])
                 .stderr(std::process::Stdio::null())
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Kills those that were told to stop this long ago. Returns how many.
+    /// Kills processes whose first SIGTERM was at least this long ago. Returns their number.
     pub fn kill_overdue(&mut self, grace: Duration) -> usize {
         let overdue = |at: &Option<Instant>| at.is_some_and(|at| at.elapsed() >= grace);
         let ids = self.terminated_at.iter().filter(|(id, at)| overdue(at) && self.is_running(**id));
@@ -60,7 +60,7 @@
         ids.len()
     }
 
-    /// Whether this id is still a process of the program: ids come again.
+    /// Returns whether the process runs. Checks the executable, since process ids are reused.
     fn is_running(&self, id: u32) -> bool {
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
         let program = std::fs::read_link(format!("/proc/{id}/exe"));
