--- a/crates/balancer-core/src/admission.rs
+++ b/crates/balancer-core/src/admission.rs
@@ -26,11 +26,11 @@
 /// Time constant with which evidence decays.
 const EVIDENCE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 /// Fraction by which a full queue decreases the level.
-const DECREASE_FACTOR: f64 = 0.06;
+const DECREASE_FRACTION: f64 = 0.06;
 /// Increase of the level with each answer in time at a failure rate of zero. The increase shrinks linearly
-/// with the failure rate and reaches `INCREASE_MIN` at about `FAILURE_RATE_OF_MIN_INCREASE`.
+/// with the failure rate and reaches `MIN_INCREASE` at about `FAILURE_RATE_OF_MIN_INCREASE`.
 const INCREASE: f64 = 0.04;
-const INCREASE_MIN: f64 = 0.003;
+const MIN_INCREASE: f64 = 0.003;
 const FAILURE_RATE_OF_MIN_INCREASE: f64 = 0.12;
 /// Weight of each result in decreasing the level. A late answer usually comes from a server that is up and
 /// overloaded. A time-out may also come from a server that is down or unreachable, in which case rejecting
@@ -42,9 +42,9 @@
 /// requests.
 const PRIOR_ANSWERS: f64 = 5.0;
 /// Minimum of the level.
-const LEVEL_MIN: f64 = 0.1;
+const MIN_LEVEL: f64 = 0.1;
 /// Fraction of the demand of each class that is always admitted. The level itself applies where it is lower.
-const CLASS_MIN_FRACTION: f64 = 0.15;
+const MIN_CLASS_FRACTION: f64 = 0.15;
 /// Time for which all nodes use the same random number for a key. Rejected clients retry sooner than this.
 const SHARED_RANDOM_PERIOD: Duration = Duration::from_secs(1);
 
@@ -105,7 +105,7 @@
     /// Returns a controller that starts at `level`, clamped to the valid range. A level that is not finite
     /// counts as 1.
     pub fn at_level(level: f64) -> Self {
-        let level = if level.is_finite() { level.clamp(LEVEL_MIN, 1.0) } else { 1.0 };
+        let level = if level.is_finite() { level.clamp(MIN_LEVEL, 1.0) } else { 1.0 };
         Self { level, ..Self::default() }
     }
 
@@ -114,13 +114,13 @@
         self.level
     }
 
-    /// Reorders the demand by class after the settings have changed. `previous_indexes` holds the previous
+    /// Reorders the demand by class after the settings have changed. `previous_indices` holds the previous
     /// index of each class, or `None` for a new class.
-    pub fn reassign_classes(&mut self, previous_indexes: &[Option<usize>]) {
+    pub fn reassign_classes(&mut self, previous_indices: &[Option<usize>]) {
         let demand = |previous: &Option<usize>| {
             previous.and_then(|index| self.demand.get(index).copied()).unwrap_or(0.0)
         };
-        self.demand = previous_indexes.iter().map(demand).collect();
+        self.demand = previous_indices.iter().map(demand).collect();
     }
 
     /// Records the result of an attempt and adjusts the level.
@@ -130,9 +130,9 @@
         self.attempts += 1.0;
         self.failures += weight;
         let failure_rate = self.failures / (self.attempts + PRIOR_ANSWERS);
-        let increase = (INCREASE * (1.0 - failure_rate / FAILURE_RATE_OF_MIN_INCREASE)).max(INCREASE_MIN);
-        self.level =
-            (self.level * (1.0 - DECREASE_FACTOR * weight) + (1.0 - weight) * increase).clamp(LEVEL_MIN, 1.0);
+        let increase = (INCREASE * (1.0 - failure_rate / FAILURE_RATE_OF_MIN_INCREASE)).max(MIN_INCREASE);
+        self.level = (self.level * (1.0 - DECREASE_FRACTION * weight) + (1.0 - weight) * increase)
+            .clamp(MIN_LEVEL, 1.0);
     }
 
     /// Returns whether a request of this class is admitted. The request counts as demand in either case.
@@ -164,7 +164,7 @@
         // Classes of equal weight per unit of work are rejected in their order in the settings.
         let rejected_before = (0..classes.len())
             .filter(|&other| (weight_per_work(other), other) < (weight_per_work(class), class));
-        let rejectable_fraction = 1.0 - CLASS_MIN_FRACTION.min(self.level);
+        let rejectable_fraction = 1.0 - MIN_CLASS_FRACTION.min(self.level);
         let rejected = rejected_before.map(|other| self.demand[other] * rejectable_fraction).sum::<f64>();
         let to_reject = (1.0 - self.level) * self.demand.iter().sum::<f64>() - rejected;
         to_reject.clamp(0.0, self.demand[class] * rejectable_fraction)
--- a/crates/balancer-core/src/balance.rs
+++ b/crates/balancer-core/src/balance.rs
@@ -9,8 +9,8 @@
 //! - load on the origin: `cached_keys`, `fetch_limit`, `origin_breaker`;
 //! - load on the fleet: [`admission`](crate::admission), `retry_budget`, `queue`, `retry_after`, and
 //!   `dispatch`, which applies the rules to a request;
-//! - evaluation of results: `assessment`, `request_costs`, and `attempt_results`, which passes a result to the
-//!   rules;
+//! - evaluation of results: `assessment`, `request_costs`, and `attempt_results`, which passes a result to
+//!   the rules;
 //! - state for a successor process: `learned_state`.
 
 mod assessment;
--- a/crates/balancer-core/src/balance/attempt_results.rs
+++ b/crates/balancer-core/src/balance/attempt_results.rs
@@ -20,7 +20,7 @@
 /// Reported queue length, in requests, below which a queue counts as empty.
 const EMPTY_QUEUE_THRESHOLD: f64 = 1.0;
 /// Minimum of the expected work of a request, in seconds.
-const EXPECTED_WORK_MIN_SECONDS: f64 = 1e-6;
+const MIN_EXPECTED_WORK_SECONDS: f64 = 1e-6;
 
 /// An attempt that has ended.
 struct EndedAttempt<'a> {
@@ -67,7 +67,7 @@
             origin_epoch,
             class: pending.class_index,
             fetched,
-            expected_seconds: expected.as_secs_f64().max(EXPECTED_WORK_MIN_SECONDS),
+            expected_seconds: expected.as_secs_f64().max(MIN_EXPECTED_WORK_SECONDS),
         };
         self.record_origin(now, placement_key(&pending.request), &ended, actions);
         if outcome.status == AttemptStatus::Ok {
--- a/crates/balancer-core/src/balance/circuit_breaker.rs
+++ b/crates/balancer-core/src/balance/circuit_breaker.rs
@@ -60,7 +60,7 @@
     state: BreakerState,
     epoch: u32,
     window: Duration,
-    window_ends: Timestamp,
+    window_ends_at: Timestamp,
     calls: u32,
     failures: u32,
     previous_window_calls: u32,
@@ -73,7 +73,7 @@
             state: BreakerState::Closed,
             epoch: 0,
             window,
-            window_ends: now + window,
+            window_ends_at: now + window,
             calls: 0,
             failures: 0,
             previous_window_calls: 0,
@@ -98,7 +98,7 @@
 
     /// Returns the numbers of calls and failures in the current window, or `None` if the window has ended.
     pub fn recent_calls(&self, now: Timestamp) -> Option<(u32, u32)> {
-        (now < self.window_ends).then_some((self.calls, self.failures))
+        (now < self.window_ends_at).then_some((self.calls, self.failures))
     }
 
     /// Blocks calls until this time.
@@ -170,9 +170,9 @@
     /// Counts the result of a call in the closed state. Returns whether the failures of its window suffice to
     /// open the breaker.
     fn count(&mut self, failed: bool, min_calls: u32, now: Timestamp) -> bool {
-        if now >= self.window_ends {
+        if now >= self.window_ends_at {
             self.previous_window_calls = self.calls;
-            self.window_ends = now + self.window;
+            self.window_ends_at = now + self.window;
             self.calls = 0;
             self.failures = 0;
         }
@@ -191,7 +191,7 @@
         };
         LearnedBreaker {
             open_remaining,
-            window_remaining: micros(self.window_ends.since(now)),
+            window_remaining: micros(self.window_ends_at.since(now)),
             calls: self.calls,
             failures: self.failures,
             previous_window_calls: self.previous_window_calls,
@@ -208,7 +208,7 @@
                 breaker.state = BreakerState::Open { until: end(remaining, COOLDOWN * 2) };
             }
             None => {
-                breaker.window_ends = end(learned.window_remaining, window);
+                breaker.window_ends_at = end(learned.window_remaining, window);
                 breaker.calls = learned.calls.min(MAX_COUNT);
                 breaker.failures = learned.failures.min(breaker.calls);
             }
--- a/crates/balancer-core/src/balance/concurrency_limit.rs
+++ b/crates/balancer-core/src/balance/concurrency_limit.rs
@@ -10,10 +10,10 @@
 /// Initial limit of all nodes together, in requests.
 const FLEET_INITIAL_LIMIT: f64 = 16.0;
 /// Minimum initial limit of one node, in requests.
-pub const INITIAL_LIMIT_MIN: f64 = 1.0;
+pub const MIN_INITIAL_LIMIT: f64 = 1.0;
 /// Minimum limit, in requests. With no request in flight, this fraction of the requests is still admitted, so
 /// that the limit can rise again.
-const LIMIT_MIN: f64 = 0.05;
+const MIN_LIMIT: f64 = 0.05;
 /// The limit increases only while at least `1 / UTILIZATION_DIVISOR` of it is in use. An unused limit is no
 /// evidence of what a higher one would do.
 const UTILIZATION_DIVISOR: f64 = 2.0;
@@ -28,7 +28,7 @@
 
 /// Returns the initial limit of each server at one of `nodes` nodes, in requests.
 pub fn initial_limit(nodes: u32) -> f64 {
-    per_node(FLEET_INITIAL_LIMIT, nodes).max(INITIAL_LIMIT_MIN)
+    per_node(FLEET_INITIAL_LIMIT, nodes).max(MIN_INITIAL_LIMIT)
 }
 
 /// The limit of one server and its requests in flight.
@@ -81,13 +81,13 @@
     }
 
     fn decrease(&mut self, step: f64) {
-        self.limit = (self.limit - step).max(LIMIT_MIN);
+        self.limit = (self.limit - step).max(MIN_LIMIT);
     }
 
     /// Scales the limit to a different number of nodes: with twice as many nodes, each sends half of the
     /// requests.
     pub fn scale(&mut self, factor: f64) {
-        self.limit = (self.limit * factor).max(LIMIT_MIN);
+        self.limit = (self.limit * factor).max(MIN_LIMIT);
     }
 
     /// Returns the limit, for a successor process.
@@ -97,6 +97,6 @@
 
     /// Restores a limit that a predecessor process learned.
     pub fn restore(&mut self, limit: f64) {
-        self.limit = non_negative(limit, MAX_VALUE).max(LIMIT_MIN);
+        self.limit = non_negative(limit, MAX_VALUE).max(MIN_LIMIT);
     }
 }
--- a/crates/balancer-core/src/balance/fetch_limit.rs
+++ b/crates/balancer-core/src/balance/fetch_limit.rs
@@ -23,7 +23,7 @@
 /// The limit increases only while at least `1 / UTILIZATION_DIVISOR` of it is in use.
 const UTILIZATION_DIVISOR: f64 = 4.0;
 /// Minimum limit of all nodes together, in requests.
-const FLEET_LIMIT_MIN: f64 = 1.0;
+const MIN_FLEET_LIMIT: f64 = 1.0;
 
 /// Exponentially decaying counts of attempts.
 #[derive(Clone, Copy, Debug, Default)]
@@ -130,7 +130,7 @@
 
     fn reduce(&mut self, now: Timestamp, in_flight: f64, nodes: u32) {
         let current = self.limit.map_or(in_flight, |limit| limit.min(in_flight));
-        self.limit = Some((current * DECREASE_FACTOR).max(per_node(FLEET_LIMIT_MIN, nodes)));
+        self.limit = Some((current * DECREASE_FACTOR).max(per_node(MIN_FLEET_LIMIT, nodes)));
         self.reduced_at = now;
         self.probable_misses = AttemptCounts::default();
     }
--- a/crates/balancer-core/src/balance/origin_breaker.rs
+++ b/crates/balancer-core/src/balance/origin_breaker.rs
@@ -12,7 +12,7 @@
 
 /// The cooldown is a fraction of [`COOLDOWN`]: this minimum plus a random part of up to
 /// `COOLDOWN_JITTER_FRACTION`, so that the trials of many nodes do not coincide.
-const COOLDOWN_MIN_FRACTION: f64 = 0.75;
+const MIN_COOLDOWN_FRACTION: f64 = 0.75;
 const COOLDOWN_JITTER_FRACTION: f64 = 0.5;
 
 /// Circuit breaker of the origin.
@@ -56,7 +56,7 @@
         let opens = self.breaker.on_result(epoch, result, MIN_CALLS, now);
         if opens {
             let jitter = unit_interval(mix(seed ^ now.as_micros())) * COOLDOWN_JITTER_FRACTION;
-            self.breaker.open(now + COOLDOWN.mul_f64(COOLDOWN_MIN_FRACTION + jitter), now);
+            self.breaker.open(now + COOLDOWN.mul_f64(MIN_COOLDOWN_FRACTION + jitter), now);
         }
         opens
     }
--- a/crates/balancer-core/src/balance/outlier_detection.rs
+++ b/crates/balancer-core/src/balance/outlier_detection.rs
@@ -32,7 +32,7 @@
     server: CircuitBreaker,
     /// Breakers by class index.
     classes: Vec<CircuitBreaker>,
-    last_sent: Timestamp,
+    last_sent_at: Timestamp,
     /// Time between the last two sends.
     send_interval: Duration,
 }
@@ -52,7 +52,7 @@
         Self {
             server: CircuitBreaker::new(SERVER_WINDOW, now),
             classes: (0..classes).map(|_| CircuitBreaker::new(CLASS_WINDOW, now)).collect(),
-            last_sent: now,
+            last_sent_at: now,
             send_interval: Duration::MAX,
         }
     }
@@ -75,8 +75,8 @@
 
     /// Counts an attempt that is sent and returns the epochs in which its result counts.
     pub fn on_send(&mut self, class: usize, now: Timestamp) -> Epochs {
-        self.send_interval = now.since(self.last_sent);
-        self.last_sent = now;
+        self.send_interval = now.since(self.last_sent_at);
+        self.last_sent_at = now;
         self.server.on_send(now);
         self.classes[class].on_send(now);
         Epochs { server: self.server.epoch(), class: self.classes[class].epoch() }
@@ -120,16 +120,16 @@
         self.classes[class].open(now + COOLDOWN, now);
     }
 
-    /// Reorders the breakers of classes after the settings have changed. `previous_indexes` holds the
+    /// Reorders the breakers of classes after the settings have changed. `previous_indices` holds the
     /// previous index of each class, or `None` for a new class.
-    pub fn reassign_classes(&mut self, previous_indexes: &[Option<usize>], now: Timestamp) {
+    pub fn reassign_classes(&mut self, previous_indices: &[Option<usize>], now: Timestamp) {
         let mut breakers: Vec<_> = std::mem::take(&mut self.classes).into_iter().map(Some).collect();
         let breaker = |previous: &Option<usize>| {
             previous
                 .and_then(|index| breakers[index].take())
                 .unwrap_or_else(|| CircuitBreaker::new(CLASS_WINDOW, now))
         };
-        self.classes = previous_indexes.iter().map(breaker).collect();
+        self.classes = previous_indices.iter().map(breaker).collect();
     }
 
     /// Returns the minimum number of calls for errors to open the server's breaker: the calls that fit into a
--- a/crates/balancer-core/src/balance/queue.rs
+++ b/crates/balancer-core/src/balance/queue.rs
@@ -13,7 +13,7 @@
 const TRY_INTERVAL_FRACTION: f64 = 0.1;
 /// Minimum interval between two tries. Without it, a request with no latency objective would be tried again
 /// at the same instant in an endless loop.
-const TRY_INTERVAL_MIN: Duration = Duration::from_millis(1);
+const MIN_TRY_INTERVAL: Duration = Duration::from_millis(1);
 /// Time that must remain from the next try to the latency objective or the deadline, as a multiple of the
 /// mean latency of the class. An answer may take longer than the mean.
 const LATENCY_RESERVE: u32 = 3;
@@ -34,7 +34,7 @@
 impl QueueTimes {
     /// Returns the time of the next try, or `None` if an answer would then come too late.
     pub fn next_try(&self, now: Timestamp) -> Option<Timestamp> {
-        let interval = self.latency_objective.mul_f64(TRY_INTERVAL_FRACTION).max(TRY_INTERVAL_MIN);
+        let interval = self.latency_objective.mul_f64(TRY_INTERVAL_FRACTION).max(MIN_TRY_INTERVAL);
         let next_try = now + interval;
         let latest = (self.arrived_at + self.latency_objective).min(self.deadline);
         (next_try + self.mean_latency * LATENCY_RESERVE <= latest).then_some(next_try)
--- a/crates/balancer-core/src/balance/request_costs.rs
+++ b/crates/balancer-core/src/balance/request_costs.rs
@@ -14,7 +14,7 @@
 /// Number of answers over which the mean latency of a class is averaged.
 const MEAN_LATENCY_ANSWERS: f64 = 20.0;
 /// Minimum mean work that is used as a divisor, in seconds.
-const MEAN_WORK_MIN_SECONDS: f64 = 1e-9;
+const MIN_MEAN_WORK_SECONDS: f64 = 1e-9;
 
 /// Running means of latency and work.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
     /// its own work would look queued, and idle servers would be sent less.
     pub fn in_time_limit(&self, request: &Request, class: &RequestClass) -> Duration {
         let relative =
-            IN_TIME_FRACTION * expected_seconds(request) / self.mean_work.max(MEAN_WORK_MIN_SECONDS);
+            IN_TIME_FRACTION * expected_seconds(request) / self.mean_work.max(MIN_MEAN_WORK_SECONDS);
         class.latency_objective.mul_f64(relative.clamp(IN_TIME_FRACTION, 1.0))
     }
 
--- a/crates/balancer-core/src/balance/retry_budget.rs
+++ b/crates/balancer-core/src/balance/retry_budget.rs
@@ -11,7 +11,7 @@
 /// Cost of a retry, in retries.
 const RETRY_COST: f64 = 1.0;
 /// Maximum balance, in retries.
-const BALANCE_MAX: f64 = 10.0;
+const MAX_BALANCE: f64 = 10.0;
 
 /// Kind of an attempt, which determines its effect on the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 impl Default for RetryBudget {
     /// Returns a full budget.
     fn default() -> Self {
-        Self { balance: BALANCE_MAX }
+        Self { balance: MAX_BALANCE }
     }
 }
 
@@ -68,7 +68,7 @@
 
     /// Adjusts the balance for an attempt that is sent.
     pub fn on_send(&mut self, kind: AttemptKind) {
-        self.balance = (self.balance + kind.balance_change()).min(BALANCE_MAX);
+        self.balance = (self.balance + kind.balance_change()).min(MAX_BALANCE);
     }
 
     /// Returns the balance, for a successor.
@@ -78,6 +78,6 @@
 
     /// Returns a budget with the balance of a predecessor.
     pub fn restored(balance: f64) -> Self {
-        Self { balance: non_negative(balance, BALANCE_MAX) }
+        Self { balance: non_negative(balance, MAX_BALANCE) }
     }
 }
--- a/crates/balancer-core/src/balance/selection.rs
+++ b/crates/balancer-core/src/balance/selection.rs
@@ -2,7 +2,7 @@
 //! capacity.
 
 use super::cached_keys::CacheMarks;
-use super::concurrency_limit::INITIAL_LIMIT_MIN;
+use super::concurrency_limit::MIN_INITIAL_LIMIT;
 use super::rendezvous::{rendezvous_order, Candidate};
 use super::request::{placement_key, PendingRequest};
 use super::servers::{Server, ServerList};
@@ -145,7 +145,7 @@
     /// more, whose concurrency limits start at the minimum, no node ever knows, since reports are older than
     /// the bursts of the other nodes. There, classes are not ejected and idle capacity is not used.
     pub fn empty_queue_is_known(&self, server: &Server) -> bool {
-        self.initial_limit > INITIAL_LIMIT_MIN && server.reports_empty_queue(self.now)
+        self.initial_limit > MIN_INITIAL_LIMIT && server.reports_empty_queue(self.now)
     }
 
     /// Returns the servers in the order of the request's key. For a hot key, the replica chosen for this
--- a/crates/balancer-core/src/balance/server_kinds.rs
+++ b/crates/balancer-core/src/balance/server_kinds.rs
@@ -11,7 +11,7 @@
 /// Maximum number of answers over which the relative latency of a kind is averaged.
 const MAX_ANSWERS: f64 = 200.0;
 /// Minimum relative latency. Lower values are raised to it.
-const RELATIVE_LATENCY_MIN: f64 = 1e-3;
+const MIN_RELATIVE_LATENCY: f64 = 1e-3;
 /// Bound on the logarithm of a relative latency that is restored from a predecessor process.
 const MAX_RESTORED_LOG: f64 = 10.0;
 
@@ -55,7 +55,7 @@
     pub fn record(&mut self, index: usize, latency: Duration, expected_seconds: f64) {
         let kind = &mut self.kinds[index];
         kind.answers = (kind.answers + 1.0).min(MAX_ANSWERS);
-        let relative_latency = (latency.as_secs_f64() / expected_seconds).max(RELATIVE_LATENCY_MIN);
+        let relative_latency = (latency.as_secs_f64() / expected_seconds).max(MIN_RELATIVE_LATENCY);
         kind.log_relative_latency += (relative_latency.ln() - kind.log_relative_latency) / kind.answers;
     }
 
--- a/crates/balancer-core/src/balance/servers.rs
+++ b/crates/balancer-core/src/balance/servers.rs
@@ -18,7 +18,7 @@
 /// Time for which a report of an empty queue is considered current.
 const QUEUE_REPORT_TTL: Duration = Duration::from_millis(500);
 /// Minimum capacity, so that servers of weight 0 can still be compared.
-const CAPACITY_MIN: f64 = 1e-9;
+const MIN_CAPACITY: f64 = 1e-9;
 
 /// A server on the endpoint list.
 #[derive(Debug)]
@@ -172,7 +172,7 @@
     pub fn capacity(&self, server: &Server, settings: &Settings, now: Timestamp) -> f64 {
         let speed = if settings.weights_reflect_speed { 1.0 } else { self.kinds.speed(server.kind) };
         let warm_up_fraction = warm_up_fraction(&server.endpoint, settings, now);
-        (server.endpoint.weight * speed * warm_up_fraction).max(CAPACITY_MIN)
+        (server.endpoint.weight * speed * warm_up_fraction).max(MIN_CAPACITY)
     }
 
     /// Records the latency of an answer of a server, for the speed of its kind. `expected_seconds` is the
--- a/crates/balancer-core/src/balance/slow_start.rs
+++ b/crates/balancer-core/src/balance/slow_start.rs
@@ -29,14 +29,14 @@
 /// the load would exceed the servers' capacity at once instead of growing from window to window.
 const WARMING_SENDS_DISCOUNT: f64 = 0.4;
 /// Minimum warm-up time used in the calculation, in seconds.
-const WINDOW_MIN_SECONDS: f64 = 1e-6;
+const MIN_WINDOW_SECONDS: f64 = 1e-6;
 /// Maximum number of sends that are restored from a predecessor process.
 const MAX_RESTORED_SENDS: u32 = 4096;
 
 /// Returns the fraction of its full capacity that an endpoint has reached, from `slow_start_min_fraction` to
 /// 1.
 pub fn warm_up_fraction(endpoint: &Endpoint, settings: &Settings, now: Timestamp) -> f64 {
-    let window = settings.slow_start_window.as_secs_f64().max(WINDOW_MIN_SECONDS);
+    let window = settings.slow_start_window.as_secs_f64().max(MIN_WINDOW_SECONDS);
     let age = endpoint.started_at.map_or(window, |started_at| now.since(started_at).as_secs_f64());
     let min_fraction = settings.slow_start_min_fraction;
     (min_fraction + (1.0 - min_fraction) * age / window).min(1.0)
--- a/crates/balancer-core/src/hot_keys.rs
+++ b/crates/balancer-core/src/hot_keys.rs
@@ -30,7 +30,7 @@
 /// Maximum number of keys that are counted at a time.
 const MAX_KEYS: usize = 512;
 /// Weight of a new request at which all weights are scaled back, so that a new request has weight 1 again.
-const WEIGHT_MAX: f64 = 1e9;
+const MAX_WEIGHT: f64 = 1e9;
 
 /// Decaying count of the requests for one key.
 #[derive(Clone, Copy, Debug)]
@@ -91,7 +91,7 @@
     /// Returns the weight of a request at `now`. Scales all weights back first if it is too large.
     fn rescaled_weight(&mut self, now: Timestamp) -> f64 {
         let weight = self.weight_at(now);
-        if weight < WEIGHT_MAX {
+        if weight < MAX_WEIGHT {
             return weight;
         }
         // After a long idle time the weight is infinite and all earlier counts are scaled to 0.
@@ -99,7 +99,7 @@
         self.total = scale(self.total);
         self.counts.retain(|_, count| {
             *count = KeyCount { weight: scale(count.weight), overestimate: scale(count.overestimate) };
-            count.weight > 1.0 / WEIGHT_MAX
+            count.weight > 1.0 / MAX_WEIGHT
         });
         self.landmark = now;
         1.0
--- a/crates/balancer-core/src/lib.rs
+++ b/crates/balancer-core/src/lib.rs
@@ -25,8 +25,7 @@
 //! ```
 //!
 //! The types of events, actions and settings are defined in [`events`], [`requests`], [`endpoints`],
-//! [`settings`],
-//! [`names`] and [`time`], and re-exported by [`api`]. The other modules make the decisions:
+//! [`settings`], [`names`] and [`time`], and re-exported by [`api`]. The other modules make the decisions:
 //!
 //! - [`balance`]: which server a request goes to, when it is retried, and when it is rejected; [`admission`]:
 //!   how much of the demand is admitted; [`hot_keys`]: how many replicas a key has; [`learned_state`]: the
--- a/crates/balancer-core/tests/admission.rs
+++ b/crates/balancer-core/tests/admission.rs
@@ -139,7 +139,7 @@
 /// When a zone is lost, a third of the attempts time out. Nodes that treat this as overload would reject
 /// requests that the other zones have capacity for. Late answers from all servers are overload.
 #[test]
-fn late_answers_lower_the_level_and_time_outs_at_a_third_of_servers_do_not() {
+fn late_answers_lower_the_level_and_timeouts_at_a_third_of_servers_do_not() {
     let mut zone_lost = AdmissionController::default();
     (0..300).for_each(|i| {
         zone_lost.record(at(i * 60), if i % 3 == 0 { LoadSignal::TimedOut } else { LoadSignal::Answered })
--- a/crates/balancer-core/tests/circuit_breaker.rs
+++ b/crates/balancer-core/tests/circuit_breaker.rs
@@ -337,7 +337,7 @@
 /// Under overload, attempts time out at all servers. If one time-out ejected a rarely used server, nodes
 /// would eject most of the fleet.
 #[test]
-fn one_time_out_ejects_no_server() {
+fn one_timeout_ejects_no_server() {
     let mut node = Node::with_servers(settings(), 4);
     let own = node.call(7, AttemptStatus::Ok).expect("sent");
     node.advance(ms(6_000));
--- a/crates/balancer-core/tests/list_validator.rs
+++ b/crates/balancer-core/tests/list_validator.rs
@@ -5,7 +5,7 @@
 
 use balancer_core::discovery::{ListEntry, ListError, ListSource, ListValidator, ListWarning};
 use balancer_core::EndpointState::{self, Draining, Ready, Removed};
-use lists::{entry, holding, validate_from};
+use lists::{entry, validate_from, validator_with_list};
 use proptest::prelude::*;
 
 /// Validates a list of a service without replicas.
@@ -20,7 +20,7 @@
 
 #[test]
 fn deltas_and_snapshots_that_follow_the_current_version_are_accepted() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     assert_eq!(validate(&mut validator, 41, false, &[]), Ok(vec![]), "no changes");
     assert_eq!(
         validate(&mut validator, 42, false, &[entry("a", Draining), entry("a", Removed)]),
@@ -34,7 +34,7 @@
 
 #[test]
 fn an_older_version_is_rejected_and_a_snapshot_requested() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     let older = Err(ListError::OlderVersion { received: 40, current: 41 });
     assert_eq!(validate(&mut validator, 40, false, &[entry("a", Removed)]), older);
     assert_eq!(validator.watch_from(), None);
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_discovery_that_lost_its_versions_is_accepted_the_third_time() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     let error = ListError::OlderVersion { received: 1, current: 41 };
     for _ in 0..2 {
         assert_eq!(validate(&mut validator, 1, true, &[entry("c", Ready)]), Err(error.clone()));
@@ -60,7 +60,7 @@
 
 #[test]
 fn an_empty_list_is_accepted_only_the_third_time_in_a_row() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     let error = ListError::Empty { known_ready: 2 };
     assert_eq!(validate(&mut validator, 42, true, &[]), Err(error.clone()));
     assert_eq!(validate(&mut validator, 43, true, &[]), Err(error.clone()));
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_snapshot_with_a_duplicate_id_is_never_accepted() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     let entries = [entry("a", Ready), entry("b", Ready), entry("a", Draining)];
     for _ in 0..9 {
         let duplicate = ListError::DuplicateId { first: 0, second: 2, id: "a".into() };
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_ready_server_without_an_address_is_a_warning() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     let unreachable = ListEntry { has_address: false, ..entry("c", Ready) };
     let accepted = validate(&mut validator, 42, false, &[entry("a", Draining), unreachable]);
     assert_eq!(accepted, Ok(vec![ListWarning::MissingAddress { index: 1, id: "c".into() }]));
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_replaced_service_is_asked_for_a_snapshot_and_has_its_own_versions() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     validator.service_replaced();
     assert_eq!(validator.watch_from(), None);
     assert_eq!(
@@ -129,7 +129,7 @@
     /// was received three times decreases the version or removes all known servers.
     #[test]
     fn no_single_list_takes_the_version_back_or_empties_the_fleet(lists in prop::collection::vec(any_list(), 1..60)) {
-        let mut validator = holding();
+        let mut validator = validator_with_list();
         let (mut current, mut suspicious) = (41, 0);
         for (version, is_snapshot, entries) in lists {
             let entries: Vec<_> = entries
--- a/crates/balancer-core/tests/list_validator_replicas.rs
+++ b/crates/balancer-core/tests/list_validator_replicas.rs
@@ -6,7 +6,7 @@
 
 use balancer_core::discovery::{ListError, ListSource, ListValidator, ListWarning};
 use balancer_core::EndpointState::{self, Draining, Ready, Removed};
-use lists::{entry, holding, validate_from};
+use lists::{entry, validate_from, validator_with_list};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -22,7 +22,7 @@
 
 #[test]
 fn an_older_list_is_accepted_once_all_replicas_sent_one_in_a_row() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     let older = [entry("c", Ready)];
     let error = Err(ListError::OlderVersion { received: 1, current: 41 });
     for _ in 0..9 {
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_snapshot_is_requested_once_all_replicas_sent_older_changes() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     for index in 0..3 {
         assert_eq!(validator.watch_from(), Some(41));
         let result = validate_from(&mut validator, source(index, 3), 2, false, &[]);
@@ -71,7 +71,7 @@
     for (replicas, sources) in
         [(5, vec![0, 1, 2]), (3, vec![2, 0, 1]), (2, vec![0, 1, 0]), (2, vec![0, 0, 1])]
     {
-        let mut validator = holding();
+        let mut validator = validator_with_list();
         let (last, first) = sources.split_last().unwrap();
         for index in first {
             let result = validate_from(&mut validator, source(*index, replicas), 42, true, &[]);
@@ -86,7 +86,7 @@
 
 #[test]
 fn suspicious_lists_no_longer_count_after_the_replicas_change() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     for index in [0, 1] {
         assert!(validate_from(&mut validator, source(index, 3), 42, true, &[]).is_err());
     }
@@ -99,7 +99,7 @@
 
 #[test]
 fn a_leaving_server_is_suppressed_until_an_equally_new_list_names_it() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     validator.leaving_reported(source(0, 3), Some(43), leaving(&["b"]));
     assert_eq!(validator.watch_from(), Some(41), "another replica is polled for changes, not for a snapshot");
     for (version, is_snapshot) in [(41, true), (42, false), (42, true)] {
@@ -116,7 +116,7 @@
 
 #[test]
 fn suppressed_servers_that_newer_changes_do_not_name_need_a_snapshot() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     validator.leaving_reported(source(0, 3), Some(43), leaving(&["b"]));
     assert_eq!(validate_from(&mut validator, source(1, 3), 44, false, &[entry("a", Draining)]), Ok(vec![]));
     assert!(validator.suppressed().contains("b"));
@@ -127,7 +127,7 @@
 
 #[test]
 fn an_implausible_version_suppresses_servers_for_a_bounded_number_of_versions() {
-    let mut validator = holding();
+    let mut validator = validator_with_list();
     validator.leaving_reported(source(0, 3), Some(u64::MAX), leaving(&["b"]));
     let entries = [entry("a", Ready), entry("b", Ready)];
     assert!(validate_from(&mut validator, source(1, 3), 1_041, true, &entries).is_ok());
@@ -162,12 +162,12 @@
         lists in prop::collection::vec(any_answer(), 1..80),
     ) {
         let servers = ["a", "b", "c", "d"];
-        let mut validator = holding();
+        let mut validator = validator_with_list();
         let (mut current, mut sources) = (41, BTreeSet::new());
         let mut leaving_since = [0_u64; 4];
-        for (index, version, is_snapshot, entries, breaks_off) in lists {
+        for (index, version, is_snapshot, entries, is_cut_off) in lists {
             let from = source(index % replicas, replicas);
-            if breaks_off {
+            if is_cut_off {
                 let names: Vec<_> = entries.iter().filter(|(_, state)| *state != Ready).map(|(name, _)| *name).collect();
                 for name in &names {
                     leaving_since[*name] = leaving_since[*name].max(version);
--- a/crates/balancer-core/tests/overload.rs
+++ b/crates/balancer-core/tests/overload.rs
@@ -182,7 +182,7 @@
 /// Misses time out while the origin is slow. If servers were blamed for these time-outs, a fleet with idle
 /// servers would reject hits and move keys to servers that have not cached them.
 #[test]
-fn time_outs_with_an_empty_queue_neither_eject_servers_nor_lower_limits() {
+fn timeouts_with_an_empty_queue_neither_eject_servers_nor_lower_limits() {
     let sent_with_queue = |queue_length| {
         let mut node = Node::with_servers(Settings { nodes: 2, ..settings() }, 6);
         node.load.queue_length = Some(queue_length);
--- a/crates/balancer-core/tests/replica_capacity.rs
+++ b/crates/balancer-core/tests/replica_capacity.rs
@@ -17,7 +17,7 @@
 
 const CAPACITY: ReplicaCapacity = ReplicaCapacity { lines_per_second: 200.0, call_lines: 10.0 };
 /// A poll whose answer would begin later than this, in seconds, is rejected.
-const QUEUE_LIMIT: f64 = 3.0;
+const QUEUE_TIMEOUT: f64 = 3.0;
 /// Length of a snapshot of the planned fleet, in lines.
 const LINES: u32 = 1_110;
 /// Upper bound of the duration of a simulation, in seconds.
@@ -103,7 +103,7 @@
         let replica = node.client.replicas().current();
         let answer_at = free_at[replica].max(now) + call_time;
         let reached = fleet.lost != Some(replica);
-        if reached && answer_at - now <= QUEUE_LIMIT {
+        if reached && answer_at - now <= QUEUE_TIMEOUT {
             free_at[replica] = answer_at + answer_time;
             sending[replica] += call_time + answer_time;
             last = last.max(free_at[replica]);
@@ -251,8 +251,8 @@
     for lines in [1, 83, 1_110, 20_000] {
         let pacing = PollPacing::new(settings(369), 1, Some(CAPACITY), Some(lines));
         let sending = (f64::from(lines) + CAPACITY.call_lines) / CAPACITY.lines_per_second;
-        assert!(timeout(pacing, &PollSchedule::default()) >= QUEUE_LIMIT + sending, "{lines}");
-        assert!(timeout(pacing, &PollSchedule::default()) <= QUEUE_LIMIT + 1.5 * sending + 1.0, "{lines}");
+        assert!(timeout(pacing, &PollSchedule::default()) >= QUEUE_TIMEOUT + sending, "{lines}");
+        assert!(timeout(pacing, &PollSchedule::default()) <= QUEUE_TIMEOUT + 1.5 * sending + 1.0, "{lines}");
     }
     // The timeout of a node without a list grows with each timeout, up to that of the longest assumed list.
     let pacing = PollPacing::new(settings(369), 1, Some(CAPACITY), None);
@@ -262,7 +262,7 @@
         let poll = schedule.next_poll(pacing, PollKind::Snapshot, 0.5);
         schedule.poll_ended(pacing, poll, PollOutcome::TimedOut, PollKind::Snapshot, 0.5);
     }
-    assert!(timeouts[0] >= QUEUE_LIMIT + 1_000.0 / 200.0, "{timeouts:?}");
+    assert!(timeouts[0] >= QUEUE_TIMEOUT + 1_000.0 / 200.0, "{timeouts:?}");
     assert!(timeouts.windows(2).all(|pair| pair[0] <= pair[1]) && timeouts[6] == timeouts[8], "{timeouts:?}");
     assert!(timeouts[8] >= 64_000.0 / 200.0 && timeouts[8] <= 500.0, "{timeouts:?}");
 }
--- a/crates/balancer-core/tests/rules.rs
+++ b/crates/balancer-core/tests/rules.rs
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn arbitrary_legal_events_break_no_rule() {
+fn arbitrary_valid_events_break_no_rule() {
     for seed in 0..150 {
         let _seed = SeedOfFailure(seed);
         run_arbitrary_events(seed);
--- a/crates/balancer-core/tests/support/lists.rs
+++ b/crates/balancer-core/tests/support/lists.rs
@@ -9,7 +9,7 @@
 }
 
 /// Creates a validator whose current list has version 41 and two ready servers.
-pub fn holding() -> ListValidator {
+pub fn validator_with_list() -> ListValidator {
     ListValidator::new(Some(41), ["a".to_owned(), "b".to_owned()])
 }
 
