--- a/crates/balancer-core/benches/servers.rs
+++ b/crates/balancer-core/benches/servers.rs
@@ -10,7 +10,7 @@
 use criterion::{BatchSize, BenchmarkId, Criterion};
 use std::time::Duration;
 
-/// Numbers of cache servers: about the present number, doublings up to the planned size, and one size beyond
+/// Numbers of cache servers: about the current number, doublings up to the planned size, and one size beyond
 /// it.
 const SERVERS: [u32; 6] = [79, 138, 275, 550, 1_100, 2_200];
 const NODES: u32 = 5_900;
--- a/crates/balancer-core/src/admission.rs
+++ b/crates/balancer-core/src/admission.rs
@@ -33,7 +33,7 @@
 const MIN_INCREASE: f64 = 0.003;
 const FAILURE_RATE_OF_MIN_INCREASE: f64 = 0.12;
 /// Weight of each result in decreasing the level. A late answer usually comes from a server that is up and
-/// overloaded. A time-out may also come from a server that is down or unreachable, in which case rejecting
+/// overloaded. A timeout may also come from a server that is down or unreachable, in which case rejecting
 /// requests protects no server.
 const LATE_WEIGHT: f64 = 0.7;
 const TIMED_OUT_WEIGHT: f64 = 0.15;
@@ -114,8 +114,8 @@
         self.level
     }
 
-    /// Reorders the demand by class after the settings have changed. `previous_indices` holds the previous
-    /// index of each class, or `None` for a new class.
+    /// Maps the demand to the classes of new settings. `previous_indices` holds the previous index of each
+    /// class, or `None` if the class was added.
     pub fn reassign_classes(&mut self, previous_indices: &[Option<usize>]) {
         let demand = |previous: &Option<usize>| {
             previous.and_then(|index| self.demand.get(index).copied()).unwrap_or(0.0)
--- a/crates/balancer-core/src/balance.rs
+++ b/crates/balancer-core/src/balance.rs
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Sets a timer if a queued request or a subscription is due before the present timer.
+    /// Sets a timer if a queued request or a subscription is due before the current timer.
     fn set_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let subscribe_at = self.subscribe_at.filter(|_| self.settings.discovery_is_polled);
         let next = self.queue.next_try().into_iter().chain(subscribe_at).min();
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Maps state by class to the new classes. `previous_indices` holds the previous index of each new class,
-    /// or `None` if the class was added.
+    /// Maps state by class to the classes of new settings. `previous_indices` holds the previous index of
+    /// each class, or `None` if the class was added.
     fn reassign_classes(&mut self, now: Timestamp, previous_indices: &[Option<usize>]) {
         self.request_costs.reassign_classes(&self.settings.classes, previous_indices);
         self.admission.reassign_classes(previous_indices);
--- a/crates/balancer-core/src/balance/cached_keys.rs
+++ b/crates/balancer-core/src/balance/cached_keys.rs
@@ -22,7 +22,7 @@
 }
 
 impl CachedKeys {
-    /// Whether the last answer for this key was served from a cache.
+    /// Returns whether the last answer for this key was served from a cache.
     pub fn contains(&self, key: u64) -> bool {
         self.keys.get(&key) == Some(&true)
     }
@@ -89,7 +89,7 @@
         self.current.insert(incarnation.mark(key));
     }
 
-    /// Whether a server most likely holds a key.
+    /// Returns whether a server most likely holds a key.
     pub fn contains(&self, key: u64, incarnation: CacheIncarnation) -> bool {
         let mark = incarnation.mark(key);
         self.current.contains(&mark) || self.previous.contains(&mark)
--- a/crates/balancer-core/src/balance/circuit_breaker.rs
+++ b/crates/balancer-core/src/balance/circuit_breaker.rs
@@ -4,7 +4,7 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Minimum number of calls in a window for a breaker to open. Fewer errors (but not time-outs or full queues)
+/// Minimum number of calls in a window for a breaker to open. Fewer errors (but not timeouts or full queues)
 /// suffice for a server to which this node rarely sends; that server is then ejected for a part of the
 /// cooldown: see `OutlierDetection::on_server_result`.
 pub const MIN_CALLS: u32 = 3;
@@ -182,7 +182,7 @@
             && f64::from(self.failures) >= FAILURE_THRESHOLD * f64::from(self.calls)
     }
 
-    /// Returns the state for a successor.
+    /// Returns the state, for a successor process.
     pub fn learned(&self, now: Timestamp) -> LearnedBreaker {
         let open_remaining = match self.state {
             BreakerState::Closed => None,
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Returns a breaker in the state that a predecessor learned.
+    /// Returns a breaker in the state of a predecessor process.
     pub fn restored(learned: &LearnedBreaker, window: Duration, now: Timestamp) -> Self {
         let mut breaker = Self::new(window, now);
         let end = |remaining: u64, max: Duration| now + Duration::from_micros(remaining).min(max);
--- a/crates/balancer-core/src/balance/concurrency_limit.rs
+++ b/crates/balancer-core/src/balance/concurrency_limit.rs
@@ -1,6 +1,6 @@
 //! Limits how many requests one node may have in flight at a server.
 //!
-//! A server that answers late but within its time-outs keeps its circuit breaker closed. Without a limit it
+//! A server that answers late but within its timeouts keeps its circuit breaker closed. Without a limit it
 //! would still be sent its full share of the requests, and answers for its keys would stay late permanently.
 
 use super::assessment::Assessment;
@@ -19,7 +19,7 @@
 const UTILIZATION_DIVISOR: f64 = 2.0;
 /// Increase of the limit for an answer in time, in requests.
 const INCREASE: f64 = 0.1;
-/// Decrease of the limit for a late answer, a time-out or a full queue, in requests.
+/// Decrease of the limit for a late answer, a timeout or a full queue, in requests.
 const DECREASE: f64 = 1.0;
 /// Decrease of the limit for a late answer from a server with an empty queue, in requests. Such an answer is
 /// most likely late because of its own work. With the full step, heavy requests would lower the limits of a
@@ -50,8 +50,8 @@
         self.in_flight
     }
 
-    /// Whether one more request fits within this fraction of the limit. `random` is the request's random
-    /// number between 0 and 1.
+    /// Returns whether one more request fits within this fraction of the limit. `random` is the request's
+    /// random number between 0 and 1.
     pub fn has_capacity(&self, fraction: f64, random: f64) -> bool {
         f64::from(self.in_flight) + random < self.limit * fraction
     }
@@ -95,7 +95,7 @@
         self.limit
     }
 
-    /// Restores a limit that a predecessor process learned.
+    /// Restores the limit of a predecessor process.
     pub fn restore(&mut self, limit: f64) {
         self.limit = non_negative(limit, MAX_VALUE).max(MIN_LIMIT);
     }
--- a/crates/balancer-core/src/balance/fetch_limit.rs
+++ b/crates/balancer-core/src/balance/fetch_limit.rs
@@ -3,8 +3,8 @@
 //! When an overloaded origin fails a fetch, both the client and the node send the request again, and nothing
 //! is cached. Without a limit the overload persists, whatever caused it: servers that start with empty
 //! caches, keys that moved, or an origin that slowed down. With the limit, hits are still served and the
-//! origin recovers. Its drawback: where probable misses fail for another reason, which more of them would not
-//! worsen, the limit has no benefit.
+//! origin recovers. The drawback: if probable misses fail for a reason that does not depend on their number,
+//! the limit holds back reads without a benefit.
 
 use super::circuit_breaker::MIN_CALLS;
 use super::{per_node, RATE_TIME_CONSTANT};
@@ -82,7 +82,7 @@
         self.in_flight += u32::from(probable_miss);
     }
 
-    /// Whether the probable misses in flight have reached this fraction of the limit. `random` is the
+    /// Returns whether the probable misses in flight have reached this fraction of the limit. `random` is the
     /// request's random number between 0 and 1.
     pub fn is_reached(&self, fraction: f64, random: f64) -> bool {
         self.limit.is_some_and(|limit| f64::from(self.in_flight) + random >= limit * fraction)
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Whether the limit was reduced within [`RATE_TIME_CONSTANT`], and there are enough other attempts to
-    /// compare probable misses with.
+    /// Returns whether the limit was reduced within [`RATE_TIME_CONSTANT`], and there are enough other
+    /// attempts to compare probable misses with.
     fn overload_is_recent(&self, now: Timestamp) -> bool {
         self.others.total >= f64::from(MIN_CALLS) && now.since(self.reduced_at) < RATE_TIME_CONSTANT
     }
@@ -135,8 +135,8 @@
         self.probable_misses = AttemptCounts::default();
     }
 
-    /// Whether probable misses fail much more often than other attempts. A few failures suffice, since each
-    /// node of a large fleet sees few probable misses.
+    /// Returns whether probable misses fail much more often than other attempts. A few failures suffice,
+    /// since each node of a large fleet sees few probable misses.
     fn origin_is_overloaded(&self) -> bool {
         let (misses, others) = (self.probable_misses, self.others);
         misses.failed >= f64::from(MIN_CALLS)
@@ -144,12 +144,12 @@
             && misses.failed * others.total >= FAILURE_RATE_RATIO * others.failed * misses.total
     }
 
-    /// Returns the limit for a successor process, or `None` if there is none.
+    /// Returns the limit, for a successor process, or `None` if there is none.
     pub fn learned_limit(&self) -> Option<f64> {
         self.limit
     }
 
-    /// Returns the total and the failed attempts for a successor process: first those of attempts that were
+    /// Returns the total and the failed attempts, for a successor process: first those of attempts that were
     /// not probable misses, then those of probable misses.
     pub fn learned_counts(&self) -> [(f64, f64); 2] {
         [self.others, self.probable_misses].map(|counts| (counts.total, counts.failed))
--- a/crates/balancer-core/src/balance/learned_state.rs
+++ b/crates/balancer-core/src/balance/learned_state.rs
@@ -1,4 +1,4 @@
-//! Converts between the balancer's state and [`LearnedState`], which its successor restores.
+//! Converts between the balancer's state and [`LearnedState`], which a successor process restores.
 
 use super::cached_keys::{CacheMarks, CachedKeys};
 use super::origin_breaker::OriginBreaker;
@@ -11,7 +11,7 @@
 use crate::time::Timestamp;
 
 impl Balancer {
-    /// Returns the state learned so far, for a successor. Equal states give byte-identical results.
+    /// Returns the state learned so far, for a successor process. Equal states give byte-identical results.
     pub fn learned_state(&self, now: Timestamp) -> LearnedState {
         let class_names = self.class_names();
         let (servers, kinds) = self.servers.learned(&class_names, &self.settings, now);
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Restores the state that a predecessor learned. Numbers out of range are clamped or replaced by a
-    /// default.
+    /// Restores the state that a predecessor process learned. Numbers out of range are clamped or replaced by
+    /// a default.
     pub(super) fn restore(&mut self, now: Timestamp, learned: &LearnedState) {
         let class_names = self.class_names();
         self.servers.restore(&learned.servers, &learned.kinds, &class_names, now);
--- a/crates/balancer-core/src/balance/origin_breaker.rs
+++ b/crates/balancer-core/src/balance/origin_breaker.rs
@@ -61,12 +61,12 @@
         opens
     }
 
-    /// Returns the state for a successor.
+    /// Returns the state, for a successor process.
     pub fn learned(&self, now: Timestamp) -> LearnedBreaker {
         self.breaker.learned(now)
     }
 
-    /// Returns a breaker in the state that a predecessor learned.
+    /// Returns a breaker in the state of a predecessor process.
     pub fn restored(learned: &LearnedBreaker, now: Timestamp) -> Self {
         Self { breaker: CircuitBreaker::restored(learned, SERVER_WINDOW, now) }
     }
--- a/crates/balancer-core/src/balance/outlier_detection.rs
+++ b/crates/balancer-core/src/balance/outlier_detection.rs
@@ -86,7 +86,7 @@
     pub fn on_server_result(&mut self, epochs: Epochs, assessment: Assessment, now: Timestamp) -> bool {
         // In a large fleet a node may make fewer than `MIN_CALLS` calls to a server in a window. For errors,
         // the calls that it makes suffice, and the server is ejected for a part of the cooldown. This does
-        // not apply to time-outs and full queues, which occur at all servers under overload.
+        // not apply to timeouts and full queues, which occur at all servers under overload.
         let min_calls = match assessment {
             Assessment::TimedOut | Assessment::QueueFull => MIN_CALLS,
             _ => self.min_calls_at_last_interval(),
@@ -120,8 +120,8 @@
         self.classes[class].open(now + COOLDOWN, now);
     }
 
-    /// Reorders the breakers of classes after the settings have changed. `previous_indices` holds the
-    /// previous index of each class, or `None` for a new class.
+    /// Maps the breakers to the classes of new settings. `previous_indices` holds the previous index of each
+    /// class, or `None` if the class was added.
     pub fn reassign_classes(&mut self, previous_indices: &[Option<usize>], now: Timestamp) {
         let mut breakers: Vec<_> = std::mem::take(&mut self.classes).into_iter().map(Some).collect();
         let breaker = |previous: &Option<usize>| {
@@ -139,19 +139,18 @@
         calls.clamp(1.0, f64::from(MIN_CALLS)) as u32
     }
 
-    /// Returns the state of the server's breaker, for a successor.
+    /// Returns the state of the server's breaker, for a successor process.
     pub fn learned_server(&self, now: Timestamp) -> LearnedBreaker {
         self.server.learned(now)
     }
 
-    /// Returns the state of the breakers of these classes, for a successor.
+    /// Returns the state of the breakers of these classes, for a successor process.
     pub fn learned_classes(&self, names: &[Name], now: Timestamp) -> Vec<(String, LearnedBreaker)> {
         let classes = names.iter().zip(&self.classes);
         classes.map(|(name, breaker)| (name.to_string(), breaker.learned(now))).collect()
     }
 
-    /// Restores the state that a predecessor learned. Classes that the predecessor did not have keep their
-    /// breaker.
+    /// Restores the state of a predecessor process. Classes that it did not know keep their breaker.
     pub fn restore(
         &mut self,
         server: &LearnedBreaker,
--- a/crates/balancer-core/src/balance/rendezvous.rs
+++ b/crates/balancer-core/src/balance/rendezvous.rs
@@ -11,7 +11,7 @@
     pub index: usize,
     /// Hash of the server's id.
     pub hash: u64,
-    /// Capacity relative to the others; above 0.
+    /// Capacity relative to the others; greater than 0.
     pub capacity: f64,
 }
 
--- a/crates/balancer-core/src/balance/request.rs
+++ b/crates/balancer-core/src/balance/request.rs
@@ -120,7 +120,7 @@
     }
 }
 
-/// Returns whether `endpoint` recognises the idempotency key of an attempt at `earlier`.
+/// Returns whether `endpoint` recognizes the idempotency key of an attempt at `earlier`.
 fn is_in_scope(scope: DeduplicationScope, earlier: &Endpoint, endpoint: &Endpoint) -> bool {
     match scope {
         DeduplicationScope::All => true,
--- a/crates/balancer-core/src/balance/request_costs.rs
+++ b/crates/balancer-core/src/balance/request_costs.rs
@@ -80,7 +80,7 @@
         self.mean_work
     }
 
-    /// Restores the means of a predecessor process. Classes that it did not know keep their own.
+    /// Restores the means of a predecessor process. Classes that it did not know keep their mean.
     pub fn restore(&mut self, latencies: &[(String, f64)], work: f64, names: &[Name]) {
         for (name, mean) in names.iter().zip(&mut self.mean_latency) {
             if let Some((_, learned)) = latencies.iter().find(|(other, _)| other == name.as_str()) {
--- a/crates/balancer-core/src/balance/retry_budget.rs
+++ b/crates/balancer-core/src/balance/retry_budget.rs
@@ -71,12 +71,12 @@
         self.balance = (self.balance + kind.balance_change()).min(MAX_BALANCE);
     }
 
-    /// Returns the balance, for a successor.
+    /// Returns the balance, for a successor process.
     pub fn learned(&self) -> f64 {
         self.balance
     }
 
-    /// Returns a budget with the balance of a predecessor.
+    /// Returns a budget with the balance of a predecessor process.
     pub fn restored(balance: f64) -> Self {
         Self { balance: non_negative(balance, MAX_BALANCE) }
     }
--- a/crates/balancer-core/src/balance/selection.rs
+++ b/crates/balancer-core/src/balance/selection.rs
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Whether the balancer must send this request to the origin itself: in cache-aside mode, a write or a
-    /// request that has missed.
+    /// Returns whether the balancer must send this request to the origin itself: in cache-aside mode, a write
+    /// or a request that has missed.
     fn needs_origin(&self, pending: &PendingRequest) -> bool {
         let is_aside = matches!(self.settings.mode, CacheMode::Aside { .. });
         is_aside && (pending.request.write || pending.has_missed())
@@ -92,7 +92,7 @@
         (is_allowed && self.has_capacity(first, FIRST_SERVER_FRACTION, pending)).then_some(first)
     }
 
-    /// Whether an attempt may go to this server, regardless of its capacity.
+    /// Returns whether an attempt may go to this server, regardless of its capacity.
     fn is_eligible(&self, index: usize, pending: &PendingRequest, fetches: FetchPolicy) -> bool {
         let server = &self.servers[index];
         let endpoint = &server.endpoint;
@@ -112,9 +112,9 @@
         self.servers[index].concurrency.has_capacity(fraction, pending.random)
     }
 
-    /// Whether this server will probably fetch the value from the origin: as far as this node knows, it has
-    /// not answered for the key recently. Some of these reads are hits, since other nodes may have requested
-    /// the key.
+    /// Returns whether this server will probably fetch the value from the origin: as far as this node knows,
+    /// it has not answered for the key recently. Some of these reads are hits, since other nodes may have
+    /// requested the key.
     pub fn is_probable_miss(&self, request: &Request, server: &Server) -> bool {
         self.settings.mode == CacheMode::Through
             && !request.write
@@ -132,18 +132,19 @@
         within_limit.or_else(|| candidates.iter().copied().find(|index| self.has_idle_capacity(*index)))
     }
 
-    /// Whether a server may be sent a request beyond its concurrency limit: it reports an empty queue and has
-    /// fewer requests in flight than the initial limit. Late answers lower the limits, and all servers answer
-    /// late while misses wait for a slow origin. Without this rule, a fleet with idle servers would reject
-    /// hits.
+    /// Returns whether a server may be sent a request beyond its concurrency limit: it reports an empty queue
+    /// and has fewer requests in flight than the initial limit. Late answers lower the limits, and all
+    /// servers answer late while misses wait for a slow origin. Without this rule, a fleet with idle servers
+    /// would reject hits.
     fn has_idle_capacity(&self, index: usize) -> bool {
         let server = &self.servers[index];
         self.empty_queue_is_known(server) && f64::from(server.concurrency.in_flight()) < self.initial_limit
     }
 
-    /// Whether this node knows from the last report that a server's queue is empty. In a fleet of 16 nodes or
-    /// more, whose concurrency limits start at the minimum, no node ever knows, since reports are older than
-    /// the bursts of the other nodes. There, classes are not ejected and idle capacity is not used.
+    /// Returns whether this node knows from the last report that a server's queue is empty. In a fleet of 16
+    /// nodes or more, whose concurrency limits start at the minimum, no node ever knows, since reports are
+    /// older than the bursts of the other nodes. There, classes are not ejected and idle capacity is not
+    /// used.
     pub fn empty_queue_is_known(&self, server: &Server) -> bool {
         self.initial_limit > MIN_INITIAL_LIMIT && server.reports_empty_queue(self.now)
     }
--- a/crates/balancer-core/src/balance/server_kinds.rs
+++ b/crates/balancer-core/src/balance/server_kinds.rs
@@ -51,7 +51,8 @@
         (-self.kinds[index].log_relative_latency).exp()
     }
 
-    /// Records the latency of an answer. `expected_seconds` is the expected work of the request, above 0.
+    /// Records the latency of an answer. `expected_seconds` is the expected work of the request, greater than
+    /// 0.
     pub fn record(&mut self, index: usize, latency: Duration, expected_seconds: f64) {
         let kind = &mut self.kinds[index];
         kind.answers = (kind.answers + 1.0).min(MAX_ANSWERS);
--- a/crates/balancer-core/src/balance/servers.rs
+++ b/crates/balancer-core/src/balance/servers.rs
@@ -40,7 +40,7 @@
 }
 
 impl Server {
-    /// Whether this is the origin, to which the balancer itself sends misses and writes.
+    /// Returns whether this is the origin, to which the balancer itself sends misses and writes.
     pub fn is_origin(&self, settings: &Settings) -> bool {
         match &settings.mode {
             CacheMode::Aside { origin_kind } => self.endpoint.kind.as_ref() == Some(origin_kind),
@@ -48,17 +48,17 @@
         }
     }
 
-    /// Whether this is a cache server that accepts requests.
+    /// Returns whether this is a cache server that accepts requests.
     pub fn is_ready_cache(&self, settings: &Settings) -> bool {
         self.endpoint.state == EndpointState::Ready && !self.is_origin(settings)
     }
 
-    /// Whether the server has recently reported an empty queue.
+    /// Returns whether the server has recently reported an empty queue.
     pub fn reports_empty_queue(&self, now: Timestamp) -> bool {
         self.empty_queue_at.is_some_and(|at| now.since(at) < QUEUE_REPORT_TTL)
     }
 
-    /// Returns the present incarnation of the server.
+    /// Returns the current incarnation of the server.
     pub fn incarnation(&self) -> CacheIncarnation {
         CacheIncarnation { server_hash: self.hash, started_at: self.endpoint.started_at }
     }
@@ -123,7 +123,7 @@
                 Ok(index) => self.update(index, endpoint, settings, now),
                 Err(_) if is_removed => {}
                 Err(index) => {
-                    // Servers on the first list are assumed to have been running for long.
+                    // Servers on the first list are assumed to be warm.
                     let endpoint = if is_first_list {
                         endpoint.clone()
                     } else {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Returns the present capacity of a server relative to other servers; above 0.
+    /// Returns the current capacity of a server relative to other servers; greater than 0.
     pub fn capacity(&self, server: &Server, settings: &Settings, now: Timestamp) -> f64 {
         let speed = if settings.weights_reflect_speed { 1.0 } else { self.kinds.speed(server.kind) };
         let warm_up_fraction = warm_up_fraction(&server.endpoint, settings, now);
@@ -176,12 +176,12 @@
     }
 
     /// Records the latency of an answer of a server, for the speed of its kind. `expected_seconds` is the
-    /// expected work of the request, above 0.
+    /// expected work of the request, greater than 0.
     pub fn record_latency(&mut self, index: usize, latency: Duration, expected_seconds: f64) {
         self.kinds.record(self.servers[index].kind, latency, expected_seconds);
     }
 
-    /// Returns the total present capacity of the cache servers that accept requests.
+    /// Returns the total current capacity of the cache servers that accept requests.
     pub fn total_capacity(&self, settings: &Settings, now: Timestamp) -> f64 {
         let cache_servers = self.servers.iter().filter(|server| server.is_ready_cache(settings));
         cache_servers.map(|server| self.capacity(server, settings, now)).sum()
--- a/crates/balancer-core/src/balance/slow_start.rs
+++ b/crates/balancer-core/src/balance/slow_start.rs
@@ -2,7 +2,7 @@
 //! gradually.
 //!
 //! A warming server is overloaded and does not recover if all nodes together send it more than a multiple of
-//! its present capacity within a window. Nodes share no counters, so each node limits itself: the prompt
+//! its current capacity within a window. Nodes share no counters, so each node limits itself: the prompt
 //! answers that it has received show what the fleet can serve, and it sends a warming server that server's
 //! share of them.
 
@@ -42,7 +42,7 @@
     (min_fraction + (1.0 - min_fraction) * age / window).min(1.0)
 }
 
-/// Whether an endpoint has not yet reached its full capacity.
+/// Returns whether an endpoint has not yet reached its full capacity.
 pub fn is_warming_up(endpoint: &Endpoint, settings: &Settings, now: Timestamp) -> bool {
     warm_up_fraction(endpoint, settings, now) < 1.0
 }
@@ -88,8 +88,8 @@
         self.prompt_answers += 1.0;
     }
 
-    /// Whether a request may be sent to the server at `index`: always if it is warm, otherwise within this
-    /// node's allowance. The allowance applies to every window of time and unused allowance does not
+    /// Returns whether a request may be sent to the server at `index`: always if it is warm, otherwise within
+    /// this node's allowance. The allowance applies to every window of time and unused allowance does not
     /// accumulate, so that no burst is too large.
     pub fn admits(
         &self,
--- a/crates/balancer-core/src/discovery/backoff.rs
+++ b/crates/balancer-core/src/discovery/backoff.rs
@@ -1,16 +1,16 @@
-//! Computes the pause after failed polls: exponential backoff with full jitter (M. Brooker, "Exponential Backoff And
-//! Jitter", AWS Architecture Blog, 2015).
+//! Computes the pause after failed polls: exponential backoff with full jitter (M. Brooker, "Exponential
+//! Backoff And Jitter", AWS Architecture Blog, 2015).
 //!
-//! Discovery has a fixed capacity that all nodes share, and each failed poll uses capacity that another node's poll
-//! needed. The nodes share no state, so the longest step grows with the number of nodes: all nodes together poll
-//! about as often as discovery can answer.
+//! Discovery has a fixed capacity that all nodes share, and each failed poll uses capacity that another
+//! node's poll needed. The nodes share no state, so the longest step grows with the number of nodes: all
+//! nodes together poll about as often as discovery can answer.
 //!
 //! Regardless of the outcome of a poll, a node counts as notified of a change [`NOTIFICATION_DEADLINE`] after
 //! discovery has the change and is reachable. The pause before a watch, and after a poll that did not reach
 //! discovery, is therefore bounded so that the next poll can be answered in time.
 //!
-//! If the operator configures the capacity of a replica, [`ReplicaShare`](super::ReplicaShare) bounds the pause
-//! instead.
+//! If the operator configures the capacity of a replica, [`ReplicaShare`](super::ReplicaShare) bounds the
+//! pause instead.
 
 use super::local_agent;
 use super::pacing::{PollPacing, PollSettings};
@@ -18,25 +18,27 @@
 use super::unit_fraction;
 use std::time::Duration;
 
-/// Time after which a node whose last poll failed counts as notified of a change, from when discovery has the change
-/// and is reachable. Required by the operators' acceptance.
+/// Time after which a node whose last poll failed counts as notified of a change, from when discovery has the
+/// change and is reachable. Required by the operators' acceptance.
 pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// Part of [`NOTIFICATION_DEADLINE`] that is reserved for the poll that fetches the change: discovery queues no poll
-/// for longer.
+/// Part of [`NOTIFICATION_DEADLINE`] that is reserved for the poll that fetches the change: discovery queues
+/// no poll for longer.
 const SERVER_QUEUE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Number of failed polls after a lost watch that are retried as soon as in a small fleet. The changes that the watch
-/// missed have a deadline, and the random waits of the watches already spread the nodes.
+/// Number of failed polls after a lost watch that are retried as soon as in a small fleet. The changes that
+/// the watch missed have a deadline, and the random waits of the watches already spread the nodes.
 const URGENT_RETRIES: u32 = 2;
-/// Number of consecutive failed snapshot polls whose pause is bounded like that of a watch. These pauses take 1.5 s
-/// each on average; a discovery that has sent no list by then must be polled less.
+/// Number of consecutive failed snapshot polls whose pause is bounded like that of a watch. These pauses take
+/// 1.5 s each on average; a discovery that has sent no list by then must be polled less.
 const BOUNDED_SNAPSHOT_RETRIES: u32 = 5;
 
-/// Base of the steps, which double with each failure: the pause after the first failure is at most twice this.
+/// Base of the steps, which double with each failure: the pause after the first failure is at most twice
+/// this.
 const FIRST_STEP: Duration = Duration::from_millis(200);
 /// Longest step in a small fleet.
 pub(super) const MAX_STEP: Duration = Duration::from_secs(3);
-/// The base of the steps is at least the longest step divided by this, so the first pause is drawn from at least an
-/// eighth of the longest step. With shorter first pauses, hundreds of nodes fail repeatedly within the first second.
+/// The base of the steps is at least the longest step divided by this, so the first pause is drawn from at
+/// least an eighth of the longest step. With shorter first pauses, hundreds of nodes fail repeatedly within
+/// the first second.
 const MAX_TO_FIRST_STEP: u32 = 16;
 /// Time that discovery is assumed to need for one line of a list: it sends 200 lines per second.
 const LINE_COST: Duration = Duration::from_millis(5);
@@ -105,8 +107,8 @@
         self.follows_lost_watch || self.failures > 0
     }
 
-    /// Returns the number of snapshot polls that timed out since the last answer or lost watch. Other failures in
-    /// between do not reset it.
+    /// Returns the number of snapshot polls that timed out since the last answer or lost watch. Other
+    /// failures in between do not reset it.
     pub(super) fn timeouts(self) -> u32 {
         self.timeouts
     }
@@ -114,7 +116,8 @@
     /// Records a failed poll that is not followed by a pause of this backoff.
     pub(super) fn record(&mut self, failed: FailedPoll) {
         self.timeouts = self.timeouts.saturating_add(u32::from(failed.timed_out));
-        // A discovery that was unreachable has no backlog when it returns, so the time counts from its return.
+        // A discovery that was unreachable has no backlog when it returns, so the time counts from its
+        // return.
         self.refused_for =
             if failed.reached { self.refused_for.saturating_add(failed.took) } else { Duration::ZERO };
     }
@@ -139,7 +142,8 @@
         pause
     }
 
-    /// Returns the upper end of the pause if it depends on the configured capacity of a replica, otherwise `None`.
+    /// Returns the upper end of the pause if it depends on the configured capacity of a replica, otherwise
+    /// `None`.
     fn pause_limit_by_capacity(
         self,
         pacing: PollPacing,
@@ -174,21 +178,22 @@
         pause(settings, nodes, self.failures, next, limit, jitter)
     }
 
-    /// Returns whether the next poll must be in time for [`NOTIFICATION_DEADLINE`]. Snapshots are exempt after some
-    /// failures: a discovery that keeps failing may be unable to send them, and failing polls would use up its
-    /// capacity. An unreachable discovery loses no capacity to polls.
+    /// Returns whether the next poll must be in time for [`NOTIFICATION_DEADLINE`]. Snapshots are exempt
+    /// after some failures: a discovery that keeps failing may be unable to send them, and failing polls
+    /// would use up its capacity. An unreachable discovery loses no capacity to polls.
     fn must_meet_deadline(self, failed: FailedPoll, next: PollKind) -> bool {
         next == PollKind::Watch || !failed.reached || self.failures <= BOUNDED_SNAPSHOT_RETRIES
     }
 
-    /// Returns whether the poll must be retried soon, since the changes that a lost watch missed have a deadline.
+    /// Returns whether the poll must be retried soon, since the changes that a lost watch missed have a
+    /// deadline.
     fn is_urgent(self) -> bool {
         self.follows_lost_watch && self.failures <= URGENT_RETRIES
     }
 }
 
-/// Returns the longest step with which the next poll is in time. Discovery may have come back right after the failed
-/// poll was sent.
+/// Returns the longest step with which the next poll is in time. Discovery may have come back right after the
+/// failed poll was sent.
 fn deadline_limit(settings: PollSettings, failed: FailedPoll) -> Duration {
     let elapsed = if failed.overloaded { Duration::ZERO } else { failed.took };
     let left = (NOTIFICATION_DEADLINE - SERVER_QUEUE_TIMEOUT).saturating_sub(elapsed);
@@ -214,8 +219,8 @@
     backoff(nodes, failures, next, 1.0).min(limit).mul_f64(unit_fraction(jitter))
 }
 
-/// Returns the pause of one of `nodes` nodes after `failures` consecutive failures, before a poll of kind `next`.
-/// `jitter` is a random number from 0 to 1; with 1 the result is the step that pauses are drawn from.
+/// Returns the pause of one of `nodes` nodes after `failures` consecutive failures, before a poll of kind
+/// `next`. `jitter` is a random number from 0 to 1; with 1 the result is the step that pauses are drawn from.
 pub fn backoff(nodes: u32, failures: u32, next: PollKind, jitter: f64) -> Duration {
     if failures == 0 {
         return Duration::ZERO;
--- a/crates/balancer-core/src/discovery/client.rs
+++ b/crates/balancer-core/src/discovery/client.rs
@@ -1,5 +1,5 @@
-//! Decides after each poll how long a node pauses and which replica it polls next. With a single replica it only
-//! delegates to [`PollSchedule`].
+//! Decides after each poll how long a node pauses and which replica it polls next. With a single replica it
+//! only delegates to [`PollSchedule`].
 
 use super::pacing::PollPacing;
 use super::poll_schedule::{Poll, PollKind, PollOutcome, PollSchedule};
@@ -8,8 +8,8 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Longest pause before a failover. Nodes that lost a replica together each wait for a random part of it, so that
-/// they do not all poll the next replica at once.
+/// Longest pause before a failover. Nodes that lost a replica together each wait for a random part of it, so
+/// that they do not all poll the next replica at once.
 const MAX_FAILOVER_PAUSE: Duration = Duration::from_millis(200);
 
 /// Random numbers from 0 to 1 for one decision.
@@ -53,7 +53,8 @@
         self.schedule.next_poll(pacing, kind, jitter)
     }
 
-    /// Returns how long the rest of an answer may take once it has begun, or `None` if no capacity is configured.
+    /// Returns how long the rest of an answer may take once it has begun, or `None` if no capacity is
+    /// configured.
     pub fn answer_allowance(&self, pacing: PollPacing) -> Option<Duration> {
         self.schedule.answer_allowance(pacing)
     }
--- a/crates/balancer-core/src/discovery/list_validator.rs
+++ b/crates/balancer-core/src/discovery/list_validator.rs
@@ -1,17 +1,18 @@
-//! Validates the lists that discovery sends, and decides which kind of list is requested next. An invalid list is
-//! rejected: the current list stays in use, and the poll that returned the invalid one counts as failed.
+//! Validates the lists that discovery sends, and decides which kind of list is requested next. An invalid
+//! list is rejected: the current list stays in use, and the poll that returned the invalid one counts as
+//! failed.
 //!
-//! A list that is empty, or older than the current one, is suspicious rather than invalid: fleets really are shut
-//! down, and a discovery may lose its versions and start counting again. Such a list is accepted once it was received
-//! several times in a row. Envoy's panic threshold and Eureka's self-preservation do the same with a fraction of the
-//! fleet as the bound; here a list that shrinks the fleet to a few servers is accepted at once, since a server that
-//! is missing from a list must get no new requests.
+//! A list that is empty, or older than the current one, is suspicious rather than invalid: fleets really are
+//! shut down, and a discovery may lose its versions and start counting again. Such a list is accepted once it
+//! was received several times in a row. Envoy's panic threshold and Eureka's self-preservation do the same
+//! with a fraction of the fleet as the bound; here a list that shrinks the fleet to a few servers is accepted
+//! at once, since a server that is missing from a list must get no new requests.
 //!
-//! With several replicas of one service, repetition by one of them proves nothing: an empty list must come from three
-//! replicas (from all, if there are fewer), and an older list from all of them. Three suspicious snapshots are needed
-//! as well. Any smaller number of replicas may lag behind together after a network partition, and an unreachable
-//! replica may be the one with the newer list. The other replicas are still polled for changes, since they could not
-//! send a snapshot to every node.
+//! With several replicas of one service, repetition by one of them proves nothing: an empty list must come
+//! from three replicas (from all, if there are fewer), and an older list from all of them. Three suspicious
+//! snapshots are needed as well. Any smaller number of replicas may lag behind together after a network
+//! partition, and an unreachable replica may be the one with the newer list. The other replicas are still
+//! polled for changes, since they could not send a snapshot to every node.
 
 use super::poll_schedule::PollKind;
 use super::suppressed_servers::SuppressedServers;
@@ -19,8 +20,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Number of suspicious snapshots, with no accepted list in between, the last of which is accepted. With several
-/// replicas, enough of them must have sent a suspicious list as well.
+/// Number of suspicious snapshots, with no accepted list in between, the last of which is accepted. With
+/// several replicas, enough of them must have sent a suspicious list as well.
 const REPEATS_TO_ACCEPT: u32 = 3;
 
 /// The parts of a list entry that validation depends on.
@@ -37,11 +38,11 @@
 /// A list that discovery sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceivedList<'a> {
-    /// Its version.
+    /// The version of the list.
     pub version: u64,
     /// Whether this is the full list rather than the changes since the requested version.
     pub is_snapshot: bool,
-    /// Its entries, in order.
+    /// The entries, in order.
     pub entries: &'a [ListEntry<'a>],
 }
 
@@ -49,23 +50,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ListError {
     /// Two entries of a snapshot have the same id, and it is unknown which one is right.
-    #[error("hosts[{second}]: {id} again, which stands at hosts[{first}] already")]
+    #[error("hosts[{second}]: duplicate id {id}, first listed at hosts[{first}]")]
     DuplicateId {
         /// The index of the first entry.
         first: usize,
-        /// The index of the second.
+        /// The index of the second entry.
         second: usize,
-        /// The id.
+        /// The id of both entries.
         id: String,
     },
     /// A snapshot is empty although ready servers are known.
-    #[error("hosts: empty, where {known_ready} ready servers are known")]
+    #[error("hosts: empty, although {known_ready} ready servers are known")]
     Empty {
         /// The number of ready servers known.
         known_ready: usize,
     },
     /// The version is lower than the current one.
-    #[error("seq: {received}, older than {current}, which is held")]
+    #[error("seq: {received} is older than {current}, the version of the current list")]
     OlderVersion {
         /// The version of the rejected list.
         received: u64,
@@ -89,14 +90,14 @@
         id: String,
     },
     /// A suspicious list was received repeatedly.
-    #[error("{0}; accepted, since it came {REPEATS_TO_ACCEPT} times in a row")]
+    #[error("{0}; accepted, since it was received {REPEATS_TO_ACCEPT} times in a row")]
     AcceptedAfterRepeats(ListError),
     /// A suspicious list was received from enough replicas.
     #[error("{error}; accepted, since {replicas} replicas sent it and none sent another")]
     AcceptedFromReplicas {
-        /// Why it was suspicious.
+        /// Why the list was suspicious.
         error: ListError,
-        /// The number of replicas that sent one.
+        /// The number of replicas that sent a suspicious list.
         replicas: usize,
     },
 }
@@ -129,8 +130,8 @@
     }
 }
 
-/// Validates lists against the current one. Stores the version of the current list and which servers are ready, not
-/// the list itself.
+/// Validates lists against the current one. Stores the version of the current list and which servers are
+/// ready, not the list itself.
 #[derive(Clone, Debug, Default)]
 pub struct ListValidator {
     /// The version of the current list.
@@ -146,8 +147,8 @@
 }
 
 impl ListValidator {
-    /// Creates a validator whose current list has this version and these ready servers. `version` is `None` if it
-    /// cannot be compared with other versions.
+    /// Creates a validator whose current list has this version and these ready servers. `version` is `None`
+    /// if it cannot be compared with other versions.
     pub fn new(version: Option<u64>, ready: impl IntoIterator<Item = String>) -> Self {
         Self { current_version: version, ready: ready.into_iter().collect(), ..Self::default() }
     }
@@ -170,19 +171,19 @@
         *self = Self::new(None, std::mem::take(&mut self.ready));
     }
 
-    /// Records that other replicas of the same service are polled from now on. The current list stays valid, and the
-    /// suspicious lists received so far no longer count.
+    /// Records that other replicas of the same service are polled from now on. The current list stays valid,
+    /// and the suspicious lists received so far no longer count.
     pub fn replicas_replaced(&mut self) {
         self.suspicious_snapshots = 0;
         self.suspicious_sources.clear();
     }
 
-    /// Records servers that were reported as leaving in an answer that was not accepted. `version` is the version of
-    /// that answer, if it could be read.
+    /// Records servers that were reported as leaving in an answer that was not accepted. `version` is the
+    /// version of that answer, if it could be read.
     ///
-    /// A single service is polled for a snapshot next, which resolves the conflict. With several replicas, the others
-    /// may not know of the change yet: these servers are [`Self::suppressed`] until a list at least as new as the
-    /// answer is accepted.
+    /// A single service is polled for a snapshot next, which resolves the conflict. With several replicas,
+    /// the others may not know of the change yet: these servers are [`Self::suppressed`] until a list at
+    /// least as new as the answer is accepted.
     pub fn leaving_reported(&mut self, source: ListSource, version: Option<u64>, ids: BTreeSet<String>) {
         if !source.is_replicated() {
             self.snapshot_needed = true;
@@ -192,8 +193,8 @@
         self.suppressed.add(ids, version, self.current_version);
     }
 
-    /// Returns the servers that get no new requests although the last accepted list may say that they are ready: a
-    /// replica reported that they are leaving, and that list is older.
+    /// Returns the servers that get no new requests although the last accepted list may say that they are
+    /// ready: a replica reported that they are leaving, and that list is older.
     pub fn suppressed(&self) -> &BTreeSet<String> {
         self.suppressed.ids()
     }
@@ -213,8 +214,8 @@
         self.ready.contains(id)
     }
 
-    /// Accepts a list, which becomes the current one, or returns why it is rejected. If a list has several changes to
-    /// one server, the last one counts, since they are listed in order.
+    /// Accepts a list, which becomes the current one, or returns why it is rejected. If a list has several
+    /// changes to one server, the last one counts, since they are listed in order.
     pub fn validate(
         &mut self,
         source: ListSource,
@@ -236,7 +237,8 @@
         Ok(warnings)
     }
 
-    /// Counts a suspicious list and returns whether it is now accepted. If not, decides what is requested next.
+    /// Counts a suspicious list and returns whether it is now accepted. If not, decides what is requested
+    /// next.
     fn accepts_suspicious(&mut self, source: ListSource, list: &ReceivedList, error: &ListError) -> bool {
         let required = source.required_replicas(error);
         if required.is_some() {
@@ -247,8 +249,9 @@
         if list.is_snapshot && self.suspicious_snapshots >= REPEATS_TO_ACCEPT && enough_sources {
             return true;
         }
-        // A snapshot shows whether the list is right. A watch would not: a discovery that restarted its count has no
-        // changes to report until it passes the current version. Another replica may well have changes.
+        // A snapshot shows whether the list is right. A watch would not: a discovery that restarted its count
+        // has no changes to report until it passes the current version. Another replica may well have
+        // changes.
         self.snapshot_needed |= !source.is_replicated() || enough_sources;
         false
     }
--- a/crates/balancer-core/src/discovery/local_agent.rs
+++ b/crates/balancer-core/src/discovery/local_agent.rs
@@ -1,9 +1,9 @@
-//! Computes the wait, timeout and pause of polls to an agent on the node's own machine, which answers at once and at
-//! no cost to other nodes.
+//! Computes the wait, timeout and pause of polls to an agent on the node's own machine, which answers at once
+//! and at no cost to other nodes.
 //!
-//! The node counts as notified of a change as soon as the agent has it, even while the agent does not answer. The
-//! wait of a poll, the margin of its timeout and the pause before the next poll therefore together stay within the
-//! drain grace.
+//! The node counts as notified of a change as soon as the agent has it, even while the agent does not answer.
+//! The wait of a poll, the margin of its timeout and the pause before the next poll therefore together stay
+//! within the drain grace.
 
 use super::pacing::PollSettings;
 use super::poll_schedule::{Poll, PollKind};
--- a/crates/balancer-core/src/discovery/mod.rs
+++ b/crates/balancer-core/src/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! The client of the discovery service, without I/O and without a clock.
 //!
-//! Start with [`DiscoveryClient`]: it decides which replica to poll, the wait and the timeout of the poll, and the
-//! pause before the next one. [`ListValidator`] decides whether a received list is accepted. The caller performs the
-//! polls and reports their outcomes.
+//! Start with [`DiscoveryClient`]: it decides which replica to poll, the wait and the timeout of the poll,
+//! and the pause before the next one. [`ListValidator`] decides whether a received list is accepted. The
+//! caller performs the polls and reports their outcomes.
 //!
 //! | file | decides |
 //! | --- | --- |
--- a/crates/balancer-core/src/discovery/pacing.rs
+++ b/crates/balancer-core/src/discovery/pacing.rs
@@ -20,8 +20,8 @@
     /// [`Settings::drain_grace`].
     pub drain_grace: Duration,
     /// Whether all nodes poll one service, at a pace that depends on their number
-    /// ([`Settings::discovery_is_polled`]). Otherwise each node polls an agent on its own machine, several times
-    /// within each drain grace.
+    /// ([`Settings::discovery_is_polled`]). Otherwise each node polls an agent on its own machine, several
+    /// times within each drain grace.
     pub is_shared_service: bool,
 }
 
@@ -37,8 +37,8 @@
 }
 
 impl PollSettings {
-    /// Returns the interval at which the received part of an answer is read: the node counts as notified of what
-    /// discovery has written, even while the rest is outstanding.
+    /// Returns the interval at which the received part of an answer is read: the node counts as notified of
+    /// what discovery has written, even while the rest is outstanding.
     pub fn partial_read_interval(self) -> Duration {
         self.grace_fraction(PARTIAL_READS_PER_GRACE)
     }
@@ -54,7 +54,8 @@
 pub struct PollPacing {
     /// The settings; `nodes` is the number of nodes that poll one replica.
     pub settings: PollSettings,
-    /// The capacity of one replica and the nodes that share it; `None` if the operator configures no capacity.
+    /// The capacity of one replica and the nodes that share it; `None` if the operator configures no
+    /// capacity.
     pub share: Option<ReplicaShare>,
 }
 
@@ -65,8 +66,8 @@
 }
 
 impl PollPacing {
-    /// Paces polls to one of `replicas` replicas, among which the nodes are divided evenly. `list_lines` is the
-    /// length of the list that the node holds, in lines.
+    /// Paces polls to one of `replicas` replicas, among which the nodes are divided evenly. `list_lines` is
+    /// the length of the list that the node holds, in lines.
     pub fn new(
         settings: PollSettings,
         replicas: usize,
@@ -88,9 +89,9 @@
         self.share.unwrap_or(assumed).min_hold_down()
     }
 
-    /// Returns how long the rest of an answer may take once it has begun. `timeouts` is the number of snapshot polls
-    /// that timed out since the last answer or lost watch. Returns `None` if no capacity is configured: the time then
-    /// does not depend on the length of the answer.
+    /// Returns how long the rest of an answer may take once it has begun. `timeouts` is the number of
+    /// snapshot polls that timed out since the last answer or lost watch. Returns `None` if no capacity is
+    /// configured: the time then does not depend on the length of the answer.
     pub(super) fn answer_allowance(self, timeouts: u32) -> Option<Duration> {
         self.share.map(|share| share.answer_allowance(timeouts))
     }
--- a/crates/balancer-core/src/discovery/poll_schedule.rs
+++ b/crates/balancer-core/src/discovery/poll_schedule.rs
@@ -1,11 +1,13 @@
-//! Schedules the polls to one replica of discovery: the wait and timeout of each poll, and the pause before the next.
+//! Schedules the polls to one replica of discovery: the wait and timeout of each poll, and the pause before
+//! the next.
 
 use super::backoff::{self, Backoff, FailedPoll};
 use super::pacing::PollPacing;
 use super::{local_agent, watch};
 use std::time::Duration;
 
-/// Timeout of a snapshot poll, not including the time to send the list. Discovery gives up queued polls after 3 s.
+/// Timeout of a snapshot poll, not including the time to send the list. Discovery gives up queued polls after
+/// 3 s.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(3500);
 
 /// What a poll requests.
@@ -94,15 +96,15 @@
         pacing.into().answer_allowance(self.backoff.timeouts())
     }
 
-    /// Records that the next poll does not go to the replica that answered last. A network fault that dropped the
-    /// last watch may drop the next one too.
+    /// Records that the next poll does not go to the replica that answered last. A network fault that dropped
+    /// the last watch may drop the next one too.
     pub fn replica_changed(&mut self) {
         self.replica_changed = true;
     }
 
-    /// Records the outcome of a poll after which another replica is polled at once, without the pause of a backoff.
-    /// For snapshot polls, timeouts and the time without a list count, unless discovery answered that it is
-    /// overloaded. A lost watch counts only as a change of replica.
+    /// Records the outcome of a poll after which another replica is polled at once, without the pause of a
+    /// backoff. For snapshot polls, timeouts and the time without a list count, unless discovery answered
+    /// that it is overloaded. A lost watch counts only as a change of replica.
     pub fn failed_over(&mut self, poll: Poll, outcome: PollOutcome) {
         let failed = FailedPoll::new(poll, outcome).filter(|failed| !failed.is_overload());
         if let Some(failed) = failed.filter(|_| !poll.is_watch()) {
@@ -111,8 +113,8 @@
         self.replica_changed();
     }
 
-    /// Records the outcome of `poll` and returns the pause before the next poll, which is of kind `next`. `jitter` is a
-    /// random number from 0 to 1.
+    /// Records the outcome of `poll` and returns the pause before the next poll, which is of kind `next`.
+    /// `jitter` is a random number from 0 to 1.
     pub fn poll_ended(
         &mut self,
         pacing: impl Into<PollPacing>,
@@ -127,8 +129,8 @@
                 let early = poll.is_watch() && !has_changes && watch::returned_early(poll.wait, took);
                 self.answered(pacing, early, jitter)
             }
-            // No pause is needed: the random waits of the watches already spread the nodes, and discovery did not
-            // refuse anything. A snapshot poll that times out shows a busy discovery instead.
+            // No pause is needed: the random waits of the watches already spread the nodes, and discovery did
+            // not refuse anything. A snapshot poll that times out shows a busy discovery instead.
             PollOutcome::TimedOut if poll.is_watch() => {
                 *self = Self { backoff: Backoff::after_lost_watch(), ..Self::default() };
                 Duration::ZERO
@@ -143,8 +145,9 @@
         }
     }
 
-    /// Returns the pause after an answer. After the first early answer the next poll is sent at once. A discovery
-    /// that never waits is polled with a backoff, well within the time for which its last answer is valid.
+    /// Returns the pause after an answer. After the first early answer the next poll is sent at once. A
+    /// discovery that never waits is polled with a backoff, well within the time for which its last answer is
+    /// valid.
     fn answered(&mut self, pacing: PollPacing, early: bool, jitter: f64) -> Duration {
         let early_answers = if early { self.early_answers.saturating_add(1) } else { 0 };
         *self = Self { early_answers, ..Self::default() };
--- a/crates/balancer-core/src/discovery/replica_selection.rs
+++ b/crates/balancer-core/src/discovery/replica_selection.rs
@@ -1,16 +1,17 @@
 //! Selects the replica of the discovery service that a node polls.
 //!
-//! Each node has its own order of preference (see `rendezvous`): its preferred replica, then the others in order of
-//! failover. [`ReplicaSelection`] holds this order. After each poll it decides which replica is polled next, and when
-//! the node returns to its preferred replica.
+//! Each node has its own order of preference (see `rendezvous`): its preferred replica, then the others in
+//! order of failover. [`ReplicaSelection`] holds this order. After each poll it decides which replica is
+//! polled next, and when the node returns to its preferred replica.
 
 use super::rendezvous::preference_order;
 use super::unit_fraction;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Number of consecutive overload answers after which another replica is polled. That replica has its own nodes to
-/// answer, so it is not polled after a single overload answer, and only after the pause of a backoff.
+/// Number of consecutive overload answers after which another replica is polled. That replica has its own
+/// nodes to answer, so it is not polled after a single overload answer, and only after the pause of a
+/// backoff.
 const OVERLOADS_BEFORE_FAILOVER: u32 = 2;
 /// Maximum number of doublings of the hold-down, which doubles with each failed return.
 const MAX_HOLD_DOWN_DOUBLINGS: u32 = 4;
@@ -33,10 +34,11 @@
     Stay,
     /// The next replica is polled, without the pause of a backoff.
     FailOver,
-    /// The next replica is polled after the pause of a backoff: all replicas failed in a row, or one was overloaded
-    /// repeatedly.
+    /// The next replica is polled after the pause of a backoff: all replicas failed in a row, or one was
+    /// overloaded repeatedly.
     FailOverAfterBackoff,
-    /// The preferred replica, which had failed, is polled again. The replica that was polled until now still works.
+    /// The preferred replica, which had failed, is polled again. The replica that was polled until now still
+    /// works.
     ReturnToPreferred,
 }
 
@@ -78,8 +80,8 @@
 }
 
 impl ReplicaSelection {
-    /// Orders the replicas by the preference of `node`, which does not depend on the order of `names`. At least one
-    /// name is expected: a node without any has nothing to poll.
+    /// Orders the replicas by the preference of `node`, which does not depend on the order of `names`. At
+    /// least one name is expected: a node without any has nothing to poll.
     pub fn new(node: &str, names: Vec<String>) -> Self {
         let order = preference_order(node, &names);
         let last_poll_failed = vec![false; order.len()];
@@ -113,8 +115,8 @@
         self.names.len()
     }
 
-    /// Returns the number of replicas that share the nodes: those whose last poll by this node did not fail, but at
-    /// least 1.
+    /// Returns the number of replicas that share the nodes: those whose last poll by this node did not fail,
+    /// but at least 1.
     pub fn available(&self) -> usize {
         self.last_poll_failed.iter().filter(|failed| !**failed).count().max(1)
     }
@@ -125,8 +127,8 @@
     }
 
     /// Records the response to a poll of the current replica. `min_hold_down` is the minimum time for which a
-    /// preferred replica that failed is avoided. `jitter`, a random number from 0 to 1, adds up to the same time
-    /// again.
+    /// preferred replica that failed is avoided. `jitter`, a random number from 0 to 1, adds up to the same
+    /// time again.
     pub fn poll_ended(
         &mut self,
         now: Timestamp,
--- a/crates/balancer-core/src/endpoints.rs
+++ b/crates/balancer-core/src/endpoints.rs
@@ -31,7 +31,7 @@
     pub state: EndpointState,
     /// Capacity relative to other endpoints.
     pub weight: f64,
-    /// Start time of the present incarnation; `None` if the server has long been warm.
+    /// Start time of the current incarnation; `None` if the server has long been warm.
     pub started_at: Option<Timestamp>,
 }
 
--- a/crates/balancer-core/src/graceful_restart/predecessor.rs
+++ b/crates/balancer-core/src/graceful_restart/predecessor.rs
@@ -1,7 +1,7 @@
 //! The predecessor's side of a graceful restart: the process that serves and that a successor replaces.
 
-/// Number of successors that may die while they serve, or are about to serve, before further ones are rejected for a
-/// while.
+/// Number of successors that may die while they serve, or are about to serve, before further ones are
+/// rejected for a while.
 const MAX_SUCCESSOR_DEATHS: u8 = 2;
 
 /// An event at the predecessor.
@@ -13,8 +13,8 @@
     SuccessorReady,
     /// The successor accepts connections.
     SuccessorAccepting,
-    /// The successor serves and no longer needs a process on standby: it shuts down gracefully, or hands over to a
-    /// successor of its own.
+    /// The successor serves and no longer needs a process on standby: it shuts down gracefully, or hands over
+    /// to a successor of its own.
     Released,
     /// The successor gives up but is alive.
     Declined,
@@ -22,9 +22,9 @@
     SuccessorDied,
     /// The link has ended, but the successor is alive.
     LinkLost,
-    /// Before the hand-over is committed: the successor exceeded the time limit of this step (`[hand_over] within`).
-    /// On standby: the probation (`probation`) has passed and all requests that this process accepted have ended,
-    /// which is the normal end of a hand-over.
+    /// Before the hand-over is committed: the successor exceeded the time limit of this step
+    /// (`[hand_over] within`). On standby: the probation (`probation`) has passed and all requests that this
+    /// process accepted have ended, which is the normal end of a hand-over.
     TimedOut,
     /// The backoff after deaths of successors (`bar`) has expired.
     BackoffExpired,
@@ -33,26 +33,28 @@
 /// An action that the predecessor has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PredecessorAction {
-    /// Release the process on standby for this one, if there is one ([`super::SuccessorEvent::HandoverStarted`]): if
-    /// this process dies from now on, its own successor takes over. Then send the sockets and the learned state. The
-    /// time limit of the next step starts.
+    /// Release the process on standby for this one, if there is one
+    /// ([`super::SuccessorEvent::HandoverStarted`]): if this process dies from now on, its own successor
+    /// takes over. Then send the sockets and the learned state. The time limit of the next step starts.
     Offer,
-    /// Pause accepting and tell the successor to proceed, with the latest learned state. The time limit of the next
-    /// step starts.
+    /// Pause accepting and tell the successor to proceed, with the latest learned state. The time limit of
+    /// the next step starts.
     Pause,
     /// Resume accepting after a pause.
     Resume,
-    /// Tell the successor that the hand-over is cancelled and why, and close the link: successors are rejected for a
-    /// while, this one exceeded a time limit, or it sent a message out of order.
+    /// Tell the successor that the hand-over is cancelled and why, and close the link: successors are
+    /// rejected for a while, this one exceeded a time limit, or it sent a message out of order.
     Cancel,
-    /// Send the successor a termination signal, which does not depend on the link: it may be accepting, and must not
-    /// continue.
+    /// Send the successor a termination signal, which does not depend on the link: it may be accepting, and
+    /// must not continue.
     Fence,
-    /// Tell the successor that it serves from now on. Finish the requests in flight, and keep the sockets open.
+    /// Tell the successor that it serves from now on. Finish the requests in flight, and keep the sockets
+    /// open.
     Commit,
     /// Resume accepting after standing by.
     Rollback,
-    /// Deliver [`PredecessorEvent::BackoffExpired`] after the backoff (`bar`), and reject successors until then.
+    /// Deliver [`PredecessorEvent::BackoffExpired`] after the backoff (`bar`), and reject successors until
+    /// then.
     BackOff,
     /// Tell the successor that this process departs, close the link, finish the requests in flight, and exit.
     Depart,
@@ -78,7 +80,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Predecessor {
     state: PredecessorState,
-    /// Number of successors that died while they served, or were about to serve, since the last backoff expired.
+    /// Number of successors that died while they served, or were about to serve, since the last backoff
+    /// expired.
     successor_deaths: u8,
 }
 
@@ -110,8 +113,8 @@
         self.state
     }
 
-    /// Returns whether a hand-over is in progress that is not committed yet. A reload of the configuration waits
-    /// until it ends.
+    /// Returns whether a hand-over is in progress that is not committed yet. A reload of the configuration
+    /// waits until it ends.
     pub const fn is_handing_over(self) -> bool {
         matches!(self.state, PredecessorState::Offered | PredecessorState::Paused)
     }
@@ -121,8 +124,8 @@
         self.successor_deaths >= MAX_SUCCESSOR_DEATHS
     }
 
-    /// Counts the death of a successor that had clients. One that dies before it was told to proceed had none, so its
-    /// death says nothing about whether it can serve.
+    /// Counts the death of a successor that had clients. One that dies before it was told to proceed had
+    /// none, so its death says nothing about whether it can serve.
     fn count_death(&mut self, event: PredecessorEvent) {
         let had_clients = matches!(self.state, PredecessorState::Paused | PredecessorState::StandingBy);
         if event == PredecessorEvent::SuccessorDied && had_clients {
@@ -154,9 +157,9 @@
             (StandingBy, SuccessorDied) if backing_off => (Serving, &[Rollback, BackOff]),
             (StandingBy, SuccessorDied | Declined) => (Serving, &[Rollback]),
             (StandingBy, Released | TimedOut) => (Departed, &[Depart]),
-            // A link that is lost on standby changes nothing here: the successor keeps the clients. This process
-            // stands by until the probation ends, the successor's death is reported, or the successor sends a
-            // termination signal.
+            // A link that is lost on standby changes nothing here: the successor keeps the clients. This
+            // process stands by until the probation ends, the successor's death is reported, or the successor
+            // sends a termination signal.
             (state, _) => (state, &[]),
         }
     }
--- a/crates/balancer-core/src/graceful_restart/successor.rs
+++ b/crates/balancer-core/src/graceful_restart/successor.rs
@@ -32,8 +32,8 @@
     Accept,
     /// Tell the predecessor that this process accepts connections.
     SendAccepting,
-    /// Tell the predecessor that it need not stand by, and close the link. If the message cannot be sent, proceed as
-    /// for [`Self::TerminatePredecessor`].
+    /// Tell the predecessor that it need not stand by, and close the link. If the message cannot be sent,
+    /// proceed as for [`Self::TerminatePredecessor`].
     Release,
     /// Tell the predecessor to serve on without this process, and close the link.
     Decline,
@@ -105,8 +105,8 @@
             (Preparing | Ready, PredecessorDied) => (Serving, &[Accept, TakeOwnership]),
             (Ready, Proceed) => (Accepting, &[Accept, SendAccepting]),
             (Accepting, Committed) => (OnProbation, &[TakeOwnership]),
-            // If the link is lost in this state, nothing happens yet: the predecessor either stands by or fences this
-            // process. A signal or the predecessor's death tells which.
+            // If the link is lost in this state, nothing happens yet: the predecessor either stands by or
+            // fences this process. A signal or the predecessor's death tells which.
             (Accepting, PredecessorDied | PredecessorDeparted) => (Serving, &[TakeOwnership]),
             (Accepting, Cancelled) => (Ended, &[Drain]),
             (Accepting, StopRequested) => (Ended, &[Decline, Drain]),
--- a/crates/balancer-core/src/platform/fields.rs
+++ b/crates/balancer-core/src/platform/fields.rs
@@ -15,8 +15,8 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Parses `rest`, the part of `line` that follows the name of the message: `name=value` pairs separated by
-    /// spaces.
+    /// Parses `rest`, the part of `line` that follows the name of the message: `name=value` pairs separated
+    /// by spaces.
     pub fn of_line(line: &'a str, rest: &'a str) -> Self {
         Self { line, pairs: rest.split(' ').filter_map(|part| part.split_once('=')).collect() }
     }
@@ -60,8 +60,8 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError::MissingField`] if the field is missing, [`PlatformError::UnreadableField`] if the value
-    /// cannot be parsed as a `T`.
+    /// [`PlatformError::MissingField`] if the field is missing, [`PlatformError::UnreadableField`] if the
+    /// value cannot be parsed as a `T`.
     pub fn required<T: FromStr>(&self, name: &str) -> Result<T, PlatformError> {
         self.optional(name)?.ok_or_else(|| self.missing(name))
     }
--- a/crates/balancer-core/src/platform/load_report.rs
+++ b/crates/balancer-core/src/platform/load_report.rs
@@ -3,9 +3,10 @@
 use crate::requests::LoadReport;
 use std::time::Duration;
 
-/// Reads a load report: name-value pairs that are separated by commas, with `separator` between name and value. A
-/// value has one name on the wire and another on the sockets. A value that is not a finite number from 0 up is left
-/// out, since an invalid report of a server must not stop the node.
+/// Reads a load report: name-value pairs that are separated by commas, with `separator` between name and
+/// value. Each value has one name on the simulator's wire and another in the header of a cache server. A
+/// value that is not a finite number from 0 up is left out, since an invalid report of a server must not stop
+/// the node.
 pub fn read_load_report(text: &str, separator: char) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|part| part.split_once(separator)) {
--- a/crates/balancer-core/src/platform/settings.rs
+++ b/crates/balancer-core/src/platform/settings.rs
@@ -45,20 +45,20 @@
 ///
 /// # Errors
 ///
-/// [`PlatformError::InvalidSetting`] for an invalid value, [`PlatformError::MissingSetting`] for a class or tenant
-/// without a name.
+/// [`PlatformError::InvalidSetting`] for an invalid value, [`PlatformError::MissingSetting`] for a class or
+/// tenant without a name.
 pub fn read_settings(pairs: &[(String, String)]) -> Result<Settings, PlatformError> {
     let fields = Fields::of_pairs(pairs);
     SettingsReader { fields: &fields, on_invalid: InvalidValuePolicy::Fail }.settings()
 }
 
-/// Reads the settings of a wire message. Numbers out of range and unknown words are replaced by defaults: an adapter
-/// that ended because of them would end all instances with it.
+/// Reads the settings of a wire message. Numbers out of range and unknown words are replaced by defaults: an
+/// adapter that ended because of them would end all instances with it.
 ///
 /// # Errors
 ///
-/// [`PlatformError::InvalidSetting`] for a value of the wrong type, [`PlatformError::MissingSetting`] for a class or tenant
-/// without a name.
+/// [`PlatformError::InvalidSetting`] for a value of the wrong type, [`PlatformError::MissingSetting`] for a
+/// class or tenant without a name.
 pub fn read_wire_settings(fields: &Fields) -> Result<Settings, PlatformError> {
     SettingsReader { fields, on_invalid: InvalidValuePolicy::UseDefault }.settings()
 }
@@ -158,7 +158,8 @@
         Ok(Tenant { name, quota_per_second: quota.unwrap_or(f64::INFINITY) })
     }
 
-    /// Reads who fetches misses. `family_info.origin_kind` is the index of the origin's kind in the list `shapes`.
+    /// Reads who fetches misses. `family_info.origin_kind` is the index of the origin's kind in the list
+    /// `shapes`.
     fn cache_mode(&self) -> Result<CacheMode, PlatformError> {
         let origin_kind = self.count::<i64>("family_info.origin_kind", -1)?.unwrap_or(-1);
         let mut kinds = self.fields.text("shapes").unwrap_or("").split(',');
@@ -208,9 +209,10 @@
 
     /// Reads a duration in microseconds. Returns `default` if it is not set.
     fn duration_or(&self, name: &str, default: Duration) -> Result<Duration, PlatformError> {
-        // Only a configuration is limited to the maximum duration: on the wire every number is a valid duration.
+        // Only a configuration is limited to the maximum duration: on the wire every number is a valid
+        // duration.
         let is_bounded = self.on_invalid == InvalidValuePolicy::Fail;
-        let expected = "a whole number of microseconds, a year at the most";
+        let expected = "a whole number of microseconds, at most a year";
         let duration = self.setting(name, expected, |text| {
             let duration = text.parse().ok().map(Duration::from_micros);
             Parsed::valid_if(duration, |duration| !is_bounded || *duration <= MAX_DURATION)
--- a/crates/balancer-core/src/settings.rs
+++ b/crates/balancer-core/src/settings.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantId(pub usize);
 
-/// The servers among which a second attempt with the same idempotency key is recognised and discarded.
+/// The servers among which a second attempt with the same idempotency key is recognized and discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All servers.
@@ -32,9 +32,9 @@
     /// The request carries an idempotency key. Within `scope`, repeated attempts have no further effect for
     /// the duration of `window` from the first attempt that may have run.
     WithKey {
-        /// Servers that recognise the key.
+        /// Servers that recognize the key.
         scope: DeduplicationScope,
-        /// Time for which the servers recognise the key.
+        /// Time for which the servers recognize the key.
         window: Duration,
     },
     /// The request must not run twice.
@@ -50,12 +50,13 @@
     pub idempotency: Idempotency,
     /// An answer within this time counts with its full weight.
     pub latency_objective: Duration,
-    /// Time after which clients give up for good. No decision uses it yet: they use the deadline of the request.
+    /// Time after which clients give up for good. No decision uses it yet: they use the deadline of the
+    /// request.
     pub deadline: Duration,
     /// Weight of an answer relative to other classes.
     pub priority_weight: f64,
-    /// Fraction of `priority_weight`, from 0 to 1, with which an answer after `latency_objective` counts. No decision
-    /// uses it yet.
+    /// Fraction of `priority_weight`, from 0 to 1, with which an answer after `latency_objective` counts. No
+    /// decision uses it yet.
     pub late_weight_fraction: f64,
 }
 
@@ -99,7 +100,8 @@
 pub struct Settings {
     /// Zone of this node. No decision uses it yet.
     pub zone: Option<Name>,
-    /// Number of nodes that share the cache servers. Each node uses its share of the limits of the whole fleet.
+    /// Number of nodes that share the cache servers. Each node uses its share of the limits of the whole
+    /// fleet.
     pub nodes: u32,
     /// Classes of requests.
     pub classes: Vec<RequestClass>,
@@ -112,8 +114,9 @@
     pub mode: CacheMode,
     /// Whether endpoint weights reflect the speed of a server, rather than only its number of cores.
     pub weights_reflect_speed: bool,
-    /// Source of the endpoint list. `true`: one discovery service that all nodes poll, at a rate that depends on their
-    /// number. `false`: an agent on the node's own machine, polled several times within each `drain_grace`.
+    /// Source of the endpoint list. `true`: one discovery service that all nodes poll, at a rate that depends
+    /// on their number. `false`: an agent on the node's own machine, polled several times within each
+    /// `drain_grace`.
     pub discovery_is_polled: bool,
     /// Whether discovery reports the start times of servers. If not, an endpoint that appears later counts as
     /// just started.
@@ -144,9 +147,9 @@
     /// discovery, or four times as long if that poll failed. After that, a change counts as notified this
     /// long after it was made.
     pub max_poll_interval: Duration,
-    /// Time after the notification that a server is draining from which no new attempt may be sent to that server. The
-    /// balancer sends none from the notification itself on. Discovery is polled often enough for the notification to
-    /// arrive in time.
+    /// Time after the notification that a server is draining from which no new attempt may be sent to that
+    /// server. The balancer sends none from the notification itself on. Discovery is polled often enough for
+    /// the notification to arrive in time.
     pub drain_grace: Duration,
 }
 
--- a/crates/balancer-core/src/supervisor/messages.rs
+++ b/crates/balancer-core/src/supervisor/messages.rs
@@ -13,8 +13,8 @@
 /// The time limits of all instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The wait before a process that exited unexpectedly is restarted. It doubles with each further exit. Default:
-    /// 200 ms.
+    /// The wait before a process that exited unexpectedly is restarted. It doubles with each further exit.
+    /// Default: 200 ms.
     pub restart_backoff: Duration,
     /// The upper bound of the restart backoff. Default: 10 s.
     pub max_restart_backoff: Duration,
@@ -22,8 +22,8 @@
     pub stable_after: Duration,
     /// A process that is not ready after this time is killed. Default: 40 s.
     pub readiness_timeout: Duration,
-    /// A process that was told to stop or has handed over is killed after this time, which includes its time on
-    /// standby. Default: 20 s.
+    /// A process that was told to stop or has handed over is killed after this time, which includes its time
+    /// on standby. Default: 20 s.
     pub termination_timeout: Duration,
     /// A serving process that sends no heartbeat for this long is killed. Default: 10 s.
     pub watchdog_timeout: Duration,
@@ -150,11 +150,13 @@
             ),
             Self::UpgradeFailed { instance, process } => write!(
                 f,
-                "instance {instance}: process {process} exited before it took over; no more instances are replaced"
+                "instance {instance}: process {process} exited before it took over; \
+                 no more instances are replaced"
             ),
             Self::Restarting { instance, process, backoff } => write!(
                 f,
-                "instance {instance}: process {process} exited unexpectedly; the next process starts in {backoff:?}"
+                "instance {instance}: process {process} exited unexpectedly; \
+                 the next process starts in {backoff:?}"
             ),
             Self::Killed(process) => write!(f, "process {process} exceeded its time limit and is killed"),
         }
--- a/crates/balancer-core/src/supervisor/mod.rs
+++ b/crates/balancer-core/src/supervisor/mod.rs
@@ -1,13 +1,16 @@
-//! Supervises a fleet of instances: decides when the process of each is started, restarted, replaced and stopped.
-//! This module has no I/O and no clock: the caller starts the processes, reports their events and sends the signals.
+//! Supervises a fleet of instances: decides when the process of each is started, restarted, replaced and
+//! stopped. This module has no I/O and no clock: the caller starts the processes, reports their events and
+//! sends the signals.
 //!
 //! An instance is a configuration and an address, under which one process runs after another. Start with
 //! [`Supervisor`], which follows these rules:
 //!
-//! * A process that exits unexpectedly is restarted after a backoff that doubles ([`Limits::restart_backoff`]).
+//! * A process that exits unexpectedly is restarted after a backoff that doubles
+//!   ([`Limits::restart_backoff`]).
 //! * A process that is not ready in time, sends no heartbeat, or does not stop in time is killed.
-//! * A rolling upgrade replaces the process of one instance at a time, each after the probation of the one before, so
-//!   that a fault of the new version shows at the first instance. It ends with the first successor that fails.
+//! * A rolling upgrade replaces the process of one instance at a time, each after the probation of the one
+//!   before, so that a fault of the new version shows at the first instance. It ends with the first successor
+//!   that fails.
 
 mod instance;
 mod messages;
@@ -18,8 +21,8 @@
 use instance::{Instance, Process};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A process that was told to stop or has handed over. It gets no further commands until it exits or its deadline
-/// passes.
+/// A process that was told to stop or has handed over. It gets no further commands until it exits or its
+/// deadline passes.
 #[derive(Clone, Copy, Debug)]
 struct LeavingProcess {
     /// When the process is killed.
@@ -44,8 +47,8 @@
 }
 
 impl Supervisor {
-    /// Creates a supervisor of this number of instances. None of them runs yet: the first [`Event::TimerExpired`]
-    /// starts them.
+    /// Creates a supervisor of this number of instances. None of them runs yet: the first
+    /// [`Event::TimerExpired`] starts them.
     pub fn new(instances: usize, limits: Limits) -> Self {
         Self {
             limits,
@@ -134,8 +137,8 @@
         actions.push(Action::Log(Notice::TookOver { instance, process }));
     }
 
-    /// Makes a process that had handed over the current one again: its successor has died or is about to be reported
-    /// dead.
+    /// Makes a process that had handed over the current one again: its successor has died or is about to be
+    /// reported dead.
     fn roll_back(&mut self, now: Timestamp, process: ProcessId, actions: &mut Vec<Action>) {
         let Some(instance) = self.leaving.get(&process).and_then(|leaving| leaving.standby_for) else {
             return;
@@ -183,8 +186,8 @@
             state.start_at = (!state.stopped).then_some(now);
             return;
         }
-        // A process with a successor may have handed over. The successor reports ready once it serves, but the exit
-        // is reported first if the process had no request left to finish.
+        // A process with a successor may have handed over. The successor reports ready once it serves, but
+        // the exit is reported first if the process had no request left to finish.
         if state.stopped || state.successor.is_some() {
             return;
         }
@@ -192,8 +195,8 @@
         actions.push(Action::Log(Notice::Restarting { instance, process, backoff }));
     }
 
-    /// Handles the exit of a successor that did not serve yet. Ends the upgrade, since the next successor would fail
-    /// as well.
+    /// Handles the exit of a successor that did not serve yet. Ends the upgrade, since the next successor
+    /// would fail as well.
     fn successor_failed(
         &mut self,
         now: Timestamp,
@@ -275,8 +278,8 @@
         self.instances.iter().filter(|instance| !instance.stopped).flat_map(Instance::processes)
     }
 
-    /// Starts the processes that are due. An instance that is still draining holds its address, so its next process
-    /// has to wait.
+    /// Starts the processes that are due. An instance that is still draining holds its address, so its next
+    /// process has to wait.
     fn start_due(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         for instance in 0..self.instances.len() {
             let state = &self.instances[instance];
@@ -316,8 +319,8 @@
         }
     }
 
-    /// Starts the successor in the next instance, once the previous instance has its new process and the probation is
-    /// over: a fault of the new version shows at the first instance.
+    /// Starts the successor in the next instance, once the previous instance has its new process and the
+    /// probation is over: a fault of the new version shows at the first instance.
     fn upgrade_next(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if self.is_replacing() {
             return;
--- a/crates/balancer-core/tests/circuit_breaker.rs
+++ b/crates/balancer-core/tests/circuit_breaker.rs
@@ -334,7 +334,7 @@
     assert_eq!(node.call(7, AttemptStatus::Ok), Some(own));
 }
 
-/// Under overload, attempts time out at all servers. If one time-out ejected a rarely used server, nodes
+/// Under overload, attempts time out at all servers. If one timeout ejected a rarely used server, nodes
 /// would eject most of the fleet.
 #[test]
 fn one_timeout_ejects_no_server() {
--- a/crates/balancer-core/tests/graceful_restart.rs
+++ b/crates/balancer-core/tests/graceful_restart.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// Guards against a faulty version that is accepted again and again, and each time fails the clients handed over to
-/// it.
+/// Guards against a faulty version that is accepted again and again, and each time fails the clients handed
+/// over to it.
 #[test]
 fn a_third_successor_is_rejected_after_two_deaths_until_the_backoff_expires() {
     let on_probation = [Requested, SuccessorReady, SuccessorAccepting, SuccessorDied];
--- a/crates/balancer-core/tests/graceful_restart_model/main.rs
+++ b/crates/balancer-core/tests/graceful_restart_model/main.rs
@@ -1,5 +1,6 @@
-//! Checks the graceful restart with a model checker, through every order of messages, deaths, hangs, lost links and
-//! stops. The model has up to three processes: a process, its successor, and the successor's own successor.
+//! Checks the graceful restart with a model checker, through every order of messages, deaths, hangs, lost
+//! links and stops. The model has up to three processes: a process, its successor, and the successor's own
+//! successor.
 
 mod system;
 
@@ -247,8 +248,8 @@
     Some(())
 }
 
-/// Guards against a fault during a hand-over that leaves no process, or two processes, accepting connections. The
-/// checker visits every order of steps that the budgets allow.
+/// Guards against a fault during a hand-over that leaves no process, or two processes, accepting connections.
+/// The checker visits every order of steps that the budgets allow.
 #[test]
 fn every_order_of_messages_and_faults_leaves_one_living_process_accepting() {
     let quiet = Budget { successors: 2, deaths: 0, hangs: 0, cuts: 0, stops: 0 };
--- a/crates/balancer-core/tests/graceful_restart_model/system.rs
+++ b/crates/balancer-core/tests/graceful_restart_model/system.rs
@@ -192,7 +192,8 @@
         (!messages.is_empty()).then(|| messages.remove(0))
     }
 
-    /// Records that one end was told of the link's end. Returns whether the process at the other end has died.
+    /// Records that one end was told of the link's end. Returns whether the process at the other end has
+    /// died.
     pub fn link_ended(&mut self, index: usize, at_predecessor: bool) -> bool {
         let peer_died = !self.processes[if at_predecessor { index + 1 } else { index }].alive;
         let link = &mut self.links[index];
--- a/crates/balancer-core/tests/list_validator.rs
+++ b/crates/balancer-core/tests/list_validator.rs
@@ -29,7 +29,7 @@
     );
     assert_eq!(validate(&mut validator, 50, true, &[entry("b", Ready)]), Ok(vec![]));
     assert_eq!(validator.watch_from(), Some(50));
-    assert_eq!(validate(&mut validator, 50, true, &[entry("b", Ready)]), Ok(vec![]), "the same again");
+    assert_eq!(validate(&mut validator, 50, true, &[entry("b", Ready)]), Ok(vec![]), "the same list again");
 }
 
 #[test]
@@ -64,7 +64,11 @@
     let error = ListError::Empty { known_ready: 2 };
     assert_eq!(validate(&mut validator, 42, true, &[]), Err(error.clone()));
     assert_eq!(validate(&mut validator, 43, true, &[]), Err(error.clone()));
-    assert_eq!(validate(&mut validator, 44, true, &[entry("a", Ready)]), Ok(vec![]), "a good one between");
+    assert_eq!(
+        validate(&mut validator, 44, true, &[entry("a", Ready)]),
+        Ok(vec![]),
+        "a valid list in between"
+    );
     for version in [45, 46] {
         assert_eq!(validate(&mut validator, version, true, &[]), Err(ListError::Empty { known_ready: 1 }));
     }
@@ -97,7 +101,11 @@
     let message = accepted.unwrap()[0].to_string();
     assert_eq!(message, "hosts[1]: c is ready and has no address; expected one in dial");
     let removed = ListEntry { has_address: false, ..entry("b", Removed) };
-    assert_eq!(validate(&mut validator, 43, false, &[removed]), Ok(vec![]), "a removed one needs none");
+    assert_eq!(
+        validate(&mut validator, 43, false, &[removed]),
+        Ok(vec![]),
+        "a removed server needs no address"
+    );
 }
 
 #[test]
@@ -123,10 +131,11 @@
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
 proptest! {
-    /// A discovery that restarted, or whose store was damaged, may send any list once or twice. If one such list were
-    /// accepted, the node would lose its whole fleet at once or fall back to an old state of it. Whatever lists are
-    /// received, the next request is for changes after the accepted version or for a snapshot, and only a list that
-    /// was received three times decreases the version or removes all known servers.
+    /// A discovery that restarted, or whose store was damaged, may send any list once or twice. If one such
+    /// list were accepted, the node would lose its whole fleet at once or fall back to an old state of it.
+    /// Whatever lists are received, the next request is for changes after the accepted version or for a
+    /// snapshot, and only a list that was received three times decreases the version or removes all known
+    /// servers.
     #[test]
     fn no_single_list_takes_the_version_back_or_empties_the_fleet(lists in prop::collection::vec(any_list(), 1..60)) {
         let mut validator = validator_with_list();
@@ -154,8 +163,8 @@
         }
     }
 
-    /// Rejecting a list of a working discovery would delay a change by a poll and a backoff, so none may be rejected,
-    /// however the fleet changes.
+    /// Rejecting a list of a working discovery would delay a change by a poll and a backoff, so none may be
+    /// rejected, however the fleet changes.
     #[test]
     fn every_list_of_a_working_discovery_is_accepted(changes in prop::collection::vec((any::<bool>(), 0..6_usize), 1..60)) {
         let mut validator = ListValidator::default();
--- a/crates/balancer-core/tests/list_validator_replicas.rs
+++ b/crates/balancer-core/tests/list_validator_replicas.rs
@@ -1,5 +1,6 @@
-//! Checks which lists of several replicas of one service are accepted: versions do not decrease, and a server that
-//! one replica reported as leaving does not become ready again because of an older list of another replica.
+//! Checks which lists of several replicas of one service are accepted: versions do not decrease, and a server
+//! that one replica reported as leaving does not become ready again because of an older list of another
+//! replica.
 
 #[path = "support/lists.rs"]
 mod lists;
@@ -143,7 +144,8 @@
     assert!(validator.suppressed().is_empty());
 }
 
-/// Generates answers: the replica, a version, whether it is a snapshot, entries, and whether the answer is cut off.
+/// Generates answers: the replica, a version, whether it is a snapshot, entries, and whether the answer is
+/// cut off.
 fn any_answer() -> impl Strategy<Value = (usize, u64, bool, Vec<(usize, EndpointState)>, bool)> {
     let state = prop::sample::select(vec![Ready, Draining, Removed]);
     let entries = prop::collection::vec((0..4_usize, state), 0..4);
@@ -151,11 +153,11 @@
 }
 
 proptest! {
-    /// Guards against replicas that lag after a network partition: they could decrease the version, or make a server
-    /// ready again that another replica reported as leaving, and requests would go to a server that is shutting down.
-    /// Whatever they send, the version decreases only after each of them has sent an older list since one was
-    /// accepted, all known servers disappear only after three of them (or both of two) sent an empty list, and a
-    /// leaving server becomes ready only by a list as new as the report.
+    /// Guards against replicas that lag after a network partition: they could decrease the version, or make a
+    /// server ready again that another replica reported as leaving, and requests would go to a server that is
+    /// shutting down. Whatever they send, the version decreases only after each of them has sent an older
+    /// list since one was accepted, all known servers disappear only after three of them (or both of two)
+    /// sent an empty list, and a leaving server becomes ready only by a list as new as the report.
     #[test]
     fn versions_do_not_go_back_and_leaving_servers_stay_suppressed(
         replicas in 2..5_usize,
--- a/crates/balancer-core/tests/overload.rs
+++ b/crates/balancer-core/tests/overload.rs
@@ -46,7 +46,7 @@
     (sent, to_slow)
 }
 
-/// A slow server answers within its time-out, so its circuit breaker stays closed. Without a concurrency
+/// A slow server answers within its timeout, so its circuit breaker stays closed. Without a concurrency
 /// limit, answers for its keys would stay late permanently.
 #[test]
 fn a_slow_server_is_sent_fewer_requests() {
@@ -179,7 +179,7 @@
     );
 }
 
-/// Misses time out while the origin is slow. If servers were blamed for these time-outs, a fleet with idle
+/// Misses time out while the origin is slow. If servers were blamed for these timeouts, a fleet with idle
 /// servers would reject hits and move keys to servers that have not cached them.
 #[test]
 fn timeouts_with_an_empty_queue_neither_eject_servers_nor_lower_limits() {
--- a/crates/balancer-core/tests/platform.rs
+++ b/crates/balancer-core/tests/platform.rs
@@ -18,8 +18,8 @@
     assert_eq!(settings_of(&[]).expect("no setting is required"), Settings::default());
 }
 
-/// An invalid value is a mistake in the configuration. If it were replaced by a default, it would go unnoticed until
-/// the node behaves differently from its configuration.
+/// An invalid value is a mistake in the configuration. If it were replaced by a default, it would go
+/// unnoticed until the node behaves differently from its configuration.
 #[test]
 fn configuration_errors_name_the_setting_and_its_allowed_values() {
     for (name, value, message) in [
@@ -31,7 +31,7 @@
         (
             "safety.fall_us",
             "40000000000000",
-            "safety.fall_us: expected a whole number of microseconds, a year at the most, found \"40000000000000\"",
+            "safety.fall_us: expected a whole number of microseconds, at most a year, found \"40000000000000\"",
         ),
         ("lanes.0.effect", "twice", "lanes.0.effect: expected one of safe, keyed, unsafe, found \"twice\""),
         ("lanes.0.dedup_scope", "row", "lanes.0.dedup_scope: expected one of all, zone, cell, found \"row\""),
--- a/crates/balancer-core/tests/poll_schedule.rs
+++ b/crates/balancer-core/tests/poll_schedule.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use PollKind::{Snapshot, Watch};
 
-/// Discovery gives up polls that it has queued for this long.
+/// Time after which discovery gives up a queued poll.
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[test]
@@ -28,9 +28,9 @@
     }
 }
 
-/// Polls after a lost watch are retried sooner than others, since the changes that it missed have a deadline. If that
-/// continued, a discovery that is down would be polled far more often after a network fault than at any other time,
-/// so only two retries are urgent.
+/// Polls after a lost watch are retried sooner than others, since the changes that it missed have a deadline.
+/// If that continued, a discovery that is down would be polled far more often after a network fault than at
+/// any other time, so only two retries are urgent.
 #[test]
 fn only_two_retries_after_a_lost_watch_are_urgent() {
     let settings = settings(350);
@@ -48,8 +48,9 @@
     assert_eq!(pause(PollOutcome::Failed), backoff(350, 1, Watch, 1.0));
 }
 
-/// The network fault that dropped one poll may drop the next watch as well. With a usual wait of up to 20 s, the loss
-/// would be detected too late for the changes that the watch misses; a short wait leaves time for another poll.
+/// The network fault that dropped one poll may drop the next watch as well. With a usual wait of up to 20 s,
+/// the loss would be detected too late for the changes that the watch misses; a short wait leaves time for
+/// another poll.
 #[test]
 fn the_watch_after_a_failed_poll_is_short_once_all_nodes_can_have_polled() {
     for nodes in [1, 20, 60, 350] {
@@ -74,8 +75,8 @@
     }
 }
 
-/// Guards against hundreds of nodes that each poll in a loop without a pause, because discovery answers watches at
-/// once although there are no changes.
+/// Guards against hundreds of nodes that each poll in a loop without a pause, because discovery answers
+/// watches at once although there are no changes.
 #[test]
 fn a_discovery_that_never_waits_is_polled_a_bounded_number_of_times() {
     const SPAN: Duration = Duration::from_secs(600);
@@ -134,10 +135,11 @@
 }
 
 proptest! {
-    /// A pause that is too long delays a change past its deadline, and polls without a pause overload discovery.
-    /// However polls end: a watch times out, and the next poll is sent, before the node counts as notified of the
-    /// events it missed; after failures there are at least two polls in the time for which a failed one leaves the
-    /// list valid; and polls repeat without a pause only after a watch that waited, or after changes.
+    /// A pause that is too long delays a change past its deadline, and polls without a pause overload
+    /// discovery. However polls end: a watch times out, and the next poll is sent, before the node counts as
+    /// notified of the events it missed; after failures there are at least two polls in the time for which a
+    /// failed one leaves the list valid; and polls repeat without a pause only after a watch that waited, or
+    /// after changes.
     #[test]
     fn the_next_poll_is_in_time_however_polls_end(
         nodes in 1..5_000_u32,
--- a/crates/balancer-core/tests/poll_schedule_fleet.rs
+++ b/crates/balancer-core/tests/poll_schedule_fleet.rs
@@ -1,5 +1,5 @@
-//! Simulates fleets that poll one discovery service at once, in virtual time. The service answers polls one after the
-//! other. A poll that would be queued for longer than [`QUEUE_TIMEOUT`] fails.
+//! Simulates fleets that poll one discovery service at once, in virtual time. The service answers polls one
+//! after the other. A poll that would be queued for longer than [`QUEUE_TIMEOUT`] fails.
 
 #[path = "support/poll_settings.rs"]
 mod poll_settings;
@@ -24,8 +24,8 @@
 /// Pending polls, as pairs of the time in microseconds and the node.
 type PollQueue = BinaryHeap<Reverse<(u64, u32)>>;
 
-/// Returns the time for one answer, in seconds, if all nodes are answered within `round`. It is at most 0.25 s, even
-/// for a few nodes.
+/// Returns the time for one answer, in seconds, if all nodes are answered within `round`. It is at most 0.25
+/// s, even for a few nodes.
 fn answer_time(nodes: u32, round: f64) -> f64 {
     (round / f64::from(nodes)).min(0.25)
 }
@@ -51,8 +51,8 @@
     pause
 }
 
-/// Returns when the last node is answered, in seconds, and the number of polls of all nodes, or `None` if that takes
-/// over an hour. A snapshot has `lines` lines; nodes that watch have no changes to receive.
+/// Returns when the last node is answered, in seconds, and the number of polls of all nodes, or `None` if
+/// that takes over an hour. A snapshot has `lines` lines; nodes that watch have no changes to receive.
 fn all_answered(
     pause: impl Fn(u32, u32, PollKind, f64) -> Duration,
     nodes: u32,
@@ -105,7 +105,7 @@
 
 #[test]
 fn nodes_without_a_list_receive_one_within_twice_the_sending_time_plus_one_step() {
-    println!("| nodes | servers | sending takes | all have it, before | now | polls a node, before | now |");
+    println!("| nodes | servers | sending time | last list, before | now | polls per node, before | now |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (nodes, servers) in
         [(1, 8), (8, 20), (20, 20), (60, 20), (60, 83), (200, 83), (450, 83), (450, 20), (1_000, 83)]
@@ -147,9 +147,9 @@
     }
 }
 
-/// The deadline bounds the pause before a watch. If it also bounded the pause before a snapshot, a discovery that
-/// sends snapshots slowly would spend its capacity on failing polls, and a large fleet would wait longer for its
-/// lists.
+/// The deadline bounds the pause before a watch. If it also bounded the pause before a snapshot, a discovery
+/// that sends snapshots slowly would spend its capacity on failing polls, and a large fleet would wait longer
+/// for its lists.
 #[test]
 fn bounding_the_pause_before_snapshots_would_delay_the_lists_of_large_fleets() {
     let bounded = |nodes: u32, failures: u32, kind: PollKind, jitter: f64| {
@@ -161,9 +161,9 @@
     assert!(with.expect("an end").0 > 1.2 * without.expect("an end").0);
 }
 
-/// Returns the number of nodes whose next answer comes too late for the changes that their lost watches missed. All
-/// watches were opened and lost together. A fraction `refused` of the polls fails at once, as do those that would be
-/// queued for too long.
+/// Returns the number of nodes whose next answer comes too late for the changes that their lost watches
+/// missed. All watches were opened and lost together. A fraction `refused` of the polls fails at once, as do
+/// those that would be queued for too long.
 fn late_after_lost_watches(nodes: u32, refused: f64, seed: u64, watch: impl Fn(f64) -> Poll) -> usize {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut queue = PollQueue::new();
@@ -193,12 +193,12 @@
     late
 }
 
-/// A network fault drops the watches of all nodes at once. If the nodes also returned at once, discovery could not
-/// answer most of them before they count as notified of the missed changes, and they would continue to send to
-/// servers that have left. The random waits of the watches spread the nodes.
+/// A network fault drops the watches of all nodes at once. If the nodes also returned at once, discovery
+/// could not answer most of them before they count as notified of the missed changes, and they would continue
+/// to send to servers that have left. The random waits of the watches spread the nodes.
 #[test]
 fn nodes_whose_watches_were_lost_together_are_all_notified_in_time() {
-    println!("| nodes | late, none refused | of 10 seeds, one poll in ten refused |");
+    println!("| nodes | late in 10 seeds, no poll refused | late in 10 seeds, one poll in ten refused |");
     println!("| --- | --- | --- |");
     for nodes in [1, 8, 60, 350, 1_024, 5_000] {
         let watch = |jitter: f64| PollSchedule::default().next_poll(settings(nodes), Watch, jitter);
@@ -212,8 +212,8 @@
     }
 }
 
-/// Verifies the simulation of the test above: with the earlier schedules, which had one wait for all nodes, with and
-/// without a random part of the timeout, most nodes are late.
+/// Verifies the simulation of the test above: with the earlier schedules, which had one wait for all nodes,
+/// with and without a random part of the timeout, most nodes are late.
 #[test]
 fn equal_waits_of_all_watches_leave_most_nodes_late() {
     let random_timeout = |jitter: f64| Poll {
@@ -261,8 +261,8 @@
     }
 }
 
-/// Simulates the outage. `pause` returns the pause after a failed poll, in seconds, given the number of failures so
-/// far.
+/// Simulates the outage. `pause` returns the pause after a failed poll, in seconds, given the number of
+/// failures so far.
 fn recover(
     outage: Outage,
     seed: u64,
@@ -318,12 +318,12 @@
     }
 }
 
-/// A backoff that grows with the number of nodes without another bound would still be running when discovery is back:
-/// nodes would learn of changes after the deadline, and until then send to servers that have left. So the deadline
-/// bounds the step. Nodes that discovery cannot answer by then are late with any schedule.
+/// A backoff that grows with the number of nodes without another bound would still be running when discovery
+/// is back: nodes would learn of changes after the deadline, and until then send to servers that have left.
+/// So the deadline bounds the step. Nodes that discovery cannot answer by then are late with any schedule.
 #[test]
 fn nodes_whose_polls_failed_are_notified_in_time_once_discovery_is_back() {
-    println!("| nodes | discovery answers all in | outage by | late, before | now | last notified, before | now | polls a node, before | now |");
+    println!("| nodes | time to answer all | connections in the outage | late, before | now | last notified, before | now | polls per node, before | now |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (round, drops_connects) in [(5.0, false), (5.0, true), (8.0, false), (8.0, true)] {
         for nodes in [1, 8, 20, 60, 100, 300, 350] {
@@ -344,7 +344,7 @@
             });
             println!(
                 "| {nodes} | {round:.0} s | {} | {:.0}% | {:.0}% | {:.1} s | {:.1} s | {:.1} | {:.1} |",
-                if drops_connects { "dropping connects" } else { "refusing" },
+                if drops_connects { "dropped" } else { "refused" },
                 before.late_percent,
                 now.late_percent,
                 before.last_notified,
@@ -365,9 +365,9 @@
     }
 }
 
-/// Nodes that are restarted together hold no list, and each requests a snapshot. If the pauses grew too soon, many
-/// would still have no list, and reject requests, long after discovery could have sent it. Nine in ten nodes must
-/// have their list within 10 s, even if discovery needs 8 s to answer all of them.
+/// Nodes that are restarted together hold no list, and each requests a snapshot. If the pauses grew too soon,
+/// many would still have no list, and reject requests, long after discovery could have sent it. Nine in ten
+/// nodes must have their list within 10 s, even if discovery needs 8 s to answer all of them.
 #[test]
 fn nodes_that_start_together_without_a_list_receive_one_in_time() {
     let cases =
--- a/crates/balancer-core/tests/reference/single_address_schedule.rs
+++ b/crates/balancer-core/tests/reference/single_address_schedule.rs
@@ -1,9 +1,9 @@
-//! A frozen copy of the poll schedule from before discovery had replicas. The test `single_address` compares the
-//! current schedule with this reference.
+//! A frozen copy of the poll schedule from before discovery had replicas. The test `single_address` compares
+//! the current schedule with this reference.
 //!
-//! The copy shares no code with the current schedule, not even constants or types: a change of the current schedule
-//! would otherwise change the reference as well, and the comparison would always pass. For the same reason it is not
-//! edited when the schedule is; only its names follow those of the crate.
+//! The copy shares no code with the current schedule, not even constants or types: a change of the current
+//! schedule would otherwise change the reference as well, and the comparison would always pass. For the same
+//! reason it is not edited when the schedule is; only its names follow those of the crate.
 
 use std::time::Duration;
 
--- a/crates/balancer-core/tests/replica_capacity.rs
+++ b/crates/balancer-core/tests/replica_capacity.rs
@@ -1,6 +1,6 @@
-//! Simulates fleets that poll the replicas of one discovery service, in virtual time. Each replica sends [`CAPACITY`]
-//! lines per second, answers polls one after the other, and rejects polls whose answer would begin too late with
-//! status 503.
+//! Simulates fleets that poll the replicas of one discovery service, in virtual time. Each replica sends
+//! [`CAPACITY`] lines per second, answers polls one after the other, and rejects polls whose answer would
+//! begin too late with status 503.
 
 #[path = "support/poll_settings.rs"]
 mod poll_settings;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 const CAPACITY: ReplicaCapacity = ReplicaCapacity { lines_per_second: 200.0, call_lines: 10.0 };
-/// A poll whose answer would begin later than this, in seconds, is rejected.
+/// Longest time in the queue, in seconds. A poll whose answer would begin later is rejected.
 const QUEUE_TIMEOUT: f64 = 3.0;
 /// Length of a snapshot of the planned fleet, in lines.
 const LINES: u32 = 1_110;
@@ -67,7 +67,8 @@
     random: fastrand::Rng,
 }
 
-/// Simulates nodes that all start within one second and hold no list, or a list that is outdated by `changes` lines.
+/// Simulates nodes that all start within one second and hold no list, or a list that is outdated by `changes`
+/// lines.
 fn simulate(fleet: Fleet, changes: Option<u32>, seed: u64) -> Outcome {
     let names: Vec<String> = (0..fleet.replicas).map(|number| format!("10.1.{number}.18:7100")).collect();
     let mut random = fastrand::Rng::with_seed(seed);
@@ -126,8 +127,8 @@
     }
 }
 
-/// Returns the worst results of five seeds: the longest time, as a multiple of the sending time of the mean share and
-/// of the busiest replica, and the most polls per node.
+/// Returns the worst results of five seeds: the longest time, as a multiple of the sending time of the mean
+/// share and of the busiest replica, and the most polls per node.
 fn worst(fleet: Fleet, changes: Option<u32>) -> (f64, f64, f64) {
     let call_time = CAPACITY.call_lines / CAPACITY.lines_per_second;
     let all = f64::from(fleet.polling) / fleet.replicas as f64;
@@ -160,15 +161,15 @@
 
 /// Prints the results of the fleets in each mode and returns those with a configured capacity.
 fn table(changes: Option<u32>, rejection_cost: f64) -> Vec<(Fleet, f64)> {
-    println!("| fleet | polling | replicas | lines | all nodes: last / sending | polls a node | replicas | polls a node | capacity | of the busiest | polls a node |");
+    println!("| nodes | polling | replicas | lines | by all nodes: last / sending | polls per node | by replicas: last / sending | polls per node | by capacity: last / sending | last / sending of the busiest | polls per node |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let mut outcomes = Vec::new();
     for (nodes, polling, replicas, lines) in fleets() {
         let fleet = |mode| Fleet { nodes, polling, replicas, lines, mode, rejection_cost, lost: None };
-        let [(all, _, polls_all), (shared, _, polls_shared), (stated, busiest, polls)] =
+        let [(all, _, polls_all), (shared, _, polls_shared), (by_capacity, busiest, polls)] =
             [Mode::AllNodes, Mode::Replicas, Mode::Capacity].map(|mode| worst(fleet(mode), changes));
-        println!("| {nodes} | {polling} | {replicas} | {lines} | {all:.2} | {polls_all:.0} | {shared:.2} | {polls_shared:.0} | {stated:.2} | {busiest:.2} | {polls:.0} |");
-        outcomes.push((fleet(Mode::Capacity), stated));
+        println!("| {nodes} | {polling} | {replicas} | {lines} | {all:.2} | {polls_all:.0} | {shared:.2} | {polls_shared:.0} | {by_capacity:.2} | {busiest:.2} | {polls:.0} |");
+        outcomes.push((fleet(Mode::Capacity), by_capacity));
     }
     outcomes
 }
@@ -180,8 +181,8 @@
     }
 }
 
-/// Rejecting a poll may cost discovery as much as answering it. If the pauses were too short, rejections would use up
-/// its capacity, and lists would be delayed more and more.
+/// Rejecting a poll may cost discovery as much as answering it. If the pauses were too short, rejections
+/// would use up its capacity, and lists would be delayed more and more.
 #[test]
 fn rejected_polls_that_cost_as_much_as_others_leave_capacity_for_lists() {
     for (fleet, last) in table(None, 1.0) {
@@ -189,14 +190,12 @@
     }
 }
 
-/// After an outage all nodes poll at once, each for one line of changes. If they retried as soon as the deadline
-/// requires, a replica that cannot answer its share in time would spend its capacity on rejections.
+/// After an outage all nodes poll at once, each for one line of changes. If they retried as soon as the
+/// deadline requires, a replica that cannot answer its share in time would spend its capacity on rejections.
 #[test]
 fn an_overloaded_replica_answers_changes_within_1_7_times_the_sending_time() {
     for rejection_cost in [0.0, 1.0] {
-        println!(
-            "| nodes of one replica | a rejected poll costs | last, of what answering takes | polls a node |"
-        );
+        println!("| nodes of one replica | rejection cost | last / sending | polls per node |");
         println!("| --- | --- | --- | --- |");
         for nodes in [1, 20, 60, 100, 200, 369, 900, 2_000] {
             let fleet = Fleet {
@@ -211,7 +210,8 @@
             let (last, _, polls) = worst(fleet, Some(1));
             println!("| {nodes} | {rejection_cost} | {last:.2} | {polls:.1} |");
             let min_time = f64::from(nodes) * 11.0 / CAPACITY.lines_per_second;
-            // The nodes start within one second. If rejections cost as much as answers, it takes longer but ends.
+            // The nodes start within one second. If rejections cost as much as answers, it takes longer but
+            // ends.
             let most = if rejection_cost == 0.0 { 1.7 } else { 30.0 };
             assert!(last * min_time <= most * min_time + 1.5, "{fleet:?}: {last}");
         }
@@ -278,11 +278,11 @@
     }
 }
 
-/// A change must reach all nodes within 11 s. Nodes whose replica is lost at that moment would be late if they waited
-/// for a backoff, or if all of them polled the same other replica.
+/// A change must reach all nodes within 11 s. Nodes whose replica is lost at that moment would be late if
+/// they waited for a backoff, or if all of them polled the same other replica.
 #[test]
 fn nodes_of_a_lost_replica_are_notified_by_other_replicas_in_time() {
-    println!("| fleet | replicas | last of the lost one's nodes has the changes after | polls a node |");
+    println!("| nodes | replicas | last node of the lost replica is notified after | polls per node |");
     println!("| --- | --- | --- | --- |");
     for (nodes, replicas, most) in [(100, 2, 5.0), (1_000, 4, 11.0), (2_000, 8, 5.0), (5_900, 16, 5.0)] {
         let fleet = Fleet {
--- a/crates/balancer-core/tests/replica_selection.rs
+++ b/crates/balancer-core/tests/replica_selection.rs
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_lost_replica_moves_only_its_nodes_and_spreads_them_evenly() {
-    println!("| replicas | largest share, of the mean | of the nodes of a lost one, largest share at another replica |");
+    println!("| replicas | largest share / mean | nodes of a lost replica: largest share / mean |");
     println!("| --- | --- | --- |");
     for count in [2, 3, 8, 16] {
         let all = names(count);
@@ -73,9 +73,10 @@
         }
         let (moved_most, moved_all) = (moved.values().max().unwrap(), moved.values().sum::<usize>());
         let max_at_other = *moved_most as f64 * left.len() as f64 / moved_all as f64;
-        println!("| {count} | {largest:.2} | {max_at_other:.2} of the mean |");
+        println!("| {count} | {largest:.2} | {max_at_other:.2} |");
         assert!(largest <= 1.25, "{count} replicas: {largest}");
-        // With 24 nodes per remaining replica, a share varies by a fifth. Four times that is not random variation.
+        // With 24 nodes per remaining replica, a share varies by a fifth. Four times that is not random
+        // variation.
         assert!(max_at_other <= 1.8, "{count} replicas: {max_at_other}");
         assert_eq!(moved.len(), left.len(), "every other replica takes some nodes");
     }
@@ -114,7 +115,7 @@
     let transitions = [0, 1].map(|_| replicas.poll_ended(at(0.0), Overloaded, HOLD_DOWN, 0.5));
     assert_eq!(transitions, [ReplicaTransition::Stay, ReplicaTransition::FailOverAfterBackoff]);
     assert_ne!(replicas.current(), first);
-    assert_eq!(replicas.available(), 4, "it is overloaded, and not lost");
+    assert_eq!(replicas.available(), 4, "the replica is overloaded, not lost");
 }
 
 #[test]
@@ -126,7 +127,8 @@
     }
 }
 
-/// Polls the fallback once per second until the node returns to its preferred replica. Returns the number of seconds.
+/// Polls the fallback once per second until the node returns to its preferred replica. Returns the number of
+/// seconds.
 fn seconds_until_return(replicas: &mut ReplicaSelection, from: f64, jitter: f64) -> f64 {
     (0..)
         .map(f64::from)
@@ -151,7 +153,7 @@
         // An overloaded replica has not recovered either.
         let outcome = if waits.len() % 2 == 0 { Failed } else { Overloaded };
         assert_eq!(replicas.poll_ended(at(now), outcome, HOLD_DOWN, 0.0), ReplicaTransition::FailOver);
-        assert_eq!(replicas.current(), order[1], "the one that worked");
+        assert_eq!(replicas.current(), order[1], "the fallback is polled again");
     }
     assert_eq!(waits, [30.0, 60.0, 120.0, 240.0, 480.0, 480.0, 480.0]);
     // The return succeeds, so the next hold-down is the shortest again.
@@ -203,7 +205,11 @@
     assert_eq!(polled(&replicas, &other_order), current);
     let without: Vec<_> = all.iter().filter(|name| **name != current).cloned().collect();
     assert_eq!(replicas.replace(without.clone()), ReplicaSetChange::OthersRemain);
-    assert_eq!(polled(&replicas, &without), preference("h0", &without)[0], "the preferred one of those");
+    assert_eq!(
+        polled(&replicas, &without),
+        preference("h0", &without)[0],
+        "the preferred one of the remaining replicas"
+    );
     assert_eq!(replicas.replace(vec!["10.9.9.9:7100".into()]), ReplicaSetChange::NoneRemains);
     assert_eq!(replicas.current(), 0);
 }
@@ -222,9 +228,9 @@
         prop_assert_eq!(all, expected);
     }
 
-    /// Regardless of the outcomes of polls, equal events give equal transitions, polls go to replicas of the set, a
-    /// return follows only an answer of a replica that is not the preferred one, and a round ends only when each
-    /// replica has failed once.
+    /// Regardless of the outcomes of polls, equal events give equal transitions, polls go to replicas of the
+    /// set, a return follows only an answer of a replica that is not the preferred one, and a round ends only
+    /// when each replica has failed once.
     #[test]
     fn transitions_depend_only_on_the_events(
         count in 1..9_usize,
@@ -263,7 +269,8 @@
             } else if outcome == Answered {
                 failed_in_a_row.clear();
             } else if transition == ReplicaTransition::FailOverAfterBackoff || returning {
-                // Leaving an overloaded replica does not count as a failure, so this test stops counting the round.
+                // Leaving an overloaded replica does not count as a failure, so this test stops counting the
+                // round.
                 break;
             }
         }
--- a/crates/balancer-core/tests/replica_set_changes.rs
+++ b/crates/balancer-core/tests/replica_set_changes.rs
@@ -34,8 +34,8 @@
     &names[replicas.current()]
 }
 
-/// If all nodes that prefer a new replica moved there at once, they would overload it as soon as it is added, before
-/// it has a list to send. The hold-down spreads them.
+/// If all nodes that prefer a new replica moved there at once, they would overload it as soon as it is added,
+/// before it has a list to send. The hold-down spreads them.
 #[test]
 fn nodes_move_to_an_added_replica_over_time_and_no_others_move() {
     let (before, after) = (names(0..3), names(0..4));
--- a/crates/balancer-core/tests/single_address.rs
+++ b/crates/balancer-core/tests/single_address.rs
@@ -1,5 +1,5 @@
-//! Checks that a node with one address of discovery and no configured capacity polls as it did before replicas were
-//! introduced, with the same waits, timeouts and pauses for all outcomes of polls.
+//! Checks that a node with one address of discovery and no configured capacity polls as it did before
+//! replicas were introduced, with the same waits, timeouts and pauses for all outcomes of polls.
 
 #[path = "reference/single_address_schedule.rs"]
 mod reference;
@@ -42,8 +42,9 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(1_000))]
-    /// Operators with one address were promised that replicas change nothing for them. A different wait or pause
-    /// would change the load of their discovery and the time within which their nodes are notified of changes.
+    /// Operators with one address were promised that replicas change nothing for them. A different wait or
+    /// pause would change the load of their discovery and the time within which their nodes are notified of
+    /// changes.
     #[test]
     fn one_address_without_a_capacity_is_polled_as_before_replicas(
         nodes in 1..10_000_u32,
--- a/crates/balancer-core/tests/supervisor.rs
+++ b/crates/balancer-core/tests/supervisor.rs
@@ -196,8 +196,8 @@
     assert!(fleet.supervisor.statuses().all(|status| status.upgrades == 0));
 }
 
-/// Guards against a faulty version that takes down one instance after the other, and against a third process in the
-/// instance that rolled back.
+/// Guards against a faulty version that takes down one instance after the other, and against a third process
+/// in the instance that rolled back.
 #[test]
 fn a_rollback_restores_the_process_and_ends_the_upgrade() {
     for exits_first in [true, false] {
@@ -312,8 +312,8 @@
     assert_eq!(fleet.handle(Event::Reload), [Action::Reload(2), Action::Reload(1)]);
 }
 
-/// Guards against orders of events that no other test covers, which could start a second process for an instance,
-/// lose track of a process, or keep a stop from completing.
+/// Guards against orders of events that no other test covers, which could start a second process for an
+/// instance, lose track of a process, or keep a stop from completing.
 #[test]
 fn random_events_run_no_instance_twice_and_a_stop_ends_all() {
     for seed in 0..400 {
--- a/crates/cache-balancer/tests/lifecycle.rs
+++ b/crates/cache-balancer/tests/lifecycle.rs
@@ -89,9 +89,9 @@
 fn an_invalid_setting_fails_the_start_with_its_name_and_expectation() {
     let good = config("127.0.0.1:1".parse().unwrap());
     let cases = [
-        ("lanes/0/promise_us", json!("soon"), "settings.lanes.0.promise_us: expected a whole number of microseconds, a year at the most, found \"soon\""),
-        ("lanes/1/hard_limit_us", json!(-1), "settings.lanes.1.hard_limit_us: expected a whole number of microseconds, a year at the most, found \"-1\""),
-        ("lanes/1/hard_limit_us", json!(u64::MAX), "settings.lanes.1.hard_limit_us: expected a whole number of microseconds, a year at the most, found \"18446744073709551615\""),
+        ("lanes/0/promise_us", json!("soon"), "settings.lanes.0.promise_us: expected a whole number of microseconds, at most a year, found \"soon\""),
+        ("lanes/1/hard_limit_us", json!(-1), "settings.lanes.1.hard_limit_us: expected a whole number of microseconds, at most a year, found \"-1\""),
+        ("lanes/1/hard_limit_us", json!(u64::MAX), "settings.lanes.1.hard_limit_us: expected a whole number of microseconds, at most a year, found \"18446744073709551615\""),
         ("lanes/1/effect", json!("harmless"), "settings.lanes.1.effect: expected one of safe, keyed, unsafe, found \"harmless\""),
         ("lanes/2/dedup_scope", json!(7), "settings.lanes.2.dedup_scope: expected one of all, zone, cell, found \"7\""),
         ("lanes/0/name", json!(""), "settings.lanes.0.name: expected a name, found nothing"),
--- a/crates/cache-balancer/tests/lists.rs
+++ b/crates/cache-balancer/tests/lists.rs
@@ -37,11 +37,11 @@
 
 #[test]
 fn empty_list_and_list_with_a_duplicate_server_are_rejected() {
-    assert_rejected(&snapshot(2, &[]), "list rejected: hosts: empty, where 1 ready servers are known", 7);
+    assert_rejected(&snapshot(2, &[]), "list rejected: hosts: empty, although 1 ready servers are known", 7);
     assert_rejected(r#"{"seq":2,"whole":true}"#, "list rejected: hosts: empty", 7);
     assert_rejected(
         r#"{"seq":2,"whole":true,"hosts":[OLD,OLD]}"#,
-        "hosts[1]: s-1 again, which stands at hosts[0]",
+        "hosts[1]: duplicate id s-1, first listed at hosts[0]",
         7,
     );
 }
@@ -53,7 +53,7 @@
     let node = Node::start_ready(&config(discovery.address));
     discovery.wait_until_notified(1);
     discovery.notify_text(r#"{"seq":0,"whole":false,"hosts":[]}"#.into());
-    wait_for("the rejection", || node.logged("seq: 0, older than 1, which is held") >= 1);
+    wait_for("the rejection", || node.logged("seq: 0 is older than 1, the version of the current list") >= 1);
     let before = discovery.received.lock().unwrap().iter().filter(|path| !path.contains("after")).count();
     wait_for("a request for a snapshot", || {
         discovery.received.lock().unwrap().iter().filter(|path| !path.contains("after")).count() > before
@@ -70,8 +70,10 @@
     let node = Node::start_ready(&config(discovery.address));
     discovery.wait_until_notified(1);
     discovery.notify_text(snapshot(0, &[new.entry("s-2", "ready")]));
-    wait_for("its list to be accepted", || node.logged("accepted, since it came 3 times in a row") == 1);
-    assert_eq!(node.logged("list rejected: seq: 0, older than 1"), 2);
+    wait_for("its list to be accepted", || {
+        node.logged("accepted, since it was received 3 times in a row") == 1
+    });
+    assert_eq!(node.logged("list rejected: seq: 0 is older than 1"), 2);
     wait_for("its server to be used", || node.read("read", 1).body == b"new");
 }
 
