--- a/crates/balancer-core/src/discovery/list_validator.rs
+++ b/crates/balancer-core/src/discovery/list_validator.rs
@@ -27,7 +27,7 @@
 /// The parts of a list entry that validation depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListEntry<'a> {
-    /// The id of the server.
+    /// Id of the server.
     pub id: &'a str,
     /// The reported state of the server.
     pub state: EndpointState,
@@ -38,7 +38,7 @@
 /// A list that discovery sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceivedList<'a> {
-    /// The version of the list.
+    /// Version of the list.
     pub version: u64,
     /// Whether this is the full list rather than the changes since the requested version.
     pub is_snapshot: bool,
@@ -52,25 +52,25 @@
     /// Two entries of a snapshot have the same id, and it is unknown which one is right.
     #[error("hosts[{second}]: duplicate id {id}, first listed at hosts[{first}]")]
     DuplicateId {
-        /// The index of the first entry.
+        /// Index of the first entry.
         first: usize,
-        /// The index of the second entry.
+        /// Index of the second entry.
         second: usize,
-        /// The id of both entries.
+        /// Id of both entries.
         id: String,
     },
     /// A snapshot is empty although ready servers are known.
     #[error("hosts: empty, although {known_ready} ready servers are known")]
     Empty {
-        /// The number of ready servers known.
+        /// Number of ready servers known.
         known_ready: usize,
     },
     /// The version is lower than the current one.
     #[error("seq: {received} is older than {current}, the version of the current list")]
     OlderVersion {
-        /// The version of the rejected list.
+        /// Version of the rejected list.
         received: u64,
-        /// The version of the current list.
+        /// Version of the current list.
         current: u64,
     },
     /// Changes were received although a snapshot was requested.
@@ -84,9 +84,9 @@
     /// A server is ready but has no address, so no requests are sent to it.
     #[error("hosts[{index}]: {id} is ready and has no address; expected one in dial")]
     MissingAddress {
-        /// The index of the entry.
+        /// Index of the entry.
         index: usize,
-        /// The id of the server.
+        /// Id of the server.
         id: String,
     },
     /// A suspicious list was received repeatedly.
@@ -97,7 +97,7 @@
     AcceptedFromReplicas {
         /// Why the list was suspicious.
         error: ListError,
-        /// The number of replicas that sent a suspicious list.
+        /// Number of replicas that sent a suspicious list.
         replicas: usize,
     },
 }
@@ -107,7 +107,7 @@
 pub struct ListSource<'a> {
     /// The replica's name.
     pub replica: &'a str,
-    /// The number of replicas that share the sequence of versions, including this one.
+    /// Number of replicas that share the sequence of versions, including this one.
     pub replicas: usize,
 }
 
@@ -134,7 +134,7 @@
 /// ready, not the list itself.
 #[derive(Clone, Debug, Default)]
 pub struct ListValidator {
-    /// The version of the current list.
+    /// Version of the current list.
     current_version: Option<u64>,
     /// Whether the next poll requests a snapshot regardless of the current list.
     snapshot_needed: bool,
--- a/crates/balancer-core/src/discovery/pacing.rs
+++ b/crates/balancer-core/src/discovery/pacing.rs
@@ -13,7 +13,7 @@
 /// The settings that polls depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollSettings {
-    /// The number of nodes that poll.
+    /// Number of nodes that poll.
     pub nodes: u32,
     /// [`Settings::max_poll_interval`].
     pub max_poll_interval: Duration,
@@ -54,8 +54,7 @@
 pub struct PollPacing {
     /// The settings; `nodes` is the number of nodes that poll one replica.
     pub settings: PollSettings,
-    /// The capacity of one replica and the nodes that share it; `None` if the operator configures no
-    /// capacity.
+    /// Capacity of one replica and the nodes that share it; `None` if the operator configures no capacity.
     pub share: Option<ReplicaShare>,
 }
 
--- a/crates/balancer-core/src/discovery/poll_schedule.rs
+++ b/crates/balancer-core/src/discovery/poll_schedule.rs
@@ -24,7 +24,7 @@
 pub struct Poll {
     /// How long discovery is asked to wait for changes; zero for a snapshot.
     pub wait: Duration,
-    /// The time after the request at which the poll fails if there is no complete answer.
+    /// Time after the request at which the poll fails if there is no complete answer.
     pub timeout: Duration,
 }
 
@@ -40,7 +40,7 @@
 pub enum PollOutcome {
     /// A list was received and accepted.
     Answered {
-        /// The time from the request to the answer.
+        /// Time from the request to the answer.
         took: Duration,
         /// Whether the list has any entry.
         has_changes: bool,
@@ -49,12 +49,12 @@
     TimedOut,
     /// No connection to discovery could be opened.
     Unreachable {
-        /// The time spent on connection attempts.
+        /// Time spent on connection attempts.
         took: Duration,
     },
     /// Discovery answered with status 503: it is overloaded.
     Overloaded {
-        /// The time from the request to the answer.
+        /// Time from the request to the answer.
         took: Duration,
     },
     /// The poll failed in another way: another status, a broken connection, or a list that was rejected.
--- a/crates/balancer-core/src/discovery/replica_capacity.rs
+++ b/crates/balancer-core/src/discovery/replica_capacity.rs
@@ -42,23 +42,23 @@
 /// An answer may take this multiple of the time needed to send its lines.
 const SENDING_MARGIN: f64 = 1.5;
 
-/// The capacity of one discovery replica, as configured by the operator.
+/// Capacity of one discovery replica, as configured by the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaCapacity {
-    /// The number of list lines that one replica sends per second.
+    /// Number of list lines that one replica sends per second.
     pub lines_per_second: f64,
-    /// The cost of a poll in addition to the lines of its answer, in lines.
+    /// Cost of a poll in addition to the lines of its answer, in lines.
     pub call_lines: f64,
 }
 
 /// The nodes that share one replica, and its capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaShare {
-    /// The number of nodes that poll this replica.
+    /// Number of nodes that poll this replica.
     pub nodes: u32,
     /// The configured capacity of the replica.
     pub capacity: ReplicaCapacity,
-    /// The length of the full list, in lines; `None` for a node without a list.
+    /// Length of the full list, in lines; `None` for a node without a list.
     pub list_lines: Option<u32>,
 }
 
--- a/crates/balancer-core/src/graceful_restart/predecessor.rs
+++ b/crates/balancer-core/src/graceful_restart/predecessor.rs
@@ -60,7 +60,7 @@
     Depart,
 }
 
-/// The state of a hand-over at the predecessor.
+/// State of a hand-over at the predecessor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum PredecessorState {
     /// No hand-over is in progress.
--- a/crates/balancer-core/src/graceful_restart/successor.rs
+++ b/crates/balancer-core/src/graceful_restart/successor.rs
@@ -47,7 +47,7 @@
     Exit,
 }
 
-/// The state of a hand-over at the successor.
+/// State of a hand-over at the successor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum SuccessorState {
     /// The process prepares to serve.
--- a/crates/balancer-core/src/platform/error.rs
+++ b/crates/balancer-core/src/platform/error.rs
@@ -8,7 +8,7 @@
     /// A field of a message has the wrong type.
     #[error("malformed line, unreadable {name}: {line}")]
     UnreadableField {
-        /// The name of the field.
+        /// Name of the field.
         name: String,
         /// The message or its beginning.
         line: String,
@@ -16,7 +16,7 @@
     /// A required field of a message is missing.
     #[error("malformed line, no {name}: {line}")]
     MissingField {
-        /// The name of the field.
+        /// Name of the field.
         name: String,
         /// The message or its beginning.
         line: String,
@@ -24,7 +24,7 @@
     /// A setting has a value that is not allowed.
     #[error("{name}: expected {expected}, found {found:?}")]
     InvalidSetting {
-        /// The path of the setting.
+        /// Path of the setting.
         name: String,
         /// The allowed values.
         expected: String,
@@ -34,7 +34,7 @@
     /// A required setting is missing.
     #[error("{name}: expected {expected}, found nothing")]
     MissingSetting {
-        /// The path of the setting.
+        /// Path of the setting.
         name: String,
         /// The allowed values.
         expected: &'static str,
--- a/crates/balancer-core/src/settings.rs
+++ b/crates/balancer-core/src/settings.rs
@@ -44,7 +44,7 @@
 /// A class of requests with common objectives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// The name that requests and logs use.
+    /// Name that requests and logs use.
     pub name: Name,
     /// Whether requests of the class may run more than once.
     pub idempotency: Idempotency,
@@ -77,7 +77,7 @@
 /// A tenant and its quota. No decision uses it yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// The name that requests use.
+    /// Name that requests use.
     pub name: Name,
     /// Requests per second, over all nodes, that are within the tenant's quota.
     pub quota_per_second: f64,
--- a/crates/balancer-core/src/supervisor/messages.rs
+++ b/crates/balancer-core/src/supervisor/messages.rs
@@ -4,19 +4,19 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The number of a process, which is never reused.
+/// Number of a process, which is never reused.
 pub type ProcessId = u64;
 
-/// The index of an instance in the fleet, starting at 0.
+/// Index of an instance in the fleet, starting at 0.
 pub type InstanceId = usize;
 
 /// The time limits of all instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The wait before a process that exited unexpectedly is restarted. It doubles with each further exit.
+    /// Wait before a process that exited unexpectedly is restarted. It doubles with each further exit.
     /// Default: 200 ms.
     pub restart_backoff: Duration,
-    /// The upper bound of the restart backoff. Default: 10 s.
+    /// Upper bound of the restart backoff. Default: 10 s.
     pub max_restart_backoff: Duration,
     /// The restart backoff is reset once a process has served for this long. Default: 10 s.
     pub stable_after: Duration,
@@ -74,7 +74,7 @@
     Start {
         /// The instance.
         instance: InstanceId,
-        /// The number of the new process.
+        /// Number of the new process.
         process: ProcessId,
     },
     /// Tell a process to stop.
@@ -128,7 +128,7 @@
         instance: InstanceId,
         /// The process that exited.
         process: ProcessId,
-        /// The wait before the next one starts.
+        /// Wait before the next one starts.
         backoff: Duration,
     },
     /// A process exceeded its time limit.
@@ -163,7 +163,7 @@
     }
 }
 
-/// The state of an instance.
+/// State of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceState {
     /// A process prepares to serve.
@@ -194,15 +194,15 @@
     }
 }
 
-/// The status of an instance.
+/// Status of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceStatus {
-    /// The state of the instance.
+    /// State of the instance.
     pub state: InstanceState,
     /// The process that serves or is about to serve.
     pub process: Option<ProcessId>,
-    /// The number of processes that exited unexpectedly.
+    /// Number of processes that exited unexpectedly.
     pub failures: u64,
-    /// The number of processes that took over from another one.
+    /// Number of processes that took over from another one.
     pub upgrades: u64,
 }
--- a/crates/balancer-core/tests/graceful_restart_model/system.rs
+++ b/crates/balancer-core/tests/graceful_restart_model/system.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// The number of faults that may still happen and of successors that may still start.
+/// Number of faults that may still happen and of successors that may still start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     pub successors: u8,
--- a/crates/balancer-core/tests/list_validator_replicas.rs
+++ b/crates/balancer-core/tests/list_validator_replicas.rs
@@ -155,9 +155,9 @@
 proptest! {
     /// Guards against replicas that lag after a network partition: they could decrease the version, or make a
     /// server ready again that another replica reported as leaving, and requests would go to a server that is
-    /// shutting down. Whatever they send, the version decreases only after each of them has sent an older
-    /// list since one was accepted, all known servers disappear only after three of them (or both of two)
-    /// sent an empty list, and a leaving server becomes ready only by a list as new as the report.
+    /// shutting down. Regardless of what they send, the version decreases only after each of them has sent an
+    /// older list since one was accepted, all known servers disappear only after three of them (or both of
+    /// two) sent an empty list, and a leaving server becomes ready only by a list as new as the report.
     #[test]
     fn versions_do_not_go_back_and_leaving_servers_stay_suppressed(
         replicas in 2..5_usize,
--- a/crates/balancer-core/tests/poll_schedule_fleet.rs
+++ b/crates/balancer-core/tests/poll_schedule_fleet.rs
@@ -233,7 +233,7 @@
 #[derive(Clone, Copy)]
 struct Outage {
     nodes: u32,
-    /// The time in which discovery answers all nodes once, in seconds.
+    /// Time in which discovery answers all nodes once, in seconds.
     round: f64,
     /// Whether discovery drops connection attempts during the outage. Otherwise it refuses them at once.
     drops_connects: bool,
--- a/crates/balancer-core/tests/replica_capacity.rs
+++ b/crates/balancer-core/tests/replica_capacity.rs
@@ -37,14 +37,14 @@
 /// A fleet and its discovery.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
-    /// The number of nodes in the configuration.
+    /// Number of nodes in the configuration.
     nodes: u32,
-    /// The number of nodes that poll.
+    /// Number of nodes that poll.
     polling: u32,
     replicas: usize,
     lines: u32,
     mode: Mode,
-    /// The cost of a rejected poll, as a fraction of [`ReplicaCapacity::call_lines`].
+    /// Cost of a rejected poll, as a fraction of [`ReplicaCapacity::call_lines`].
     rejection_cost: f64,
     /// A replica that refuses connections. Only the nodes that prefer it poll.
     lost: Option<usize>,
@@ -55,7 +55,7 @@
 struct Outcome {
     /// When the last node had its list, in seconds.
     last_list_at: f64,
-    /// The time that the busiest replica spent sending, in seconds.
+    /// Time that the busiest replica spent sending, in seconds.
     max_sending_time: f64,
     /// Mean number of polls per node.
     polls_per_node: f64,
--- a/crates/balancer-core/tests/replica_selection.rs
+++ b/crates/balancer-core/tests/replica_selection.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use ReplicaResponse::{Answered, Failed, Overloaded};
 
-/// The size of the planned fleet.
+/// Size of the planned fleet.
 const NODES: usize = 5_900;
 const HOLD_DOWN: Duration = Duration::from_secs(30);
 
