--- a/crates/balancer-core/src/discovery/pacing.rs
+++ b/crates/balancer-core/src/discovery/pacing.rs
@@ -13,15 +13,15 @@
 /// The settings that polls depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollSettings {
-    /// The number of nodes that poll.
+    /// Number of nodes that poll.
     pub nodes: u32,
     /// [`Settings::max_poll_interval`].
     pub max_poll_interval: Duration,
     /// [`Settings::drain_grace`].
     pub drain_grace: Duration,
     /// Whether all nodes poll one service, at a pace that depends on their number
-    /// ([`Settings::discovery_is_polled`]). Otherwise each node polls an agent on its own machine, several times
-    /// within each drain grace.
+    /// ([`Settings::discovery_is_polled`]). Otherwise each node polls an agent on its own machine, several
+    /// times within each drain grace.
     pub is_shared_service: bool,
 }
 
@@ -37,8 +37,8 @@
 }
 
 impl PollSettings {
-    /// Returns the interval at which the received part of an answer is read: the node counts as notified of what
-    /// discovery has written, even while the rest is outstanding.
+    /// Returns the interval at which the received part of an answer is read: the node counts as notified of
+    /// what discovery has written, even while the rest is outstanding.
     pub fn partial_read_interval(self) -> Duration {
         self.grace_fraction(PARTIAL_READS_PER_GRACE)
     }
@@ -54,7 +54,7 @@
 pub struct PollPacing {
     /// The settings; `nodes` is the number of nodes that poll one replica.
     pub settings: PollSettings,
-    /// The capacity of one replica and the nodes that share it; `None` if the operator configures no capacity.
+    /// Capacity of one replica and the nodes that share it; `None` if the operator configures no capacity.
     pub share: Option<ReplicaShare>,
 }
 
@@ -65,8 +65,8 @@
 }
 
 impl PollPacing {
-    /// Paces polls to one of `replicas` replicas, among which the nodes are divided evenly. `list_lines` is the
-    /// length of the list that the node holds, in lines.
+    /// Paces polls to one of `replicas` replicas, among which the nodes are divided evenly. `list_lines` is
+    /// the length of the list that the node holds, in lines.
     pub fn new(
         settings: PollSettings,
         replicas: usize,
@@ -88,9 +88,9 @@
         self.share.unwrap_or(assumed).min_hold_down()
     }
 
-    /// Returns how long the rest of an answer may take once it has begun. `timeouts` is the number of snapshot polls
-    /// that timed out since the last answer or lost watch. Returns `None` if no capacity is configured: the time then
-    /// does not depend on the length of the answer.
+    /// Returns how long the rest of an answer may take once it has begun. `timeouts` is the number of
+    /// snapshot polls that timed out since the last answer or lost watch. Returns `None` if no capacity is
+    /// configured: the time then does not depend on the length of the answer.
     pub(super) fn answer_allowance(self, timeouts: u32) -> Option<Duration> {
         self.share.map(|share| share.answer_allowance(timeouts))
     }
