--- a/crates/testbed/src/sockets/cache_server/connection.rs
+++ b/crates/testbed/src/sockets/cache_server/connection.rs
@@ -1,4 +1,4 @@
-//! The connections of a cache server: accepted up to a bound, and closed after an idle time.
+//! The connections of a cache server. Their number is limited, and idle ones are closed after a timeout.
 
 use super::respond::respond;
 use crate::fleet;
@@ -19,7 +19,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// The shortest time between two checks whether a connection is idle.
+/// Minimum time between two checks of whether a connection is idle.
 pub(super) const MIN_IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Accepts connections until the process ends.
@@ -38,14 +38,14 @@
     }
 }
 
-/// Counts a connection of a process for as long as it lives.
+/// Counts as a connection of a process until it is dropped.
 struct ConnectionPermit {
     context: Rc<Context>,
     process: usize,
 }
 
 impl ConnectionPermit {
-    /// Returns `None` if the process has as many connections as it may.
+    /// Returns `None` if the process already has its maximum number of connections.
     fn acquire(context: &Rc<Context>, process: usize) -> Option<Self> {
         let mut state = context.state.borrow_mut();
         let Process { model, connections, .. } = &mut state.processes[process];
@@ -65,7 +65,7 @@
 
 async fn serve(context: Rc<Context>, process: usize, stream: TcpStream) {
     let Some(_permit) = ConnectionPermit::acquire(&context, process) else { return };
-    // This fails only if the node has closed the connection already.
+    // This fails only if the node has already closed the connection.
     let _ = stream.set_nodelay(true);
     let (faults, idle_timeout) = {
         let state = context.state.borrow();
@@ -90,20 +90,20 @@
     });
     let mut serving = pin!(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
     tokio::select! {
-        // A connection error shows at the node, and in what the judge records.
+        // Connection errors are ignored here: the node sees them, and the judge sees their effect on requests.
         _ = serving.as_mut() => return,
         () = usage.idle_for(idle_timeout) => {}
     }
     if faults.is_forgotten() {
-        // The node must not be notified of this end either.
+        // The node must not see the connection close.
         return std::future::pending().await;
     }
     serving.as_mut().graceful_shutdown();
-    // As above.
+    // Errors are ignored for the same reason as above.
     let _ = serving.await;
 }
 
-/// When a connection was last used.
+/// Tracks when a connection was last used.
 struct Usage {
     busy: Cell<bool>,
     last_used: Cell<Instant>,
@@ -123,7 +123,7 @@
         self.last_used.set(Instant::now());
     }
 
-    /// Waits until the connection has been idle for this long.
+    /// Waits until the connection has been idle for `idle_timeout`.
     async fn idle_for(&self, idle_timeout: Duration) {
         loop {
             let due = self.last_used.get() + idle_timeout;
--- a/crates/testbed/src/sockets/cache_server/mod.rs
+++ b/crates/testbed/src/sockets/cache_server/mod.rs
@@ -1,4 +1,4 @@
-//! Cache servers on sockets: processes come and go, and each drives the state machine of [`crate::models`].
+//! Cache servers on sockets. Each process has a task that drives its [`CacheServer`] model in real time.
 
 mod connection;
 mod respond;
@@ -7,7 +7,7 @@
 
 pub(super) use respond::response_body;
 
-use super::context::{sleep_until_some, unix_ms, Context, Process, Server, State};
+use super::context::{sleep_until_or_forever, unix_ms, Context, Process, Server, State};
 use super::discovery;
 use super::error::SocketRunError;
 use crate::attempt_id::AttemptId;
@@ -26,18 +26,19 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// The result of a job.
+/// The result of a cache server's job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct JobResult {
     failed: bool,
     hit: bool,
 }
 
-/// Starts the cache servers of the start, warm and with their initial entries.
+/// Starts the initial cache servers, warm and with their initial entries.
 pub(super) async fn start_all(context: &Rc<Context>) -> Result<(), SocketRunError> {
     for index in 0..fleet::server_count(&context.script) {
         context.state.borrow_mut().server_at.push(index);
-        let listener = listen(None).await.map_err(SocketRunError::system("a cache server's socket"))?;
+        let listener =
+            listen(None).await.map_err(SocketRunError::system("binding a cache server's socket"))?;
         start_server(context, index, listener, true);
     }
     fill_caches(context);
@@ -64,14 +65,14 @@
 async fn listen(address: Option<SocketAddr>) -> io::Result<TcpListener> {
     let listener =
         TcpListener::bind(address.unwrap_or_else(|| SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))).await?;
-    // Attempts on connections that are not accepted yet count from their arrival, too.
+    // Attempts on connections that are not yet accepted count from their time of arrival, too.
     enable_arrival_timestamps(&listener);
     Ok(listener)
 }
 
-/// Starts a server under a new name.
+/// Adds a server with a new name and starts its process.
 fn start_server(context: &Rc<Context>, index: usize, listener: TcpListener, warm: bool) {
-    // A bound listener has an address.
+    // A bound listener always has an address.
     let Ok(address) = listener.local_addr() else { return };
     let server = {
         let mut state = context.state.borrow_mut();
@@ -135,7 +136,7 @@
         (server, address, previous.and_then(|process| process.accepting.take()))
     };
     if let Some(previous) = previous {
-        // The address is free once the task has ended, however it ends.
+        // The address is free as soon as the task has ended, even if it was aborted.
         let _ = previous.await;
     }
     let listener = match listen(same_address.then_some(address)).await {
@@ -172,7 +173,7 @@
     discovery::detect_state_later(context, server, EndpointState::Removed, None);
 }
 
-/// Drives the state machine of a process until it ends.
+/// Drives the model of a process until the process ends.
 async fn drive(context: Rc<Context>, process: usize) {
     loop {
         let (next, changed) = {
@@ -184,7 +185,7 @@
             (model.next_wakeup().map(|at| context.instant(at)), changed.clone())
         };
         tokio::select! {
-            () = sleep_until_some(next) => {}
+            () = sleep_until_or_forever(next) => {}
             () = changed.notified() => {}
         }
         let now = context.now();
@@ -213,7 +214,7 @@
         let queued = state.origin.queued();
         state.statistics.fetches_accepted += 1;
         state.statistics.longest_origin_queue = state.statistics.longest_origin_queue.max(queued);
-        state.fetching.insert(job, process);
+        state.fetch_processes.insert(job, process);
         context.origin_changed.notify_one();
     } else {
         state.statistics.fetches_rejected += 1;
@@ -234,8 +235,8 @@
     context.record(Observation::Executed { request, server, at: now });
     state.statistics.hits += u64::from(result.hit);
     state.statistics.misses += u64::from(!result.hit);
-    if let Some(waiting) = state.jobs.remove(&job) {
-        // The node may have closed the connection: the job was done all the same.
-        let _ = waiting.send(result);
+    if let Some(waiter) = state.job_waiters.remove(&job) {
+        // An error means that the node has closed the connection. The job still counts as executed.
+        let _ = waiter.send(result);
     }
 }
--- a/crates/testbed/src/sockets/cache_server/respond.rs
+++ b/crates/testbed/src/sockets/cache_server/respond.rs
@@ -1,4 +1,4 @@
-//! How a cache server responds to an attempt over HTTP/1.1, with the latency and the faults of the network.
+//! Responds to attempts over HTTP/1.1, with the emulated latency and faults of the network.
 
 use super::{stop, JobResult};
 use crate::attempt_id::AttemptId;
@@ -23,7 +23,8 @@
 
 type HttpResponse = Response<Full<Bytes>>;
 
-/// Responds to an attempt that came at `sent_at`. `process` is the cache server's process.
+/// Responds to an attempt whose bytes arrived at `sent_at`. Latency is emulated afterwards, so this is also the time at
+/// which the node sent it. `process` is the cache server's process.
 pub(super) async fn respond(
     context: &Rc<Context>,
     process: usize,
@@ -47,7 +48,7 @@
     let (offered, job_ended) = attempt.offer(context, new_connection);
     let response = match offered {
         OfferResult::Accepted => {
-            // The job is dropped with the process, whose end closes this connection.
+            // A job is lost if its process ends, which also closes this connection.
             let Ok(result) = job_ended.await else { return std::future::pending().await };
             attempt.wait_until_reachable().await;
             attempt.response(context, result)
@@ -62,26 +63,27 @@
     attempt.send_back(context, response, faults).await
 }
 
-/// The handshake takes longer than the node's connect timeout.
+/// The emulated handshake takes longer than the node's connect timeout.
 struct ConnectTimedOut;
 
 /// An attempt that has reached a cache server.
 struct Attempt {
     id: AttemptId,
     process: usize,
-    /// The index of the cache server in the fleet.
+    /// Index of the cache server in the fleet.
     index: usize,
-    /// The number of the cache server at the judge.
+    /// Number by which the judge's observations name the cache server.
     judge_number: usize,
     node: usize,
     operation: Operation,
-    /// The source of everything random about the request.
+    /// Source of the request's random values.
     random: RandomSource,
     condition: watch::Receiver<ServerCondition>,
 }
 
 impl Attempt {
-    /// Counts an attempt at the request that its header names. Returns `None` if no client has sent that request.
+    /// Registers an attempt at the request named by the `req-id` header. Returns `None` if no client has sent that
+    /// request.
     fn begin(context: &Context, process: usize, request: &Request<Incoming>) -> Option<Self> {
         let id = request.headers().get("req-id")?.to_str().ok()?;
         let number = usize::from_str_radix(id, 16).ok()?;
@@ -104,7 +106,7 @@
         })
     }
 
-    /// The source of the random values of this attempt that serve this purpose.
+    /// Returns the source of this attempt's random values for the given purpose.
     fn random(&self, purpose: u64) -> RandomSource {
         self.random.derive(purpose).derive(self.id.attempt)
     }
@@ -113,7 +115,7 @@
         context.latency(self.node, self.index, random)
     }
 
-    /// Waits for the time that the attempt takes to reach the server, and until the server is reachable.
+    /// Waits for the network time of the attempt, and then until the server is reachable.
     async fn arrive(&mut self, context: &Context, new_connection: bool) -> Result<(), ConnectTimedOut> {
         let network = &context.script.network;
         let condition = *self.condition.borrow();
@@ -123,7 +125,7 @@
             let round_trip = self.latency(context, self.random(8)) * 2;
             let handshake = network_model::handshake_time(network, &condition, round_trip, self.random(8));
             if handshake > network.connect_timeout {
-                // The node has given the connection up by then. Loopback established it at once: a reset stands in for
+                // A real node would have given up connecting by then. Loopback connects at once, so a reset emulates
                 // the timeout.
                 sleep(network.connect_timeout).await;
                 return Err(ConnectTimedOut);
@@ -140,18 +142,18 @@
         let _ = self.condition.wait_for(|condition| condition.reachable).await;
     }
 
-    /// Offers the attempt's job to the server. The receiver completes when an accepted job ends.
+    /// Offers the attempt's job to the server. The receiver gets the result of an accepted job.
     fn offer(&self, context: &Context, new_connection: bool) -> (OfferResult, oneshot::Receiver<JobResult>) {
         let id = self.id.job();
         let job: Job = workload::job(&context.script, &self.operation, self.random(10), id, new_connection);
         let (sender, receiver) = oneshot::channel();
         let mut state = context.state.borrow_mut();
-        state.jobs.insert(id, sender);
+        state.job_waiters.insert(id, sender);
         let process = &mut state.processes[self.process];
         let offered = process.model.offer(context.now(), job);
         process.changed.notify_one();
         if offered == OfferResult::Declined {
-            state.jobs.remove(&id);
+            state.job_waiters.remove(&id);
         }
         (offered, receiver)
     }
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Waits for the time that a response takes to reach the node. The connection may be reset in the middle of it.
+    /// Waits for the network time of the response. A fault may reset the connection in the middle of the response.
     async fn send_back(
         &self,
         context: &Context,
@@ -208,7 +210,7 @@
     response
 }
 
-/// The response body to a request, which no other request has.
+/// Returns the response body for a request. Each request has a different one.
 pub(in crate::sockets) fn response_body(request: RequestNumber) -> String {
     format!("answer to {request:x}")
 }
--- a/crates/testbed/src/sockets/cache_server/tests.rs
+++ b/crates/testbed/src/sockets/cache_server/tests.rs
@@ -8,20 +8,20 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Far longer than anything here takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Far longer than any of these tests takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs tasks of one thread; one that would wait for good fails.
-async fn in_a_set(test: impl std::future::Future<Output = ()>) {
-    timeout(PATIENCE, LocalSet::new().run_until(test)).await.expect("waited in vain");
+/// Runs a test with local tasks. A test that hangs fails after [`TEST_TIMEOUT`].
+async fn run_local(test: impl std::future::Future<Output = ()>) {
+    timeout(TEST_TIMEOUT, LocalSet::new().run_until(test)).await.expect("the test did not end in time");
 }
 
-/// One cache server, in a context of its own, that closes idle connections soon.
-async fn one(idle: Duration) -> Rc<Context> {
+/// Starts a single cache server that closes connections after `idle_timeout`.
+async fn start_one_server(idle_timeout: Duration) -> Rc<Context> {
     let mut script = Script::default();
     script.server_kinds.truncate(1);
-    (script.server_kinds[0].count, script.server_kinds[0].idle_timeout) = (1, Some(idle));
-    let context = Rc::new(Context::new(script, "no node is started".into()).unwrap());
+    (script.server_kinds[0].count, script.server_kinds[0].idle_timeout) = (1, Some(idle_timeout));
+    let context = Rc::new(Context::new(script, "unused: no node is started".into()).unwrap());
     start_all(&context).await.unwrap();
     context
 }
@@ -33,30 +33,30 @@
 
 #[tokio::test]
 async fn an_idle_connection_is_closed_unless_it_was_forgotten() {
-    in_a_set(async {
-        let context = one(Duration::from_millis(20)).await;
+    run_local(async {
+        let context = start_one_server(Duration::from_millis(20)).await;
         let mut idle = TcpStream::connect(address(&context)).await.unwrap();
-        assert_eq!(idle.read(&mut [0; 1]).await.unwrap(), 0, "closed in order");
+        assert_eq!(idle.read(&mut [0; 1]).await.unwrap(), 0, "closed without a reset");
         let mut forgotten = TcpStream::connect(address(&context)).await.unwrap();
-        // It is up at the server's end as well.
+        // Waits until the server has accepted the connection.
         while context.state.borrow().processes[0].connections == 0 {
             sleep(MIN_IDLE_CHECK_INTERVAL).await;
         }
         context.state.borrow().connections_forgotten_at[0].set(Some(Instant::now()));
         let mut other = TcpStream::connect(address(&context)).await.unwrap();
-        let (mut a, mut b) = ([0; 1], [0; 1]);
+        let (mut from_forgotten, mut from_other) = ([0; 1], [0; 1]);
         tokio::select! {
-            read = forgotten.read(&mut a) => panic!("{read:?}"),
-            closed = other.read(&mut b) => assert_eq!(closed.unwrap(), 0),
+            read = forgotten.read(&mut from_forgotten) => panic!("{read:?}"),
+            closed = other.read(&mut from_other) => assert_eq!(closed.unwrap(), 0),
         }
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_successor_has_the_address_of_its_predecessor_and_another_name() {
-    in_a_set(async {
-        let context = one(Duration::from_secs(60)).await;
+async fn a_restart_under_a_new_id_can_keep_the_address() {
+    run_local(async {
+        let context = start_one_server(Duration::from_secs(60)).await;
         let before = address(&context);
         stop(&context, 0);
         restart(&context, 0, false, true).await;
@@ -70,12 +70,12 @@
 }
 
 #[tokio::test]
-async fn an_address_that_is_taken_meanwhile_aborts_the_run_and_is_named() {
-    in_a_set(async {
-        let context = one(Duration::from_secs(60)).await;
+async fn a_restart_at_an_occupied_address_aborts_the_run_with_an_error_that_names_it() {
+    run_local(async {
+        let context = start_one_server(Duration::from_secs(60)).await;
         let address = address(&context);
         stop(&context, 0);
-        // The process lets go of its address when it hears that it has ended.
+        // The address becomes free when the accepting task is notified that the process has ended.
         let _other = loop {
             match TcpListener::bind(address).await {
                 Ok(listener) => break listener,
@@ -84,11 +84,8 @@
         };
         restart(&context, 0, true, true).await;
         context.aborted.notified().await;
-        let failed = context.error.borrow().as_ref().map(ToString::to_string).unwrap();
-        assert!(
-            failed.starts_with(&format!("a cache server does not start again at {address}: ")),
-            "{failed}"
-        );
+        let error = context.error.borrow().as_ref().map(ToString::to_string).unwrap();
+        assert!(error.starts_with(&format!("a cache server does not start again at {address}: ")), "{error}");
         assert!(context.state.borrow().processes.len() == 1);
     })
     .await;
--- a/crates/testbed/src/sockets/clients/mod.rs
+++ b/crates/testbed/src/sockets/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Clients on sockets, and the front that distributes their requests over the nodes.
+//! Clients on sockets, and the front that distributes their requests to the nodes.
 
 use super::cache_server::response_body;
 use super::context::{Context, SentRequest};
@@ -23,11 +23,11 @@
 use tokio::task::{spawn_local, AbortHandle, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// How long after its client gave up an answer is still read. Far more than the tolerance of the rules: the judge decides by its arrival,
-/// which the runner may read late.
+/// How long answers are still read after the client's timeout. Far longer than the judge's tolerance: the judge
+/// decides by an answer's time of arrival, and the runner may read it later than that.
 const READ_AFTER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A connection to a node. Dropping it closes it, even during an answer.
+/// A connection to a node. Dropping it closes it, even in the middle of an answer.
 struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     last_arrival: LastArrival,
@@ -40,10 +40,10 @@
     }
 }
 
-/// Idle connections, by the address of the node.
+/// Idle connections by node address.
 type Pool = Rc<RefCell<HashMap<SocketAddr, Vec<Connection>>>>;
 
-/// Starts all operations, each at its time, and waits until they are over.
+/// Starts each operation at its scheduled time and waits until all have ended.
 pub(super) async fn run_all(context: Rc<Context>) {
     let pool = Pool::default();
     let mut running = JoinSet::new();
@@ -62,7 +62,7 @@
     sleep(READ_AFTER_TIMEOUT).await;
 }
 
-/// Sends the requests of an operation until it is served or given up.
+/// Sends the requests of an operation until one is served or the client gives up.
 async fn run_operation(context: Rc<Context>, pool: Pool, number: usize) {
     let operation = context.state.borrow().operations[number].clone();
     for ordinal in 0.. {
@@ -83,7 +83,7 @@
     }
 }
 
-/// The end of a request for its client.
+/// How a request ended for its client.
 enum RequestEnd {
     Served,
     Disconnected,
@@ -94,19 +94,20 @@
     const NO_ANSWER: Self = Self::NotServed { retry_after: Duration::ZERO };
 }
 
-/// The node that the front sends a request to: a random one of the client's zone, or of the next zone that has any.
+/// Chooses the node for a request: a random one in the client's zone, or else in the next zone that has a node in
+/// rotation.
 fn choose_node(context: &Context, zone: usize, random: RandomSource) -> Option<(usize, SocketAddr)> {
     let (nodes, zones) = (context.nodes.borrow(), context.script.zones.len());
     (0..zones).find_map(|step| {
         let in_zone = |node: &usize| node % zones == (zone + step) % zones;
-        let near: Vec<usize> =
+        let candidates: Vec<usize> =
             (0..nodes.len()).filter(|node| in_zone(node) && nodes[*node].in_rotation).collect();
-        let node = *near.get((random.bits() % near.len().max(1) as u64) as usize)?;
+        let node = *candidates.get((random.bits() % candidates.len().max(1) as u64) as usize)?;
         Some((node, nodes[node].address?))
     })
 }
 
-/// Sends a request of an operation and waits for its answer, as long as the client does.
+/// Sends a request of an operation and waits for its answer until the client gives up or disconnects.
 async fn send_request(context: &Rc<Context>, pool: &Pool, number: usize, ordinal: u32) -> RequestEnd {
     let operation = context.state.borrow().operations[number].clone();
     let random = operation.request_random(ordinal);
@@ -135,7 +136,7 @@
             RequestEnd::Disconnected
         }
         () = sleep_until(context.instant(expires_at)) => {
-            // An answer on its way is still the node's: the judge records it, and the client ignores it.
+            // The client ignores an answer that arrives now, but the judge still needs to see it.
             spawn_local(async move {
                 if timeout(READ_AFTER_TIMEOUT, &mut exchange).await.is_err() {
                     exchange.abort();
@@ -146,7 +147,7 @@
     }
 }
 
-/// Sleeps for a time; without one, forever.
+/// Sleeps for `time`, or forever if it is `None`.
 async fn sleep_or_forever(time: Option<Duration>) {
     match time {
         Some(time) => sleep(time).await,
@@ -171,7 +172,7 @@
     keep_connection: bool,
 }
 
-/// An exchange with the latency between client and node on both ways.
+/// Runs an exchange with the latency between client and node in both directions.
 async fn delayed_exchange(
     context: Rc<Context>,
     pool: Pool,
@@ -197,7 +198,7 @@
             None => match connect(request.address).await {
                 Some(connection) => connection,
                 None => {
-                    // The node closed the idle connection, and does not listen any more: it never accepted the request.
+                    // The node closed the idle connection and no longer listens, so it never received the request.
                     if accepted {
                         context.record(Observation::ClientDisconnected { request: request.request });
                     }
@@ -209,7 +210,7 @@
             continue;
         }
         if !accepted && context.now() >= request.expires_at {
-            // The client has given up before it had a connection to send the request on.
+            // The client timed out before it had a connection for the request.
             return None;
         }
         if !std::mem::replace(&mut accepted, true) {
@@ -229,7 +230,8 @@
                 }
                 return Some(answer);
             }
-            // A node may close an idle connection while a request is on its way; it is sent again on a new connection.
+            // The node may have closed the idle connection while the request was on its way, so it is sent again on a
+            // new connection.
             Err(_) if reused => {}
             Err(error) => {
                 context.record(Observation::ConnectionLost {
@@ -250,7 +252,7 @@
     let last_arrival = stream.last_arrival();
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let task = spawn_local(async move {
-        // An error shows at the request that is sent on it.
+        // Errors are reported by the request that uses the connection.
         let _ = connection.await;
     });
     Some(Connection { sender, last_arrival, task: task.abort_handle() })
@@ -277,7 +279,7 @@
 }
 
 fn http_request(context: &Context, request: OutgoingRequest) -> hyper::http::Result<Request<Empty<Bytes>>> {
-    // The time counts from when the request is sent: what the connection took of it is gone.
+    // The time left is measured at the send, so the time spent on connecting is already subtracted.
     let time_left = request.expires_at.since(context.now());
     let state = context.state.borrow();
     let operation = &state.operations[request.operation];
--- a/crates/testbed/src/sockets/context.rs
+++ b/crates/testbed/src/sockets/context.rs
@@ -1,4 +1,4 @@
-//! The state that all tasks of a run share. One thread runs all of them, and none holds a borrow across an `await`.
+//! The state that all tasks of a run share. All tasks run on one thread, and none holds a borrow across an `await`.
 
 use super::cache_server::JobResult;
 use super::error::SocketRunError;
@@ -25,25 +25,26 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep_until, Instant};
 
-/// The version of the endpoint list at the start.
+/// Version of the endpoint list at the start of a run.
 const FIRST_LIST_VERSION: u64 = 1;
-/// How long after the end of the script samples are still kept.
+/// Samples that are taken later than this after the end of the script are not kept.
 const LAST_SAMPLE_DELAY: Duration = Duration::from_millis(500);
 
-/// A cache server under one id. Its processes come and go.
+/// A cache server with one id. It runs at most one process at a time.
 pub(super) struct Server {
     pub(super) name: String,
-    /// Its index in the fleet. A successor under another name has the same index.
+    /// Index in the fleet. A replacement with another name has the same index.
     pub(super) index: usize,
-    /// Its number at the judge.
+    /// Number by which the judge's observations name the server.
     pub(super) judge_number: usize,
+    /// Index of the running process; `None` while there is none.
     pub(super) process: Option<usize>,
     pub(super) address: SocketAddr,
-    /// Its state as discovery lists it.
+    /// State in discovery's endpoint list.
     pub(super) state: EndpointState,
-    /// When the listed process started, in milliseconds of Unix time; 0 for those of the start.
+    /// Start time of the listed process in Unix milliseconds; 0 if it was started with the run.
     pub(super) started_unix_ms: u64,
-    /// The version of the list in which it changed last.
+    /// Version of the endpoint list in which the server last changed.
     pub(super) version: u64,
 }
 
@@ -53,19 +54,20 @@
     pub(super) model: CacheServer,
     pub(super) alive: bool,
     pub(super) connections: u32,
-    /// The model has new work, or the process has ended.
+    /// Notified when the model has new work or the process has ended.
     pub(super) changed: Rc<Notify>,
+    /// Notified when the process has ended.
     pub(super) ended: Rc<Notify>,
-    /// The task that accepts connections, which holds the address until it ends.
+    /// The task that accepts connections. The listening address is in use until this task ends.
     pub(super) accepting: Option<JoinHandle<()>>,
 }
 
-/// What the result of a run is made of, beside the verdict.
+/// Figures of a run's result other than the verdict.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Statistics {
     pub(super) hits: u64,
     pub(super) misses: u64,
-    /// Misses up to the last sample.
+    /// Misses that earlier samples have counted.
     pub(super) sampled_misses: u64,
     pub(super) fetches_accepted: u64,
     pub(super) fetches_rejected: u64,
@@ -77,27 +79,27 @@
 /// A request that a client has sent.
 pub(super) struct SentRequest {
     pub(super) operation: usize,
-    /// Its number within the operation, from 0.
+    /// Position among the requests of the operation, from 0.
     pub(super) ordinal: u32,
     pub(super) node: usize,
-    /// The number of attempts that have reached cache servers.
+    /// Number of attempts that have reached cache servers.
     pub(super) attempts: u32,
 }
 
 pub(super) struct State {
     pub(super) servers: Vec<Server>,
-    /// By index in the fleet: the present server.
+    /// The current server at each index in the fleet.
     pub(super) server_at: Vec<usize>,
-    /// By index in the fleet.
+    /// Network and error faults at each index in the fleet.
     pub(super) conditions: Vec<watch::Sender<ServerCondition>>,
-    /// By index in the fleet.
+    /// When the connections to each index in the fleet were last forgotten.
     pub(super) connections_forgotten_at: Vec<ForgottenAt>,
     pub(super) processes: Vec<Process>,
     pub(super) origin: Origin,
-    /// The process that a fetch is for.
-    pub(super) fetching: HashMap<JobId, usize>,
-    /// Notified when a job ends.
-    pub(super) jobs: HashMap<JobId, oneshot::Sender<JobResult>>,
+    /// The process that each fetch at the origin belongs to.
+    pub(super) fetch_processes: HashMap<JobId, usize>,
+    /// Receives the result of each unfinished job.
+    pub(super) job_waiters: HashMap<JobId, oneshot::Sender<JobResult>>,
     pub(super) operations: Vec<Operation>,
     pub(super) requests: Vec<SentRequest>,
     pub(super) statistics: Statistics,
@@ -107,29 +109,30 @@
 pub(super) struct DiscoveryState {
     pub(super) list_version: watch::Sender<u64>,
     pub(super) available: watch::Sender<bool>,
-    /// The fraction of answers that is cut short or malformed.
+    /// Fraction of answers that are truncated or malformed.
     pub(super) error_rate: Cell<f64>,
+    /// Number of answers so far.
     pub(super) answers: Cell<u64>,
-    /// When all lines that it has to send already are sent.
+    /// When all lines that are already queued will have been sent.
     pub(super) free_at: Cell<Instant>,
 }
 
 pub(super) struct Context {
     pub(super) script: Script,
-    /// The program of the nodes.
+    /// The executable that nodes run.
     pub(super) program: PathBuf,
     pub(super) random: RandomSource,
-    /// Times of the run count from here.
+    /// Start of the run's clock.
     pub(super) started_at: Cell<Instant>,
     pub(super) judge: RefCell<Judge>,
     pub(super) state: RefCell<State>,
     pub(super) origin_changed: Notify,
     pub(super) nodes: RefCell<Vec<Node>>,
     pub(super) discovery: DiscoveryState,
-    /// Why the run cannot go on.
+    /// The first error that aborted the run.
     pub(super) error: RefCell<Option<SocketRunError>>,
     pub(super) aborted: Notify,
-    /// The folder of the nodes' configuration files.
+    /// Temporary folder for the nodes' configuration files.
     pub(super) folder: PathBuf,
 }
 
@@ -159,7 +162,7 @@
         })
     }
 
-    /// Aborts the run; the first error counts.
+    /// Aborts the run. Only the first error is kept.
     pub(super) fn abort(&self, error: SocketRunError) {
         self.error.borrow_mut().get_or_insert(error);
         self.aborted.notify_one();
@@ -178,7 +181,7 @@
         self.started_at.get().elapsed()
     }
 
-    /// The time of an instant; the run's start, if it was earlier.
+    /// Converts an instant to a time of the run. An instant before the run's start becomes the start.
     pub(super) fn timestamp(&self, instant: Instant) -> Timestamp {
         Timestamp::default() + instant.saturating_duration_since(self.started_at.get())
     }
@@ -191,20 +194,20 @@
         self.judge.borrow_mut().record(observation);
     }
 
-    /// The present process at this index in the fleet.
+    /// Returns the process that runs at this index in the fleet.
     pub(super) fn process_at(&self, index: usize) -> Option<usize> {
         let state = self.state.borrow();
         state.servers[state.server_at[index]].process
     }
 
-    /// The one-way latency between a node and a cache server, without faults.
+    /// Returns the one-way latency between a node and a cache server, without faults.
     pub(super) fn latency(&self, node: usize, index: usize, random: RandomSource) -> Duration {
         let from = fleet::node_zone(&self.script, node);
         let to = fleet::server_zone(&self.script, index);
         network_model::latency(&self.script.network, from, to, random)
     }
 
-    /// Samples the state of the servers.
+    /// Samples the state of the cache servers and the origin.
     pub(super) fn sample(&self) -> Sample {
         let mut state = self.state.borrow_mut();
         let alive = state.processes.iter().filter(|process| process.alive).map(|process| &process.model);
@@ -220,7 +223,7 @@
 
 impl Drop for Context {
     fn drop(&mut self) {
-        // Best effort: the files are of no use any more.
+        // Best effort: the files are no longer needed.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -235,8 +238,8 @@
             connections_forgotten_at: (0..servers).map(|_| Rc::default()).collect(),
             processes: Vec::new(),
             origin: Origin::new(script.origin.clone()),
-            fetching: HashMap::new(),
-            jobs: HashMap::new(),
+            fetch_processes: HashMap::new(),
+            job_waiters: HashMap::new(),
             operations: Workload::new(script).collect(),
             requests: Vec::new(),
             statistics: Statistics::default(),
@@ -244,13 +247,13 @@
     }
 }
 
-/// The present Unix time in milliseconds.
+/// Returns the current Unix time in milliseconds.
 pub(super) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Sleeps until a time; without one, forever.
-pub(super) async fn sleep_until_some(at: Option<Instant>) {
+/// Sleeps until `at`, or forever if it is `None`.
+pub(super) async fn sleep_until_or_forever(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
         None => std::future::pending().await,
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -1,5 +1,5 @@
-//! The discovery service on sockets: snapshots, watches, a bounded number of lines per second, and faults. Each node has an
-//! address of its own, so that the judge knows which node was notified of what.
+//! The discovery service on sockets: snapshots, watches, a bounded number of lines per second, and faults. Each node
+//! calls an address of its own, so that the runner can tell the judge which node was notified of what.
 
 use super::context::{Context, Server};
 use super::error::SocketRunError;
@@ -28,10 +28,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// The purpose of the random values of answers.
+/// Stream of random numbers that decides the faults of answers.
 const ANSWERS: u64 = 0x6c69_7374;
 
-/// Starts an address for each node, and prepares the nodes to use them.
+/// Opens a listener for each node, and registers the nodes with the addresses.
 pub(super) async fn start(context: &Rc<Context>) -> Result<(), SocketRunError> {
     for node in 0..context.script.nodes as usize {
         let listener = TcpListener::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)));
@@ -55,11 +55,11 @@
         let context = context.clone();
         async move { Ok::<_, Infallible>(respond(&context, node, request).await) }
     });
-    // A node that closes the connection ends its watch.
+    // An error means that the node has closed the connection, which ends its watch.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
-/// Discovery detects the present state of a server after its delay.
+/// Publishes the new state of a server after discovery's detection delay.
 pub(super) fn detect_state_later(
     context: &Rc<Context>,
     server: usize,
@@ -79,7 +79,7 @@
     });
 }
 
-/// The whole endpoint list in discovery's format.
+/// Returns the whole endpoint list in discovery's format.
 fn snapshot(context: &Context) -> Value {
     let state = context.state.borrow();
     let listed = state.servers.iter().filter(|server| server.state != EndpointState::Removed);
@@ -87,7 +87,7 @@
     json!({"seq": *context.discovery.list_version.borrow(), "whole": true, "hosts": hosts})
 }
 
-/// What is newer than a version, in discovery's format; the whole list if there is none.
+/// Returns the entries that changed after `version`, in discovery's format, or the whole list if `version` is `None`.
 fn list_after(context: &Context, version: Option<u64>) -> Value {
     let Some(version) = version else { return snapshot(context) };
     let state = context.state.borrow();
@@ -116,13 +116,13 @@
     })
 }
 
-/// A body that is cut short: it has fewer bytes than its head says.
-struct CutShort {
+/// A response body with fewer bytes than its `Content-Length` says.
+struct TruncatedBody {
     content_length: u64,
     part: Option<Bytes>,
 }
 
-impl Body for CutShort {
+impl Body for TruncatedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -139,13 +139,13 @@
     }
 }
 
-type HttpResponse = Response<Either<Full<Bytes>, CutShort>>;
+type HttpResponse = Response<Either<Full<Bytes>, TruncatedBody>>;
 
-/// The first half of a list: cut short, or as a whole answer that is malformed.
-fn faulty_response(list: &str, cut_short: bool) -> HttpResponse {
+/// Returns the first half of a list, either as a truncated response or as a complete but malformed one.
+fn faulty_response(list: &str, truncated: bool) -> HttpResponse {
     let half = Bytes::copy_from_slice(&list.as_bytes()[..list.len() / 2]);
-    Response::new(match cut_short {
-        true => Either::Right(CutShort { content_length: list.len() as u64, part: Some(half) }),
+    Response::new(match truncated {
+        true => Either::Right(TruncatedBody { content_length: list.len() as u64, part: Some(half) }),
         false => Either::Left(Full::new(half)),
     })
 }
@@ -166,10 +166,10 @@
     response.unwrap_or_else(|TimedOut| unavailable())
 }
 
-/// A call that waited too long for its turn.
+/// The call waited longer for its turn than the call timeout.
 struct TimedOut;
 
-/// Answers a call after its turn, and after the change that it watches for.
+/// Waits for the call's turn and for the change that it watches for, and then answers it.
 async fn answer(
     context: &Rc<Context>,
     node: usize,
@@ -178,7 +178,8 @@
     send_lines(context, context.script.discovery.call_lines).await?;
     if let Some(after) = after {
         let mut version = context.discovery.list_version.subscribe();
-        // The sender lives as long as the context. A watch that times out is answered without a change.
+        // The sender lives as long as the context, so this fails only when the watch times out. The answer then has no
+        // changes.
         let _ = timeout(wait, version.wait_for(|version| *version > after)).await;
     }
     let changed = {
@@ -202,7 +203,8 @@
     version.is_none_or(|version| server.version > version)
 }
 
-/// Waits until discovery has sent so many lines, behind all that it has to send already.
+/// Waits until discovery has sent this many lines after those already queued. The lines count against its limit of
+/// lines per second.
 async fn send_lines(context: &Context, lines: f64) -> Result<(), TimedOut> {
     let settings = &context.script.discovery;
     let now = Instant::now();
@@ -217,7 +219,7 @@
     Ok(())
 }
 
-/// Tells the judge what a node is notified of, and keeps the list that the node would start from.
+/// Records for the judge what a node is notified of, and saves the list that the node would start from.
 fn notify_node(context: &Context, node: usize, after: Option<u64>) {
     let at = context.now();
     for server in context.state.borrow().servers.iter().filter(|server| is_newer(server, after)) {
--- a/crates/testbed/src/sockets/error.rs
+++ b/crates/testbed/src/sockets/error.rs
@@ -1,4 +1,4 @@
-//! Why a run on sockets failed.
+//! Errors of runs on sockets.
 
 use super::MAX_NODES;
 use std::io;
@@ -10,29 +10,31 @@
     /// A system call failed.
     #[error("{what}: {error}")]
     System {
-        /// What was tried.
+        /// The operation that failed.
         what: String,
-        /// How it failed.
+        /// The error of the system call.
         error: io::Error,
     },
     /// The script has more nodes than one machine can run as processes.
-    #[error("expected {MAX_NODES} nodes at the most on sockets, found {found}; the player in virtual time takes more")]
+    #[error(
+        "expected at most {MAX_NODES} nodes on sockets, found {found}; the virtual-time player accepts more"
+    )]
     TooManyNodes {
         /// The number of nodes in the script.
         found: u32,
     },
-    /// A node did not start.
+    /// A node did not start, or did not end after an upgrade.
     #[error("node {node} did not start: {reason}")]
     Node {
         /// The node.
         node: usize,
-        /// The last line of its log, or what was expected of it in vain.
+        /// The last line of the node's log, or the expectation that it did not meet.
         reason: String,
     },
 }
 
 impl SocketRunError {
-    /// For `map_err`: what was tried when the system call failed.
+    /// Returns a function for `map_err` that adds the operation to the error of a system call.
     pub(super) fn system(what: impl Into<String>) -> impl FnOnce(io::Error) -> Self {
         let what = what.into();
         move |error| Self::System { what, error }
--- a/crates/testbed/src/sockets/faulty_stream/mod.rs
+++ b/crates/testbed/src/sockets/faulty_stream/mod.rs
@@ -1,5 +1,5 @@
-//! The cache server's end of a connection, with the faults of the network: the connection is reset in the middle of an
-//! answer, or passes nothing any more without notice to either end.
+//! The cache server's end of a connection, with network faults: a reset in the middle of an answer, or a half-open
+//! connection that silently drops all data in both directions.
 
 #[cfg(test)]
 mod tests;
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// When the middlebox before a cache server last forgot its connections.
+/// When the emulated middlebox in front of a cache server last dropped its connection state.
 pub(super) type ForgottenAt = Rc<Cell<Option<Instant>>>;
 
 /// The faults of one connection.
@@ -26,12 +26,12 @@
 }
 
 impl ConnectionFaults {
-    /// For a connection that is established now.
+    /// Creates the faults of a connection that is established now.
     pub(super) fn new(forgotten_at: ForgottenAt) -> Self {
         Self { established_at: Instant::now(), forgotten_at, reset_next_write: Rc::default() }
     }
 
-    /// Whether nothing passes any more.
+    /// Returns whether the middlebox has forgotten this connection, so that no data passes any more.
     pub(super) fn is_forgotten(&self) -> bool {
         self.forgotten_at.get().is_some_and(|at| self.established_at <= at)
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// A TCP stream with faults.
+/// A TCP stream that emulates network faults.
 #[derive(Debug)]
 pub(super) struct FaultyStream {
     stream: TimedStream,
@@ -66,12 +66,12 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.faults.is_forgotten() {
-            // No wake-up is needed: nothing ever passes again.
+            // No wake-up is needed, since no data will ever arrive.
             return Poll::Pending;
         }
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
-        // The connection may have been forgotten since the check above; its end must not show then.
+        // The connection may have been forgotten since the check above. The close of the peer must not be seen then.
         if read.is_ready() && self.faults.is_forgotten() {
             buf.set_filled(before);
             return Poll::Pending;
@@ -90,7 +90,7 @@
         }
         match Pin::new(&mut self.stream).poll_write(cx, &buf[..buf.len() / 2]) {
             Poll::Ready(Ok(_)) => {
-                // With zero linger, closing the socket sends a reset.
+                // With a zero linger time, closing the socket sends a reset.
                 self.stream.set_zero_linger()?;
                 Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()))
             }
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -1,10 +1,11 @@
 //! Runs a scenario on sockets: nodes as real processes, against stand-ins on loopback, in real time.
 //!
-//! One thread has everything that is not a node: clients and the front, cache servers, origin and discovery. Emulated work
-//! waits instead of using the processor. What loopback cannot do is done at the stand-ins: they wait for the latency of each
-//! message, and an unreachable server still accepts connections but does not answer.
+//! One thread runs all stand-ins: clients and the front, cache servers, origin and discovery. Emulated work waits
+//! instead of using the processor. The stand-ins also emulate the network faults that loopback lacks: they wait for
+//! the latency of each message, and an unreachable server still accepts connections but does not answer.
 //!
-//! A run on a machine that is too busy is void: its figures would be those of the machine. The lag of timers shows it.
+//! A run on a machine that is too busy is void, because its figures would describe the machine and not the nodes. A
+//! long timer lag shows this.
 
 mod cache_server;
 mod clients;
@@ -34,33 +35,33 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::sleep;
 
-/// The maximum number of nodes of a run on sockets: each is a process.
+/// Maximum number of nodes in a run on sockets. Each node is a process.
 pub const MAX_NODES: u32 = 2_000;
-/// The time between two samples.
+/// Time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A run on sockets.
+/// The outcome of a run on sockets.
 #[derive(Debug)]
 pub struct SocketRun {
-    /// The result.
+    /// The figures of the run.
     pub result: RunResult,
     /// How late timers expired.
     pub timer_lag: TimerLag,
-    /// The run was aborted: all figures are of the time until then.
+    /// Whether the run was aborted. The figures then cover only the time before that.
     pub partial: bool,
-    /// The error that aborted it; `None` if it was interrupted.
+    /// The error that aborted the run; `None` if the run completed or was interrupted.
     pub error: Option<SocketRunError>,
 }
 
 impl SocketRun {
-    /// Whether the machine was too busy for meaningful figures.
+    /// Returns whether the machine was too busy for meaningful figures.
     pub fn is_void(&self) -> bool {
         self.timer_lag.is_too_long()
     }
 }
 
-/// Runs a script with nodes of `program`, until it is over or `stop` completes. `on_sample` is called each second with the
-/// time since the start.
+/// Runs a script until it is over or `stop` completes. Each node is a process of the executable `program`.
+/// `on_sample` is called each second with the time since the start.
 ///
 /// # Errors
 /// If the script has too many nodes, or a node or stand-in does not start.
@@ -76,11 +77,11 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(SocketRunError::system("the runtime"))?;
+        .map_err(SocketRunError::system("starting the runtime"))?;
     let local = LocalSet::new();
     let context = Rc::new(Context::new(script.clone(), program.to_owned())?);
     let ended = local.block_on(&runtime, run_until_end(&context, on_sample, stop));
-    // Ends the tasks that still run. The processes of nodes end with the context.
+    // Ends the tasks that still run. The node processes end when the context is dropped.
     drop(local);
     let (timer_lag, partial) = ended?;
     let result = result(&context);
--- a/crates/testbed/src/sockets/node.rs
+++ b/crates/testbed/src/sockets/node.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes of the daemon: their start, upgrade, reload and end.
+//! Starts, upgrades, reloads and ends the node processes.
 
 use super::context::Context;
 use super::error::SocketRunError;
@@ -19,36 +19,36 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A node that is not ready after this time has failed to start.
+/// Maximum time until the log of a started node names its address, and again until the node is ready.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a starting node is asked whether it is ready.
+/// Time between two readiness checks of a starting node.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long after the longest deadline a predecessor ends: the connections of clients have that much time.
-const PREDECESSOR_ENDS_WITHIN: Duration = Duration::from_secs(15);
+/// How long after the longest deadline a predecessor must have ended. Client connections may stay open for that long.
+const PREDECESSOR_EXIT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A node, whether its process runs or not.
+/// A node. Its process need not be running.
 pub(super) struct Node {
-    /// The address of discovery for this node.
+    /// Discovery's address for this node.
     pub(super) discovery: SocketAddr,
-    /// Where it listens for clients; `None` before its first start.
+    /// Address on which the node listens for clients; `None` before its first start.
     pub(super) address: Option<SocketAddr>,
-    /// Killed when it is dropped.
+    /// The running process. Dropping it kills the process.
     process: Option<Child>,
-    /// The front sends requests to it.
+    /// Whether the front sends requests to the node.
     pub(super) in_rotation: bool,
     shutting_down: bool,
-    /// Counts its starts.
+    /// Number of starts.
     pub(super) incarnation: u32,
-    /// The endpoint list that it starts with.
+    /// Endpoint list that the node starts with.
     pub(super) start_list: Value,
     pub(super) config_file: PathBuf,
-    /// The address in its configuration: chosen by the system at the first start, and the same one afterwards.
+    /// Listen address in the configuration. The system chooses the port at the first start; restarts keep it.
     pub(super) listen: SocketAddr,
-    /// The number of reloads.
+    /// Number of reloads.
     pub(super) reloads: u32,
 }
 
-/// Prepares the next node. It is not started yet.
+/// Adds the next node without starting it.
 pub(super) fn prepare(context: &Context, node: usize, discovery: SocketAddr, start_list: Value) {
     context.nodes.borrow_mut().push(Node {
         discovery,
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// Writes the configuration of a node; a reader never sees a part of it.
+/// Writes the configuration file of a node atomically, so that a reader never sees a part of it.
 fn write_config(context: &Context, node: usize) -> Result<PathBuf, SocketRunError> {
     let text = node_config::text(context, node);
     let path = context.nodes.borrow()[node].config_file.clone();
@@ -106,11 +106,12 @@
     let program = context.program.display().to_string();
     let mut process = command.spawn().map_err(SocketRunError::system(program))?;
     let failed = |reason: String| SocketRunError::Node { node, reason };
-    let log = process.stderr.take().ok_or_else(|| failed("no log".into()))?;
+    let log = process.stderr.take().ok_or_else(|| failed("its standard error is not captured".into()))?;
     let mut log = BufReader::new(log).lines();
     let listening = timeout(START_TIMEOUT, read_address(&mut log)).await;
-    let listening = listening.map_err(|_| failed("nothing".into()))?;
-    let address = match listening.map_err(SocketRunError::system("a node's log"))? {
+    let listening =
+        listening.map_err(|_| failed(format!("its log names no listen address within {START_TIMEOUT:?}")))?;
+    let address = match listening.map_err(SocketRunError::system("reading a node's log"))? {
         Listening::At(address) => address,
         Listening::LogEnded { last_line } => return Err(failed(last_line)),
     };
@@ -121,7 +122,7 @@
         }
     });
     let ready = timeout(START_TIMEOUT, wait_until_ready(address, READY_POLL_INTERVAL)).await;
-    ready.map_err(|_| failed("it is never ready".into()))?;
+    ready.map_err(|_| failed(format!("it is not ready within {START_TIMEOUT:?}")))?;
     Ok((address, process))
 }
 
@@ -139,7 +140,7 @@
     command
 }
 
-/// Starts a successor of a node's process. The predecessor ends by itself.
+/// Starts a successor of a node's process. The predecessor hands over to the successor and ends by itself.
 pub(super) async fn upgrade(context: Rc<Context>, node: usize) {
     {
         let nodes = context.nodes.borrow();
@@ -153,14 +154,14 @@
     };
     let predecessor = context.nodes.borrow_mut()[node].process.replace(successor);
     let Some(mut predecessor) = predecessor else { return };
-    let limit = context.script.longest_deadline() + PREDECESSOR_ENDS_WITHIN;
+    let limit = context.script.longest_deadline() + PREDECESSOR_EXIT_TIMEOUT;
     if timeout(limit, predecessor.wait()).await.is_err() {
-        let reason = "it has handed over and does not end".into();
+        let reason = format!("its predecessor has not ended {limit:?} after the hand-over");
         context.abort(SocketRunError::Node { node, reason });
     }
 }
 
-/// Changes the configuration of a node, and signals it to reload.
+/// Rewrites a node's configuration and signals the node to reload it.
 pub(super) fn reload(context: &Context, node: usize) {
     context.nodes.borrow_mut()[node].reloads += 1;
     if let Err(error) = write_config(context, node) {
@@ -171,12 +172,12 @@
 
 fn send_signal(process: &Child, signal: Signal) {
     if let Some(id) = process.id().and_then(|id| Pid::from_raw(id as i32)) {
-        // It may have ended by itself.
+        // An error means that the process has already ended.
         let _ = kill_process(id, signal);
     }
 }
 
-/// Ends a node's process, by a kill or a graceful shutdown, and starts the node again.
+/// Kills a node's process or shuts it down gracefully, and starts the node again after `downtime`.
 pub(super) async fn restart(context: Rc<Context>, node: usize, killed: bool, downtime: Duration) {
     let process = {
         let mut nodes = context.nodes.borrow_mut();
@@ -207,7 +208,7 @@
     }
 }
 
-/// After a time, the front no longer sends requests to this incarnation of a node.
+/// Makes the front stop sending requests to this incarnation of a node after a delay.
 async fn leave_rotation(context: Rc<Context>, node: usize, incarnation: u32, after: Duration) {
     sleep(after).await;
     let state = &mut context.nodes.borrow_mut()[node];
@@ -225,8 +226,8 @@
 }
 
 async fn kill(context: &Context, node: usize, process: &mut Child) {
-    // It may have ended by itself.
+    // An error means that the process has already ended.
     let _ = process.kill().await;
-    // Recorded once it is gone: until then, clients may still send requests to it.
+    // Recorded only after the process has ended, because clients may send requests to it until then.
     context.record(Observation::NodeKilled { node, at: context.now() });
 }
--- a/crates/testbed/src/sockets/node_config.rs
+++ b/crates/testbed/src/sockets/node_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a node: as the platform gives it, or as an operator's file.
+//! Writes the configuration of a node, either in the platform's JSON format or as an operator's TOML file.
 
 use super::context::Context;
 use super::node::Node;
@@ -9,10 +9,10 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// The most descriptors of a node.
-const DESCRIPTORS: u32 = 1024;
+/// Maximum number of file descriptors of a node.
+const MAX_DESCRIPTORS: u32 = 1024;
 
-/// The configuration file of a node in its present state.
+/// Returns the text of a node's current configuration file.
 pub(super) fn text(context: &Context, node: usize) -> String {
     if context.script.uses_operator_file() {
         operator_file(context, node)
@@ -21,7 +21,7 @@
     }
 }
 
-/// The seed of a node's present incarnation.
+/// Returns the seed of an incarnation of a node.
 fn seed(context: &Context, node: usize, incarnation: u32) -> u64 {
     context.random.derive(node as u64).derive(u64::from(incarnation)).bits()
 }
@@ -42,7 +42,7 @@
         "listen": listen.to_string(),
         "discovery": discovery.to_string(),
         "seed": format!("{:016x}", seed(context, node, *incarnation)),
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTORS},
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": MAX_DESCRIPTORS},
         "known": start_list,
         "settings": {
             "az": script.zones[zone],
@@ -97,12 +97,13 @@
     }
 }
 
-/// A time as it is written in an operator's file.
-fn quoted(time: Duration) -> String {
+/// Formats a time as a string of an operator's file, with its quotes.
+fn quoted_time(time: Duration) -> String {
     format!("\"{}\"", time_text(time))
 }
 
-/// An operator's file. After each odd reload, the classes are in reverse order and there is one more listener.
+/// Returns the text of an operator's file. After an odd number of reloads the classes are in reverse order and there
+/// is an additional listener, so that each reload changes the configuration.
 fn operator_file(context: &Context, node: usize) -> String {
     let script = &context.script;
     let nodes = context.nodes.borrow();
@@ -118,7 +119,7 @@
         if changed { "[[listener]]\nname = \"further\"\naddress = \"127.0.0.1:0\"\n" } else { "" };
     format!(
         "version = 1\nname = \"n{node}\"\nzone = \"{zone}\"\nnodes = {count}\nseed = {seed}\n\
-         [limits]\ndescriptors = {DESCRIPTORS}\nmax_attempts = {attempts}\nmax_retry_after = {retry_after}\n\
+         [limits]\ndescriptors = {MAX_DESCRIPTORS}\nmax_attempts = {attempts}\nmax_retry_after = {retry_after}\n\
          [servers]\nconnect_timeout = {connect}\nidle = {idle}\ncold_share = {cold:?}\nwarm_within = {warm}\n\
          fall_multiple = {factor:?}\nfall_span = {window}\n\
          [hand_over]\nsocket = {socket:?}\nwithin = \"10s\"\nprobation = \"2s\"\n\
@@ -126,37 +127,37 @@
          [[pool]]\nname = \"boxes\"\ndiscovery = \"{discovery}\"\n{classes}",
         zone = script.zones[zone],
         count = script.nodes,
-        // TOML integers are signed.
+        // TOML integers are signed, so the seed must fit into 63 bits.
         seed = seed(context, node, *incarnation) >> 1,
         attempts = settings.max_attempts,
-        retry_after = quoted(settings.max_retry_after),
-        connect = quoted(settings.connect_timeout),
-        idle = quoted(settings.server_idle_timeout),
+        retry_after = quoted_time(settings.max_retry_after),
+        connect = quoted_time(settings.connect_timeout),
+        idle = quoted_time(settings.server_idle_timeout),
         cold = settings.slow_start_min_fraction,
-        warm = quoted(settings.slow_start_window),
+        warm = quoted_time(settings.slow_start_window),
         factor = settings.slow_start_overload_factor,
-        window = quoted(settings.slow_start_overload_window),
+        window = quoted_time(settings.slow_start_overload_window),
         socket = config_file.with_extension("sock").display().to_string(),
         classes = classes.concat(),
     )
 }
 
-/// A class in an operator's file.
+/// Returns the `[[class]]` table of an operator's file.
 pub(crate) fn class_table(class: &Class) -> String {
     let effect = match class.idempotency {
         Idempotency::Idempotent => "\"safe\"".to_owned(),
         Idempotency::NotIdempotent => "\"unsafe\"".to_owned(),
         Idempotency::WithKey { scope, window } => {
             let scope = scope_name(scope);
-            format!("\"keyed\"\nscope = \"{scope}\"\nwindow = {}", quoted(window))
+            format!("\"keyed\"\nscope = \"{scope}\"\nwindow = {}", quoted_time(window))
         }
     };
     format!(
         "[[class]]\nname = {name:?}\neffect = {effect}\naim = {objective}\ndeadline = {deadline}\n\
          worth = {weight:?}\nlate_worth = {late:?}\n",
         name = class.name,
-        objective = quoted(class.latency_objective),
-        deadline = quoted(class.deadline),
+        objective = quoted_time(class.latency_objective),
+        deadline = quoted_time(class.deadline),
         weight = class.priority_weight,
         late = class.late_weight_fraction,
     )
--- a/crates/testbed/src/sockets/origin.rs
+++ b/crates/testbed/src/sockets/origin.rs
@@ -1,14 +1,14 @@
-//! The origin on sockets.
+//! Drives the model of the origin in real time.
 
-use super::context::{sleep_until_some, Context};
+use super::context::{sleep_until_or_forever, Context};
 use std::rc::Rc;
 
-/// Drives the origin's state machine: tells cache servers of the fetches that have ended.
+/// Advances the origin's model and passes finished fetches on to the cache servers that started them.
 pub(super) async fn drive(context: Rc<Context>) {
     loop {
         let next = context.state.borrow().origin.next_wakeup().map(|at| context.instant(at));
         tokio::select! {
-            () = sleep_until_some(next) => {}
+            () = sleep_until_or_forever(next) => {}
             () = context.origin_changed.notified() => {}
         }
         let now = context.now();
@@ -16,7 +16,7 @@
         let mut ended = Vec::new();
         state.origin.advance(now, &mut ended);
         for job in ended {
-            let Some(process) = state.fetching.remove(&job) else { continue };
+            let Some(process) = state.fetch_processes.remove(&job) else { continue };
             let process = &mut state.processes[process];
             if process.alive {
                 process.model.fetch_ended(now, job, true);
--- a/crates/testbed/src/sockets/timed_stream/mod.rs
+++ b/crates/testbed/src/sockets/timed_stream/mod.rs
@@ -1,6 +1,6 @@
-//! A TCP stream that tells when what was read from it came.
+//! A TCP stream that records when the bytes read from it arrived.
 //!
-//! The runner shares the machine with its nodes and may read late. What it judges must not be later by that.
+//! The runner shares the machine with its nodes and may read late. The delay must not count against the nodes.
 
 use arrival_time::{ArrivalReader, Received};
 use std::cell::Cell;
@@ -12,12 +12,12 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// When the last bytes of a stream came.
+/// Time of arrival of the bytes that were last read from a stream.
 #[derive(Clone, Debug)]
 pub(super) struct LastArrival(Rc<Cell<Instant>>);
 
 impl LastArrival {
-    /// The time of the last bytes that were read; of the start, if there were none.
+    /// Returns the time of arrival of the bytes read last, or the creation time of the stream if none have been read.
     pub(super) fn get(&self) -> Instant {
         self.0.get()
     }
@@ -28,7 +28,7 @@
     }
 }
 
-/// A TCP stream that records when bytes came.
+/// A TCP stream that records the arrival time of the bytes read.
 #[derive(Debug)]
 pub(super) struct TimedStream {
     stream: TcpStream,
@@ -46,7 +46,7 @@
         self.last_arrival.clone()
     }
 
-    /// Makes the close of the stream a reset.
+    /// Makes closing the stream send a reset.
     pub(super) fn set_zero_linger(&self) -> io::Result<()> {
         self.stream.set_zero_linger()
     }
--- a/crates/testbed/src/sockets/timer_lag.rs
+++ b/crates/testbed/src/sockets/timer_lag.rs
@@ -1,4 +1,4 @@
-//! The lag of timers, which shows whether the machine is too busy.
+//! Measures how late timers expire, which shows whether the machine is too busy.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,14 +6,14 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep_until, Instant};
 
-/// The time between two timers.
-const INTERVAL: Duration = Duration::from_millis(5);
+/// Time between two measurements.
+const MEASUREMENT_INTERVAL: Duration = Duration::from_millis(5);
 /// A run is void if the 99th percentile of the lag is longer than this.
-const MAX_P99: Duration = Duration::from_millis(20);
+const MAX_P99_LAG: Duration = Duration::from_millis(20);
 /// A run is void if any lag is longer than this.
-const MAX: Duration = Duration::from_millis(400);
+const MAX_LAG: Duration = Duration::from_millis(400);
 
-/// How late timers expired.
+/// Timer lag during a run: the delay between the due time of a timer and its expiry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TimerLag {
     /// The 99th percentile.
@@ -23,9 +23,9 @@
 }
 
 impl TimerLag {
-    /// Whether the figures of the run would be those of the machine.
+    /// Returns whether the machine was so busy that the run's figures are void.
     pub(super) fn is_too_long(&self) -> bool {
-        self.p99 > MAX_P99 || self.max > MAX
+        self.p99 > MAX_P99_LAG || self.max > MAX_LAG
     }
 
     fn of(mut lags: Vec<Duration>) -> Self {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Records the lag of a timer at regular intervals, in a task of its own.
+/// Records the timer lag at regular intervals in a background task.
 pub(super) struct Recorder {
     lags: Rc<RefCell<Vec<Duration>>>,
     task: AbortHandle,
@@ -59,7 +59,7 @@
 
 async fn record(lags: Rc<RefCell<Vec<Duration>>>) {
     loop {
-        let due = Instant::now() + INTERVAL;
+        let due = Instant::now() + MEASUREMENT_INTERVAL;
         sleep_until(due).await;
         lags.borrow_mut().push(due.elapsed());
     }
