--- a/crates/testbed/src/judge/mod.rs
+++ b/crates/testbed/src/judge/mod.rs
@@ -1,7 +1,9 @@
-//! The judge of the four rules and of the service. It takes what an observer outside of the nodes sees, and knows fronts,
-//! nodes and cache servers by number only: what was written to a node's socket and what came back, what reached a cache
-//! server and what was executed there, what discovery notified nodes of. Every runner, in whatever protocol, records the
-//! same [`Observation`]s.
+//! Checks the four rules and measures the service of a run.
+//!
+//! The judge uses only what an observer outside of the nodes sees: the requests sent to a node and its answers, the
+//! attempts that reached a cache server and their executions, and the endpoint states that discovery sent to nodes.
+//! Nodes and cache servers are identified by number. All runners record the same [`Observation`]s, whatever protocol
+//! they use.
 
 mod observation;
 mod record;
@@ -18,27 +20,27 @@
 use std::time::Duration;
 use verdict::ratio;
 
-/// Added to each time limit, since times are measured at the far end of a connection.
+/// Added to each time limit, because times are measured at the far end of a connection.
 pub const TOLERANCE: Duration = Duration::from_millis(50);
-/// The length of the windows of which the worst is reported.
-pub const WINDOW: Duration = Duration::from_secs(10);
-/// The number of violations that are described; more are only counted.
+/// Length of the windows over which the worst service is determined.
+pub const SERVICE_WINDOW: Duration = Duration::from_secs(10);
+/// Maximum number of violations that are described. Further ones are only counted.
 const MAX_DESCRIBED_VIOLATIONS: usize = 20;
 
 /// One of the four rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Rule {
-    /// 1: each request has one final answer in time.
+    /// Rule 1: each request gets exactly one final answer, in time.
     OneAnswerInTime = 1,
-    /// 2: a request is repeated only where that is safe.
+    /// Rule 2: a request is repeated only where that is safe.
     SafeRepeats = 2,
-    /// 3: no new requests to a cache server that drains or is removed.
-    NothingAfterDrain = 3,
-    /// 4: no warming cache server is overloaded.
+    /// Rule 3: a cache server that drains or is removed gets no new requests.
+    NoSendAfterDrain = 3,
+    /// Rule 4: no cache server in slow start is overloaded.
     NoOverloadInSlowStart = 4,
 }
 
-/// Collects observations and decides the rules. See the module's documentation.
+/// Collects observations and derives the verdict from them. See the module documentation.
 #[derive(Debug)]
 pub struct Judge {
     classes: Vec<Class>,
@@ -47,17 +49,20 @@
     servers: Vec<ServerRecord>,
     operations: Vec<OperationRecord>,
     requests: BTreeMap<RequestNumber, RequestRecord>,
-    /// By node and cache server: when the node was notified that the server is unavailable.
+    /// When each node was notified that a cache server is unavailable, by node and cache server.
     unavailable_since: BTreeMap<(usize, usize), Timestamp>,
+    /// Figures of each second of the run.
     seconds: Vec<SecondFigures>,
-    /// The node and the time of each kill.
+    /// Node and time of each kill.
     kills: Vec<(usize, Timestamp)>,
+    /// The first violations, at most [`MAX_DESCRIBED_VIOLATIONS`].
     violations: Vec<Violation>,
+    /// Number of violations of each rule.
     violation_counts: [u64; 4],
 }
 
 impl Judge {
-    /// Creates the judge of a run of this script.
+    /// Creates the judge for a run of this script.
     pub fn new(script: &Script) -> Self {
         let seconds = script.length.as_secs_f64().ceil() as usize;
         Self {
@@ -75,14 +80,14 @@
         }
     }
 
-    /// Registers a cache server and returns the number by which observations name it. `zone` and `cell` say where repeats of
+    /// Registers a cache server and returns its number in observations. `zone` and `cell` determine where repeats of
     /// requests with an idempotency key are safe.
     pub fn add_server(&mut self, name: &str, zone: usize, cell: u64) -> usize {
         self.servers.push(ServerRecord { name: name.to_owned(), zone, cell });
         self.servers.len() - 1
     }
 
-    /// Records an observation. Those of one request come in the order of time.
+    /// Records an observation. The observations of one request must be recorded in chronological order.
     pub fn record(&mut self, observation: Observation) {
         match observation {
             Observation::OperationStarted { operation, at, class } => {
@@ -118,17 +123,24 @@
             }
             Observation::ServerOverloaded { server, at } => {
                 let description = format!("{} was cold and pushed over", self.server_name(server));
-                self.violation(Rule::NoOverloadInSlowStart, at, description);
+                self.add_untraced_violation(Rule::NoOverloadInSlowStart, at, description);
             }
         }
     }
 
-    fn violation(&mut self, rule: Rule, at: Timestamp, description: String) {
+    /// Adds a violation that concerns no known request.
+    fn add_untraced_violation(&mut self, rule: Rule, at: Timestamp, description: String) {
         self.add_violation(rule, at, description, None);
     }
 
-    /// A violation that concerns a request.
-    fn request_violation(&mut self, rule: Rule, at: Timestamp, request: RequestNumber, description: String) {
+    /// Adds a violation by a request, with the request's trace.
+    fn add_request_violation(
+        &mut self,
+        rule: Rule,
+        at: Timestamp,
+        request: RequestNumber,
+        description: String,
+    ) {
         let trace = self.requests.get(&request).map(|record| self.trace(record));
         self.add_violation(rule, at, description, trace);
     }
@@ -142,7 +154,7 @@
         }
     }
 
-    /// The figures of the second of this time; what comes after the run belongs to its last second.
+    /// Returns the figures of the second that contains `at`. Times after the end of the run belong to its last second.
     fn second(&mut self, at: Timestamp) -> &mut SecondFigures {
         let last = self.seconds.len() - 1;
         &mut self.seconds[((at.as_micros() / 1_000_000) as usize).min(last)]
@@ -176,42 +188,42 @@
         self.second(at).attempts += 1;
         let Some(record) = self.requests.get_mut(&request) else {
             let description = format!("request {request:x} was forwarded, and no node had accepted it");
-            return self.violation(Rule::SafeRepeats, at, description);
+            return self.add_untraced_violation(Rule::SafeRepeats, at, description);
         };
         record.sent.push((server, at));
         let (node, answered) = (record.node, record.answered);
         if answered.is_some_and(|(when, _)| at > when) {
             let description = format!("request {request:x} was forwarded after its final answer");
-            self.request_violation(Rule::OneAnswerInTime, at, request, description);
+            self.add_request_violation(Rule::OneAnswerInTime, at, request, description);
         }
         let notified = self.unavailable_since.get(&(node, server)).copied();
         if let Some(notified) = notified.filter(|since| at > *since + self.drain_grace + TOLERANCE) {
             let late = at.since(notified).as_millis();
             let name = self.server_name(server);
             let description = format!("node {node} sent to {name} {late} ms after it was told to stop");
-            self.request_violation(Rule::NothingAfterDrain, at, request, description);
+            self.add_request_violation(Rule::NoSendAfterDrain, at, request, description);
         }
     }
 
     fn executed(&mut self, request: RequestNumber, server: usize, at: Timestamp) {
         let Some(record) = self.requests.get_mut(&request) else {
             let description = format!("request {request:x} was executed, and no node had accepted it");
-            return self.violation(Rule::SafeRepeats, at, description);
+            return self.add_untraced_violation(Rule::SafeRepeats, at, description);
         };
         record.executions.push((server, at));
         if let Some(reason) = self.unsafe_repeat(request, server, at) {
             let description =
                 format!("request {request:x} ran again at {}: {reason}", self.server_name(server));
-            self.request_violation(Rule::SafeRepeats, at, request, description);
+            self.add_request_violation(Rule::SafeRepeats, at, request, description);
         }
     }
 
-    /// Why the last execution of a request was an unsafe repeat; `None` if it was safe, or the first one.
+    /// Returns why the last execution of a request was an unsafe repeat; `None` if it was safe or the first execution.
     fn unsafe_repeat(&self, request: RequestNumber, server: usize, at: Timestamp) -> Option<&'static str> {
         let record = self.requests.get(&request)?;
         let first = *record.executions.first().filter(|_| record.executions.len() > 1)?;
-        // How long a server holds an attempt before it executes it is not the node's doing: what counts is the time of the
-        // send.
+        // The node is not responsible for the time that a server holds an attempt before executing it, so the window is
+        // checked against the time of the send.
         let sent_at = record.sent.iter().rfind(|(to, _)| *to == server).map_or(at, |(_, sent_at)| *sent_at);
         match self.class_of(record).idempotency {
             Idempotency::Idempotent => None,
@@ -237,7 +249,7 @@
         second.failed += u32::from(answer == FinalAnswer::Failed);
         let Some(record) = self.requests.get_mut(&request) else {
             let description = format!("request {request:x} was answered, and no node had accepted it");
-            return self.violation(Rule::OneAnswerInTime, at, description);
+            return self.add_untraced_violation(Rule::OneAnswerInTime, at, description);
         };
         let (expires_at, excused) = (record.expires_at, record.excused);
         let description = if answer == FinalAnswer::Mismatched {
@@ -250,7 +262,7 @@
         } else {
             return;
         };
-        self.request_violation(Rule::OneAnswerInTime, at, request, description);
+        self.add_request_violation(Rule::OneAnswerInTime, at, request, description);
     }
 
     fn operation_served(&mut self, operation: u64, at: Timestamp) {
@@ -270,9 +282,9 @@
         self.second(started_at).served_weight += weight;
     }
 
-    /// Ends the run: a request that is not answered by now is lost.
+    /// Ends the run and returns the verdict. Requests without an answer are lost.
     pub fn verdict(mut self) -> Verdict {
-        self.judge_requests_at_end();
+        self.check_requests_at_end();
         let mut answers = [0; 4];
         let mut repeats = [0; 3];
         for record in self.requests.values() {
@@ -299,8 +311,8 @@
         }
     }
 
-    /// Finds the violations that only show once a request is over.
-    fn judge_requests_at_end(&mut self) {
+    /// Finds the violations that are known only after the end of the run.
+    fn check_requests_at_end(&mut self) {
         let mut violations = Vec::new();
         for (request, record) in &self.requests {
             match record.answered {
@@ -308,7 +320,8 @@
                     let description = format!("request {request:x} was never answered");
                     violations.push((Rule::OneAnswerInTime, record.expires_at, *request, description));
                 }
-                // A rejection says that a retry is harmless, whatever was executed before or after it.
+                // A rejection promises that a retry is harmless. An execution before or after it breaks the promise,
+                // unless repeats are always safe.
                 Some((at, FinalAnswer::Rejected))
                     if !record.executions.is_empty()
                         && !is_always_repeatable(self.class_of(record).idempotency) =>
@@ -324,14 +337,15 @@
             }
         }
         for (rule, at, request, description) in violations {
-            self.request_violation(rule, at, request, description);
+            self.add_request_violation(rule, at, request, description);
         }
     }
 
     fn service(&self) -> Service {
         let classes: Vec<_> = (0..self.classes.len()).map(|class| self.class_service(class)).collect();
-        let length =
-            (WINDOW.as_secs() as usize).min(self.length.as_secs() as usize).clamp(1, self.seconds.len());
+        let length = (SERVICE_WINDOW.as_secs() as usize)
+            .min(self.length.as_secs() as usize)
+            .clamp(1, self.seconds.len());
         let windows = self.seconds.windows(length).enumerate();
         let windows = windows.map(|(start, seconds)| (service_of(seconds), start as u64));
         Service {
@@ -344,15 +358,15 @@
 
     fn class_service(&self, class: usize) -> ClassService {
         let weight = self.classes[class].priority_weight;
-        let of_class = self.operations.iter().filter(|operation| operation.class == class);
-        let (served, offered) = of_class.fold((0.0, 0.0), |(served, offered), operation| {
+        let in_class = self.operations.iter().filter(|operation| operation.class == class);
+        let (served, offered) = in_class.fold((0.0, 0.0), |(served, offered), operation| {
             (served + operation.served_weight, offered + weight)
         });
         (self.classes[class].name.clone(), ratio(served, offered))
     }
 }
 
-/// The fraction of the weight of these seconds that was served.
+/// Returns the served fraction of the weight offered in these seconds.
 fn service_of(seconds: &[SecondFigures]) -> f64 {
     let (served, offered) = seconds.iter().fold((0.0, 0.0), |(served, offered), second| {
         (served + second.served_weight, offered + second.weight)
--- a/crates/testbed/src/judge/observation.rs
+++ b/crates/testbed/src/judge/observation.rs
@@ -1,44 +1,44 @@
-//! What an observer outside of the nodes sees.
+//! The events of a run that an observer outside of the nodes sees.
 
 use balancer_core::Timestamp;
 
-/// The number of a client's request, never used twice.
+/// The number of a client's request, unique within a run.
 pub type RequestNumber = u64;
 
-/// A node's final answer.
+/// A node's final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// The response of a cache server to this request.
+    /// A cache server's response to this request.
     Served,
     /// The request was rejected, and a retry is harmless.
     Rejected,
     /// The request failed, or its outcome is unknown.
     Failed,
-    /// The response to another request: this request is lost.
+    /// The response to another request. This request is lost.
     Mismatched,
 }
 
-/// Something that an observer outside of the nodes sees.
+/// An event that an observer outside of the nodes sees.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
     /// A client starts an operation.
     OperationStarted {
-        /// The number of the operation, from 0 without a gap.
+        /// The number of the operation, starting at 0 without gaps.
         operation: u64,
-        /// When its first request is sent.
+        /// When the first request of the operation is sent.
         at: Timestamp,
-        /// The index of its class in the script.
+        /// The index of the operation's class in the script.
         class: usize,
     },
-    /// A node has accepted a request: its last byte is on a connection that the node's machine accepted.
+    /// A node has accepted a request: the last byte was sent on a connection that the node's machine accepted.
     RequestAccepted {
         /// The request.
         request: RequestNumber,
-        /// The operation that it belongs to.
+        /// The operation that the request belongs to.
         operation: u64,
         /// The node.
         node: usize,
-        /// When the node accepted it.
+        /// When the node accepted the request.
         at: Timestamp,
         /// When the client's timeout ends.
         expires_at: Timestamp,
@@ -49,7 +49,7 @@
         request: RequestNumber,
         /// The number of the cache server, from [`Judge::add_server`](super::Judge::add_server).
         server: usize,
-        /// When its first byte was sent.
+        /// When the first byte of the attempt was sent.
         at: Timestamp,
     },
     /// A cache server has executed a request.
@@ -58,47 +58,47 @@
         request: RequestNumber,
         /// The number of the cache server.
         server: usize,
-        /// When.
+        /// When the execution ended.
         at: Timestamp,
     },
     /// A node has given a final answer.
     Answered {
         /// The request.
         request: RequestNumber,
-        /// When the last byte was sent.
+        /// When the last byte of the answer was sent.
         at: Timestamp,
         /// The answer.
         answer: FinalAnswer,
     },
-    /// The connection of a request ended without an answer. An answer is still owed.
+    /// The connection of a request ended without an answer. The node still owes one.
     ConnectionLost {
         /// The request.
         request: RequestNumber,
-        /// When the client saw it.
+        /// When the client saw the end of the connection.
         at: Timestamp,
-        /// What the client saw.
+        /// The error that the client saw.
         reason: String,
     },
-    /// The client disconnected before it had an answer: none is owed.
+    /// The client disconnected before it got an answer. The node no longer owes one.
     ClientDisconnected {
         /// The request.
         request: RequestNumber,
     },
-    /// A client has received a good answer to an operation within its timeout.
+    /// A client has received an answer that serves an operation, within the client's timeout.
     OperationServed {
         /// The operation.
         operation: u64,
         /// When the answer arrived.
         at: Timestamp,
     },
-    /// A node was killed, or exceeded the time that it has for a graceful shutdown.
+    /// A node was killed, also because it exceeded the time limit of a graceful shutdown.
     NodeKilled {
         /// The node.
         node: usize,
-        /// When it was gone. Answers that were due before are still missing.
+        /// When the process had ended. Answers that were due before are not excused.
         at: Timestamp,
     },
-    /// A node has started, and has not been notified of anything yet.
+    /// A node has started, and has not yet been notified of any cache server.
     NodeStarted {
         /// The node.
         node: usize,
@@ -111,14 +111,14 @@
         server: usize,
         /// When the node was notified.
         at: Timestamp,
-        /// Whether the cache server drains or is removed, and not ready.
+        /// Whether the cache server is draining or removed.
         unavailable: bool,
     },
-    /// A warming cache server was overloaded and crashed.
+    /// A cache server in slow start was overloaded and crashed.
     ServerOverloaded {
         /// The number of the cache server.
         server: usize,
-        /// When.
+        /// When the cache server crashed.
         at: Timestamp,
     },
 }
--- a/crates/testbed/src/judge/record.rs
+++ b/crates/testbed/src/judge/record.rs
@@ -1,4 +1,4 @@
-//! What the judge remembers of operations, requests and cache servers.
+//! The judge's records of operations, requests and cache servers.
 
 use super::FinalAnswer;
 use balancer_core::{DeduplicationScope, Idempotency, Timestamp};
@@ -9,14 +9,15 @@
     pub(super) node: usize,
     pub(super) accepted_at: Timestamp,
     pub(super) expires_at: Timestamp,
-    /// The cache servers that it was sent to, and when.
+    /// The cache server and the time of each send.
     pub(super) sent: Vec<(usize, Timestamp)>,
-    /// The cache servers that executed it, and when they finished.
+    /// The cache server and the end time of each execution.
     pub(super) executions: Vec<(usize, Timestamp)>,
+    /// Time and kind of the final answer.
     pub(super) answered: Option<(Timestamp, FinalAnswer)>,
-    /// When the connection ended without an answer, and why.
+    /// When and why the connection ended without an answer.
     pub(super) connection_lost: Option<(Timestamp, String)>,
-    /// No answer is owed any more.
+    /// Whether a missing or late answer is no violation, because the client disconnected or the node was killed.
     pub(super) excused: bool,
 }
 
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Whether this node still owes the answer.
+    /// Returns whether this node still owes an answer to the request.
     pub(super) fn is_pending_at(&self, node: usize) -> bool {
         self.node == node && self.answered.is_none()
     }
@@ -43,9 +44,10 @@
 
 #[derive(Debug)]
 pub(super) struct OperationRecord {
+    /// When the operation started.
     pub(super) at: Timestamp,
     pub(super) class: usize,
-    /// The weight of its answer.
+    /// Weight that the answer earned; less than the priority weight if it missed the latency objective.
     pub(super) served_weight: f64,
     pub(super) served: bool,
 }
@@ -57,7 +59,7 @@
     pub(super) cell: u64,
 }
 
-/// Whether a request may be repeated at any server, at any time within the retries of a client.
+/// Returns whether a request may be repeated at any server for as long as its client retries.
 pub(super) fn is_always_repeatable(idempotency: Idempotency) -> bool {
     matches!(
         idempotency,
--- a/crates/testbed/src/judge/trace.rs
+++ b/crates/testbed/src/judge/trace.rs
@@ -1,4 +1,4 @@
-//! What the judge knows of the course of one request, as a line of text: it tells the causes of a violation apart.
+//! Describes the course of a request in one line of text, which shows the cause of a violation.
 
 use super::record::RequestRecord;
 use super::Judge;
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 
 impl Judge {
-    /// The course of a request: where and when it was accepted, sent and executed, and how it ended.
+    /// Describes the course of a request: where and when it was accepted, sent and executed, and how it ended.
     pub(super) fn trace(&self, record: &RequestRecord) -> String {
         let node = record.node;
         let mut text = format!(
@@ -35,7 +35,7 @@
     }
 }
 
-/// A time of the run, in seconds.
+/// Formats a time of the run in seconds.
 fn seconds(at: Timestamp) -> String {
     format!("{:.3} s", at.as_micros() as f64 / 1e6)
 }
--- a/crates/testbed/src/judge/verdict.rs
+++ b/crates/testbed/src/judge/verdict.rs
@@ -1,19 +1,19 @@
-//! The result of the judge.
+//! The judge's verdict on a run.
 
 use serde::Serialize;
 
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// The rule. 1: one final answer in time. 2: a repeat only where it is safe. 3: nothing new after a drain. 4: no cold
-    /// server overloaded.
+    /// Number of the rule. 1: one final answer in time. 2: repeats only where they are safe. 3: no new requests after a
+    /// drain. 4: no overload of a cold server.
     pub rule: u8,
     /// Seconds from the start of the run.
     pub at_s: f64,
-    /// What happened.
+    /// The violation in words.
     #[serde(rename = "what")]
     pub description: String,
-    /// The course of the request, for a violation that concerns one.
+    /// The course of the request, if the violation concerns one.
     pub trace: Option<String>,
 }
 
@@ -23,10 +23,10 @@
     /// Operations that clients started.
     #[serde(rename = "asked")]
     pub operations: u32,
-    /// Their priority weight.
+    /// Priority weight of these operations.
     #[serde(rename = "worth")]
     pub weight: f64,
-    /// The weight of the answers to these operations.
+    /// Weight earned by the answers to these operations.
     #[serde(rename = "got")]
     pub served_weight: f64,
     /// Requests that nodes accepted.
@@ -42,13 +42,13 @@
 }
 
 impl SecondFigures {
-    /// The service of the operations that started in this second.
+    /// Returns the service of the operations that started in this second.
     pub fn service(&self) -> f64 {
         ratio(self.served_weight, self.weight)
     }
 }
 
-/// The served fraction of an offered weight; 1 if nothing was offered.
+/// Returns the served fraction of an offered weight; 1 if nothing was offered.
 pub(super) fn ratio(served: f64, offered: f64) -> f64 {
     if offered > 0.0 {
         served / offered
@@ -57,33 +57,34 @@
     }
 }
 
-/// The name of a class and its service.
+/// Name and service of a class.
 pub type ClassService = (String, f64);
 
-/// The service figures: the weight of timely answers as a fraction, from 0 to 1, of the weight of all operations.
+/// Service figures. Service is the weight earned by timely answers, as a fraction from 0 to 1 of the weight of all
+/// operations.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Service {
-    /// Over the whole run.
+    /// Service over the whole run.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// The lowest of any [`WINDOW`](super::WINDOW), and the second in which that begins.
+    /// Lowest service of any [`SERVICE_WINDOW`](super::SERVICE_WINDOW), and the second in which that window begins.
     pub worst_window: (f64, u64),
-    /// By class, in the script's order.
+    /// Service of each class, in the script's order.
     pub classes: Vec<ClassService>,
-    /// The lowest of any class.
+    /// Lowest service of any class.
     pub worst_class: f64,
 }
 
 /// The judgement of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verdict {
-    /// The number of violations of each rule, from the first to the fourth.
+    /// Number of violations of each rule, from 1 to 4.
     #[serde(rename = "broken")]
     pub violation_counts: [u64; 4],
-    /// The first violations.
+    /// Descriptions of the first violations.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
-    /// The service.
+    /// Service figures of the run.
     pub service: Service,
     /// Operations that clients started.
     #[serde(rename = "asked")]
@@ -91,13 +92,13 @@
     /// Requests that nodes accepted.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Final answers: served, rejected, failed and mismatched.
+    /// Number of final answers: served, rejected, failed and mismatched.
     pub answers: [u64; 4],
-    /// Attempts.
+    /// Attempts that nodes sent.
     pub attempts: u64,
-    /// Executions beyond the first one of a request: of idempotent classes, of those with an idempotency key, and of those
+    /// Repeated executions of requests: of idempotent classes, of classes with an idempotency key, and of classes
     /// that are not idempotent.
     pub repeats: [u64; 3],
-    /// By second.
+    /// Figures of each second.
     pub seconds: Vec<SecondFigures>,
 }
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge, tried on nodes that break each rule on purpose. One that lets any of these pass is worthless.
+//! Tests the judge on nodes that break each rule on purpose. The judge must report every one of these violations.
 
 use balancer_core::{
     Action, Balancer, DeduplicationScope, EndpointState, EndpointUpdate, Event, Idempotency, RequestId,
@@ -11,37 +11,41 @@
 use testbed::virtual_time::{run, run_with, Decisions, Safeguards};
 use testbed::Script;
 
-/// How a node deviates from the real decisions.
+/// How a node's decisions deviate from those of the real balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Deviation {
-    Nothing,
+    None,
     AnswersTwice,
     AnswersLate,
-    Loses,
-    SendsAfterItsAnswer,
+    LosesRequests,
+    SendsAfterFinalAnswer,
     SendsAfterDrain,
-    RunsTwice,
-    RunsAgainLate,
-    RefusesWhatRan,
-    SendsAllToTheYoungest,
+    ExecutesTwice,
+    RepeatsLate,
+    RejectsAfterExecution,
+    SendsAllToNewestServer,
 }
 
 struct FaultyDecisions {
     real: Balancer,
     deviation: Deviation,
-    /// All servers that the node was ever notified of, and when each started.
+    /// All servers that the node has been notified of, with their start times.
     servers: BTreeMap<ServerId, Option<Timestamp>>,
+    /// The first server that was listed as draining.
     drained: Option<ServerId>,
-    late: Vec<(Timestamp, RequestId)>,
+    /// Requests with a delayed action, and the time of the action.
+    delayed: Vec<(Timestamp, RequestId)>,
 }
 
-const LATE: Duration = Duration::from_secs(5);
-/// Long after the first run is done.
-const AGAIN: Duration = Duration::from_millis(250);
-const PATIENT: Duration = Duration::from_secs(1);
+/// Delay of a late answer, longer than the deadline of the test script's class.
+const ANSWER_DELAY: Duration = Duration::from_secs(5);
+/// Delay of a late repeat, long after the end of the first execution.
+const REPEAT_DELAY: Duration = Duration::from_millis(250);
+/// Timeout of attempts and of requests.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl FaultyDecisions {
-    fn learn(&mut self, event: &Event) {
+    fn record_servers(&mut self, event: &Event) {
         let (Event::EndpointsRestored(list)
         | Event::EndpointsUpdated(EndpointUpdate::Snapshot(list) | EndpointUpdate::Delta(list))) = event
         else {
@@ -58,21 +62,22 @@
 
 impl Decisions for FaultyDecisions {
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
-        self.learn(&event);
+        self.record_servers(&event);
         let Event::Request(request) = &event else {
-            if let (Deviation::RefusesWhatRan, Event::AttemptEnded(outcome)) = (self.deviation, &event) {
+            if let (Deviation::RejectsAfterExecution, Event::AttemptEnded(outcome)) = (self.deviation, &event)
+            {
                 if !outcome.request_finished && !outcome.status.never_ran() {
                     return actions
                         .push(Action::Reject { id: outcome.id.clone(), retry_after: Duration::ZERO });
                 }
             }
-            while self.late.first().is_some_and(|(at, _)| *at <= now) {
-                let id = self.late.remove(0).1;
+            while self.delayed.first().is_some_and(|(at, _)| *at <= now) {
+                let id = self.delayed.remove(0).1;
                 actions.push(match (self.deviation, self.servers.keys().nth(1)) {
-                    (Deviation::RunsAgainLate, Some(server)) => Action::StartAttempt {
+                    (Deviation::RepeatsLate, Some(server)) => Action::StartAttempt {
                         id,
                         server: server.clone(),
-                        timeout: PATIENT,
+                        timeout: REQUEST_TIMEOUT,
                         start_within: None,
                     },
                     _ => Action::Fail { id },
@@ -81,35 +86,35 @@
             return self.real.handle(now, event, actions);
         };
         let id = request.id.clone();
-        let to = |server: &ServerId| Action::StartAttempt {
+        let attempt_at = |server: &ServerId| Action::StartAttempt {
             id: id.clone(),
             server: server.clone(),
-            timeout: PATIENT,
+            timeout: REQUEST_TIMEOUT,
             start_within: None,
         };
-        let any = self.servers.keys().next().cloned();
+        let first_server = self.servers.keys().next().cloned();
         match self.deviation {
             Deviation::AnswersLate => {
-                self.late.push((now + LATE, id));
-                actions.push(Action::SetTimer { after: LATE });
+                self.delayed.push((now + ANSWER_DELAY, id));
+                actions.push(Action::SetTimer { after: ANSWER_DELAY });
             }
-            Deviation::RunsAgainLate => {
-                self.late.push((now + AGAIN, id.clone()));
-                actions.push(Action::SetTimer { after: AGAIN });
-                actions.extend(any.iter().map(to));
+            Deviation::RepeatsLate => {
+                self.delayed.push((now + REPEAT_DELAY, id.clone()));
+                actions.push(Action::SetTimer { after: REPEAT_DELAY });
+                actions.extend(first_server.iter().map(attempt_at));
             }
-            Deviation::Loses => {}
-            Deviation::RunsTwice => actions.extend(self.servers.keys().take(2).map(to)),
-            Deviation::SendsAfterItsAnswer => {
+            Deviation::LosesRequests => {}
+            Deviation::ExecutesTwice => actions.extend(self.servers.keys().take(2).map(attempt_at)),
+            Deviation::SendsAfterFinalAnswer => {
                 actions.push(Action::Reject { id: id.clone(), retry_after: Duration::ZERO });
-                actions.extend(any.iter().map(to));
+                actions.extend(first_server.iter().map(attempt_at));
             }
             Deviation::SendsAfterDrain if self.drained.is_some() => {
-                actions.extend(self.drained.iter().map(to))
+                actions.extend(self.drained.iter().map(attempt_at))
             }
-            Deviation::SendsAllToTheYoungest => {
-                let youngest = self.servers.iter().max_by_key(|(_, started)| **started).map(|(id, _)| id);
-                actions.extend(youngest.map(to));
+            Deviation::SendsAllToNewestServer => {
+                let newest = self.servers.iter().max_by_key(|(_, started)| **started).map(|(id, _)| id);
+                actions.extend(newest.map(attempt_at));
             }
             Deviation::AnswersTwice => {
                 actions.push(Action::Reject { id: id.clone(), retry_after: Duration::ZERO });
@@ -120,28 +125,29 @@
     }
 }
 
-fn judged(script: &Script, deviation: Deviation) -> Verdict {
-    let mut make = |settings: Settings, seed| -> Box<dyn Decisions> {
+fn run_with_deviation(script: &Script, deviation: Deviation) -> Verdict {
+    let mut make_decisions = |settings: Settings, seed| -> Box<dyn Decisions> {
         let real = Balancer::new(settings, seed);
         Box::new(FaultyDecisions {
             real,
             deviation,
             servers: BTreeMap::new(),
             drained: None,
-            late: Vec::new(),
+            delayed: Vec::new(),
         })
     };
-    let guard = match deviation {
-        Deviation::Nothing => Safeguards::ALL,
-        Deviation::AnswersLate | Deviation::Loses => {
+    let safeguards = match deviation {
+        Deviation::None => Safeguards::ALL,
+        Deviation::AnswersLate | Deviation::LosesRequests => {
             Safeguards { answers_in_time: false, suppresses_late_sends: false }
         }
         _ => Safeguards { answers_in_time: true, suppresses_late_sends: false },
     };
-    run_with(script, guard, &mut make).verdict
+    run_with(script, safeguards, &mut make_decisions).verdict
 }
 
-fn small(idempotency: Idempotency, incidents: Vec<Incident>) -> Script {
+/// Returns a short script with three nodes, six servers and one class. Its clients neither disconnect nor retry.
+fn small_script(idempotency: Idempotency, incidents: Vec<Incident>) -> Script {
     let mut script = Script { nodes: 3, length: Duration::from_secs(12), incidents, ..Script::default() };
     script.load.rate = 60.0;
     script.clients.disconnect_fraction = 0.0;
@@ -153,37 +159,45 @@
     script
 }
 
-fn incident(at: u64, over: u64, fault: Fault) -> Incident {
-    Incident { at: Duration::from_secs(at), duration: Duration::from_secs(over), zone: None, fault }
+/// Returns an incident with its start and duration in seconds.
+fn incident(at: u64, duration: u64, fault: Fault) -> Incident {
+    Incident { at: Duration::from_secs(at), duration: Duration::from_secs(duration), zone: None, fault }
 }
 
-/// Whether each rule was violated, from 1 to 4, and the descriptions of the violations.
-fn broken(script: &Script, deviation: Deviation) -> ([bool; 4], String) {
-    let verdict = judged(script, deviation);
-    let words: Vec<_> = verdict.violations.iter().map(|violation| violation.description.as_str()).collect();
-    let words = words.join(", ");
-    (verdict.violation_counts.map(|count| count > 0), words)
+/// Returns whether each of the rules 1 to 4 was violated, and the descriptions of the violations.
+fn violations(script: &Script, deviation: Deviation) -> ([bool; 4], String) {
+    let verdict = run_with_deviation(script, deviation);
+    let descriptions: Vec<_> =
+        verdict.violations.iter().map(|violation| violation.description.as_str()).collect();
+    (verdict.violation_counts.map(|count| count > 0), descriptions.join(", "))
 }
 
+/// Asserts that the deviation breaks exactly this rule with a violation whose description contains `expected`, and that
+/// the same run without the deviation breaks no rule.
 #[track_caller]
-fn must_break(script: &Script, deviation: Deviation, rule: usize, words: &str) {
-    let (rules, said) = broken(script, deviation);
-    let mut only = [false; 4];
-    only[rule - 1] = true;
-    assert_eq!(rules, only, "{deviation:?}: {said}");
-    assert!(said.contains(words), "{deviation:?}: {said}");
-    assert_eq!(broken(script, Deviation::Nothing), ([false; 4], String::new()), "the same run without it");
+fn assert_breaks_only(script: &Script, deviation: Deviation, rule: usize, expected: &str) {
+    let (rules, descriptions) = violations(script, deviation);
+    let mut expected_rules = [false; 4];
+    expected_rules[rule - 1] = true;
+    assert_eq!(rules, expected_rules, "{deviation:?}: {descriptions}");
+    assert!(descriptions.contains(expected), "{deviation:?}: {descriptions}");
+    assert_eq!(violations(script, Deviation::None), ([false; 4], String::new()), "without a deviation");
 }
 
 #[test]
 fn a_second_answer_breaks_rule_1() {
-    must_break(&small(Idempotency::Idempotent, vec![]), Deviation::AnswersTwice, 1, "answered twice");
+    assert_breaks_only(
+        &small_script(Idempotency::Idempotent, vec![]),
+        Deviation::AnswersTwice,
+        1,
+        "answered twice",
+    );
 }
 
 #[test]
 fn a_late_answer_breaks_rule_1() {
-    must_break(
-        &small(Idempotency::Idempotent, vec![]),
+    assert_breaks_only(
+        &small_script(Idempotency::Idempotent, vec![]),
         Deviation::AnswersLate,
         1,
         "after its client gave up",
@@ -192,14 +206,19 @@
 
 #[test]
 fn a_lost_request_breaks_rule_1() {
-    must_break(&small(Idempotency::Idempotent, vec![]), Deviation::Loses, 1, "never answered");
+    assert_breaks_only(
+        &small_script(Idempotency::Idempotent, vec![]),
+        Deviation::LosesRequests,
+        1,
+        "never answered",
+    );
 }
 
 #[test]
 fn a_send_after_the_final_answer_breaks_rule_1() {
-    must_break(
-        &small(Idempotency::Idempotent, vec![]),
-        Deviation::SendsAfterItsAnswer,
+    assert_breaks_only(
+        &small_script(Idempotency::Idempotent, vec![]),
+        Deviation::SendsAfterFinalAnswer,
         1,
         "after its final answer",
     );
@@ -207,8 +226,14 @@
 
 #[test]
 fn only_a_repeat_of_a_request_that_is_not_idempotent_breaks_rule_2() {
-    must_break(&small(Idempotency::NotIdempotent, vec![]), Deviation::RunsTwice, 2, "unsafe to repeat");
-    let verdict = judged(&small(Idempotency::Idempotent, vec![]), Deviation::RunsTwice);
+    assert_breaks_only(
+        &small_script(Idempotency::NotIdempotent, vec![]),
+        Deviation::ExecutesTwice,
+        2,
+        "unsafe to repeat",
+    );
+    let verdict =
+        run_with_deviation(&small_script(Idempotency::Idempotent, vec![]), Deviation::ExecutesTwice);
     assert_eq!(verdict.violation_counts, [0; 4], "{:?}", verdict.violations);
     assert!(verdict.repeats[0] > 0 && verdict.repeats[2] == 0);
 }
@@ -216,35 +241,35 @@
 #[test]
 fn a_repeat_with_an_idempotency_key_breaks_rule_2_out_of_scope_or_window() {
     let window = Duration::from_secs(5);
-    let keyed = |scope, window| small(Idempotency::WithKey { scope, window }, vec![]);
-    // The first two servers stand in two zones and in one cell.
-    must_break(
+    let keyed = |scope, window| small_script(Idempotency::WithKey { scope, window }, vec![]);
+    // The first two servers are in different zones and in the same cell.
+    assert_breaks_only(
         &keyed(DeduplicationScope::Zone, window),
-        Deviation::RunsTwice,
+        Deviation::ExecutesTwice,
         2,
         "does not know of the first run",
     );
     for scope in [DeduplicationScope::All, DeduplicationScope::Cell] {
-        let verdict = judged(&keyed(scope, window), Deviation::RunsTwice);
+        let verdict = run_with_deviation(&keyed(scope, window), Deviation::ExecutesTwice);
         assert_eq!(verdict.violation_counts, [0; 4], "{:?}", verdict.violations);
         assert!(verdict.repeats[1] > 0);
     }
-    let mut short = keyed(DeduplicationScope::All, Duration::from_millis(1));
-    // The first run is done and has failed, and nobody has given up.
-    short.classes[0].deadline = LATE;
-    short.incidents = vec![incident(0, 20, Fault::Errors { share: 1.0, rate: 1.0 })];
-    must_break(&short, Deviation::RunsAgainLate, 2, "its first run is forgotten");
-    // A server that keeps what it was sent in time, and runs it late, is not the node's doing.
-    short.load.rate = 200.0;
-    assert_eq!(judged(&short, Deviation::RunsTwice).violation_counts, [0; 4]);
+    let mut short_window = keyed(DeduplicationScope::All, Duration::from_millis(1));
+    // By the time of the repeat the first execution has failed, and the client still waits.
+    short_window.classes[0].deadline = ANSWER_DELAY;
+    short_window.incidents = vec![incident(0, 20, Fault::Errors { share: 1.0, rate: 1.0 })];
+    assert_breaks_only(&short_window, Deviation::RepeatsLate, 2, "its first run is forgotten");
+    // The node is not responsible for a server that gets the repeat in time and executes it late.
+    short_window.load.rate = 200.0;
+    assert_eq!(run_with_deviation(&short_window, Deviation::ExecutesTwice).violation_counts, [0; 4]);
 }
 
 #[test]
 fn a_rejection_of_an_executed_request_breaks_rule_2() {
     let errors = vec![incident(2, 5, Fault::Errors { share: 1.0, rate: 0.5 })];
-    must_break(
-        &small(Idempotency::NotIdempotent, errors),
-        Deviation::RefusesWhatRan,
+    assert_breaks_only(
+        &small_script(Idempotency::NotIdempotent, errors),
+        Deviation::RejectsAfterExecution,
         2,
         "was refused, and it ran",
     );
@@ -253,8 +278,8 @@
 #[test]
 fn a_send_after_a_drain_breaks_rule_3() {
     let shrink = Fault::Shrink { share: 0.1, drain: Duration::from_secs(6) };
-    must_break(
-        &small(Idempotency::Idempotent, vec![incident(1, 1, shrink)]),
+    assert_breaks_only(
+        &small_script(Idempotency::Idempotent, vec![incident(1, 1, shrink)]),
         Deviation::SendsAfterDrain,
         3,
         "after it was told to stop",
@@ -265,25 +290,25 @@
 fn an_overloaded_cold_server_breaks_rule_4() {
     let drain = Duration::from_secs(1);
     let deploy = Fault::Deploy { share: 0.1, batch: 0.2, drain, same_address: false };
-    let mut script = small(Idempotency::Idempotent, vec![incident(1, 1, deploy)]);
+    let mut script = small_script(Idempotency::Idempotent, vec![incident(1, 1, deploy)]);
     script.load.rate = 250.0;
-    must_break(&script, Deviation::SendsAllToTheYoungest, 4, "pushed over");
+    assert_breaks_only(&script, Deviation::SendsAllToNewestServer, 4, "pushed over");
 }
 
-/// The decisions must keep the rules not only without faults: each kind of idempotency runs under many faults at once.
+/// The real balancer must keep the rules for each kind of idempotency under many simultaneous faults.
 #[test]
-fn the_decisions_keep_the_rules_for_each_idempotency_under_many_faults() {
+fn the_balancer_keeps_the_rules_for_each_idempotency_under_many_faults() {
     let window = Duration::from_secs(3);
-    let effects = [
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::NotIdempotent,
         Idempotency::WithKey { scope: DeduplicationScope::Zone, window },
         Idempotency::WithKey { scope: DeduplicationScope::Cell, window },
     ];
-    for (seed, effect) in (1..).zip(effects) {
+    for (seed, idempotency) in (1..).zip(idempotencies) {
         let drain = Duration::from_secs(1);
-        let mut script = small(
-            effect,
+        let mut script = small_script(
+            idempotency,
             vec![
                 incident(1, 8, Fault::Deploy { share: 0.99, batch: 0.19, drain, same_address: true }),
                 incident(2, 3, Fault::Unreachable { share: 0.3 }),
@@ -301,26 +326,34 @@
         );
         (script.seed, script.clients.max_retries, script.clients.disconnect_fraction) = (seed, 3, 0.05);
         let verdict = run(&script).verdict;
-        assert_eq!(verdict.violation_counts, [0; 4], "{effect:?}, seed {seed}: {:?}", verdict.violations);
-        assert!(verdict.answers[..3].iter().all(|&count| count > 0), "{effect:?}: {:?}", verdict.answers);
+        assert_eq!(
+            verdict.violation_counts, [0; 4],
+            "{idempotency:?}, seed {seed}: {:?}",
+            verdict.violations
+        );
+        assert!(
+            verdict.answers[..3].iter().all(|&count| count > 0),
+            "{idempotency:?}: {:?}",
+            verdict.answers
+        );
     }
 }
 
-/// The kill of a node excuses the requests that it could still have answered. A judge that excused all unanswered ones would
-/// forgive a request that was lost long before.
+/// The kill of a node excuses only the requests that the node could still have answered in time. A judge that excused
+/// all unanswered requests would miss those that were lost long before.
 #[test]
 fn a_kill_excuses_only_requests_that_had_time_left() {
-    let script = small(Idempotency::Idempotent, vec![]);
+    let script = small_script(Idempotency::Idempotent, vec![]);
     let at = |ms: u64| Timestamp::from_micros(ms * 1_000);
     let mut judge = Judge::new(&script);
-    for (number, until) in [(0, 100), (1, 300)] {
+    for (number, expires_at) in [(0, 100), (1, 300)] {
         judge.record(Observation::OperationStarted { operation: number, at: at(0), class: 0 });
         judge.record(Observation::RequestAccepted {
             request: number,
             operation: number,
             node: 0,
             at: at(1),
-            expires_at: at(until),
+            expires_at: at(expires_at),
         });
     }
     judge.record(Observation::NodeKilled { node: 0, at: at(200) });
@@ -331,7 +364,7 @@
 
 #[test]
 fn an_answer_that_was_made_for_another_request_breaks_rule_1() {
-    let script = small(Idempotency::Idempotent, vec![]);
+    let script = small_script(Idempotency::Idempotent, vec![]);
     let at = Timestamp::from_micros(1_000);
     let mut judge = Judge::new(&script);
     judge.record(Observation::OperationStarted { operation: 0, at, class: 0 });
@@ -340,31 +373,30 @@
         operation: 0,
         node: 0,
         at,
-        expires_at: at + PATIENT,
+        expires_at: at + REQUEST_TIMEOUT,
     });
     judge.record(Observation::Answered { request: 0, at, answer: FinalAnswer::Mismatched });
     let verdict = judge.verdict();
     assert!(verdict.violations[0].description.contains("made for another"), "{:?}", verdict.violations);
 }
 
-/// A client that retries at once has two requests of one operation in flight: each is owed its own answer, and the service
-/// counts the operation once.
+/// A client that retries early has two requests of one operation in flight. Each must get its own answer, and the
+/// service counts the operation once.
 #[test]
-fn a_retry_that_overlaps_its_predecessor_is_owed_its_own_answer() {
-    let script = small(Idempotency::Idempotent, vec![]);
+fn overlapping_requests_of_an_operation_each_need_an_answer() {
+    let script = small_script(Idempotency::Idempotent, vec![]);
     let at = |ms: u64| Timestamp::from_micros(ms * 1_000);
-    let overlapping = |answers: &[(u64, u64)]| {
+    let verdict_for = |answers: &[(u64, u64)]| {
         let mut judge = Judge::new(&script);
         let server = judge.add_server("box", 0, 0);
         judge.record(Observation::OperationStarted { operation: 0, at: at(0), class: 0 });
         for (request, node) in [(0, 0), (1, 1)] {
-            let until = at(100 + request * 100);
             judge.record(Observation::RequestAccepted {
                 request,
                 operation: 0,
                 node,
                 at: at(1 + request),
-                expires_at: until,
+                expires_at: at(100 + request * 100),
             });
         }
         for &(request, ms) in answers {
@@ -375,18 +407,19 @@
         }
         judge.verdict()
     };
-    let both = overlapping(&[(1, 20), (0, 30)]);
+    let both = verdict_for(&[(1, 20), (0, 30)]);
     assert_eq!((both.violation_counts, both.answers[0]), ([0; 4], 2), "{:?}", both.violations);
     assert!((both.service.overall - 1.0).abs() < 1e-9, "{}", both.service.overall);
-    let one = overlapping(&[(1, 20)]);
+    let one = verdict_for(&[(1, 20)]);
     assert_eq!(one.violation_counts, [1, 0, 0, 0]);
     assert_eq!(one.violations[0].description, "request 0 was never answered");
 }
 
-/// Red runs on sockets could not be explained: a node without processor time, a reset and a kill all read "was never answered".
+/// Guards against violations whose cause is unknown: a node without processor time, a reset and a kill were all
+/// reported as "was never answered" on sockets.
 #[test]
-fn a_violation_tells_the_course_of_its_request() {
-    let script = small(Idempotency::Idempotent, vec![]);
+fn a_violation_has_the_trace_of_its_request() {
+    let script = small_script(Idempotency::Idempotent, vec![]);
     let at = |ms: u64| Timestamp::from_micros(ms * 1_000);
     let mut judge = Judge::new(&script);
     let server = judge.add_server("box", 0, 0);
