--- a/crates/testbed/src/attempt_id.rs
+++ b/crates/testbed/src/attempt_id.rs
@@ -1,12 +1,12 @@
-//! The number of an attempt as a job of a cache server.
+//! Maps attempts to the job numbers of cache servers.
 
 use crate::judge::RequestNumber;
 use crate::models::cache_server::JobId;
 
-/// The bound of the numbers of a request's attempts; requests have fewer.
+/// Exclusive upper bound of a request's attempt numbers. Requests have fewer attempts than this.
 const MAX_ATTEMPTS: u64 = 32;
 
-/// An attempt at a request, from 0.
+/// An attempt at a request. Attempts are numbered from 0 within a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptId {
     pub(crate) request: RequestNumber,
@@ -14,7 +14,7 @@
 }
 
 impl AttemptId {
-    /// The attempt of this number; those beyond the bound share the last number.
+    /// Creates the id of an attempt. Attempts beyond the bound share the last number.
     pub(crate) fn new(request: RequestNumber, attempt: u64) -> Self {
         Self { request, attempt: attempt.min(MAX_ATTEMPTS - 1) }
     }
--- a/crates/testbed/src/counts.rs
+++ b/crates/testbed/src/counts.rs
@@ -1,29 +1,29 @@
-//! Counts of what all nodes together do to the fleet, by second. What one node does is seldom conspicuous: a hundred nodes
-//! that each meet a dead server once make a hundred lost attempts in a second.
+//! Counts the effects of all nodes together on the fleet, by second. Problems often show only in the sum: when a
+//! hundred nodes each send one attempt to a dead server, a hundred attempts are lost in a second.
 //!
-//! An attempt is counted by the state in which it finds its cache server, which the node may not have been notified of.
+//! An attempt is counted by the actual state of its cache server, which the node may not have been notified of yet.
 
 use serde::Serialize;
 use std::ops::AddAssign;
 
-/// The state in which an attempt finds its cache server. Where several hold, the first of them counts.
+/// The state of a cache server when an attempt arrives. If several apply, the first in this order counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// Cut off from the network.
+    /// The server is cut off from the network.
     Unreachable,
-    /// No process runs.
+    /// The server has no running process.
     Removed,
-    /// Draining.
+    /// The server is draining.
     Draining,
-    /// Under a fault that makes a fraction of its answers fail.
+    /// A fault makes a fraction of the server's answers fail.
     Faulty,
-    /// In slow start.
+    /// The server is in slow start.
     WarmingUp,
-    /// None of these.
+    /// None of the other states applies.
     Healthy,
 }
 
-/// Counts of one second, or of all of them.
+/// Counts of one second, or their sum over a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Attempts at an unreachable server.
@@ -37,21 +37,21 @@
     /// Attempts at a faulty server.
     #[serde(rename = "bad")]
     pub faulty: u64,
-    /// Attempts at a warming server.
+    /// Attempts at a server in slow start.
     #[serde(rename = "cold")]
     pub warming_up: u64,
-    /// All other attempts.
+    /// Attempts at a healthy server.
     #[serde(rename = "well")]
     pub healthy: u64,
     /// Connections that nodes tried to open to cache servers.
     pub connects: u64,
-    /// Connections that were not established.
+    /// Connections that nodes failed to open.
     pub connects_failed: u64,
     /// Calls to discovery.
     pub list_calls: u64,
-    /// Calls that failed.
+    /// Calls to discovery that failed.
     pub list_calls_failed: u64,
-    /// Lines that calls cost discovery, whether they succeed or not; rounded down for each call.
+    /// Lines that the calls cost discovery, including failed calls; rounded down for each call.
     pub list_lines: u64,
 }
 
@@ -68,7 +68,7 @@
         } += 1;
     }
 
-    /// The number of attempts that could not be answered.
+    /// Returns the number of attempts that could not be answered.
     pub fn lost_attempts(&self) -> u64 {
         self.unreachable + self.removed
     }
--- a/crates/testbed/src/discovery_call.rs
+++ b/crates/testbed/src/discovery_call.rs
@@ -2,24 +2,25 @@
 
 use std::time::Duration;
 
-/// The path of all calls.
+/// Path of all calls.
 pub const PATH: &str = "/v1/servers";
-/// A call continues a watch, and costs less, if it comes within this time of the answer to the last one.
+/// A call continues the previous watch, and costs less, if it arrives within this time after the last answer.
 pub const WATCH_CONTINUED_WITHIN: Duration = Duration::from_millis(200);
-/// The longest wait of a watch.
+/// Maximum wait of a watch.
 pub const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// The parameters of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryCall {
-    /// The caller wants what is newer than this version; `None` for the whole list.
+    /// The call asks for changes after this version; `None` asks for the whole list.
     pub after: Option<u64>,
-    /// How long a watch waits for a change, at most [`MAX_WAIT`].
+    /// Maximum time that a watch waits for a change, capped at [`MAX_WAIT`].
     pub wait: Duration,
 }
 
 impl DiscoveryCall {
-    /// Reads the query of a request target; `None` if it has none.
+    /// Parses the query of a request target. Missing or malformed parameters take their defaults: the whole list,
+    /// without a wait.
     pub fn read(query: Option<&str>) -> Self {
         let query = query.unwrap_or("");
         let wait = Duration::from_millis(number(query, "wait_ms").unwrap_or(0));
--- a/crates/testbed/src/html_report.rs
+++ b/crates/testbed/src/html_report.rs
@@ -1,4 +1,4 @@
-//! A run as one self-contained HTML page: charts over time with the script's incidents marked.
+//! Renders a report as a self-contained HTML page with charts over time, in which the incidents are marked.
 
 use crate::judge::SecondFigures;
 use crate::report::Report;
@@ -7,36 +7,37 @@
 use std::fmt::Write;
 use thiserror::Error;
 
-/// The size of a chart, in pixels.
+/// Width of a chart in pixels.
 const WIDTH: u32 = 960;
+/// Height of a chart in pixels.
 const HEIGHT: u32 = 220;
 const COLORS: [RGBColor; 3] = [RGBColor(0, 90, 160), RGBColor(200, 60, 30), RGBColor(60, 140, 60)];
 const INCIDENT_COLOR: RGBColor = RGBColor(230, 160, 0);
-/// The shortest time that an incident is marked with, in seconds.
-const SHORTEST_MARK_S: f64 = 0.2;
+/// Minimum length of an incident's mark, in seconds.
+const MIN_MARK_LENGTH_S: f64 = 0.2;
 
-/// A chart could not be drawn.
+/// A chart could not be drawn. Holds the message of the chart library.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub struct ChartError(String);
 
-fn not_drawn<E: std::error::Error + Send + Sync>(error: DrawingAreaErrorKind<E>) -> ChartError {
+fn chart_error<E: std::error::Error + Send + Sync>(error: DrawingAreaErrorKind<E>) -> ChartError {
     ChartError(error.to_string())
 }
 
-/// A chart over time.
+/// A chart over the time of a run.
 struct Chart {
     title: &'static str,
     lines: Vec<Line>,
 }
 
-/// A line of a chart, with a value for each second.
+/// A line of a chart with one value for each second.
 struct Line {
     name: &'static str,
     values: Vec<f64>,
 }
 
-/// The HTML page of a report.
+/// Renders the HTML page of a report.
 ///
 /// # Errors
 /// If a chart cannot be drawn.
@@ -130,30 +131,30 @@
                 .x_label_area_size(24)
                 .y_label_area_size(48)
                 .build_cartesian_2d(0.0..length, 0.0..top)
-                .map_err(not_drawn)?;
-            // Under the lines.
+                .map_err(chart_error)?;
+            // Marks are drawn first, so that they lie under the lines.
             let marks = report.incidents.iter().map(|span| {
-                let to = span.to_s.max(span.from_s + SHORTEST_MARK_S).min(length);
+                let to = span.to_s.max(span.from_s + MIN_MARK_LENGTH_S).min(length);
                 Rectangle::new([(span.from_s, 0.0), (to, top)], INCIDENT_COLOR.mix(0.15).filled())
             });
-            chart.draw_series(marks).map_err(not_drawn)?;
+            chart.draw_series(marks).map_err(chart_error)?;
             let mut mesh = chart.configure_mesh();
-            mesh.disable_x_mesh().light_line_style(TRANSPARENT).x_desc("s").draw().map_err(not_drawn)?;
+            mesh.disable_x_mesh().light_line_style(TRANSPARENT).x_desc("s").draw().map_err(chart_error)?;
             for (line, color) in self.lines.iter().zip(COLORS) {
                 let points =
                     line.values.iter().enumerate().map(|(second, value)| (second as f64 + 0.5, *value));
                 chart
                     .draw_series(LineSeries::new(points, color.stroke_width(2)))
-                    .map_err(not_drawn)?
+                    .map_err(chart_error)?
                     .label(line.name)
                     .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color.stroke_width(2)));
             }
             if self.lines.len() > 1 {
                 let mut labels = chart.configure_series_labels();
                 labels.background_style(WHITE.mix(0.8)).border_style(BLACK.mix(0.2));
-                labels.draw().map_err(not_drawn)?;
+                labels.draw().map_err(chart_error)?;
             }
-            area.present().map_err(not_drawn)?;
+            area.present().map_err(chart_error)?;
         }
         Ok(svg)
     }
--- a/crates/testbed/src/node_process.rs
+++ b/crates/testbed/src/node_process.rs
@@ -1,4 +1,4 @@
-//! What all runners know of the processes of nodes: when they are ready, and how they end.
+//! Start and end of node processes, shared by all runners.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,21 +7,24 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// How long after a shutdown signal the front no longer sends requests to a node.
+/// Time from a node's shutdown signal until the front stops sending requests to the node.
 pub(crate) const SHUTDOWN_ANNOUNCED_AFTER: Duration = Duration::from_millis(300);
-/// A node that has not ended this long after a shutdown signal and the longest deadline is killed.
+/// A node that is shutting down is killed when the longest deadline and this time have passed since the signal.
 pub(crate) const KILLED_AFTER_LONGEST_DEADLINE: Duration = Duration::from_millis(700);
 
-/// What a node's log says of its address.
+/// Outcome of reading the listen address from a node's log.
 #[derive(Debug)]
 pub(crate) enum Listening {
-    /// It listens here.
+    /// The node listens at this address.
     At(SocketAddr),
-    /// The log has ended before; this was its last line.
-    LogEnded { last_line: String },
+    /// The log ended without an address.
+    LogEnded {
+        /// Last line of the log, empty if there was none.
+        last_line: String,
+    },
 }
 
-/// Reads a node's log up to the line `node n0 listens on 127.0.0.1:7070`.
+/// Reads a node's log until a line like `node n0 listens on 127.0.0.1:7070`.
 pub(crate) async fn read_address<R>(log: &mut Lines<R>) -> io::Result<Listening>
 where
     R: AsyncBufRead + Unpin,
@@ -36,7 +39,7 @@
     Ok(Listening::LogEnded { last_line })
 }
 
-/// Polls a node until it says that it is ready.
+/// Polls a node's health endpoint until it reports ready.
 pub(crate) async fn wait_until_ready(address: SocketAddr, poll_interval: Duration) {
     while !is_ready(address).await.unwrap_or(false) {
         sleep(poll_interval).await;
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: as text for people and as JSON for programs.
+//! The report of a run, as text for the terminal and as JSON for programs.
 
 use crate::counts::Counts;
 use crate::judge::SecondFigures;
@@ -10,18 +10,18 @@
 use serde::Serialize;
 use std::fmt::Write;
 
-/// A run with its faults and what was expected of it.
+/// The result of a run with its incidents and the checks of its expectations.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
     /// The name of the script.
     pub name: String,
     /// The seed of the run.
     pub seed: u64,
-    /// The run was aborted: all figures are of the time until then.
+    /// Whether the run was aborted. The figures then cover only the time before that.
     pub partial: bool,
-    /// The faults, in words.
+    /// The incidents of the script.
     pub incidents: Vec<IncidentSpan>,
-    /// What was expected, and whether it was met.
+    /// The expectations, and whether they were met.
     pub checks: Vec<Check>,
     /// The result of the run.
     #[serde(flatten)]
@@ -31,25 +31,25 @@
 /// An incident on the time axis, in seconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct IncidentSpan {
-    /// Its beginning.
+    /// Start of the incident.
     pub from_s: f64,
-    /// Its end.
+    /// End of the incident.
     pub to_s: f64,
     /// The fault and its time, in words.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// An expectation and the figure that it is about.
+/// An expectation compared with the figure of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Check {
-    /// The name of the figure.
+    /// Name of the figure.
     #[serde(rename = "what")]
     pub figure: String,
-    /// The bound: a minimum for service, a maximum for counts, and exact for rules.
+    /// Expected value: a minimum for service, a maximum for counts, and an exact value for violations of rules.
     #[serde(rename = "wanted")]
     pub expected: f64,
-    /// The figure of the run.
+    /// Value in the run.
     #[serde(rename = "got")]
     pub actual: f64,
     /// Whether the expectation was met.
@@ -58,7 +58,7 @@
 }
 
 impl Report {
-    /// Compares a run with the expectations of its script.
+    /// Creates the report of a run and checks the run against the expectations of its script.
     pub fn new(script: &Script, result: RunResult) -> Self {
         let checks = std::iter::once(rules_check(&result))
             .chain(service_checks(script, &result))
@@ -73,18 +73,18 @@
         }
     }
 
-    /// Whether all expectations were met.
+    /// Returns whether all expectations were met.
     pub fn all_met(&self) -> bool {
         self.checks.iter().all(|check| check.met)
     }
 
-    /// One line of JSON. Equal runs give equal bytes.
+    /// Returns the report as one line of JSON. Equal runs give equal bytes.
     pub fn json(&self) -> String {
         // Serialization fails only for maps whose keys are not strings, and there are none.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// A table and a timeline for the terminal.
+    /// Returns a table, a timeline, the violations and the checks as text for the terminal.
     pub fn text(&self) -> String {
         let partial =
             if self.partial { "PARTIAL: broken off; all figures are of the time until then\n" } else { "" };
@@ -155,7 +155,7 @@
         ]
     }
 
-    /// Empty on sockets, where nothing is counted.
+    /// Returns no rows for runs on sockets, which have no counts.
     fn count_rows(&self) -> Vec<(String, String)> {
         if self.result.counts.is_empty() {
             return Vec::new();
@@ -170,7 +170,7 @@
         ]
     }
 
-    /// Service and rejections by second, and the incidents under them.
+    /// Returns bars of service and rejections by second, with the incidents below them.
     fn timeline(&self) -> String {
         let seconds = &self.result.verdict.seconds;
         let rejected =
@@ -210,7 +210,7 @@
     checks.collect()
 }
 
-/// Empty on sockets, where nothing is counted.
+/// Returns no checks for runs on sockets, which have no counts.
 fn count_checks(script: &Script, result: &RunResult) -> Vec<Check> {
     if result.counts.is_empty() {
         return Vec::new();
@@ -249,13 +249,13 @@
     counts.iter().map(u64::to_string).collect::<Vec<_>>().join(", ")
 }
 
-/// A bar for each fraction from 0 to 1.
+/// Returns a bar character for each fraction from 0 to 1.
 fn bars(fractions: impl Iterator<Item = f64>) -> String {
     const BARS: [char; 9] = [' ', '▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
     fractions.map(|fraction| BARS[((fraction * 8.0).round() as usize).min(8)]).collect()
 }
 
-/// A fault in words.
+/// Describes a fault in words.
 pub fn describe_fault(fault: &Fault) -> String {
     let percent = |share: f64| format!("{:.0}%", share * 100.0);
     match fault {
--- a/crates/testbed/src/run_result.rs
+++ b/crates/testbed/src/run_result.rs
@@ -1,4 +1,4 @@
-//! The result of a run, the same for every runner.
+//! The result of a run, in the form that all runners share.
 
 use crate::counts::Counts;
 use crate::judge::Verdict;
@@ -9,26 +9,26 @@
 /// The result of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RunResult {
-    /// The verdict of the judge.
+    /// The judge's verdict.
     pub verdict: Verdict,
-    /// The fraction of executed reads that were cache hits.
+    /// Fraction of executed reads that were cache hits.
     pub hit_rate: f64,
-    /// Fetches that the origin accepted, and those that it rejected.
+    /// Number of fetches that the origin accepted and rejected.
     pub fetches: (u64, u64),
-    /// The maximum length of the origin's queue.
+    /// Maximum length of the origin's queue.
     pub origin_queue: usize,
-    /// Lines that the nodes logged.
+    /// Number of lines that the nodes logged.
     pub log_lines: u64,
     /// The state of the servers at the end of each second.
     pub samples: Vec<Sample>,
-    /// What all nodes did to the fleet, by second. Empty on sockets, where nobody observes all of it.
+    /// Effects of all nodes on the fleet, by second. Empty for runs on sockets, where they cannot be fully observed.
     pub counts: Vec<Counts>,
-    /// The number of initial entries whose cache server was looked up. In virtual time.
+    /// Number of initial entries whose cache server was looked up. Counted only in virtual time.
     #[serde(skip)]
     pub placement_lookups: usize,
 }
 
-/// The state of the servers at one time.
+/// State of the cache servers and the origin at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Sample {
     /// Requests in all cache servers, queued or in progress.
@@ -55,8 +55,8 @@
         now: Timestamp,
         misses: u64,
     ) -> Self {
-        let without_servers = Self { origin_queue: origin.queued(), misses, ..Self::default() };
-        servers.fold(without_servers, |sample, server| Self {
+        let origin_sample = Self { origin_queue: origin.queued(), misses, ..Self::default() };
+        servers.fold(origin_sample, |sample, server| Self {
             requests_in_servers: sample.requests_in_servers + server.requests(),
             servers: sample.servers + 1,
             warming_servers: sample.warming_servers + usize::from(server.is_warming_up(now)),
@@ -65,7 +65,7 @@
     }
 }
 
-/// The fraction of reads that were cache hits; 1 if there were none.
+/// Returns the fraction of reads that were cache hits; 1 if there were no reads.
 pub(crate) fn hit_rate(hits: u64, misses: u64) -> f64 {
     match hits + misses {
         0 => 1.0,
--- a/crates/testbed/src/variance/mod.rs
+++ b/crates/testbed/src/variance/mod.rs
@@ -1,4 +1,4 @@
-//! Compares several runs of one script: how much of a figure is due to the script, and how much to chance or the machine.
+//! Compares several runs of one script, to show how much its figures vary by chance or because of the machine.
 
 #[cfg(test)]
 mod tests;
@@ -12,16 +12,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Variance {
     name: String,
-    /// Runs with the script's own seed.
+    /// Figures of the runs with the script's own seed.
     same_seed: Figures,
     /// The distinct reports of these runs.
     same_seed_reports: BTreeSet<String>,
-    /// Runs with several seeds, one of each.
+    /// Figures of the runs with several seeds, one run for each seed.
     other_seeds: Figures,
+    /// Violations of rules in all runs.
     violations: u64,
-    /// Runs that did not meet the expectations of the script.
+    /// Number of runs that did not meet the expectations of the script.
     missed: u64,
-    /// Runs that have no figures because the machine was too busy.
+    /// Number of runs without figures because the machine was too busy.
     void: u64,
 }
 
@@ -41,7 +42,7 @@
 }
 
 impl Variance {
-    /// Starts without a run. `name` is that of the script.
+    /// Creates the comparison for the script of this name, without any runs.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -58,13 +59,13 @@
     pub fn add_same_seed(&mut self, report: &Report) {
         self.same_seed.add(report);
         self.same_seed_reports.insert(report.json());
-        self.count(report);
+        self.count_failures(report);
     }
 
     /// Adds a run with one of several seeds.
     pub fn add_other_seed(&mut self, report: &Report) {
         self.other_seeds.add(report);
-        self.count(report);
+        self.count_failures(report);
     }
 
     /// Adds a run without figures.
@@ -72,12 +73,12 @@
         self.void += 1;
     }
 
-    fn count(&mut self, report: &Report) {
+    fn count_failures(&mut self, report: &Report) {
         self.violations += report.result.verdict.violation_counts.iter().sum::<u64>();
         self.missed += u64::from(!report.all_met());
     }
 
-    /// Whether every run has figures and met the expectations of the script.
+    /// Returns whether every run has figures and met the expectations of the script.
     pub fn all_met(&self) -> bool {
         self.missed == 0 && self.void == 0
     }
@@ -104,7 +105,7 @@
     }
 }
 
-/// A Markdown table with a row for each script.
+/// Returns a Markdown table with a row for each script.
 pub fn table(rows: &[Variance]) -> String {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN);
@@ -140,7 +141,7 @@
     }
 }
 
-/// The difference of the maximum and the minimum in percent of the maximum.
+/// Returns the difference of the maximum and the minimum, in percent of the maximum.
 fn relative_range(figures: &[f64]) -> String {
     match min_and_max(figures) {
         Some((min, max)) if max > 0.0 => format!("{:.2}%", (max - min) / max * 100.0),
--- a/crates/testbed/src/variance/tests.rs
+++ b/crates/testbed/src/variance/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn only_runs_of_the_scripts_own_seed_are_compared_by_their_bytes() {
+fn only_reports_of_the_scripts_own_seed_are_compared_byte_by_byte() {
     let mut variance = Variance::new("short");
     let (one, two) = (report(1), report(2));
     assert_ne!(one.json(), two.json());
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_void_run_or_one_that_missed_an_expectation_counts_against_the_whole() {
+fn all_met_is_false_after_a_void_run_or_a_missed_expectation() {
     let mut variance = Variance::new("short");
     variance.add_other_seed(&report(1));
     assert!(variance.all_met());
