--- a/crates/testbed/src/discovery_call.rs
+++ b/crates/testbed/src/discovery_call.rs
@@ -23,12 +23,12 @@
     /// without a wait.
     pub fn read(query: Option<&str>) -> Self {
         let query = query.unwrap_or("");
-        let wait = Duration::from_millis(number(query, "wait_ms").unwrap_or(0));
-        Self { after: number(query, "after"), wait: wait.min(MAX_WAIT) }
+        let wait = Duration::from_millis(parameter(query, "wait_ms").unwrap_or(0));
+        Self { after: parameter(query, "after"), wait: wait.min(MAX_WAIT) }
     }
 }
 
-fn number(query: &str, name: &str) -> Option<u64> {
+fn parameter(query: &str, name: &str) -> Option<u64> {
     query
         .split('&')
         .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
--- a/crates/testbed/src/sockets/cache_server/tests.rs
+++ b/crates/testbed/src/sockets/cache_server/tests.rs
@@ -16,7 +16,7 @@
     timeout(TEST_TIMEOUT, LocalSet::new().run_until(test)).await.expect("the test did not end in time");
 }
 
-/// Starts a single cache server that closes connections after `idle_timeout`.
+/// Starts a single cache server that closes connections that are idle for `idle_timeout`.
 async fn start_one_server(idle_timeout: Duration) -> Rc<Context> {
     let mut script = Script::default();
     script.server_kinds.truncate(1);
--- a/crates/testbed/src/sockets/clients/mod.rs
+++ b/crates/testbed/src/sockets/clients/mod.rs
@@ -267,7 +267,8 @@
     let status = response.status();
     let headers = response.headers();
     let retry_after = retry_after(headers).unwrap_or_default();
-    let keep_connection = !text(headers, CONNECTION).is_some_and(|value| value.eq_ignore_ascii_case("close"));
+    let keep_connection =
+        !header_text(headers, CONNECTION).is_some_and(|value| value.eq_ignore_ascii_case("close"));
     let body = response.into_body().collect().await?.to_bytes();
     let answer = match status {
         StatusCode::OK if body == response_body(request.request) => FinalAnswer::Served,
@@ -298,12 +299,12 @@
     builder.body(Empty::new())
 }
 
-fn text(headers: &HeaderMap, name: hyper::header::HeaderName) -> Option<&str> {
+fn header_text(headers: &HeaderMap, name: hyper::header::HeaderName) -> Option<&str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
-    Duration::try_from_secs_f64(text(headers, RETRY_AFTER)?.parse().ok()?).ok()
+    Duration::try_from_secs_f64(header_text(headers, RETRY_AFTER)?.parse().ok()?).ok()
 }
 
 #[cfg(test)]
