--- a/crates/testbed/src/client_model.rs
+++ b/crates/testbed/src/client_model.rs
@@ -1,32 +1,31 @@
-//! The behaviour of clients: how long they wait, when they disconnect, and when they retry. Times count from the start of
-//! the run.
+//! The behaviour of clients: request timeouts, disconnects and retries. Times are relative to the start of the run.
 
 use crate::random::RandomSource;
 use crate::script::Script;
 use crate::workload::Operation;
 use std::time::Duration;
 
-/// An operation with less time left than this is not retried: clients state their timeout in whole milliseconds.
-const SHORTEST_TIMEOUT: Duration = Duration::from_millis(1);
+/// An operation with less time left than this is not retried, because clients send their timeout in whole milliseconds.
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// How long a client waits for the answer to a request that it sends now.
+/// Returns the time that a client waits for the answer to a request that it sends now.
 pub fn request_timeout(script: &Script, operation: &Operation, now: Duration) -> Duration {
     let deadline = script.classes[operation.class].deadline;
     let timeout = deadline.mul_f64(script.clients.request_timeout_fraction);
     timeout.min((operation.at + deadline).saturating_sub(now))
 }
 
-/// After which time the client of a request disconnects without waiting for the answer; `None` if it waits. `random` is the
-/// request's own source.
+/// Returns the time after which the client of a request disconnects without an answer, or `None` if it waits for the
+/// timeout. `random` is the request's own source.
 pub fn disconnects_after(script: &Script, random: RandomSource, timeout: Duration) -> Option<Duration> {
     let disconnects = random.derive(3).uniform() < script.clients.disconnect_fraction;
     disconnects.then(|| timeout.mul_f64(random.derive(4).uniform()))
 }
 
-/// How long a client waits before the retry of a request that was not served; `None` if it gives the operation up.
+/// Returns the delay before the retry of a request that was not served, or `None` if the client gives up the operation.
 ///
-/// `ordinal` is the number of the request within the operation, from 0; `retry_after` comes from the answer, and is zero if
-/// there is none.
+/// `ordinal` is the number of the request within the operation, from 0. `retry_after` is the value from the answer, or zero
+/// if there is none.
 pub fn retry_delay(
     script: &Script,
     operation: &Operation,
@@ -42,6 +41,6 @@
         clients.backoff
     };
     let deadline = operation.at + script.classes[operation.class].deadline;
-    let in_time = now + delay + SHORTEST_TIMEOUT < deadline;
+    let in_time = now + delay + MIN_TIMEOUT < deadline;
     (ordinal < clients.max_retries && in_time).then_some(delay)
 }
--- a/crates/testbed/src/fault_schedule/active_faults.rs
+++ b/crates/testbed/src/fault_schedule/active_faults.rs
@@ -1,10 +1,10 @@
-//! Combines the effects of incidents that overlap.
+//! Combines the effects of overlapping incidents.
 
 use super::effects::{Effect, IncidentIndex};
 use super::{Change, ServerCondition};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the active incidents do at present.
+/// The effects that are active at present, by incident.
 #[derive(Default)]
 pub(super) struct ActiveFaults {
     servers: BTreeMap<usize, ServerFaults>,
@@ -13,19 +13,19 @@
     discovery_error_rates: BTreeMap<IncidentIndex, f64>,
 }
 
-/// What the active incidents do to the cache server of one index.
+/// The active effects on the cache server of one index.
 #[derive(Default)]
 struct ServerFaults {
     conditions: BTreeMap<IncidentIndex, ServerCondition>,
     crashes: BTreeSet<IncidentIndex>,
     /// The incident that is retiring the present process.
     retiring: Option<IncidentIndex>,
-    /// It has been retired for good.
+    /// Whether the server has been retired permanently.
     removed: bool,
 }
 
 impl ActiveFaults {
-    /// Applies an effect of an incident. Returns what changes by it, if anything does.
+    /// Applies an effect of an incident. Returns the resulting change, if there is one.
     pub(super) fn apply(&mut self, incident: IncidentIndex, effect: Effect) -> Option<Change> {
         match effect {
             Effect::Independent(change) => Some(change),
@@ -83,7 +83,8 @@
         self.servers.entry(index).or_default()
     }
 
-    /// A server that is being retired already is not drained again; a permanent retirement still takes its successor away.
+    /// Drains a server, unless another incident is already retiring it. Even then, a permanent retirement prevents the start
+    /// of a successor.
     fn begin_retirement(&mut self, incident: IncidentIndex, index: usize, permanent: bool) -> Option<Change> {
         let server = self.server(index);
         let already_retired = server.removed || server.retiring.is_some();
@@ -106,12 +107,12 @@
             return None;
         }
         server.retiring = None;
-        // A crash that is still active struck the predecessor.
+        // A crash that is still active affected the predecessor only.
         server.crashes.clear();
         (!server.removed).then_some(Change::Start { index, same_id: false, same_address })
     }
 
-    /// A crashed server is back at the end of the last crash, unless it was retired meanwhile.
+    /// Restarts a crashed server at the end of its last crash, unless the server was retired meanwhile.
     fn recover(&mut self, incident: IncidentIndex, index: usize) -> Option<Change> {
         let server = self.server(index);
         let crashed = server.crashes.remove(&incident);
--- a/crates/testbed/src/fault_schedule/effects.rs
+++ b/crates/testbed/src/fault_schedule/effects.rs
@@ -1,4 +1,4 @@
-//! The effects of each incident, as if it were the only one.
+//! Expands each incident into effects, as if it were the only incident.
 
 use super::{Change, ServerCondition};
 use crate::fleet;
@@ -6,7 +6,7 @@
 use crate::script::{Fault, Incident, Script};
 use std::time::Duration;
 
-/// The purpose of random values: which servers and nodes an incident affects.
+/// The purpose of the random values that select the servers and nodes of an incident.
 const INCIDENT_TARGETS: u64 = 0x7469_6d65;
 
 /// The index of an incident in the script.
@@ -20,20 +20,20 @@
     pub(super) effect: Effect,
 }
 
-/// What an incident does, before others are taken into account.
+/// An effect of one incident, before overlapping incidents are taken into account.
 #[derive(Clone, Debug)]
 pub(super) enum Effect {
-    /// A cache server is to be taken out of service.
+    /// A cache server begins to retire: it drains before its process ends.
     BeginRetirement {
         index: usize,
-        /// No successor comes.
+        /// Whether the server has no successor.
         permanent: bool,
     },
-    /// The process that the same incident retired ends.
+    /// The process ends that the same incident retired.
     EndRetired {
         index: usize,
     },
-    /// The successor of the process that the same incident retired starts.
+    /// The successor starts of the process that the same incident retired.
     StartSuccessor {
         index: usize,
         same_address: bool,
@@ -42,16 +42,16 @@
     Crash {
         index: usize,
     },
-    /// What the same incident crashed is back.
+    /// A cache server that the same incident crashed restarts.
     Recover {
         index: usize,
     },
-    /// A condition of a cache server begins to hold.
+    /// A condition of a cache server becomes active.
     BeginCondition {
         index: usize,
         condition: ServerCondition,
     },
-    /// The condition that the same incident brought no longer holds.
+    /// The condition that the same incident caused ends.
     EndCondition {
         index: usize,
     },
@@ -65,11 +65,11 @@
         rate: f64,
     },
     EndDiscoveryErrors,
-    /// A change that no other incident can affect.
+    /// A change that does not depend on other incidents.
     Independent(Change),
 }
 
-/// The effects of all incidents of a script, incident by incident.
+/// Returns the effects of all incidents of a script, grouped by incident.
 pub(super) fn all(script: &Script) -> Vec<ScheduledEffect> {
     let mut effects = Vec::new();
     for (number, incident) in script.incidents.iter().enumerate() {
@@ -131,7 +131,7 @@
             Fault::DiscoveryErrors { rate } => {
                 self.during_incident(Effect::BeginDiscoveryErrors { rate }, Effect::EndDiscoveryErrors);
             }
-            // Part of the workload.
+            // The workload implements these faults.
             Fault::HotKeys { .. } | Fault::Surge { .. } => {}
         }
     }
@@ -212,24 +212,24 @@
         self.add(at + duration, end);
     }
 
-    /// The time at this fraction of the incident's duration.
+    /// Returns the time at a fraction of the incident's duration.
     fn at_fraction(&self, fraction: f64) -> Duration {
         self.incident.at + self.incident.duration.mul_f64(fraction)
     }
 
-    /// A random share of the cache servers, within the zone of the incident if it has one.
+    /// Returns a random share of the cache servers in the zone of the incident, or in all zones if it has none.
     fn servers(&self, share: f64) -> Vec<usize> {
         self.choose(fleet::server_count(self.script), share)
     }
 
-    /// A random share of the nodes, within the zone of the incident if it has one.
+    /// Returns a random share of the nodes in the zone of the incident, or in all zones if it has none.
     fn nodes(&self, share: f64) -> Vec<usize> {
         self.choose(self.script.nodes as usize, share)
     }
 
-    /// A random share, rounded up, of those in the incident's zone.
+    /// Returns a random share, rounded up, of the indices below `count` that belong to the incident's zone.
     fn choose(&self, count: usize, share: f64) -> Vec<usize> {
-        // Nodes and cache servers are dealt out over the zones in the same way.
+        // Nodes and cache servers are assigned to zones by the same rule, see `fleet`.
         let in_zone = |i: &usize| self.incident.zone.is_none_or(|zone| i % self.script.zones.len() == zone);
         let mut all: Vec<_> = (0..count).filter(in_zone).collect();
         let chosen = (all.len() as f64 * share).ceil() as usize;
@@ -238,7 +238,8 @@
         all
     }
 
-    /// Batches of at most this fraction of `count`, at equal intervals over the duration of the incident.
+    /// Splits the chosen indices into batches of at most `fraction` of `count`, but at least one. The batches start at equal
+    /// intervals over the duration of the incident.
     fn batches(&self, chosen: &[usize], count: usize, fraction: f64) -> Vec<(Duration, Vec<usize>)> {
         let size = ((count as f64 * fraction).floor() as usize).max(1);
         let batches = chosen.len().div_ceil(size).max(1);
--- a/crates/testbed/src/fault_schedule/mod.rs
+++ b/crates/testbed/src/fault_schedule/mod.rs
@@ -1,9 +1,9 @@
-//! The schedule of a script's faults: all changes to the world with their times, the same for every runner.
+//! The schedule of a script's faults: all changes to the simulated system with their times, the same for every runner.
 //!
-//! Cache servers are named by their index (see [`crate::fleet`]). An incident chooses its servers by random values of its
-//! own, so that adding an incident to a script does not move the others. `effects` turns each incident into effects, as if
-//! it were the only one; `active_faults` combines those that overlap on one server, so that the end of one incident does not
-//! lift what another still does.
+//! Cache servers are identified by their index (see [`crate::fleet`]). Each incident selects its servers with its own
+//! random source, so that adding an incident to a script does not change the servers of the others. `effects` expands each
+//! incident into effects as if it were the only one. `active_faults` combines effects that overlap on one server, so that
+//! the end of one incident does not end the effects of another.
 
 mod active_faults;
 mod effects;
@@ -12,10 +12,10 @@
 use active_faults::ActiveFaults;
 use std::time::Duration;
 
-/// A change to the world.
+/// A change to the simulated system.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A cache server begins to drain, and discovery learns of it.
+    /// A cache server begins to drain, and discovery detects it.
     Drain {
         /// The index of the cache server.
         index: usize,
@@ -25,83 +25,83 @@
         /// The index of the cache server.
         index: usize,
     },
-    /// A cold process starts, if none runs at this index.
+    /// A cold process starts, unless one already runs at this index.
     Start {
         /// The index of the cache server.
         index: usize,
-        /// Whether it keeps the id of its predecessor.
+        /// Whether the process keeps the id of its predecessor.
         same_id: bool,
-        /// Whether it listens at the address of its predecessor.
+        /// Whether the process listens at the address of its predecessor.
         same_address: bool,
     },
-    /// A cache server makes no progress for a while.
+    /// A cache server makes no progress for some time.
     Pause {
         /// The index of the cache server.
         index: usize,
         /// How long the pause lasts.
         duration: Duration,
     },
-    /// The condition of a cache server changes, whatever process runs there.
+    /// The condition of a cache server changes. It applies to the present process and to its successors.
     SetCondition {
         /// The index of the cache server.
         index: usize,
         /// The new condition.
         condition: ServerCondition,
     },
-    /// A middlebox forgets the present connections to a cache server: nothing passes on them any more, and neither end is
-    /// notified.
+    /// A middlebox loses its state of the present connections to a cache server. It then drops all packets of these
+    /// connections without notifying either end.
     ForgetConnections {
         /// The index of the cache server.
         index: usize,
     },
-    /// A node is shut down or killed, and starts again with its last endpoint list.
+    /// A node is shut down or killed and restarts with its last endpoint list.
     RestartNode {
-        /// The node.
+        /// The index of the node.
         node: usize,
-        /// Whether it is killed.
+        /// Whether the node is killed instead of being shut down gracefully.
         killed: bool,
         /// The time from the end of the old process to the start of the new one.
         downtime: Duration,
     },
     /// A node hands over to a successor process.
     UpgradeNode {
-        /// The node.
+        /// The index of the node.
         node: usize,
     },
     /// The configuration of a node changes, and the node reloads it.
     ReloadNode {
-        /// The node.
+        /// The index of the node.
         node: usize,
     },
     /// Fetches from the origin take longer.
     SlowOrigin {
-        /// The factor; 1 is the ordinary speed.
+        /// The factor. 1 is the normal speed.
         factor: f64,
     },
     /// Discovery becomes available or unavailable.
     SetDiscoveryAvailable {
-        /// Whether it answers.
+        /// Whether discovery answers calls.
         available: bool,
     },
-    /// A fraction of discovery's answers is cut short or malformed.
+    /// The fraction of discovery's answers that are truncated or malformed changes.
     SetDiscoveryErrors {
-        /// The fraction.
+        /// The new fraction.
         rate: f64,
     },
 }
 
-/// The condition of a cache server and of the network before it, as all active faults have it.
+/// The condition of a cache server and of its network, as the combined effect of all active faults.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerCondition {
-    /// Whether messages pass.
+    /// Whether messages to and from the server are delivered.
     pub reachable: bool,
-    /// The fraction of its requests that fails, in addition to the ordinary error rate.
+    /// The fraction of requests that fail because of faults, in addition to the error rate of the server's kind.
     pub error_rate: f64,
     /// The additional one-way latency.
     pub extra_latency: Duration,
-    /// The fraction of packets that is lost, and retransmitted.
+    /// The fraction of packets that are lost and retransmitted.
     pub packet_loss_rate: f64,
-    /// The fraction of answers in the middle of which the connection is reset.
+    /// The fraction of answers during which the connection is reset.
     pub reset_rate: f64,
 }
 
@@ -118,7 +118,7 @@
 }
 
 impl ServerCondition {
-    /// The condition under both of two independent faults.
+    /// Returns the condition under two independent faults that are active at the same time.
     fn combine(self, other: Self) -> Self {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         Self {
@@ -131,10 +131,10 @@
     }
 }
 
-/// All changes of a script, in the order of time; those of the same time in the order of its incidents.
+/// Returns all changes of a script in chronological order. Changes at the same time are in the order of their incidents.
 pub fn changes(script: &Script) -> Vec<(Duration, Change)> {
     let mut effects = effects::all(script);
-    // The sort is stable: at the same time, the order of the script remains.
+    // The stable sort keeps effects at the same time in the order of the script.
     effects.sort_by_key(|scheduled| scheduled.at);
     let mut active = ActiveFaults::default();
     let changes = effects.into_iter().filter_map(|scheduled| {
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,45 +1,45 @@
 //! The fleet of a script: the kind, zone and cell of each cache server, and the settings of each node.
 //!
-//! A cache server has an index, from 0 up to their count. A successor has the index of the server that it replaces.
+//! Each cache server has an index, starting at 0. A successor has the index of the server that it replaces.
 
 use crate::script::{Script, ServerKind};
 use balancer_core::{Endpoint, EndpointState, RequestClass, ServerId, Settings, Timestamp};
 
-/// The number of cache servers in a cell, which share their memory of idempotency keys.
+/// The number of cache servers in a cell. The servers of a cell share their record of idempotency keys.
 const SERVERS_PER_CELL: usize = 8;
 
-/// The number of cache servers at the start.
+/// Returns the number of cache servers at the start.
 pub fn server_count(script: &Script) -> usize {
     script.server_kinds.iter().map(|kind| kind.count as usize).sum()
 }
 
-/// The kind of the cache server with this index.
+/// Returns the kind of the cache server with this index.
 pub fn server_kind(script: &Script, index: usize) -> &ServerKind {
     let mut end = 0;
     let found = script.server_kinds.iter().find(|kind| {
         end += kind.count as usize;
         index < end
     });
-    // A script has at least one kind, and no index is beyond the last one.
+    // A script has at least one kind, and every index belongs to one.
     found.unwrap_or(&script.server_kinds[0])
 }
 
-/// The zone of the cache server with this index.
+/// Returns the zone of the cache server with this index.
 pub fn server_zone(script: &Script, index: usize) -> usize {
     index % script.zones.len()
 }
 
-/// The zone of a node.
+/// Returns the zone of a node.
 pub fn node_zone(script: &Script, node: usize) -> usize {
     node % script.zones.len()
 }
 
-/// The cell of the cache server with this index.
+/// Returns the cell of the cache server with this index.
 pub fn server_cell(index: usize) -> u64 {
     (index / SERVERS_PER_CELL) as u64
 }
 
-/// The id of a cache server with this index that has had so many predecessors.
+/// Returns the id of the cache server with this index and this number of predecessors.
 pub fn server_name(script: &Script, index: usize, predecessors: usize) -> String {
     let kind = server_kind(script, index).name.replace(' ', "_");
     match predecessors {
@@ -48,7 +48,7 @@
     }
 }
 
-/// A cache server as discovery lists it.
+/// Returns the entry of a cache server in the endpoint list of discovery.
 pub fn endpoint(
     script: &Script,
     id: ServerId,
@@ -68,12 +68,12 @@
     }
 }
 
-/// The weight of a cache server of this kind: its capacity in standard cores.
+/// Returns the weight of a cache server of this kind, which is its capacity in standard cores.
 pub fn server_weight(kind: &ServerKind) -> f64 {
     f64::from(kind.cores) * kind.speed
 }
 
-/// The settings of a node in this zone.
+/// Returns the settings of a node in this zone.
 pub fn node_settings(script: &Script, zone: usize) -> Settings {
     let kinds = &script.server_kinds;
     let classes = script.classes.iter().map(|class| RequestClass {
--- a/crates/testbed/src/models/cache_server/load_reports.rs
+++ b/crates/testbed/src/models/cache_server/load_reports.rs
@@ -8,18 +8,18 @@
 /// The load of a cache server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerLoad {
-    /// The recent time on a core, without waiting.
+    /// The recent average of the time that a job takes on a core, without waiting time.
     pub service_time: Duration,
-    /// Requests that wait for a slot or a core.
+    /// The number of requests that wait for a slot or a core.
     pub queued: usize,
 }
 
-/// Decides which snapshot of the load is reported.
+/// Takes snapshots of the load at regular intervals and reports each of them after a delay.
 #[derive(Debug)]
 pub(super) struct LoadReporter {
     settings: LoadReports,
     next_snapshot: Timestamp,
-    /// Snapshots that are not reported yet, by the time from which they are.
+    /// Snapshots that are not reported yet, each with the time from which it is reported.
     pending: VecDeque<(Timestamp, ServerLoad)>,
     reported: ServerLoad,
 }
@@ -29,12 +29,13 @@
         Self { settings, next_snapshot: now, pending: VecDeque::new(), reported: ServerLoad::default() }
     }
 
-    /// The load that is reported at the time of the last update.
+    /// Returns the load that is reported at the time of the last update.
     pub(super) fn reported(&self) -> ServerLoad {
         self.reported
     }
 
-    /// Takes the snapshots that are due. The load has not changed since the last update.
+    /// Takes the snapshots that are due and updates the reported load. The caller guarantees that the load has not changed
+    /// since the last update.
     pub(super) fn update(&mut self, now: Timestamp, load: ServerLoad) {
         if self.next_snapshot <= now {
             self.take_snapshots(now, load);
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Takes the first and the last of the snapshots that are due; those in between are equal.
+    /// Takes the first and the last of the snapshots that are due. The snapshots between them would be equal.
     fn take_snapshots(&mut self, now: Timestamp, load: ServerLoad) {
         let LoadReports { interval, delay, .. } = self.settings;
         let first = self.next_snapshot;
--- a/crates/testbed/src/models/cache_server/mod.rs
+++ b/crates/testbed/src/models/cache_server/mod.rs
@@ -1,7 +1,7 @@
-//! A cache server: cores, slots, a bounded queue, a cache, slow start, and a crash when it is overloaded in slow start.
+//! The model of a cache server: cores, slots, a bounded queue, a cache, slow start, and a crash if overloaded in slow start.
 //!
-//! An accepted request waits for a slot; then, on a miss, for the origin; then for a core. Misses of the same key do not
-//! share a fetch. Nothing that a client or a node does stops work that was accepted.
+//! An accepted request waits for a slot, then, on a miss, for the origin, and then for a core. Misses of the same key do not
+//! share a fetch. Clients and nodes cannot cancel work that was accepted.
 
 mod entries;
 mod load_reports;
@@ -19,28 +19,28 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// The shortest time that a job takes on a core.
-const SHORTEST_RUN: Duration = Duration::from_micros(1);
+/// Minimum time that a job takes on a core.
+const MIN_RUN_TIME: Duration = Duration::from_micros(1);
 
-/// The number of a request at a cache server, given by the runner and never used twice.
+/// The number of a request at a cache server. The runner assigns it and never uses a number twice.
 pub type JobId = u64;
 
 /// A request at a cache server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// Its number.
+    /// The number of the job.
     pub id: JobId,
-    /// The key of its entry.
+    /// The key of the requested entry.
     pub key: u64,
-    /// The popularity rank of its key, if this is the server that has the entry at the start where any has.
+    /// The popularity rank of the key if the entry, when initially cached at all, belongs to this server. `None` otherwise.
     pub initial_rank: Option<u32>,
-    /// The work of a standard core.
+    /// The work of the job, in time on a standard core.
     pub work: Duration,
-    /// Whether it changes its entry: the origin is always asked.
+    /// Whether the job modifies its entry. A write always fetches from the origin.
     pub write: bool,
-    /// The additional work of a new connection; zero if it arrived on an existing one.
+    /// The additional work of a new connection. Zero if the request arrived on an existing one.
     pub handshake: Duration,
-    /// The source of everything random about it.
+    /// The source of all random values of the job.
     pub random: RandomSource,
 }
 
@@ -49,29 +49,29 @@
 pub enum OfferResult {
     /// The request will be executed.
     Accepted,
-    /// The queue is full or the server drains: the request is never executed.
+    /// The queue is full or the server is draining. The request is never executed.
     Declined,
-    /// The server was overloaded in slow start and has crashed; everything in it is lost.
+    /// The server was overloaded in slow start and has crashed. All its requests and entries are lost.
     Overloaded,
 }
 
-/// What a cache server wants done, or has done, since the last call.
+/// An output of a cache server since the last call of [`CacheServer::advance`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerOutput {
-    /// It fetches the entry of this job from the origin.
+    /// The server fetches the entry of this job from the origin.
     Fetch(JobId),
-    /// It has finished a job.
+    /// The server has finished a job.
     Finished {
-        /// The job.
+        /// The number of the job.
         id: JobId,
-        /// Whether it failed. It may have been executed all the same.
+        /// Whether the job failed. A failed job may still have been executed.
         failed: bool,
-        /// Whether it was a cache hit.
+        /// Whether the job was a cache hit.
         hit: bool,
     },
 }
 
-/// A job that has a slot.
+/// A job that occupies a slot.
 #[derive(Debug)]
 struct JobInProgress {
     job: Job,
@@ -79,36 +79,36 @@
     fetch_failed: bool,
 }
 
-/// The state machine of a cache server. See the module's documentation.
+/// The state machine of a cache server. See the module documentation.
 #[derive(Debug)]
 pub struct CacheServer {
     kind: ServerKind,
     started_at: Timestamp,
-    /// It did not start cold.
+    /// Whether the server started warm, without slow start.
     started_warm: bool,
-    /// Work done since the start, in seconds of a standard core.
+    /// Work done since the start, in seconds on a standard core.
     work_done: f64,
     entries: CachedEntries,
     draining: bool,
-    /// The fraction of requests that fails, in addition to the kind's own.
+    /// The fraction of requests that fail, in addition to the error rate of the server kind.
     extra_error_rate: f64,
     paused_until: Timestamp,
     /// Jobs that wait for a slot.
     queue: VecDeque<Job>,
     in_progress: BTreeMap<JobId, JobInProgress>,
-    /// Jobs in progress that have their entry and wait for a core.
+    /// Jobs in progress that wait for a core. They had a hit, or their fetch has ended.
     ready: VecDeque<JobId>,
-    /// Jobs in progress that have a core, by the time at which they finish.
+    /// Jobs in progress that run on a core, ordered by the time at which they finish.
     running: BTreeSet<(Timestamp, JobId)>,
     outputs: Vec<ServerOutput>,
     slow_start_load: SlowStartLoad,
-    /// Moving average of the time that a job takes on a core.
+    /// The moving average of the time that a job takes on a core.
     service_time: Duration,
     load_reporter: LoadReporter,
 }
 
 impl CacheServer {
-    /// Starts a cache server: warm, or cold and with an empty cache.
+    /// Creates a cache server with an empty cache. A warm one has no slow start.
     pub fn new(
         kind: ServerKind,
         rules: Rules,
@@ -136,42 +136,42 @@
         }
     }
 
-    /// Puts an entry into the cache.
+    /// Inserts an entry into the cache.
     pub fn insert_entry(&mut self, key: u64) {
         self.entries.insert(key);
     }
 
-    /// Sets the entries that are cached at the start without being listed one by one.
+    /// Sets the entries that are cached at the start without being stored one by one.
     pub fn set_initial_entries(&mut self, initial: InitialEntries) {
         self.entries.set_initial(initial);
     }
 
-    /// Whether it depends on [`Job::initial_rank`] whether this entry is cached.
+    /// Returns whether a look-up of this entry depends on [`Job::initial_rank`].
     pub fn depends_on_initial_entries(&self, key: u64, rank: u32) -> bool {
         self.entries.depends_on_initial(key, rank)
     }
 
-    /// The number of cached entries.
+    /// Returns the number of cached entries.
     pub fn cached_entries(&self) -> usize {
         self.entries.len()
     }
 
-    /// Declines new requests from now on.
+    /// Makes the server decline new requests from now on.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Whether it drains.
+    /// Returns whether the server is draining.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Sets the fraction of requests that fails, in addition to the ordinary error rate of its kind.
+    /// Sets the fraction of requests that fail, in addition to the error rate of the server kind.
     pub fn set_extra_error_rate(&mut self, rate: f64) {
         self.extra_error_rate = rate;
     }
 
-    /// Makes no progress for this long.
+    /// Stops the progress of all jobs for this duration.
     pub fn pause(&mut self, now: Timestamp, duration: Duration) {
         let until = self.paused_until.max(now + duration);
         let additional = until.since(self.paused_until.max(now));
@@ -180,7 +180,7 @@
         self.running = running.into_iter().map(|(at, id)| (at + additional, id)).collect();
     }
 
-    /// The fraction of its full capacity that it has now: below 1 in slow start.
+    /// Returns the present capacity as a fraction of the full capacity. It is below 1 in slow start.
     pub fn capacity_fraction(&self, now: Timestamp) -> f64 {
         if self.started_warm {
             return 1.0;
@@ -191,17 +191,17 @@
         (min_fraction + (1.0 - min_fraction) * by_work.max(by_time)).min(1.0)
     }
 
-    /// Whether it is in slow start.
+    /// Returns whether the server is in slow start.
     pub fn is_warming_up(&self, now: Timestamp) -> bool {
         self.capacity_fraction(now) < 1.0
     }
 
-    /// Its present capacity: seconds of work of a standard core per second.
+    /// Returns the present capacity, in standard cores.
     pub fn capacity(&self, now: Timestamp) -> f64 {
         f64::from(self.kind.cores) * self.kind.speed * self.capacity_fraction(now)
     }
 
-    /// The load that it reports with an answer: a snapshot of some time ago.
+    /// Returns the load that the server reports with an answer. It is a past snapshot.
     pub fn load_report(&mut self, now: Timestamp) -> ServerLoad {
         self.update_load_reports(now);
         self.load_reporter.reported()
@@ -212,7 +212,7 @@
         self.load_reporter.update(now, ServerLoad { service_time: self.service_time, queued });
     }
 
-    /// Takes in a request that has arrived.
+    /// Handles the arrival of a request.
     pub fn offer(&mut self, now: Timestamp, job: Job) -> OfferResult {
         self.update_load_reports(now);
         if self.is_warming_up(now) && self.slow_start_load.add(now, job.work, self.capacity(now)) {
@@ -227,7 +227,7 @@
         OfferResult::Accepted
     }
 
-    /// Takes in the end of the fetch for a job.
+    /// Handles the end of the fetch for a job.
     pub fn fetch_ended(&mut self, now: Timestamp, id: JobId, ok: bool) {
         self.update_load_reports(now);
         if let Some(in_progress) = self.in_progress.get_mut(&id) {
@@ -237,14 +237,14 @@
         }
     }
 
-    /// When [`CacheServer::advance`] is due next.
+    /// Returns the time at which [`CacheServer::advance`] is due next.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         let can_start = !self.ready.is_empty() && self.running.len() < self.kind.cores as usize;
         let start = can_start.then_some(self.paused_until);
         self.running.first().map(|(at, _)| *at).into_iter().chain(start).min()
     }
 
-    /// Advances up to now and appends its outputs.
+    /// Advances the server up to `now` and appends its outputs.
     pub fn advance(&mut self, now: Timestamp, outputs: &mut Vec<ServerOutput>) {
         self.update_load_reports(now);
         while let Some(&(at, id)) = self.running.first().filter(|(at, _)| *at <= now) {
@@ -267,7 +267,7 @@
         self.outputs.push(ServerOutput::Finished { id, failed, hit });
     }
 
-    /// Gives free slots and cores to jobs that wait for them.
+    /// Assigns free slots and cores to waiting jobs.
     fn start_jobs(&mut self, now: Timestamp) {
         self.fill_slots();
         self.fill_cores(now);
@@ -298,21 +298,21 @@
         }
     }
 
-    /// How long a job takes on a core that starts it now, at the speed that the core has at this time.
+    /// Returns the time on a core of a job that starts now. The present speed applies to the whole job.
     fn run_time(&self, in_progress: &JobInProgress, now: Timestamp) -> Duration {
         let JobInProgress { job, fetch_failed, .. } = in_progress;
-        // After a failed fetch, the only work is to say so.
+        // After a failed fetch, the job only returns an error.
         let work = if *fetch_failed { Duration::ZERO } else { job.work };
         let run_time = (work + job.handshake).div_f64(self.kind.speed * self.capacity_fraction(now));
-        run_time.max(SHORTEST_RUN)
+        run_time.max(MIN_RUN_TIME)
     }
 
-    /// The number of requests in it, queued or in progress.
+    /// Returns the number of requests that are queued or in progress.
     pub fn requests(&self) -> usize {
         self.queue.len() + self.in_progress.len()
     }
 
-    /// The maximum number of open connections.
+    /// Returns the maximum number of open connections.
     pub fn max_connections(&self) -> u32 {
         self.kind.max_connections
     }
--- a/crates/testbed/src/models/cache_server/slow_start_load.rs
+++ b/crates/testbed/src/models/cache_server/slow_start_load.rs
@@ -1,15 +1,15 @@
-//! The work that a warming server was sent recently: too much of it crashes the server.
+//! Tracks the work that was recently sent to a server in slow start. Too much of it crashes the server.
 
 use crate::script::Rules;
 use balancer_core::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The sliding window of the work that was sent to a warming server, whether it was accepted or not.
+/// A sliding window over the work sent to a server in slow start. Declined requests count as well.
 #[derive(Debug)]
 pub(super) struct SlowStartLoad {
     rules: Rules,
-    /// Arrival times, and work in seconds of a standard core.
+    /// The arrival times of requests, with their work in seconds on a standard core.
     arrivals: VecDeque<(Timestamp, f64)>,
     sum: f64,
 }
@@ -19,7 +19,7 @@
         Self { rules, arrivals: VecDeque::new(), sum: 0.0 }
     }
 
-    /// Adds a request. Returns whether the work in the window exceeds what a server of this capacity survives.
+    /// Adds a request. Returns whether the work in the window now exceeds the overload limit of a server of this capacity.
     pub(super) fn add(&mut self, now: Timestamp, work: Duration, capacity: f64) -> bool {
         let window = self.rules.slow_start_overload_window;
         self.arrivals.push_back((now, work.as_secs_f64()));
--- a/crates/testbed/src/models/initial_entries.rs
+++ b/crates/testbed/src/models/initial_entries.rs
@@ -1,17 +1,18 @@
-//! Entries that a cache server has from the start and that nothing has requested yet. They are not listed: all that shows
-//! from outside is how many there are, and the rank from which on there are none.
+//! Entries that a cache server has from the start and that nothing has requested yet. They are not stored one by one: only
+//! their number and the upper bound of their ranks are visible from outside.
 //!
-//! Each rank lies at a server with the same probability, its share, independently of the others (rendezvous hashing of
-//! hashed keys). So their number is binomial, approximated here by a normal distribution; in a cache too small for all of
-//! them, the place of the last one that fits is an order statistic; and the distances between their ranks are geometric.
+//! Each rank belongs to a server with the same probability, the server's share, independently of the other ranks (rendezvous
+//! hashing of hashed keys). So the number of entries has a binomial distribution, approximated here by a normal
+//! distribution. In a cache that is too small for all of them, the rank of the last one that fits is an order statistic. The
+//! distances between their ranks are geometrically distributed.
 
 use crate::random::RandomSource;
 
-/// The initial entries of a cache server. The least popular one, of the highest rank, is evicted first.
+/// The initial entries of a cache server. The least popular entry, which has the highest rank, is evicted first.
 #[derive(Clone, Debug)]
 pub struct InitialEntries {
     count: u32,
-    /// No entry of this rank or a higher one is cached.
+    /// The exclusive upper bound of the ranks of cached entries.
     end: u32,
     share: f64,
     random: RandomSource,
@@ -19,22 +20,25 @@
 }
 
 impl InitialEntries {
-    /// No entries at all.
+    /// Creates an empty set of entries.
     pub fn none() -> Self {
         Self { count: 0, end: 0, share: 0.0, random: RandomSource::new(0), evicted: 0 }
     }
 
-    /// A share of the entries of ranks below `ranks`, as many as a cache of `capacity` entries holds.
+    /// Creates a share of the entries of ranks below `ranks`, limited to the `capacity` of the cache.
     pub fn new(ranks: u32, share: f64, capacity: u32, random: RandomSource) -> Self {
         let share = share.clamp(0.0, 1.0);
         let all = f64::from(ranks);
         let deviation = (all * share * (1.0 - share)).sqrt();
-        let here = (all * share + deviation * random.derive(0).normal()).round().clamp(0.0, all);
+        let in_share = (all * share + deviation * random.derive(0).normal()).round().clamp(0.0, all);
         let capacity = f64::from(capacity);
-        let end =
-            if here <= capacity { all } else { all * order_statistic(capacity, here, random.derive(1)) };
+        let end = if in_share <= capacity {
+            all
+        } else {
+            all * order_statistic(capacity, in_share, random.derive(1))
+        };
         Self {
-            count: here.min(capacity) as u32,
+            count: in_share.min(capacity) as u32,
             end: end as u32,
             share,
             random: random.derive(2),
@@ -42,25 +46,25 @@
         }
     }
 
-    /// The number of entries.
+    /// Returns the number of entries.
     pub fn count(&self) -> usize {
         self.count as usize
     }
 
-    /// Whether an entry of this rank is cached if this is its server.
-    pub fn reaches(&self, rank: u32) -> bool {
+    /// Returns whether the entry of this rank is cached, provided that it belongs to this server.
+    pub fn contains_rank(&self, rank: u32) -> bool {
         self.count > 0 && rank < self.end
     }
 
-    /// Removes an entry of this server because it is used. Returns `false` if it is not cached.
-    pub fn take(&mut self, rank: u32) -> bool {
-        let cached = self.reaches(rank);
+    /// Removes an entry of this server when it is first used. Returns `false` if the entry is not cached.
+    pub fn remove(&mut self, rank: u32) -> bool {
+        let cached = self.contains_rank(rank);
         self.count -= u32::from(cached);
         cached
     }
 
-    /// Evicts the least popular entry, if there is any. Entries that were taken are few at such ranks, and are ignored when
-    /// the rank of the next one is chosen.
+    /// Evicts the least popular entry, if there is one. Few entries of such ranks have been removed by use, so the choice of
+    /// the next rank ignores them.
     pub fn evict(&mut self) {
         if self.count == 0 {
             return;
@@ -73,10 +77,10 @@
     }
 }
 
-/// A random value of the `place`-th least of `of` uniform values from 0 to 1: beta distributed, approximated by mean and
-/// variance.
-fn order_statistic(place: f64, of: f64, random: RandomSource) -> f64 {
-    let mean = place / (of + 1.0);
-    let variance = mean * (1.0 - mean) / (of + 2.0);
+/// Returns a random value of the `rank`-th smallest of `count` uniform values from 0 to 1. The beta distribution of this
+/// value is approximated by a normal distribution with the same mean and variance.
+fn order_statistic(rank: f64, count: f64, random: RandomSource) -> f64 {
+    let mean = rank / (count + 1.0);
+    let variance = mean * (1.0 - mean) / (count + 2.0);
     (mean + variance.sqrt() * random.normal()).clamp(0.0, 1.0)
 }
--- a/crates/testbed/src/network_model.rs
+++ b/crates/testbed/src/network_model.rs
@@ -1,36 +1,37 @@
-//! The latency of messages and connections, with the faults of the network between nodes and cache servers. The same
-//! message has the same fate in virtual time and on sockets.
+//! The latency of messages and connections, including network faults between nodes and cache servers. The same message has
+//! the same latency and losses in virtual time and on sockets.
 
 use crate::fault_schedule::ServerCondition;
 use crate::random::RandomSource;
 use crate::script::Network;
 use std::time::Duration;
 
-/// The time until a lost packet of an established connection is retransmitted, as Linux has it (RFC 6298 allows more). It
-/// doubles with each further loss.
+/// The minimum retransmission timeout of an established connection in Linux (RFC 6298 allows a longer one). It doubles with
+/// each further loss.
 const RETRANSMISSION_TIMEOUT: Duration = Duration::from_millis(200);
-/// The same for the first packet of a connection (RFC 6298, section 2.1).
+/// The retransmission timeout of the first packet of a connection (RFC 6298, section 2.1).
 const INITIAL_RETRANSMISSION_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most losses of one packet in a row.
+/// Maximum number of consecutive losses of a packet.
 const MAX_LOSSES: u64 = 6;
 
-/// The one-way latency between two zones, without faults.
+/// Returns the one-way latency between two zones without faults.
 pub fn latency(network: &Network, from_zone: usize, to_zone: usize, random: RandomSource) -> Duration {
     let base = if from_zone == to_zone { network.same_zone_latency } else { network.cross_zone_latency };
     base.mul_f64(1.0 + network.jitter * random.uniform())
 }
 
-/// The one-way latency between a client and its node.
+/// Returns the one-way latency between a client and its node.
 pub fn client_latency(network: &Network, random: RandomSource) -> Duration {
     network.client_latency.mul_f64(1.0 + network.jitter * random.uniform())
 }
 
-/// How much longer a message takes in this condition.
+/// Returns the additional latency of a message in this condition.
 pub fn fault_delay(condition: &ServerCondition, random: RandomSource) -> Duration {
     condition.extra_latency + retransmission_delay(condition.packet_loss_rate, RETRANSMISSION_TIMEOUT, random)
 }
 
-/// How long a new connection takes until the first request may be sent. `round_trip` is an ordinary round trip.
+/// Returns the time from the start of a connection until the first request may be sent. `round_trip` is a round trip without
+/// faults.
 pub fn handshake_time(
     network: &Network,
     condition: &ServerCondition,
@@ -41,12 +42,12 @@
         + retransmission_delay(condition.packet_loss_rate, INITIAL_RETRANSMISSION_TIMEOUT, random)
 }
 
-/// Whether the connection is reset in the middle of an answer in this condition.
+/// Returns whether the connection is reset during an answer in this condition.
 pub fn answer_is_reset(condition: &ServerCondition, random: RandomSource) -> bool {
     random.derive(61).uniform() < condition.reset_rate
 }
 
-/// The sum of the exponentially growing timeouts until a packet is not lost.
+/// Returns the sum of the retransmission timeouts, each twice the last, until a transmission is not lost.
 fn retransmission_delay(loss_rate: f64, timeout: Duration, random: RandomSource) -> Duration {
     let is_lost = |transmission: &u64| random.derive(60).derive(*transmission).uniform() < loss_rate;
     let losses = (0..MAX_LOSSES).take_while(is_lost).count();
--- a/crates/testbed/src/placement.rs
+++ b/crates/testbed/src/placement.rs
@@ -1,8 +1,9 @@
-//! Which cache server has which entry at the start: the popular entries are cached where the decisions look for them.
+//! The placement of entries on cache servers at the start. Each popular entry is cached on the server to which the balancer
+//! sends requests for it.
 //!
-//! To find the server of a key takes one decision, whose time is proportional to the number of cache servers. So the
-//! simulation in virtual time looks up only the keys that are requested; how many other entries a cache server has is
-//! random ([`crate::models::initial_entries`]).
+//! Finding the server of a key takes one balancer decision, whose time is proportional to the number of cache servers. So
+//! the simulation in virtual time looks up only the keys that are requested. The number of other entries of a cache server
+//! is random (see [`crate::models::initial_entries`]).
 
 use crate::fleet::node_settings;
 use crate::script::Script;
@@ -19,12 +20,12 @@
     balancer: Balancer,
     ranks: u32,
     total_weight: f64,
-    /// By rank; never iterated over.
+    /// The cache servers by rank. The map is never iterated over, so its random order does not affect a run.
     servers: HashMap<u32, Option<ServerId>>,
 }
 
 impl Placement {
-    /// Creates a placement over the cache servers of this list.
+    /// Creates a placement on the cache servers of this list.
     pub fn new(script: &Script, list: Vec<Endpoint>) -> Self {
         let total_weight = list.iter().map(|endpoint| endpoint.weight).sum();
         let settings = Settings { discovery_is_polled: false, nodes: 1, ..node_settings(script, 0) };
@@ -34,12 +35,12 @@
         Self { balancer, ranks, total_weight, servers: HashMap::new() }
     }
 
-    /// Entries of ranks below this are cached at the start, if they fit into the caches.
+    /// Returns the exclusive upper bound of the ranks whose entries are cached at the start, if they fit into the caches.
     pub fn ranks(&self) -> u32 {
         self.ranks
     }
 
-    /// The fraction of all entries that belongs to a cache server of this weight, as rendezvous hashing has it.
+    /// Returns the fraction of all entries that rendezvous hashing assigns to a cache server of this weight.
     pub fn share(&self, weight: f64) -> f64 {
         if self.total_weight > 0.0 {
             weight / self.total_weight
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The cache server of the entry of this rank; `None` if it is not cached at the start.
+    /// Returns the cache server of the entry of this rank, or `None` if the entry is not cached at the start.
     pub fn server(&mut self, rank: u32) -> Option<ServerId> {
         if rank >= self.ranks {
             return None;
@@ -61,7 +62,7 @@
         server
     }
 
-    /// The number of entries that were looked up.
+    /// Returns the number of entries that were looked up.
     pub fn lookups(&self) -> usize {
         self.servers.len()
     }
@@ -88,8 +89,8 @@
     }
 }
 
-/// All initial entries with their cache servers, the least popular first, so that the most popular are the last to be evicted
-/// from a full cache. Its time is proportional to keys times servers; on sockets it runs before the scenario begins.
+/// Returns all initial entries with their cache servers. The least popular come first, so that a full cache evicts the most
+/// popular ones last. The run time is proportional to keys times servers. On sockets, this runs before the scenario begins.
 pub fn initial_entries(script: &Script, list: Vec<Endpoint>) -> Vec<(ServerId, u64)> {
     let mut placement = Placement::new(script, list);
     let ranks = (0..placement.ranks()).rev();
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -1,11 +1,11 @@
-//! A deterministic random source without a sequence: each value is a hash of a seed and of what it is for.
+//! A deterministic random source without a sequence: each value is a hash of a seed and a purpose.
 //!
-//! With one shared sequence, the work of a request would change with every other request that comes before it, and no two
-//! runs that differ in one thing could be compared.
+//! With one shared sequence, every additional request would change the work of all later requests. Two runs that differ in
+//! one respect could not be compared.
 
 use std::f64::consts::TAU;
 
-/// The purpose of the random values that a run draws, over sockets and in virtual time alike.
+/// The purpose of the random values of a run, on sockets and in virtual time.
 pub(crate) const RUN_STREAM: u64 = 0x706c_6179;
 
 /// A source of random values. [`RandomSource::derive`] narrows it to one purpose; sources of different purposes are
@@ -19,38 +19,38 @@
         Self(mix(seed))
     }
 
-    /// The source for one purpose: equal purposes give equal sources, whatever was derived before.
+    /// Derives the source for a purpose. Equal purposes give equal sources, independent of earlier calls.
     pub const fn derive(self, purpose: u64) -> Self {
         Self(mix(self.0 ^ mix(purpose)))
     }
 
-    /// 64 uniformly distributed bits.
+    /// Returns 64 uniformly distributed bits.
     pub const fn bits(self) -> u64 {
         self.0
     }
 
-    /// Uniformly distributed over the open interval from 0 to 1.
+    /// Returns a value that is uniformly distributed over the open interval from 0 to 1.
     pub fn uniform(self) -> f64 {
         ((self.0 >> 11) as f64 + 0.5) / (1u64 << 53) as f64
     }
 
-    /// Uniformly distributed from `low` to `high`.
+    /// Returns a value that is uniformly distributed from `low` to `high`.
     pub fn uniform_between(self, low: f64, high: f64) -> f64 {
         low + (high - low) * self.uniform()
     }
 
-    /// Exponentially distributed with mean 1.
+    /// Returns an exponentially distributed value with mean 1.
     pub fn exponential(self) -> f64 {
         -self.uniform().ln()
     }
 
-    /// Normally distributed with mean 0 and standard deviation 1.
+    /// Returns a normally distributed value with mean 0 and standard deviation 1.
     pub fn normal(self) -> f64 {
-        // Box and Muller, 1958: one of the pair is enough.
+        // The Box-Muller transform (1958). Only one value of the pair is used.
         (-2.0 * self.derive(1).uniform().ln()).sqrt() * (TAU * self.derive(2).uniform()).cos()
     }
 
-    /// Log-normally distributed with mean 1 and this coefficient of variation.
+    /// Returns a log-normally distributed value with mean 1 and this coefficient of variation.
     pub fn log_normal(self, variation: f64) -> f64 {
         let variance = (variation * variation).ln_1p();
         (variance.sqrt() * self.normal() - variance / 2.0).exp()
@@ -72,7 +72,7 @@
 }
 
 impl Zipf {
-    /// Creates the distribution over `n` ranks, at least one.
+    /// Creates the distribution over `n` ranks, or over one if `n` is 0.
     pub fn new(n: u32, exponent: f64) -> Self {
         let mut sum = 0.0;
         let cumulative_weights = (1..=n.max(1)).map(|rank| {
@@ -82,7 +82,7 @@
         Self { cumulative_weights: cumulative_weights.collect() }
     }
 
-    /// A random rank.
+    /// Returns a random rank.
     pub fn rank(&self, random: RandomSource) -> u32 {
         let sum = self.cumulative_weights.last().copied().unwrap_or(1.0);
         let at = random.uniform() * sum;
--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -1,9 +1,9 @@
-//! The scenarios that ship with the program: the files under `scenarios/`.
+//! The scenarios that ship with the program, from the files under `scenarios/`.
 
 /// A scenario that ships with the program.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// The name, which is also that of its file.
+    /// The name of the scenario and of its file, without the extension.
     pub name: &'static str,
     /// The text of its script.
     pub text: &'static str,
@@ -15,7 +15,7 @@
     };
 }
 
-/// All scenarios: first those with one fault, then those in which several overlap.
+/// All scenarios. Those with one kind of fault come first, then those with overlapping faults.
 pub const ALL: &[Scenario] = shipped![
     "calm",
     "shrink",
@@ -39,10 +39,10 @@
     "hundreds",
 ];
 
-/// The scenario that runs if none is named: it has some of everything.
+/// The name of the scenario that runs by default. It combines many kinds of faults.
 pub const DEFAULT: &str = "restarts-after-crash";
 
-/// The scenario of this name.
+/// Returns the scenario with this name.
 pub fn named(name: &str) -> Option<Scenario> {
     ALL.iter().find(|scenario| scenario.name == name).copied()
 }
--- a/crates/testbed/src/script/defaults.rs
+++ b/crates/testbed/src/script/defaults.rs
@@ -1,4 +1,4 @@
-//! The ordinary fleet: the values of what a script leaves out.
+//! The default fleet: the values of settings that a script leaves out.
 
 use super::{
     Class, Clients, Discovery, Expectations, Load, LoadReports, Network, Origin, Rules, Script, ServerKind,
--- a/crates/testbed/src/script/fault.rs
+++ b/crates/testbed/src/script/fault.rs
@@ -1,44 +1,44 @@
-//! The faults of a script, and when each strikes.
+//! The faults of a script and their times.
 
 use std::time::Duration;
 
-/// A fault and its time.
+/// A fault with its time and zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Incident {
-    /// When it begins, from the start of the run.
+    /// The time of the beginning, from the start of the run.
     pub at: Duration,
-    /// How long it lasts.
+    /// The duration of the incident.
     pub duration: Duration,
-    /// The zone whose cache servers or nodes it strikes, by index into [`Script::zones`](super::Script::zones); `None` for
-    /// all zones.
+    /// The index in [`Script::zones`](super::Script::zones) of the zone whose cache servers or nodes are affected. `None`
+    /// stands for all zones.
     pub zone: Option<usize>,
-    /// The fault.
+    /// The kind of fault and its parameters.
     pub fault: Fault,
 }
 
-/// What goes wrong. A `share` is a fraction of the cache servers, or of the nodes where these are named; a `batch` is the
-/// fraction that is struck at a time.
+/// A kind of fault. `share` is the affected fraction of the cache servers, or of the nodes for faults of nodes. `batch` is
+/// the fraction that is affected at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Cache servers are drained one by one over the duration and removed for good.
+    /// Cache servers are drained one by one over the duration and removed permanently.
     Shrink {
         /// The share that is removed.
         share: f64,
         /// The time from the drain to the end of the process.
         drain: Duration,
     },
-    /// Cache servers are replaced, batch by batch, by successors that start cold under new ids.
+    /// Cache servers are replaced in batches by successors that start cold under new ids.
     Deploy {
         /// The share that is replaced.
         share: f64,
         /// The fraction that is replaced at a time.
         batch: f64,
-        /// The time from the drain to the end of the process, when the successor starts.
+        /// The time from the drain to the end of the process. The successor starts at the same moment.
         drain: Duration,
-        /// Successors take the addresses of the servers that they replace.
+        /// Whether successors listen at the addresses of the servers that they replace.
         same_address: bool,
     },
-    /// Nodes restart, batch by batch, and come back with nothing but their last endpoint list.
+    /// Nodes restart in batches. Only their last endpoint list survives the restart.
     RestartNodes {
         /// The share that restarts.
         share: f64,
@@ -46,24 +46,24 @@
         batch: f64,
         /// The time from the end of the old process to the start of the new one.
         downtime: Duration,
-        /// Nodes are killed instead of shut down gracefully.
+        /// Whether nodes are killed instead of being shut down gracefully.
         killed: bool,
     },
-    /// Nodes hand over to successor processes, batch by batch.
+    /// Nodes hand over to successor processes, in batches.
     Upgrade {
         /// The share that is upgraded.
         share: f64,
         /// The fraction that is upgraded at a time.
         batch: f64,
     },
-    /// Nodes reload a changed configuration, repeatedly and evenly over the duration.
+    /// Nodes reload a changed configuration several times, at equal intervals over the duration.
     Reload {
         /// The share that reloads.
         share: f64,
-        /// The number of reloads of each.
+        /// The number of reloads of each node.
         times: u32,
     },
-    /// Cache servers crash at once and come back cold at the end.
+    /// Cache servers crash at the beginning and restart cold at the end.
     Crash {
         /// The share that crashes.
         share: f64,
@@ -80,43 +80,43 @@
     },
     /// Cache servers answer a fraction of their requests with errors.
     Errors {
-        /// The share that is struck.
+        /// The share that is affected.
         share: f64,
-        /// The fraction of their requests that fails.
+        /// The fraction of requests that fail.
         rate: f64,
     },
-    /// Messages to and from cache servers take longer, each way.
+    /// Messages to and from cache servers take longer in each direction.
     Delay {
-        /// The share that is struck.
+        /// The share that is affected.
         share: f64,
         /// The additional one-way latency.
         extra: Duration,
     },
-    /// Packets to and from cache servers are lost at random, and retransmitted.
+    /// Packets to and from cache servers are lost at random and retransmitted.
     Loss {
-        /// The share that is struck.
+        /// The share that is affected.
         share: f64,
-        /// The fraction of packets that is lost.
+        /// The fraction of packets that are lost.
         rate: f64,
     },
     /// Connections are reset in the middle of a fraction of the answers.
     Resets {
-        /// The share that is struck.
+        /// The share that is affected.
         share: f64,
-        /// The fraction of answers that is cut short.
+        /// The fraction of answers that are truncated.
         rate: f64,
     },
-    /// A middlebox forgets the connections to cache servers, one server after the other over the duration: nothing passes
-    /// on them any more, and neither end is notified.
+    /// A middlebox loses its state of the connections to cache servers, one server after another over the duration. It then
+    /// drops all packets of these connections without notifying either end.
     HalfOpen {
-        /// The share that is struck.
+        /// The share that is affected.
         share: f64,
     },
     /// A few keys receive a share of all operations.
     HotKeys {
         /// The number of hot keys.
         keys: u32,
-        /// Their share of all operations.
+        /// The share of all operations that use the hot keys.
         share: f64,
     },
     /// The rate of operations is multiplied.
@@ -131,9 +131,9 @@
     },
     /// Discovery does not answer.
     DiscoveryOutage,
-    /// A fraction of discovery's answers is cut short or malformed; these cost it as much as good ones.
+    /// A fraction of discovery's answers is truncated or malformed. Such answers cost discovery as much as intact ones.
     DiscoveryErrors {
-        /// The fraction of answers.
+        /// The fraction of answers that are truncated or malformed.
         rate: f64,
     },
 }
--- a/crates/testbed/src/script/parse.rs
+++ b/crates/testbed/src/script/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a script's file: TOML to [`Script`], with the accepted range of each value.
+//! Parses the TOML file of a script into a [`Script`] and checks the range of each value.
 
 use super::{
     Class, Clients, Discovery, Expectations, Fault, Incident, Load, LoadReports, Network, Origin, Rules,
@@ -10,23 +10,23 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// A time that may be zero.
+/// The range of times that may be zero.
 const SHORT_TIME: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_secs(60);
 const POSITIVE_TIME: RangeInclusive<Duration> = Duration::from_micros(1)..=Duration::from_secs(3_600);
 const FRACTION: RangeInclusive<f64> = 0.0..=1.0;
 const FACTOR: RangeInclusive<f64> = 0.01..=100.0;
-/// The most nodes in virtual time; [`crate::sockets::MOST_NODES`] is the bound on sockets.
-const MOST_NODES: u64 = 10_000;
-/// The most cache servers, bounded by the descriptors of one machine.
-const MOST_SERVERS: u64 = 4_000;
-/// The most operations per second.
-const MOST_RATE: f64 = 20_000.0;
+/// Maximum number of nodes in virtual time. The sockets runner has a lower limit of its own.
+const MAX_NODES: u64 = 10_000;
+/// Maximum number of cache servers, limited by the file descriptors of one machine.
+const MAX_SERVERS: u64 = 4_000;
+/// Maximum rate of operations per second.
+const MAX_RATE: f64 = 20_000.0;
 
 impl Script {
-    /// Reads a script's text. `file` is the name that faults give it.
+    /// Parses the text of a script. `file` is the file name in error messages.
     ///
     /// # Errors
-    /// All faults of the text, in the order of their lines.
+    /// Returns all errors of the text in the order of their lines.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<FileFault>> {
         Document::read(file, text, script)
     }
@@ -53,7 +53,7 @@
         about: top.text("about", "text", |_| true).unwrap_or_default(),
         seed: top.count("seed", 0..=u64::MAX).unwrap_or(base.seed),
         length,
-        nodes: top.count("nodes", 1..=MOST_NODES).map_or(base.nodes, |n| n as u32),
+        nodes: top.count("nodes", 1..=MAX_NODES).map_or(base.nodes, |n| n as u32),
         server_kinds: if kinds.is_empty() { base.server_kinds } else { kinds },
         classes: if classes.is_empty() { base.classes } else { classes },
         load: top.table("load", |t| load(t, &base.load)).unwrap_or(base.load),
@@ -84,17 +84,17 @@
 
 fn check_server_count(top: &Table, script: &Script) {
     let total: u64 = script.server_kinds.iter().map(|kind| u64::from(kind.count)).sum();
-    if total > MOST_SERVERS {
-        top.fault("box", format!("expected {MOST_SERVERS} boxes at the most, found {total}"));
+    if total > MAX_SERVERS {
+        top.fault("box", format!("expected at most {MAX_SERVERS} boxes in total, found {total}"));
     }
 }
 
 fn server_kind(t: &Table) -> ServerKind {
     let base = ServerKind::default();
-    let count = |name, most, base| t.count(name, 1..=most).map_or(base, |n| n as u32);
+    let count = |name, max, base| t.count(name, 1..=max).map_or(base, |n| n as u32);
     ServerKind {
         name: t.need("name", t.text("name", NAME, is_name)),
-        count: count("count", MOST_SERVERS, base.count),
+        count: count("count", MAX_SERVERS, base.count),
         cores: count("cores", 256, base.cores),
         speed: t.number("speed", FACTOR).unwrap_or(base.speed),
         slots_per_core: count("slots_per_core", 1_000, base.slots_per_core),
@@ -141,7 +141,7 @@
 
 fn load(t: &Table, base: &Load) -> Load {
     Load {
-        rate: t.number("rate", 0.1..=MOST_RATE).unwrap_or(base.rate),
+        rate: t.number("rate", 0.1..=MAX_RATE).unwrap_or(base.rate),
         swing: t.number("swing", 0.0..=0.9).unwrap_or(base.swing),
         swing_period: t
             .time("swing_every", Duration::from_secs(1)..=Duration::from_secs(3_600))
@@ -253,7 +253,7 @@
     "discovery-breaks",
 ];
 
-/// Whether faults of this kind strike a share of the cache servers or nodes, and so may be limited to one zone.
+/// Returns whether faults of this kind affect cache servers or nodes, so that they can be limited to one zone.
 fn has_zone(kind: &str) -> bool {
     !matches!(kind, "hot-keys" | "surge" | "slow-origin" | "discovery-away" | "discovery-breaks")
 }
@@ -266,7 +266,7 @@
         if at < latest {
             t.fault(
                 "at",
-                format!("expected a time no earlier than the incident before, \"{}\"", time_text(latest)),
+                format!("expected a time no earlier than the previous incident, \"{}\"", time_text(latest)),
             );
         }
         latest = latest.max(at);
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -1,5 +1,5 @@
-//! The operations that clients want done, in the order of time. The same script gives the same operations; everything
-//! random about an operation is derived from its number.
+//! The operations of clients in chronological order. The same script gives the same operations. All random values of an
+//! operation are derived from its number.
 
 use crate::models::cache_server::{Job, JobId};
 use crate::random::{RandomSource, Zipf};
@@ -7,41 +7,41 @@
 use std::f64::consts::TAU;
 use std::time::Duration;
 
-/// Something that a client wants done. It takes one request or, with retries, several.
+/// An operation of a client. It consists of one request or, with retries, of several.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operation {
     /// The number of the operation, from 0.
     pub number: u64,
-    /// When its first request is sent, from the start of the run.
+    /// The time at which the first request is sent, from the start of the run.
     pub at: Duration,
-    /// The index of its class in the script.
+    /// The index of the class in the script.
     pub class: usize,
-    /// The popularity rank of its key; rank 0 is the most popular.
+    /// The popularity rank of the key. Rank 0 is the most popular.
     pub key_rank: u32,
-    /// The zone of its client.
+    /// The zone of the client.
     pub zone: usize,
-    /// The source of everything random about it.
+    /// The source of all random values of the operation.
     pub random: RandomSource,
 }
 
 impl Operation {
-    /// The source of everything random about one of its requests; 0 is the first one.
+    /// Returns the source of all random values of one request of the operation. `ordinal` 0 is the first request.
     pub fn request_random(&self, ordinal: u32) -> RandomSource {
         self.random.derive(100 + u64::from(ordinal))
     }
 
-    /// The key as nodes and cache servers know it.
+    /// Returns the key that nodes and cache servers use for the operation's entry.
     pub fn key(&self) -> u64 {
         key_of_rank(self.key_rank)
     }
 }
 
-/// The key of this popularity rank as nodes and cache servers know it.
+/// Returns the key that nodes and cache servers use for the entry of this popularity rank.
 pub fn key_of_rank(rank: u32) -> u64 {
     RandomSource::new(0x6b65_7973).derive(u64::from(rank)).bits()
 }
 
-/// The job that an attempt for an operation is to its cache server. `random` is the attempt's own source.
+/// Returns the job that an attempt for an operation creates at its cache server. `random` is the attempt's own source.
 pub fn job(
     script: &Script,
     operation: &Operation,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Iterates over all operations of a script, in the order of time.
+/// Iterates over all operations of a script in chronological order.
 #[derive(Debug)]
 pub struct Workload<'a> {
     script: &'a Script,
@@ -73,7 +73,7 @@
 }
 
 impl<'a> Workload<'a> {
-    /// Starts with the first operation of this script.
+    /// Creates an iterator that starts with the first operation of the script.
     pub fn new(script: &'a Script) -> Self {
         Self {
             script,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Operations per second at this time.
+    /// Returns the rate at this time, in operations per second.
     fn rate(&self, at: f64) -> f64 {
         let load = &self.script.load;
         let wave = 1.0 + load.swing * (TAU * at / load.swing_period.as_secs_f64()).sin();
@@ -129,17 +129,17 @@
         self.popularity.rank(random.derive(u64::MAX))
     }
 
-    /// One of the hot keys of an incident. They are of medium popularity otherwise.
+    /// Returns a random one of an incident's hot keys. Outside the incident, these keys have a medium popularity.
     fn hot_key_rank(&self, incident: &Incident, keys: u32, random: RandomSource) -> u32 {
-        let of_incident = RandomSource::new(self.script.seed).derive(incident.at.as_micros() as u64);
-        let start = of_incident.uniform() / 2.0 + 0.25;
+        let incident_random = RandomSource::new(self.script.seed).derive(incident.at.as_micros() as u64);
+        let start = incident_random.uniform() / 2.0 + 0.25;
         let first = (start * f64::from(self.script.load.keys)) as u32;
         let hot = first + (random.uniform() * f64::from(keys)) as u32;
         hot.min(self.script.load.keys - 1)
     }
 }
 
-/// The incidents that are active at this time, in seconds.
+/// Returns the incidents that are active at this time, which is in seconds from the start of the run.
 fn active_incidents(script: &Script, at: f64) -> impl Iterator<Item = &Incident> {
     let is_active = move |incident: &&Incident| {
         (incident.at.as_secs_f64()..(incident.at + incident.duration).as_secs_f64()).contains(&at)
--- a/crates/testbed/tests/placement.rs
+++ b/crates/testbed/tests/placement.rs
@@ -144,15 +144,15 @@
     let mut initial = InitialEntries::new(100_000, 0.01, 500, RandomSource::new(1));
     assert_eq!(initial.count(), 500);
     assert!(
-        initial.reaches(40_000) && !initial.reaches(60_000),
+        initial.contains_rank(40_000) && !initial.contains_rank(60_000),
         "half of a thousand lie in half of the ranks"
     );
     (0..250).for_each(|_| initial.evict());
     assert_eq!(initial.count(), 250);
-    assert!(initial.reaches(15_000) && !initial.reaches(35_000));
-    assert!(initial.take(3) && !initial.take(60_000));
+    assert!(initial.contains_rank(15_000) && !initial.contains_rank(35_000));
+    assert!(initial.remove(3) && !initial.remove(60_000));
     (0..1_000).for_each(|_| initial.evict());
-    assert_eq!((initial.count(), initial.reaches(0)), (0, false));
+    assert_eq!((initial.count(), initial.contains_rank(0)), (0, false));
 }
 
 /// If the server of every key were looked up at the start, four million keys would take four million decisions over 1,100
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -56,7 +56,7 @@
         ("[[box]]\ncount = 3".into(), "bad.toml:3: box[0].name: is missing"),
         (
             "[[box]]\nname = \"b\"\ncount = 4000\n[[box]]\nname = \"c\"\ncount = 4000".into(),
-            "bad.toml:3: box: expected 4000 boxes at the most, found 8000",
+            "bad.toml:3: box: expected at most 4000 boxes in total, found 8000",
         ),
         (
             "[[class]]\nname = \"a\"\nwork = \"1ms\"\naim = \"2s\"\ndeadline = \"1s\"".into(),
@@ -99,7 +99,7 @@
                 crash("at = \"5s\"\nover = \"1s\"\nshare = 0.1"),
                 crash("at = \"4s\"\nover = \"1s\"\nshare = 0.1")
             ),
-            "bad.toml:10: incident[1].at: expected a time no earlier than the incident before, \"5s\"",
+            "bad.toml:10: incident[1].at: expected a time no earlier than the previous incident, \"5s\"",
         ),
     ]);
 }
--- a/fuzz/fuzz_targets/script.rs
+++ b/fuzz/fuzz_targets/script.rs
@@ -1,4 +1,4 @@
-//! Fuzzes the reader of scenario scripts: any text is read, or each of its faults names one of its lines.
+//! Fuzzes the parser of scenario scripts. Every text must be parsed, or give errors that each name one of its lines.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
