--- a/crates/testbed/src/virtual_time/attempts.rs
+++ b/crates/testbed/src/virtual_time/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of nodes, from the connection to the outcome.
+//! The attempts of nodes, from connecting to the outcome.
 
 use super::event_queue::SimulationEvent;
 use super::nodes::{request_id, DEADLINE_TIMER_DELAY};
@@ -18,12 +18,12 @@
 /// An idle connection that an attempt reuses.
 struct ReusedConnection {
     connection: IdleConnection,
-    /// The cache server has closed it, and the node does not know yet.
+    /// Whether the cache server has closed the connection without the node's knowledge.
     closed_by_server: bool,
 }
 
 impl Simulation<'_> {
-    /// Starts an attempt. Returns its outcome if it is over at once.
+    /// Starts an attempt. Returns its outcome if it ends immediately.
     pub(super) fn start_attempt(
         &mut self,
         node: usize,
@@ -64,7 +64,7 @@
         None
     }
 
-    /// Ends an attempt before it begins: its request is over, and nothing more is sent for it.
+    /// Ends an attempt before anything is sent, because its request is already answered.
     fn suppress_attempt(&mut self, request: usize, server: usize) -> Event {
         let attempt = self.requests[request].attempts.len();
         self.requests[request].attempts.push(Attempt {
@@ -81,7 +81,7 @@
         self.outcome(request, attempt, AttemptEnd::without_answer(AttemptStatus::NotSent))
     }
 
-    /// Opens a new connection for an attempt. `process` is the one that runs at its server.
+    /// Opens a new connection for an attempt. `process` is the present process of its server.
     fn connect(&mut self, node: usize, request: usize, attempt: usize, process: Option<usize>) {
         let server = self.requests[request].attempts[attempt].server;
         let index = self.servers[server].index;
@@ -113,7 +113,7 @@
         self.events.schedule(at, SimulationEvent::AttemptEnds { request, attempt, end });
     }
 
-    /// The one-way latency between a node and a server in its present condition.
+    /// Returns the one-way latency between a node and a server in the server's present condition.
     fn latency(&self, node: usize, server: usize, random: RandomSource) -> Duration {
         let index = self.servers[server].index;
         let (from, to) = (self.nodes[node].zone, fleet::server_zone(self.script, index));
@@ -121,7 +121,7 @@
             + network_model::fault_delay(&self.conditions[index], random)
     }
 
-    /// Whether messages pass on an attempt's connection.
+    /// Returns whether messages are delivered on an attempt's connection.
     fn passes(&self, request: usize, attempt: usize) -> bool {
         let Attempt { server, established_at, .. } = self.requests[request].attempts[attempt];
         let index = self.servers[server].index;
@@ -129,8 +129,8 @@
             && self.connections_forgotten_at[index].is_none_or(|forgotten_at| established_at > forgotten_at)
     }
 
-    /// Whether a process refuses another connection. Connections that have timed out idle are removed here: they make no
-    /// difference before.
+    /// Returns whether a process refuses another connection. Connections that were closed after their idle timeout are
+    /// removed only here, because they have no effect before the limit is reached.
     fn is_full(&mut self, server: usize, process: usize) -> bool {
         let Process { model, connections, .. } = &self.processes[process];
         let (max, open) = (model.max_connections(), *connections);
@@ -141,7 +141,7 @@
         let kind = fleet::server_kind(self.script, self.servers[server].index);
         let idle_timeout = kind.idle_timeout.unwrap_or(network.idle_timeout);
         let slowest = network.same_zone_latency.max(network.cross_zone_latency).mul_f64(1.0 + network.jitter);
-        // By then every node knows that the server has closed the connection, or has closed it itself.
+        // After this time, every node has noticed that the server closed the connection, or has closed it itself.
         let limit = (idle_timeout + slowest).min(network.idle_timeout / 2);
         let (now, mut closed) = (self.now, 0);
         for idle in self.nodes.iter_mut().filter_map(|node| node.idle_connections.get_mut(&server)) {
@@ -155,8 +155,8 @@
         open - closed >= max
     }
 
-    /// Takes the idle connection that an attempt reuses, if there is one. Connections that the node knows to be closed, or
-    /// closes itself, are removed.
+    /// Returns the idle connection that an attempt reuses, if there is one. Removes connections that the node knows to be
+    /// closed or closes itself.
     fn reuse_connection(
         &mut self,
         node: usize,
@@ -183,7 +183,7 @@
         None
     }
 
-    /// Sends the first byte of an attempt, unless the endpoint list forbids it by now.
+    /// Sends the first byte of an attempt, unless the node's endpoint list has meanwhile marked the server as not ready.
     pub(super) fn send_attempt(&mut self, request: usize, attempt: usize) {
         let ClientRequest { node, ref attempts, .. } = self.requests[request];
         let Attempt { server, process, ended, abandoned, .. } = attempts[attempt];
@@ -209,7 +209,7 @@
         self.events.schedule(self.now + latency, SimulationEvent::AttemptArrives { request, attempt });
     }
 
-    /// Whether a node knows a server as ready.
+    /// Returns whether a server is ready according to a node's endpoint list.
     fn is_ready(&self, node: usize, server: usize) -> bool {
         let known = self.nodes[node].endpoints.get(&server);
         known.map(|endpoint| endpoint.state) == Some(EndpointState::Ready)
@@ -243,12 +243,12 @@
         }
     }
 
-    /// The cache server resets the connection of an attempt.
+    /// Resets the connection of an attempt at the cache server.
     pub(super) fn reset_attempt(&mut self, request: usize, attempt: usize) {
         self.send_response(request, attempt, AttemptStatus::Reset, false);
     }
 
-    /// A cache server responds to an attempt.
+    /// Sends a cache server's response to an attempt.
     pub(super) fn send_response(&mut self, request: usize, attempt: usize, status: AttemptStatus, hit: bool) {
         if !self.passes(request, attempt) {
             return;
@@ -287,7 +287,8 @@
         self.end_attempt(request, attempt, end);
     }
 
-    /// Keeps the connection of an attempt for another request, if its server is ready and alive.
+    /// Keeps the connection of an attempt for another request, if its server is ready and its process is alive. Returns
+    /// whether the connection was kept.
     fn keep_connection(&mut self, request: usize, attempt: usize) -> bool {
         let node = self.requests[request].node;
         let Attempt { server, process, established_at, .. } = self.requests[request].attempts[attempt];
@@ -307,7 +308,7 @@
         }
     }
 
-    /// The node closes the connection of an attempt.
+    /// Closes the connection of an attempt at the node.
     pub(super) fn abandon_attempt(&mut self, request: usize, attempt: usize) {
         let attempt = &mut self.requests[request].attempts[attempt];
         if !std::mem::replace(&mut attempt.abandoned, true) {
@@ -325,7 +326,8 @@
         }
     }
 
-    /// The outcome of an attempt as an event for the node's decisions. A good answer goes to the client.
+    /// Ends an attempt and returns its outcome as an event for the node's decision logic. Sends a successful answer to the
+    /// client.
     pub(super) fn outcome(&mut self, request: usize, attempt: usize, end: AttemptEnd) -> Event {
         let AttemptEnd { status, hit, load } = end;
         let Attempt { server, started_at, .. } = self.requests[request].attempts[attempt];
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -1,4 +1,4 @@
-//! Clients, and the front that distributes their requests over the nodes.
+//! The clients, and the front, which distributes their requests over the nodes.
 
 use super::event_queue::SimulationEvent;
 use super::simulation::Simulation;
@@ -60,7 +60,8 @@
         self.events.schedule(expires_at, SimulationEvent::ClientTimesOut { request });
     }
 
-    /// The node that the front sends a request to: a random one of the client's zone, or of the next zone that has any.
+    /// Returns the node to which the front sends a request: a random one in the client's zone, or in the next zone that has
+    /// nodes in rotation.
     fn choose_node(&self, zone: usize, random: RandomSource) -> Option<usize> {
         let zones = self.nodes_in_rotation.len();
         let mut by_distance = (0..zones).map(|step| &self.nodes_in_rotation[(zone + step) % zones]);
@@ -121,14 +122,14 @@
         }
     }
 
-    /// The source of everything random about a request.
+    /// Returns the source of all random values of a request.
     pub(super) fn request_random(&self, request: usize) -> RandomSource {
         let ClientRequest { operation, ordinal, .. } = self.requests[request];
         self.operations[operation].operation.request_random(ordinal)
     }
 }
 
-/// The connection of a request ends without an answer.
+/// Returns the event that the connection of a request ends without an answer.
 pub(super) fn no_answer(request: usize) -> SimulationEvent {
     SimulationEvent::AnswerArrives { request, answer: None, retry_after: Duration::ZERO }
 }
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery service, and the discovery clients of nodes.
+//! The discovery service and the discovery clients of nodes.
 
 use super::event_queue::SimulationEvent;
 use super::simulation::Simulation;
@@ -8,14 +8,15 @@
 use balancer_core::{EndpointState, EndpointUpdate, Event, Timestamp};
 use std::time::Duration;
 
-/// How long a call takes to fail while discovery is unavailable.
+/// The time after which a call fails while discovery is unavailable.
 const FAILED_CALL_TIME: Duration = Duration::from_millis(10);
-/// The purposes of random values.
+/// The purpose of the random values of backoff times.
 const BACKOFF: u64 = 0x6261;
+/// The purpose of the random values that decide which answers are truncated or malformed.
 const ANSWERS: u64 = 0x6c69_7374;
 
 impl Simulation<'_> {
-    /// Discovery detects the present state of a server after its delay.
+    /// Schedules the detection of a server's new state by discovery.
     pub(super) fn detect_state_later(
         &mut self,
         server: usize,
@@ -56,8 +57,8 @@
         }
     }
 
-    /// A node's decisions want an endpoint update. After failed calls, the node backs off first, with jitter, so that nodes
-    /// that lost the same discovery do not call all at once.
+    /// Handles a node's request for an endpoint update. After failed calls, the node first backs off with jitter, so that
+    /// nodes that lost the same discovery service do not all call at the same time.
     pub(super) fn subscribe_to_endpoints(&mut self, node: usize) {
         let Node { incarnation, failed_calls, list_version, .. } = self.nodes[node];
         if failed_calls == 0 {
@@ -70,7 +71,7 @@
         self.events.schedule(self.now + backoff, SimulationEvent::ListCallDue { node, incarnation });
     }
 
-    /// A node calls discovery: for a snapshot, or for what is newer than its list.
+    /// Sends a node's call to discovery: for a snapshot, or for the changes since its list version.
     pub(super) fn call_discovery(&mut self, node: usize) {
         let Node { list_version, calling, watching, .. } = self.nodes[node];
         if calling || watching {
@@ -84,7 +85,7 @@
         let call_lines = self.script.discovery.call_lines;
         match list_version {
             Some(version) if version >= self.discovery.list_version => {
-                // The call waits for a change, and costs no more than the call itself.
+                // The call waits for a change. Until then it costs only the lines of the call itself.
                 self.charge_lines(call_lines);
                 let node = &mut self.nodes[node];
                 (node.calling, node.watching) = (false, true);
@@ -94,14 +95,14 @@
         }
     }
 
-    /// Queues an answer of so many lines behind those that discovery has to send already.
+    /// Queues an answer of this many lines behind the lines that discovery already has to send.
     fn answer_call(&mut self, node: usize, lines: f64) {
         let incarnation = self.nodes[node].incarnation;
         self.nodes[node].calling = true;
         let at = self.discovery.free_at.max(self.now) + self.sending_time(lines);
         let timeout = self.script.discovery.call_timeout;
         if at.since(self.now) > timeout {
-            // It times out in the queue, and costs nothing.
+            // The call times out in the queue and costs no lines.
             return self.fail_call(node, timeout);
         }
         self.charge_lines(lines);
@@ -145,14 +146,14 @@
         self.call_discovery(node);
     }
 
-    /// The servers that changed after this version; all of them if there is none.
+    /// Returns the servers that changed after this version, or all servers if there is none.
     fn changed_since(&self, version: Option<u64>) -> Vec<usize> {
         let changed =
             |server: &usize| version.is_none_or(|known| self.servers[*server].listed.version > known);
         (0..self.servers.len()).filter(changed).collect()
     }
 
-    /// What a node that knows this version is sent: a delta, or a snapshot if it knows none.
+    /// Returns the update for a node that knows this version: a delta, or a snapshot if it knows none.
     fn endpoint_update(&self, known_version: Option<u64>) -> EndpointUpdate {
         let changed = self.changed_since(known_version).into_iter().map(|server| self.endpoint(server));
         match known_version {
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Updates what a node knows, closes its idle connections to unavailable servers, and tells the judge.
+    /// Updates a node's endpoints, closes its idle connections to unavailable servers and notifies the judge.
     fn notify_node(&mut self, node: usize, known_version: Option<u64>) {
         for server in self.changed_since(known_version) {
             let endpoint = self.endpoint(server);
--- a/crates/testbed/src/virtual_time/event_queue.rs
+++ b/crates/testbed/src/virtual_time/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation, in the order of time.
+//! The events of a simulation and the queue that orders them by time.
 
 use super::state::AttemptEnd;
 use crate::judge::FinalAnswer;
@@ -7,7 +7,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// An event of a simulation. Requests, attempts, nodes, servers and processes are named by their indices.
+/// An event of a simulation. Requests, attempts, nodes, servers and processes are identified by their indices.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SimulationEvent {
     /// The next operation of the workload starts.
@@ -16,7 +16,7 @@
     SendRequest { operation: usize, ordinal: u32 },
     /// A request reaches its node.
     RequestArrives { request: usize },
-    /// An answer, or the end of its connection (`None`), reaches the client.
+    /// An answer reaches the client. `None` means that the connection ended without an answer.
     AnswerArrives { request: usize, answer: Option<FinalAnswer>, retry_after: Duration },
     /// The client's timeout ends.
     ClientTimesOut { request: usize },
@@ -26,9 +26,9 @@
     DisconnectArrives { request: usize },
     /// The node's own timer for the deadline of a request expires.
     DeadlineTimer { request: usize },
-    /// The timer that a node's decisions have set expires.
+    /// A timer expires that a node's decision logic has set.
     NodeTimer { node: usize, incarnation: u32 },
-    /// The connection of an attempt is established: its first byte is sent.
+    /// The connection of an attempt is established, and its first byte is sent.
     SendAttempt { request: usize, attempt: usize },
     /// The last byte of an attempt reaches the cache server.
     AttemptArrives { request: usize, attempt: usize },
@@ -36,9 +36,9 @@
     AttemptEnds { request: usize, attempt: usize, end: AttemptEnd },
     /// The node's timeout of an attempt ends.
     AttemptTimesOut { request: usize, attempt: usize },
-    /// The state machine of a cache server is due.
+    /// The state machine of a cache server is due for a wakeup.
     ServerWakeup { process: usize },
-    /// The state machine of the origin is due.
+    /// The state machine of the origin is due for a wakeup.
     OriginWakeup,
     /// A change of the fault schedule is due.
     Fault { change: usize },
@@ -48,9 +48,9 @@
     ListCallDue { node: usize, incarnation: u32 },
     /// A node's call to discovery ends.
     ListCallEnds { node: usize, incarnation: u32, ok: bool },
-    /// The front learns whether to send requests to a node.
+    /// The front is notified whether to send requests to a node.
     FrontNotified { node: usize, incarnation: u32, in_rotation: bool },
-    /// A node that shuts down ends, if it has no requests left or must end.
+    /// A node that is shutting down ends, if it has no requests left or `forced` is set.
     NodeStops { node: usize, incarnation: u32, forced: bool, downtime: Duration },
     /// A node starts.
     NodeStarts { node: usize },
@@ -61,8 +61,8 @@
 #[derive(Debug)]
 pub(super) struct ScheduledEvent {
     pub(super) at: Timestamp,
-    /// Counts all events in the order in which they were scheduled.
-    number: u64,
+    /// The sequence number of the event in the order of scheduling.
+    sequence_number: u64,
     pub(super) event: SimulationEvent,
 }
 
@@ -81,23 +81,25 @@
 }
 
 impl Ord for ScheduledEvent {
-    /// The earliest event is the greatest, since the heap pops the greatest; at the same time, the one scheduled first.
+    /// The earliest event is the greatest, because the heap pops the greatest. Of events at the same time, the one scheduled
+    /// first is the greatest.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence_number).cmp(&(self.at, self.sequence_number))
     }
 }
 
-/// A priority queue of events.
+/// A priority queue of events, ordered by time.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<ScheduledEvent>,
+    /// The number of events scheduled so far.
     scheduled: u64,
 }
 
 impl EventQueue {
     pub(super) fn schedule(&mut self, at: Timestamp, event: SimulationEvent) {
         self.scheduled += 1;
-        self.heap.push(ScheduledEvent { at, number: self.scheduled, event });
+        self.heap.push(ScheduledEvent { at, sequence_number: self.scheduled, event });
     }
 
     pub(super) fn pop(&mut self) -> Option<ScheduledEvent> {
--- a/crates/testbed/src/virtual_time/faults.rs
+++ b/crates/testbed/src/virtual_time/faults.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The present process at this index in the fleet.
+    /// Returns the present process at this index in the fleet.
     fn process_at(&self, index: usize) -> Option<usize> {
         self.servers[self.server_at[index]].process
     }
@@ -57,7 +57,7 @@
 
     fn pause_server(&mut self, index: usize, duration: Duration) {
         let Some(process) = self.process_at(index) else { return };
-        // What is due by now happens before the pause.
+        // Job ends that are due by now happen before the pause.
         self.advance_server(process);
         self.processes[process].model.pause(self.now, duration);
         self.processes[process].wakeup = None;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The state in which an attempt finds this server.
+    /// Returns the state in which an attempt finds this server.
     pub(super) fn server_state(&self, server: usize) -> ServerState {
         let server = &self.servers[server];
         let condition = &self.conditions[server.index];
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -1,8 +1,8 @@
-//! Runs a scenario in virtual time: a discrete-event simulation with the real decisions, one instance for each node. It uses
-//! one thread, no wall clock and nothing from outside, so the same script gives the same bytes every time.
+//! Runs a scenario in virtual time: a discrete-event simulation with the production balancer, one instance for each node. It
+//! uses one thread, no wall clock and no external input, so the same script always gives the same bytes.
 //!
-//! What a node does beside deciding (its driver, its connections, its discovery client) is done here as the daemon does it,
-//! as far as it shows from outside. The judge records what an observer would see.
+//! The simulation replaces the parts of a node around the balancer: its driver, its connections and its discovery client.
+//! They behave like the daemon, as far as this is visible from outside. The judge records what an observer would see.
 
 mod attempts;
 mod clients;
@@ -19,12 +19,12 @@
 use balancer_core::{Action, Balancer, Event, LearnedState, Settings, Timestamp};
 use simulation::Simulation;
 
-/// The decisions of a node: the real ones, or those of a test that breaks a rule.
+/// The decision logic of a node: the production balancer, or a test's variant that breaks a rule.
 pub trait Decisions {
-    /// Takes in an event and appends what the node must do.
+    /// Handles an event and appends the resulting actions of the node.
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>);
 
-    /// The learned state that is handed over to a successor; `None` if there is none.
+    /// Returns the learned state to hand over to a successor, if there is one.
     fn learned_state(&self, _now: Timestamp) -> Option<LearnedState> {
         None
     }
@@ -40,15 +40,15 @@
     }
 }
 
-/// Makes the decisions of a node from its settings and a seed.
+/// Creates the decision logic of a node from its settings and a seed.
 pub type MakeDecisions<'a> = &'a mut dyn FnMut(Settings, u64) -> Box<dyn Decisions>;
 
-/// What the driver of a node does, whatever its decisions say.
+/// The protections that the driver of a node applies independently of its decision logic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
-    /// It fails a request that the decisions have left unanswered until shortly before its deadline.
+    /// The driver fails a request that the decision logic has not answered shortly before its deadline.
     pub answers_in_time: bool,
-    /// It sends nothing for a request that has its final answer, or to a server that is not ready.
+    /// The driver sends nothing for a request that has its final answer, and nothing to a server that is not ready.
     pub suppresses_late_sends: bool,
 }
 
@@ -57,12 +57,12 @@
     pub const ALL: Self = Self { answers_in_time: true, suppresses_late_sends: true };
 }
 
-/// Runs a script with the real decisions.
+/// Runs a script with the production balancer.
 pub fn run(script: &Script) -> RunResult {
     run_with(script, Safeguards::ALL, &mut |settings, seed| Box::new(Balancer::new(settings, seed)))
 }
 
-/// Runs a script with other decisions.
+/// Runs a script with other decision logic and safeguards.
 pub fn run_with(script: &Script, safeguards: Safeguards, make_decisions: MakeDecisions) -> RunResult {
     Simulation::new(script, safeguards, make_decisions).run()
 }
--- a/crates/testbed/src/virtual_time/nodes.rs
+++ b/crates/testbed/src/virtual_time/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: the daemon around the decisions, as far as it shows from outside.
+//! Nodes: the parts of the daemon around the decision logic, as far as they are visible from outside.
 
 use super::clients::no_answer;
 use super::event_queue::SimulationEvent;
@@ -12,22 +12,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The daemon subtracts this from the client's timeout.
+/// The daemon subtracts this margin from the client's timeout.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(5);
-/// How long after the deadline of a request the node's own timer expires: the decisions have until then to answer.
+/// The delay from the deadline of a request to the expiry of the node's own timer. The decision logic can answer until then.
 pub(super) const DEADLINE_TIMER_DELAY: Duration = Duration::from_millis(4);
-/// A node that is told to shut down accepts requests for this long, while the front may still send them.
+/// After a shutdown signal, a node accepts requests for this long, because the front may still send them.
 const ACCEPTS_DURING_SHUTDOWN: Duration = Duration::from_millis(500);
-/// How often a node that shuts down checks whether requests are left.
+/// The interval at which a node that is shutting down checks whether requests are left.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Simulation<'_> {
-    /// Whether this incarnation of a node runs.
+    /// Returns whether this incarnation of a node is running.
     pub(super) fn is_up(&self, node: usize, incarnation: u32) -> bool {
         self.nodes[node].up && self.nodes[node].incarnation == incarnation
     }
 
-    /// Whether the process of the node that accepted a request still runs.
+    /// Returns whether the node process that accepted a request is still running.
     pub(super) fn node_is_up(&self, request: usize) -> bool {
         let ClientRequest { node, incarnation, .. } = self.requests[request];
         self.is_up(node, incarnation)
@@ -50,17 +50,17 @@
         });
         let event = Event::Request(self.node_request(request));
         self.decide(node, event);
-        // The client disconnected while its request was on its way.
+        // The client disconnected while its request was in transit.
         if self.requests[request].over {
             self.judge.record(Observation::ClientDisconnected { request: request as u64 });
             self.disconnect_arrives(request);
         }
     }
 
-    /// A request as the node's decisions see it. Starts the node's own timer for its deadline.
+    /// Builds a request as the node's decision logic receives it. Starts the node's own timer for the deadline.
     fn node_request(&mut self, request: usize) -> Request {
         let ClientRequest { operation, node, expires_at, .. } = self.requests[request];
-        // The client sends its timeout, and the node counts it from the arrival of the request.
+        // The client sends its timeout, and the node measures it from the arrival of the request.
         let latency = self.client_latency(self.request_random(request).derive(2));
         let timeout = expires_at.since(self.now) + latency;
         let deadline = self.now + timeout.saturating_sub(DEADLINE_MARGIN);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Sends a final answer. A second one is sent, too, so that the judge sees it.
+    /// Sends a final answer. A second answer for the same request is also sent, so that the judge detects it.
     pub(super) fn answer(&mut self, request: usize, answer: FinalAnswer, retry_after: Duration) {
         self.requests[request].answered = true;
         self.judge.record(Observation::Answered { request: request as u64, at: self.now, answer });
@@ -123,20 +123,21 @@
         }
     }
 
-    /// Passes an event to a node's decisions and carries out their actions, with the events that follow at once.
+    /// Passes an event to a node's decision logic and executes the resulting actions. Events that follow immediately are
+    /// handled too.
     pub(super) fn decide(&mut self, node: usize, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
             self.nodes[node].decisions.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                events.extend(self.carry_out(node, action));
+                events.extend(self.execute(node, action));
             }
         }
     }
 
-    /// Carries out an action. Returns the event that follows at once, if any.
-    fn carry_out(&mut self, node: usize, action: Action) -> Option<Event> {
+    /// Executes an action. Returns the event that follows immediately, if there is one.
+    fn execute(&mut self, node: usize, action: Action) -> Option<Event> {
         match action {
             Action::StartAttempt { id, server, timeout, .. } => {
                 return self.start_attempt(node, request_number(&id)?, server, timeout);
@@ -202,7 +203,7 @@
         state.up = true;
         state.shutting_down = false;
         state.reloads = 0;
-        // From an operator's file it starts without a list that it could ask for changes of.
+        // A node that runs from an operator's file starts without a list version, so it cannot request only the changes.
         state.list_version = state.list_version.filter(|_| keeps_list_version);
         (state.calling, state.watching, state.failed_calls) = (false, false, 0);
         let list: Vec<_> = state.endpoints.values().cloned().collect();
@@ -211,7 +212,7 @@
         self.set_in_rotation(node, true);
     }
 
-    /// Restores the learned state as the successor does. Attempts in flight stay with the decisions that started them.
+    /// Restores the learned state as the successor process does. The decision logic keeps its attempts in flight.
     pub(super) fn upgrade_node(&mut self, node: usize) {
         if !self.nodes[node].up || self.nodes[node].shutting_down {
             return;
@@ -237,7 +238,7 @@
         self.nodes[node].reloads % 2 == 1
     }
 
-    /// The index of a class of the script in the node's configuration.
+    /// Returns the index in the node's configuration of a class of the script.
     fn class_id(&self, node: usize, class: usize) -> usize {
         if self.has_reversed_classes(node) {
             self.script.classes.len() - 1 - class
@@ -266,7 +267,7 @@
         self.events.schedule(killed_at, stops(true));
     }
 
-    /// Ends a node that shuts down, if it has no requests left or must end.
+    /// Ends a node that is shutting down, if it has no requests left or `forced` is set. Otherwise, checks again later.
     pub(super) fn node_stops(&mut self, node: usize, incarnation: u32, forced: bool, downtime: Duration) {
         if !self.is_up(node, incarnation) {
             return;
@@ -303,7 +304,7 @@
     }
 }
 
-/// The id of a request at its node.
+/// Returns the id of a request at its node.
 pub(super) fn request_id(request: usize) -> RequestId {
     RequestId::from(request.to_string().as_str())
 }
--- a/crates/testbed/src/virtual_time/servers.rs
+++ b/crates/testbed/src/virtual_time/servers.rs
@@ -59,8 +59,8 @@
         self.placement = Some(placement);
     }
 
-    /// The rank of an entry, if this is the server that had it at the start where any had. It is looked up only if that makes
-    /// a difference.
+    /// Returns the rank of an entry if the entry was initially cached and belongs to this server. Looks up the server only
+    /// if the cache result depends on it.
     pub(super) fn initial_rank(&mut self, server: usize, process: usize, key: u64, rank: u32) -> Option<u32> {
         if !self.processes[process].model.depends_on_initial_entries(key, rank) {
             return None;
@@ -69,7 +69,7 @@
         (initial_server == self.servers[server].id).then_some(rank)
     }
 
-    /// A server as discovery lists it.
+    /// Returns the entry of a server in the endpoint list of discovery.
     pub(super) fn endpoint(&self, server: usize) -> Endpoint {
         let Server { id, index, listed, .. } = &self.servers[server];
         fleet::endpoint(self.script, id.clone(), *index, listed.state, listed.started_at)
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Ends a process: the connections of its attempts are reset.
+    /// Ends a process and resets the connections of its attempts.
     pub(super) fn stop_process(&mut self, process: usize) {
         if !std::mem::replace(&mut self.processes[process].alive, false) {
             return;
@@ -165,7 +165,7 @@
         let server = self.processes[process].server;
         self.servers[server].process = None;
         self.detect_state_later(server, EndpointState::Removed, None);
-        // In the order of their numbers, so that runs are deterministic.
+        // The attempts are reset in the order of their requests' numbers, so that runs are deterministic.
         let in_flight: BTreeSet<usize> =
             self.nodes.iter().flat_map(|node| node.in_flight.iter().copied()).collect();
         for request in in_flight {
--- a/crates/testbed/src/virtual_time/simulation.rs
+++ b/crates/testbed/src/virtual_time/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation: its state at the start, and the dispatch of its events.
+//! The simulation: its initial state and the dispatch of its events.
 
 use super::event_queue::{EventQueue, SimulationEvent};
 use super::state::{ClientRequest, ListedState, Node, Process, Server, StartedOperation};
@@ -38,18 +38,18 @@
     pub(super) servers: Vec<Server>,
     pub(super) server_by_id: HashMap<ServerId, usize>,
     pub(super) placement: Option<Placement>,
-    /// By index in the fleet: the present server.
+    /// The present server by index in the fleet.
     pub(super) server_at: Vec<usize>,
-    /// By index in the fleet.
+    /// The condition of the server by index in the fleet.
     pub(super) conditions: Vec<ServerCondition>,
-    /// By index in the fleet: nothing passes on connections that were established up to this time.
+    /// By index in the fleet. No packets pass on connections that were established up to this time.
     pub(super) connections_forgotten_at: Vec<Option<Timestamp>>,
     pub(super) processes: Vec<Process>,
     pub(super) nodes: Vec<Node>,
-    /// By zone: the nodes that the front sends requests to.
+    /// The nodes to which the front sends requests, by zone.
     pub(super) nodes_in_rotation: Vec<Vec<usize>>,
     pub(super) origin: Origin,
-    /// The time of the next [`SimulationEvent::OriginWakeup`] that counts.
+    /// The time of the next valid [`SimulationEvent::OriginWakeup`]. Others are ignored.
     pub(super) origin_wakeup: Option<Timestamp>,
     pub(super) discovery: DiscoveryState,
     pub(super) longest_deadline: Duration,
@@ -60,14 +60,15 @@
 pub(super) struct DiscoveryState {
     pub(super) available: bool,
     pub(super) list_version: u64,
-    /// When all lines that it has to send already are sent.
+    /// The time at which all lines in the send queue are sent.
     pub(super) free_at: Timestamp,
-    /// The fraction of its answers that is cut short or malformed.
+    /// The fraction of answers that are truncated or malformed.
     pub(super) error_rate: f64,
+    /// The number of answers so far.
     pub(super) answers: u64,
 }
 
-/// What the result of a run is made of, beside the verdict.
+/// The statistics of a run. Together with the verdict, they make up the result.
 #[derive(Default)]
 pub(super) struct Statistics {
     pub(super) hits: u64,
@@ -77,9 +78,9 @@
     pub(super) longest_origin_queue: usize,
     pub(super) log_lines: u64,
     pub(super) samples: Vec<Sample>,
-    /// Misses up to the last sample.
+    /// The number of misses up to the last sample.
     pub(super) sampled_misses: u64,
-    /// By second.
+    /// The counts by second.
     pub(super) counts: Vec<Counts>,
 }
 
@@ -94,7 +95,7 @@
         simulation
     }
 
-    /// A simulation without servers, nodes and events.
+    /// Creates a simulation without servers, nodes and events.
     fn empty(script: &'a Script, safeguards: Safeguards, make_decisions: MakeDecisions<'a>) -> Self {
         let seconds = script.length.as_secs_f64().ceil() as usize;
         Self {
@@ -158,7 +159,7 @@
                 in_flight: BTreeSet::new(),
                 endpoints: (0..self.servers.len()).map(|server| (server, self.endpoint(server))).collect(),
                 idle_connections: BTreeMap::new(),
-                // The list that it starts with is the present one.
+                // The node starts with the present list.
                 list_version: Some(self.discovery.list_version),
                 calling: false,
                 watching: false,
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Runs until no event is left.
+    /// Runs until no events are left.
     pub(super) fn run(mut self) -> RunResult {
         while let Some(scheduled) = self.events.pop() {
             self.now = scheduled.at;
@@ -241,12 +242,12 @@
         }
     }
 
-    /// The time since the start of the run.
+    /// Returns the time since the start of the run.
     pub(super) fn elapsed(&self) -> Duration {
         self.now.since(Timestamp::default())
     }
 
-    /// The counts of this second; what comes after the run belongs to its last second.
+    /// Returns the counts of the present second. Events after the length of the script count in its last second.
     pub(super) fn counts(&mut self) -> &mut Counts {
         let second = self.elapsed().as_secs() as usize;
         let last = self.statistics.counts.len() - 1;
--- a/crates/testbed/src/virtual_time/state.rs
+++ b/crates/testbed/src/virtual_time/state.rs
@@ -6,23 +6,23 @@
 use balancer_core::{AttemptStatus, Endpoint, EndpointState, LoadReport, ServerId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A cache server under one id. Its processes come and go.
+/// A cache server under one id. Several processes may run under the id, one after another.
 pub(super) struct Server {
     pub(super) id: ServerId,
-    /// Its index in the fleet. A successor under another id has the same index.
+    /// The index in the fleet. A successor under another id has the same index.
     pub(super) index: usize,
-    /// Its number at the judge.
+    /// The number that the judge assigned to the server.
     pub(super) judge_number: usize,
-    /// The process that runs under the id.
+    /// The index of the process that runs under the id, if there is one.
     pub(super) process: Option<usize>,
     pub(super) listed: ListedState,
 }
 
-/// A cache server as discovery lists it.
+/// The state of a cache server in the endpoint list of discovery.
 pub(super) struct ListedState {
     pub(super) state: EndpointState,
     pub(super) started_at: Option<Timestamp>,
-    /// The version of the list in which this changed last.
+    /// The list version of the last change of this state.
     pub(super) version: u64,
 }
 
@@ -32,36 +32,36 @@
     pub(super) model: CacheServer,
     pub(super) alive: bool,
     pub(super) connections: u32,
-    /// The time of the next [`SimulationEvent::ServerWakeup`](super::event_queue::SimulationEvent::ServerWakeup) that
-    /// counts.
+    /// The time of the next valid [`SimulationEvent::ServerWakeup`](super::event_queue::SimulationEvent::ServerWakeup).
+    /// Others are ignored.
     pub(super) wakeup: Option<Timestamp>,
 }
 
-/// A node.
+/// A node with its decision logic, connections and endpoint list.
 pub(super) struct Node {
     pub(super) zone: usize,
     pub(super) decisions: Box<dyn Decisions>,
-    /// The number of reloads. After each odd one, the classes are in reverse order.
+    /// The number of reloads since the start. When it is odd, the node's classes are in reverse order.
     pub(super) reloads: u32,
-    /// Counts its starts. Events of an earlier incarnation are ignored.
+    /// The number of starts. Events of an earlier incarnation are ignored.
     pub(super) incarnation: u32,
     pub(super) up: bool,
     pub(super) shutting_down: bool,
-    /// The front sends requests to it.
+    /// Whether the front sends requests to the node.
     pub(super) in_rotation: bool,
-    /// Requests that it has accepted and not answered, or that have attempts in flight.
+    /// Accepted requests that are not answered yet or have attempts in flight.
     pub(super) in_flight: BTreeSet<usize>,
-    /// The endpoints that it was last notified of, by server.
+    /// The endpoints by server, as of the last notification to the node.
     pub(super) endpoints: BTreeMap<usize, Endpoint>,
-    /// Its idle connections, by server; the one used last is the last one.
+    /// The idle connections by server. The most recently used connection is the last one.
     pub(super) idle_connections: BTreeMap<usize, Vec<IdleConnection>>,
-    /// The version of its endpoint list. It outlives the process of a node that the platform starts.
+    /// The version of the endpoint list. It survives a restart if the node runs from the platform's configuration.
     pub(super) list_version: Option<u64>,
-    /// A call to discovery has been sent and is being answered.
+    /// Whether a call to discovery is being answered.
     pub(super) calling: bool,
-    /// A call to discovery waits for changes.
+    /// Whether a call to discovery is waiting for changes.
     pub(super) watching: bool,
-    /// Failed calls in a row.
+    /// The number of consecutive failed calls to discovery.
     pub(super) failed_calls: u32,
 }
 
@@ -81,39 +81,39 @@
 /// A request of a client to a node.
 pub(super) struct ClientRequest {
     pub(super) operation: usize,
-    /// Its number within the operation, from 0.
+    /// The number of the request within the operation, from 0.
     pub(super) ordinal: u32,
     pub(super) node: usize,
     /// The incarnation of the node that accepted it.
     pub(super) incarnation: u32,
-    /// When the client's timeout ends.
+    /// The time at which the client's timeout ends.
     pub(super) expires_at: Timestamp,
-    /// The client has an answer, or no longer waits for one.
+    /// Whether the client has an answer or no longer waits for one.
     pub(super) over: bool,
-    /// The node has answered, or owes no answer any more.
+    /// Whether the node has answered, or no longer needs to because the client has disconnected.
     pub(super) answered: bool,
     pub(super) attempts: Vec<Attempt>,
 }
 
-/// An attempt of a node at a request.
+/// An attempt of a node to serve a request.
 pub(super) struct Attempt {
     pub(super) server: usize,
-    /// The process that its connection leads to.
+    /// The process at the other end of the connection, if there is one.
     pub(super) process: Option<usize>,
     pub(super) started_at: Timestamp,
-    /// When its connection was established.
+    /// The time at which the connection was established.
     pub(super) established_at: Timestamp,
     pub(super) new_connection: bool,
-    /// The cache server has closed the connection, and the node does not know yet.
+    /// Whether the cache server has closed the connection without the node's knowledge.
     pub(super) closed_by_server: bool,
     pub(super) sent: bool,
-    /// The decisions have its outcome.
+    /// Whether the outcome has been passed to the decision logic.
     pub(super) ended: bool,
-    /// The node has closed the connection.
+    /// Whether the node has closed the connection of the attempt.
     pub(super) abandoned: bool,
 }
 
-/// The end of an attempt as its node sees it.
+/// The end of an attempt as observed by its node.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptEnd {
     pub(super) status: AttemptStatus,
--- a/crates/testbed/tests/cache_server_model.rs
+++ b/crates/testbed/tests/cache_server_model.rs
@@ -1,4 +1,4 @@
-//! The cache server's state machine.
+//! Tests the model of a cache server.
 
 use balancer_core::Timestamp;
 use std::time::Duration;
@@ -55,7 +55,7 @@
     assert_eq!(server.offer(at(0), job(11, 2, 20)), OfferResult::Accepted);
     assert_eq!(outputs(&mut server, at(19)), [ServerOutput::Fetch(11)]);
     assert_eq!(outputs(&mut server, at(20)), [hit(10)]);
-    // Two misses for one key: two fetches.
+    // A second miss for the same key causes a second fetch.
     server.offer(at(20), job(12, 2, 20));
     assert_eq!(outputs(&mut server, at(20)), [ServerOutput::Fetch(12)]);
     server.fetch_ended(at(50), 11, true);
@@ -67,13 +67,13 @@
 }
 
 #[test]
-fn a_full_queue_and_a_drain_decline_new_requests_and_finish_accepted_ones() {
+fn a_full_or_draining_server_declines_new_requests_and_finishes_accepted_ones() {
     let mut server = server(|_| (), true);
     (1..=6).for_each(|key| server.insert_entry(key));
-    let verdicts: Vec<_> = (1..=5).map(|id| server.offer(at(0), job(id, id, 10))).collect();
-    // Two slots and two places in the queue.
-    assert_eq!(verdicts[..4], [OfferResult::Accepted; 4]);
-    assert_eq!(verdicts[4], OfferResult::Declined);
+    let results: Vec<_> = (1..=5).map(|id| server.offer(at(0), job(id, id, 10))).collect();
+    // The server has two slots and a queue for two requests.
+    assert_eq!(results[..4], [OfferResult::Accepted; 4]);
+    assert_eq!(results[4], OfferResult::Declined);
     server.drain();
     assert_eq!(server.offer(at(0), job(6, 6, 10)), OfferResult::Declined);
     assert_eq!(outputs(&mut server, at(40)), [1, 2, 3, 4].map(hit));
@@ -81,14 +81,14 @@
 }
 
 #[test]
-fn a_cold_server_is_slow_and_warms_up_by_work_or_by_time() {
+fn a_cold_server_has_reduced_capacity_until_enough_work_or_time() {
     let cold = |kind: &mut ServerKind| {
         (kind.slow_start_min_fraction, kind.slow_start_work) = (0.5, Duration::from_secs(1))
     };
     let mut by_work = server(cold, false);
     by_work.insert_entry(1);
     by_work.offer(at(0), job(1, 1, 100));
-    assert_eq!(by_work.next_wakeup(), Some(at(200)), "half as fast");
+    assert_eq!(by_work.next_wakeup(), Some(at(200)), "half of the full speed");
     outputs(&mut by_work, at(200));
     assert!((by_work.capacity_fraction(at(200)) - 0.55).abs() < 0.01, "a tenth of the work");
     let by_time = server(cold, false);
@@ -99,16 +99,16 @@
 #[test]
 fn only_a_warming_server_crashes_under_overload() {
     let cold = |kind: &mut ServerKind| (kind.slow_start_min_fraction, kind.queue_per_core) = (0.5, 1_000);
-    // Half a core, 1.5 s, three times that: 2.25 s of work.
-    let offer = |server: &mut CacheServer, every: u64| {
+    // The overload limit is three times the capacity of half a core over 1.5 s: 2.25 s of work.
+    let first_overload = |server: &mut CacheServer, interval_ms: u64| {
         (0..30)
-            .map(|id| server.offer(at(id * every), job(id, id, 100)))
-            .position(|v| v == OfferResult::Overloaded)
+            .map(|id| server.offer(at(id * interval_ms), job(id, id, 100)))
+            .position(|result| result == OfferResult::Overloaded)
     };
-    assert_eq!(offer(&mut server(cold, true), 1), None);
-    let fell = offer(&mut server(cold, false), 1).expect("pushed over");
-    assert!((22..=24).contains(&fell), "{fell}");
-    assert_eq!(offer(&mut server(cold, false), 100), None, "the same work over a longer time");
+    assert_eq!(first_overload(&mut server(cold, true), 1), None);
+    let crashed_at = first_overload(&mut server(cold, false), 1).expect("an overloaded server crashes");
+    assert!((22..=24).contains(&crashed_at), "{crashed_at}");
+    assert_eq!(first_overload(&mut server(cold, false), 100), None, "the same work over a longer time");
 }
 
 #[test]
@@ -117,7 +117,7 @@
     (1..=2).for_each(|key| server.insert_entry(key));
     server.offer(at(0), job(1, 1, 20));
     server.pause(at(10), Duration::from_millis(100));
-    // A second one that ends within the first changes nothing.
+    // A second pause that ends during the first one has no effect.
     server.pause(at(20), Duration::from_millis(50));
     server.offer(at(30), job(2, 2, 20));
     assert_eq!(outputs(&mut server, at(119)), []);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_load_report_is_as_old_as_interval_and_delay_make_it() {
+fn load_reports_are_periodic_snapshots_reported_after_a_delay() {
     let mut server = server(|kind| kind.queue_per_core = 10, true);
     (1..=8).for_each(|id| {
         server.insert_entry(id);
--- a/crates/testbed/tests/origin_model.rs
+++ b/crates/testbed/tests/origin_model.rs
@@ -1,4 +1,4 @@
-//! The origin's state machine.
+//! Tests the model of the origin.
 
 use balancer_core::Timestamp;
 use std::time::Duration;
@@ -17,13 +17,13 @@
     };
     let mut origin = Origin::new(settings);
     let at = Timestamp::from_micros;
-    let taken: Vec<_> = (0..4).map(|id| origin.fetch(at(0), id, RandomSource::new(id))).collect();
-    assert_eq!(taken, [true, true, true, false]);
+    let accepted: Vec<_> = (0..4).map(|id| origin.fetch(at(0), id, RandomSource::new(id))).collect();
+    assert_eq!(accepted, [true, true, true, false]);
     let mut ended = Vec::new();
     origin.advance(at(99_999), &mut ended);
     assert!(ended.is_empty());
     assert_eq!(origin.next_wakeup(), Some(at(100_000)));
-    // The one that waited began when a slot was free, not when somebody looked.
+    // The queued fetch started when a slot became free, not at the call of `advance`.
     origin.advance(at(250_000), &mut ended);
     assert_eq!((ended, origin.next_wakeup()), (vec![0, 1, 2], None));
 }
--- a/crates/testbed/tests/placement.rs
+++ b/crates/testbed/tests/placement.rs
@@ -1,5 +1,5 @@
-//! The entries of cache servers at the start: as a random number they have the same effect as listed one by one, at a cost that
-//! does not depend on the number of keys.
+//! Tests the initial entries of cache servers. A random number of entries must have the same effect as entries listed one by
+//! one, and its cost must not depend on the number of keys.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,9 +23,9 @@
     (0..fleet::server_count(script)).map(endpoint).collect()
 }
 
-fn counts(held: &[(ServerId, u64)]) -> BTreeMap<ServerId, f64> {
+fn counts(entries: &[(ServerId, u64)]) -> BTreeMap<ServerId, f64> {
     let mut counts = BTreeMap::new();
-    held.iter().for_each(|(server, _)| *counts.entry(server.clone()).or_default() += 1.0);
+    entries.iter().for_each(|(server, _)| *counts.entry(server.clone()).or_default() += 1.0);
     counts
 }
 
@@ -62,16 +62,17 @@
 fn the_server_of_an_entry_does_not_depend_on_the_order_of_lookups() {
     let script = Script::default();
     let list = list(&script);
-    let (mut up, mut down) = (Placement::new(&script, list.clone()), Placement::new(&script, list));
-    let upwards: Vec<_> = (0..5_000).map(|rank| up.server(rank)).collect();
-    let mut downwards: Vec<_> = (0..5_000).rev().map(|rank| down.server(rank)).collect();
-    downwards.reverse();
-    assert!(upwards.iter().all(Option::is_some));
-    assert_eq!(upwards, downwards);
-    assert_eq!(up.server(up.ranks()), None, "no cache server holds it");
+    let (mut ascending, mut descending) =
+        (Placement::new(&script, list.clone()), Placement::new(&script, list));
+    let found_ascending: Vec<_> = (0..5_000).map(|rank| ascending.server(rank)).collect();
+    let mut found_descending: Vec<_> = (0..5_000).rev().map(|rank| descending.server(rank)).collect();
+    found_descending.reverse();
+    assert!(found_ascending.iter().all(Option::is_some));
+    assert_eq!(found_ascending, found_descending);
+    assert_eq!(ascending.server(ascending.ranks()), None, "not cached at the start");
 }
 
-/// The hits of a row of requests at one server that holds a share of the ranks.
+/// Returns the number of hits and of requests of a workload at one server that has a share of the ranks.
 fn hits(script: &Script, cache_entries: u32, listed: bool) -> (usize, usize) {
     let list = list(script);
     let (server, weight) = (list[0].id.clone(), list[0].weight);
@@ -79,19 +80,19 @@
     let kind = ServerKind { cache_entries, error_rate: 0.0, ..ServerKind::default() };
     let mut cache = CacheServer::new(kind, script.rules.clone(), script.load_reports.clone(), START, true);
     if listed {
-        let held = initial_entries(script, list);
-        held.iter().filter(|(holder, _)| *holder == server).for_each(|(_, key)| cache.insert_entry(*key));
+        let entries = initial_entries(script, list);
+        entries.iter().filter(|(owner, _)| *owner == server).for_each(|(_, key)| cache.insert_entry(*key));
     } else {
         let share = placement.share(weight);
         let random = RandomSource::new(script.seed);
         cache.set_initial_entries(InitialEntries::new(placement.ranks(), share, cache_entries, random));
     }
-    let (mut hits, mut asked) = (0, 0);
+    let (mut hits, mut requests) = (0, 0);
     for operation in Workload::new(script) {
-        // Beyond the ranks held at the start, this server gets its share of what is asked for.
-        let elsewhere = placement.share(weight) < operation.random.derive(99).uniform();
-        let here = placement.server(operation.key_rank).map_or(!elsewhere, |holder| holder == server);
-        if !here {
+        // Of the requests for entries that are not cached at the start, this server receives its share.
+        let in_share = placement.share(weight) >= operation.random.derive(99).uniform();
+        let for_this_server = placement.server(operation.key_rank).map_or(in_share, |owner| owner == server);
+        if !for_this_server {
             continue;
         }
         let at = START + operation.at;
@@ -105,30 +106,34 @@
             random: operation.random,
         };
         cache.offer(at, job);
-        let mut did = Vec::new();
-        cache.advance(at, &mut did);
-        asked += 1;
-        if did.is_empty() {
+        let mut outputs = Vec::new();
+        cache.advance(at, &mut outputs);
+        requests += 1;
+        if outputs.is_empty() {
             hits += 1;
         } else {
             cache.fetch_ended(at, operation.number, true);
         }
-        cache.advance(at + Duration::from_micros(10), &mut did);
+        cache.advance(at + Duration::from_micros(10), &mut outputs);
         assert!(cache.cached_entries() <= cache_entries as usize, "{} entries", cache.cached_entries());
     }
-    (hits, asked)
+    (hits, requests)
 }
 
 #[test]
 fn hit_rates_equal_those_of_listed_entries_for_any_cache_size() {
     for seed in 1..=3 {
         let script = Script { seed, length: Duration::from_secs(200), ..Script::default() };
-        for memory in [20_000, 1_000, 300] {
-            let ((listed, asked), (random, _)) = (hits(&script, memory, true), hits(&script, memory, false));
-            let part = |hits: usize| hits as f64 / asked as f64;
-            assert!(asked > 3_000 && listed < asked, "{listed} of {asked}");
-            let apart = (part(listed) - part(random)).abs();
-            assert!(apart < 0.01, "seed {seed}, memory {memory}: {listed} and {random} of {asked}");
+        for capacity in [20_000, 1_000, 300] {
+            let ((listed, requests), (random, _)) =
+                (hits(&script, capacity, true), hits(&script, capacity, false));
+            let hit_rate = |hits: usize| hits as f64 / requests as f64;
+            assert!(requests > 3_000 && listed < requests, "{listed} of {requests}");
+            let difference = (hit_rate(listed) - hit_rate(random)).abs();
+            assert!(
+                difference < 0.01,
+                "seed {seed}, capacity {capacity}: {listed} and {random} of {requests}"
+            );
         }
     }
 }
@@ -140,12 +145,12 @@
 }
 
 #[test]
-fn evictions_take_the_least_popular_entries_until_none_is_left() {
+fn evictions_remove_the_least_popular_entries_until_none_is_left() {
     let mut initial = InitialEntries::new(100_000, 0.01, 500, RandomSource::new(1));
     assert_eq!(initial.count(), 500);
     assert!(
         initial.contains_rank(40_000) && !initial.contains_rank(60_000),
-        "half of a thousand lie in half of the ranks"
+        "half of a thousand entries are in half of the ranks"
     );
     (0..250).for_each(|_| initial.evict());
     assert_eq!(initial.count(), 250);
@@ -156,20 +161,20 @@
 }
 
 /// If the server of every key were looked up at the start, four million keys would take four million decisions over 1,100
-/// servers before the first event. The number of lookups must not depend on the number of keys.
+/// servers before the first event. The number of lookups must be bounded by the number of operations instead.
 #[test]
 fn only_requested_keys_are_looked_up() {
     let mut script = Script { nodes: 2, length: Duration::from_secs(2), ..Script::default() };
     script.server_kinds[0].count = 700;
     script.server_kinds[1].count = 400;
     script.load.rate = 100.0;
-    let mut looked_up = Vec::new();
+    let mut lookups = Vec::new();
     for keys in [40_000, 400_000, 4_000_000] {
         script.load.keys = keys;
-        let asked = Workload::new(&script).count();
+        let operations = Workload::new(&script).count();
         let result = run(&script);
-        assert!(result.placement_lookups <= asked, "{} of {asked}", result.placement_lookups);
-        looked_up.push(result.placement_lookups);
+        assert!(result.placement_lookups <= operations, "{} of {operations}", result.placement_lookups);
+        lookups.push(result.placement_lookups);
     }
-    assert!(looked_up.iter().all(|&count| count > 0), "{looked_up:?}");
+    assert!(lookups.iter().all(|&count| count > 0), "{lookups:?}");
 }
--- a/crates/testbed/tests/properties.rs
+++ b/crates/testbed/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What holds for every script: a text is read or its faults are named, and a run keeps the rules and replays.
+//! Properties of every script: a text is parsed or its errors name lines, and a run keeps the rules and is reproducible.
 
 use balancer_core::{DeduplicationScope, Idempotency};
 use proptest::prelude::*;
@@ -8,9 +8,9 @@
 use testbed::virtual_time::run;
 use testbed::{scenarios, Script};
 
-/// A shipped script with a stretch of it cut out and something else put there.
-fn spoilt() -> impl Strategy<Value = String> {
-    let odd = prop_oneof![
+/// Generates shipped scripts in which a section of the text is replaced by something else.
+fn corrupted_text() -> impl Strategy<Value = String> {
+    let replacement = prop_oneof![
         Just(String::new()),
         Just("\"".into()),
         Just("]]".into()),
@@ -22,13 +22,13 @@
         ".{0,20}",
     ];
     let place = any::<prop::sample::Index>();
-    (prop::sample::select(scenarios::ALL.to_vec()), place, 0usize..40, odd).prop_map(
-        |(scenario, place, length, odd)| {
+    (prop::sample::select(scenarios::ALL.to_vec()), place, 0usize..40, replacement).prop_map(
+        |(scenario, place, length, replacement)| {
             let text = scenario.text;
             let boundary = |at: usize| (at..=text.len()).find(|&at| text.is_char_boundary(at));
             let from = boundary(place.index(text.len())).unwrap_or(text.len());
             let to = boundary((from + length).min(text.len())).unwrap_or(text.len());
-            format!("{}{odd}{}", &text[..from], &text[to..])
+            format!("{}{replacement}{}", &text[..from], &text[to..])
         },
     )
 }
@@ -77,7 +77,7 @@
     ]
 }
 
-/// A small fleet with any faults at any time.
+/// Generates small fleets with any faults at any time.
 fn script() -> impl Strategy<Value = Script> {
     let time = || (0u64..6_000).prop_map(Duration::from_millis);
     let zone = prop::option::of(0..2_usize);
@@ -113,22 +113,26 @@
     )
 }
 
-/// So many, unless `PROPTEST_CASES` says otherwise.
-fn cases(usual: u32) -> ProptestConfig {
-    let wanted = std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
-    ProptestConfig { cases: wanted.unwrap_or(usual), failure_persistence: None, ..ProptestConfig::default() }
+/// Returns a configuration with the number of cases from `PROPTEST_CASES`, or the default if it is not set.
+fn cases(default: u32) -> ProptestConfig {
+    let from_environment = std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
+    ProptestConfig {
+        cases: from_environment.unwrap_or(default),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    }
 }
 
 proptest! {
     #![proptest_config(cases(512))]
 
     #[test]
-    fn a_text_is_read_or_every_fault_names_one_of_its_lines(text in spoilt()) {
-        if let Err(faults) = Script::parse("spoilt.toml", &text) {
-            prop_assert!(!faults.is_empty());
-            for fault in faults {
-                prop_assert!((1..=text.lines().count() + 1).contains(&fault.line), "{fault}");
-                prop_assert!(!fault.field.is_empty() && !fault.problem.is_empty(), "{fault}");
+    fn a_text_is_parsed_or_every_error_names_one_of_its_lines(text in corrupted_text()) {
+        if let Err(errors) = Script::parse("corrupted.toml", &text) {
+            prop_assert!(!errors.is_empty());
+            for error in errors {
+                prop_assert!((1..=text.lines().count() + 1).contains(&error.line), "{error}");
+                prop_assert!(!error.field.is_empty() && !error.problem.is_empty(), "{error}");
             }
         }
     }
@@ -139,7 +143,7 @@
     #![proptest_config(cases(64))]
 
     #[test]
-    fn under_any_faults_the_rules_hold_and_a_run_replays_to_the_same_bytes(script in script()) {
+    fn under_any_faults_the_rules_hold_and_a_run_is_reproducible(script in script()) {
         let result = run(&script);
         prop_assert_eq!(result.verdict.violation_counts, [0; 4], "{:?}", result.verdict.violations);
         let json = |result| Report::new(&script, result).json();
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios that ship with the program.
+//! Tests the scenarios that ship with the program.
 
 use testbed::scenarios::{named, ALL, DEFAULT};
 use testbed::Script;
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -1,26 +1,26 @@
-//! Scripts that cannot be used: each fault names its file, line and field and says what was expected.
+//! Tests the errors of invalid scripts: each names its file, line and field and states what was expected.
 
 use testbed::Script;
 
-/// The faults of a script with these lines behind its first two, as text.
-fn faults(lines: &str) -> Vec<String> {
+/// Returns the errors of a script that consists of version, name and these lines, as text.
+fn parse_errors(lines: &str) -> Vec<String> {
     let text = format!("version = 1\nname = \"x\"\n{lines}");
     let read = Script::parse("bad.toml", &text);
     read.err().unwrap_or_default().iter().map(ToString::to_string).collect()
 }
 
-/// Checks that each of these lines gives one fault, which begins with the expected text.
-fn assert_faults(cases: &[(String, &str)]) {
+/// Checks that each of these texts gives one error, which begins with the expected message.
+fn assert_errors(cases: &[(String, &str)]) {
     for (lines, expected) in cases {
-        let found = faults(lines);
+        let found = parse_errors(lines);
         assert_eq!(found.len(), 1, "{lines}: {found:?}");
         assert!(found[0].starts_with(expected), "{lines}\n{}\n{expected}", found[0]);
     }
 }
 
 #[test]
-fn each_fault_is_one_line_with_its_place_and_what_was_expected() {
-    assert_faults(&[
+fn each_error_states_its_place_and_what_was_expected_on_one_line() {
+    assert_errors(&[
         ("speed = 3".into(), "bad.toml:3: speed: unknown key; known here: about, box, "),
         ("[load]\nrat = 3".into(), "bad.toml:4: load.rat: unknown key; known here: first_zone, keys, rate, "),
         ("nodes = -1".into(), "bad.toml:3: nodes: expected a whole number from 1 to 10000, found -1"),
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn each_fault_of_an_incident_is_one_line_with_its_place_and_what_was_expected() {
+fn each_error_of_an_incident_states_its_place_and_what_was_expected_on_one_line() {
     let crash = |rest: &str| format!("[[incident]]\nkind = \"crash\"\n{rest}");
-    assert_faults(&[
+    assert_errors(&[
         (
             crash("at = \"5s\"\nover = \"1s\"\nshare = 1.01"),
             "bad.toml:7: incident[0].share: expected a number from 0 to 1, found 1.01",
@@ -105,10 +105,10 @@
 }
 
 #[test]
-fn all_faults_come_at_once_in_the_order_of_their_lines() {
-    let found = faults("nodes = 0\nodd = 1\n[clients]\nretries = 99\n[expect]\nservice = 2");
+fn all_errors_are_returned_together_in_the_order_of_their_lines() {
+    let found = parse_errors("nodes = 0\nodd = 1\n[clients]\nretries = 99\n[expect]\nservice = 2");
     let lines: Vec<_> =
-        found.iter().map(|fault| fault.split(": ").take(2).collect::<Vec<_>>().join(" ")).collect();
+        found.iter().map(|error| error.split(": ").take(2).collect::<Vec<_>>().join(" ")).collect();
     assert_eq!(
         lines,
         ["bad.toml:3 nodes", "bad.toml:4 odd", "bad.toml:6 clients.retries", "bad.toml:8 expect.service"]
@@ -116,11 +116,11 @@
 }
 
 #[test]
-fn a_script_of_another_version_is_none_of_this_programs() {
+fn a_script_of_another_version_is_rejected() {
     let read = Script::parse("new.toml", "version = 2\nname = \"x\"\n");
-    let faults = read.err().unwrap_or_default();
-    assert_eq!(faults.len(), 1);
-    assert_eq!(faults[0].to_string(), "new.toml:1: version: expected a whole number from 1 to 1, found 2");
+    let errors = read.err().unwrap_or_default();
+    assert_eq!(errors.len(), 1);
+    assert_eq!(errors[0].to_string(), "new.toml:1: version: expected a whole number from 1 to 1, found 2");
     assert_eq!(
         Script::parse("old.toml", "name = \"x\"").err().unwrap_or_default()[0].to_string(),
         "old.toml:1: version: is missing"
--- a/fuzz/fuzz_targets/script.rs
+++ b/fuzz/fuzz_targets/script.rs
@@ -5,9 +5,9 @@
 use testbed::Script;
 
 fuzz_target!(|text: &str| {
-    if let Err(faults) = Script::parse("fuzzed.toml", text) {
-        assert!(!faults.is_empty());
+    if let Err(errors) = Script::parse("fuzzed.toml", text) {
+        assert!(!errors.is_empty());
         let lines = text.lines().count() + 1;
-        assert!(faults.iter().all(|fault| (1..=lines).contains(&fault.line)), "{faults:?}");
+        assert!(errors.iter().all(|error| (1..=lines).contains(&error.line)), "{errors:?}");
     }
 });
