--- a/crates/testbed/src/fault_schedule/active_faults.rs
+++ b/crates/testbed/src/fault_schedule/active_faults.rs
@@ -31,32 +31,32 @@
             Effect::Independent(change) => Some(change),
             Effect::BeginRetirement { index, permanent } => self.begin_retirement(incident, index, permanent),
             Effect::EndRetired { index } => {
-                let retired = self.server(index).retiring == Some(incident);
+                let retired = self.server_faults(index).retiring == Some(incident);
                 retired.then_some(Change::Stop { index })
             }
             Effect::StartSuccessor { index, same_address } => {
                 self.start_successor(incident, index, same_address)
             }
             Effect::Crash { index } => {
-                self.server(index).crashes.insert(incident);
+                self.server_faults(index).crashes.insert(incident);
                 Some(Change::Stop { index })
             }
             Effect::Recover { index } => self.recover(incident, index),
             Effect::BeginCondition { index, condition } => {
-                self.server(index).conditions.insert(incident, condition);
-                Some(self.condition(index))
+                self.server_faults(index).conditions.insert(incident, condition);
+                Some(self.condition_change(index))
             }
             Effect::EndCondition { index } => {
-                self.server(index).conditions.remove(&incident);
-                Some(self.condition(index))
+                self.server_faults(index).conditions.remove(&incident);
+                Some(self.condition_change(index))
             }
             Effect::BeginSlowOrigin { factor } => {
                 self.origin_factors.insert(incident, factor);
-                Some(self.slow_origin())
+                Some(self.slow_origin_change())
             }
             Effect::EndSlowOrigin => {
                 self.origin_factors.remove(&incident);
-                Some(self.slow_origin())
+                Some(self.slow_origin_change())
             }
             Effect::BeginDiscoveryOutage => {
                 self.discovery_outages.insert(incident);
@@ -70,23 +70,23 @@
             }
             Effect::BeginDiscoveryErrors { rate } => {
                 self.discovery_error_rates.insert(incident, rate);
-                Some(self.discovery_errors())
+                Some(self.discovery_error_change())
             }
             Effect::EndDiscoveryErrors => {
                 self.discovery_error_rates.remove(&incident);
-                Some(self.discovery_errors())
+                Some(self.discovery_error_change())
             }
         }
     }
 
-    fn server(&mut self, index: usize) -> &mut ServerFaults {
+    fn server_faults(&mut self, index: usize) -> &mut ServerFaults {
         self.servers.entry(index).or_default()
     }
 
     /// Drains a server, unless another incident is already retiring it. Even then, a permanent retirement prevents the start
     /// of a successor.
     fn begin_retirement(&mut self, incident: IncidentIndex, index: usize, permanent: bool) -> Option<Change> {
-        let server = self.server(index);
+        let server = self.server_faults(index);
         let already_retired = server.removed || server.retiring.is_some();
         server.removed |= permanent;
         if already_retired {
@@ -102,7 +102,7 @@
         index: usize,
         same_address: bool,
     ) -> Option<Change> {
-        let server = self.server(index);
+        let server = self.server_faults(index);
         if server.retiring != Some(incident) {
             return None;
         }
@@ -114,23 +114,23 @@
 
     /// Restarts a crashed server at the end of its last crash, unless the server was retired meanwhile.
     fn recover(&mut self, incident: IncidentIndex, index: usize) -> Option<Change> {
-        let server = self.server(index);
+        let server = self.server_faults(index);
         let crashed = server.crashes.remove(&incident);
         let recovers = crashed && server.crashes.is_empty() && !server.removed && server.retiring.is_none();
         recovers.then_some(Change::Start { index, same_id: true, same_address: true })
     }
 
-    fn condition(&self, index: usize) -> Change {
+    fn condition_change(&self, index: usize) -> Change {
         let conditions = self.servers.get(&index).into_iter().flat_map(|server| server.conditions.values());
         let condition = conditions.fold(ServerCondition::default(), |all, one| all.combine(*one));
         Change::SetCondition { index, condition }
     }
 
-    fn slow_origin(&self) -> Change {
+    fn slow_origin_change(&self) -> Change {
         Change::SlowOrigin { factor: self.origin_factors.values().product() }
     }
 
-    fn discovery_errors(&self) -> Change {
+    fn discovery_error_change(&self) -> Change {
         let intact: f64 = self.discovery_error_rates.values().map(|rate| 1.0 - rate).product();
         Change::SetDiscoveryErrors { rate: 1.0 - intact }
     }
--- a/crates/testbed/src/fault_schedule/effects.rs
+++ b/crates/testbed/src/fault_schedule/effects.rs
@@ -29,11 +29,11 @@
         /// Whether the server has no successor.
         permanent: bool,
     },
-    /// The process ends that the same incident retired.
+    /// The process that was retired by the same incident ends.
     EndRetired {
         index: usize,
     },
-    /// The successor starts of the process that the same incident retired.
+    /// The successor of the process that was retired by the same incident starts.
     StartSuccessor {
         index: usize,
         same_address: bool,
@@ -42,7 +42,7 @@
     Crash {
         index: usize,
     },
-    /// A cache server that the same incident crashed restarts.
+    /// A cache server that was crashed by the same incident restarts.
     Recover {
         index: usize,
     },
@@ -70,11 +70,11 @@
 }
 
 /// Returns the effects of all incidents of a script, grouped by incident.
-pub(super) fn all(script: &Script) -> Vec<ScheduledEffect> {
+pub(super) fn expand_incidents(script: &Script) -> Vec<ScheduledEffect> {
     let mut effects = Vec::new();
-    for (number, incident) in script.incidents.iter().enumerate() {
-        let random = RandomSource::new(script.seed).derive(INCIDENT_TARGETS).derive(number as u64);
-        let mut planner = Planner { script, incident, number, random, effects: &mut effects };
+    for (incident_index, incident) in script.incidents.iter().enumerate() {
+        let random = RandomSource::new(script.seed).derive(INCIDENT_TARGETS).derive(incident_index as u64);
+        let mut planner = Planner { script, incident, incident_index, random, effects: &mut effects };
         planner.plan();
     }
     effects
@@ -84,7 +84,7 @@
 struct Planner<'a> {
     script: &'a Script,
     incident: &'a Incident,
-    number: IncidentIndex,
+    incident_index: IncidentIndex,
     random: RandomSource,
     effects: &'a mut Vec<ScheduledEffect>,
 }
@@ -94,64 +94,67 @@
         let normal = ServerCondition::default();
         match self.incident.fault {
             Fault::Unreachable { share } => {
-                self.condition(share, ServerCondition { reachable: false, ..normal });
+                self.plan_condition(share, ServerCondition { reachable: false, ..normal });
             }
             Fault::Errors { share, rate } => {
-                self.condition(share, ServerCondition { error_rate: rate, ..normal });
+                self.plan_condition(share, ServerCondition { error_rate: rate, ..normal });
             }
             Fault::Delay { share, extra } => {
-                self.condition(share, ServerCondition { extra_latency: extra, ..normal });
+                self.plan_condition(share, ServerCondition { extra_latency: extra, ..normal });
             }
             Fault::Loss { share, rate } => {
-                self.condition(share, ServerCondition { packet_loss_rate: rate, ..normal });
+                self.plan_condition(share, ServerCondition { packet_loss_rate: rate, ..normal });
             }
             Fault::Resets { share, rate } => {
-                self.condition(share, ServerCondition { reset_rate: rate, ..normal });
+                self.plan_condition(share, ServerCondition { reset_rate: rate, ..normal });
             }
-            Fault::HalfOpen { share } => self.half_open(share),
-            Fault::Shrink { share, drain } => self.shrink(share, drain),
+            Fault::HalfOpen { share } => self.plan_half_open(share),
+            Fault::Shrink { share, drain } => self.plan_shrink(share, drain),
             Fault::Deploy { share, batch, drain, same_address } => {
-                self.deploy(share, batch, drain, same_address);
+                self.plan_deploy(share, batch, drain, same_address);
             }
             Fault::RestartNodes { share, batch, downtime, killed } => {
-                self.nodes_in_batches(share, batch, |node| Change::RestartNode { node, killed, downtime });
+                self.plan_node_batches(share, batch, |node| Change::RestartNode { node, killed, downtime });
             }
             Fault::Upgrade { share, batch } => {
-                self.nodes_in_batches(share, batch, |node| Change::UpgradeNode { node });
+                self.plan_node_batches(share, batch, |node| Change::UpgradeNode { node });
             }
-            Fault::Reload { share, times } => self.reload(share, times),
-            Fault::Crash { share } => self.crash(share),
-            Fault::Pause { share } => self.pause(share),
+            Fault::Reload { share, times } => self.plan_reloads(share, times),
+            Fault::Crash { share } => self.plan_crash(share),
+            Fault::Pause { share } => self.plan_pause(share),
             Fault::SlowOrigin { factor } => {
-                self.during_incident(Effect::BeginSlowOrigin { factor }, Effect::EndSlowOrigin);
+                self.plan_begin_and_end(Effect::BeginSlowOrigin { factor }, Effect::EndSlowOrigin);
             }
             Fault::DiscoveryOutage => {
-                self.during_incident(Effect::BeginDiscoveryOutage, Effect::EndDiscoveryOutage);
+                self.plan_begin_and_end(Effect::BeginDiscoveryOutage, Effect::EndDiscoveryOutage);
             }
             Fault::DiscoveryErrors { rate } => {
-                self.during_incident(Effect::BeginDiscoveryErrors { rate }, Effect::EndDiscoveryErrors);
+                self.plan_begin_and_end(Effect::BeginDiscoveryErrors { rate }, Effect::EndDiscoveryErrors);
             }
             // The workload implements these faults.
             Fault::HotKeys { .. } | Fault::Surge { .. } => {}
         }
     }
 
-    fn condition(&mut self, share: f64, condition: ServerCondition) {
-        for index in self.servers(share) {
-            self.during_incident(Effect::BeginCondition { index, condition }, Effect::EndCondition { index });
+    fn plan_condition(&mut self, share: f64, condition: ServerCondition) {
+        for index in self.choose_servers(share) {
+            self.plan_begin_and_end(
+                Effect::BeginCondition { index, condition },
+                Effect::EndCondition { index },
+            );
         }
     }
 
-    fn half_open(&mut self, share: f64) {
-        let servers = self.servers(share);
+    fn plan_half_open(&mut self, share: f64) {
+        let servers = self.choose_servers(share);
         for (n, &index) in servers.iter().enumerate() {
             let at = self.at_fraction(n as f64 / servers.len() as f64);
             self.add(at, Effect::Independent(Change::ForgetConnections { index }));
         }
     }
 
-    fn shrink(&mut self, share: f64, drain: Duration) {
-        let servers = self.servers(share);
+    fn plan_shrink(&mut self, share: f64, drain: Duration) {
+        let servers = self.choose_servers(share);
         for (n, &index) in servers.iter().enumerate() {
             let at = self.at_fraction(n as f64 / servers.len() as f64);
             self.add(at, Effect::BeginRetirement { index, permanent: true });
@@ -159,8 +162,8 @@
         }
     }
 
-    fn deploy(&mut self, share: f64, batch: f64, drain: Duration, same_address: bool) {
-        let servers = self.servers(share);
+    fn plan_deploy(&mut self, share: f64, batch: f64, drain: Duration, same_address: bool) {
+        let servers = self.choose_servers(share);
         for (at, batch) in self.batches(&servers, fleet::server_count(self.script), batch) {
             for index in batch {
                 self.add(at, Effect::BeginRetirement { index, permanent: false });
@@ -170,8 +173,8 @@
         }
     }
 
-    fn nodes_in_batches(&mut self, share: f64, batch: f64, change: impl Fn(usize) -> Change) {
-        let nodes = self.nodes(share);
+    fn plan_node_batches(&mut self, share: f64, batch: f64, change: impl Fn(usize) -> Change) {
+        let nodes = self.choose_nodes(share);
         for (at, batch) in self.batches(&nodes, self.script.nodes as usize, batch) {
             for node in batch {
                 self.add(at, Effect::Independent(change(node)));
@@ -179,8 +182,8 @@
         }
     }
 
-    fn reload(&mut self, share: f64, times: u32) {
-        for node in self.nodes(share) {
+    fn plan_reloads(&mut self, share: f64, times: u32) {
+        for node in self.choose_nodes(share) {
             for time in 0..times {
                 let at = self.at_fraction(f64::from(time) / f64::from(times));
                 self.add(at, Effect::Independent(Change::ReloadNode { node }));
@@ -188,25 +191,25 @@
         }
     }
 
-    fn crash(&mut self, share: f64) {
-        for index in self.servers(share) {
-            self.during_incident(Effect::Crash { index }, Effect::Recover { index });
+    fn plan_crash(&mut self, share: f64) {
+        for index in self.choose_servers(share) {
+            self.plan_begin_and_end(Effect::Crash { index }, Effect::Recover { index });
         }
     }
 
-    fn pause(&mut self, share: f64) {
+    fn plan_pause(&mut self, share: f64) {
         let Incident { at, duration, .. } = *self.incident;
-        for index in self.servers(share) {
+        for index in self.choose_servers(share) {
             self.add(at, Effect::Independent(Change::Pause { index, duration }));
         }
     }
 
     fn add(&mut self, at: Duration, effect: Effect) {
-        self.effects.push(ScheduledEffect { at, incident: self.number, effect });
+        self.effects.push(ScheduledEffect { at, incident: self.incident_index, effect });
     }
 
     /// Adds an effect at the beginning of the incident and another one at its end.
-    fn during_incident(&mut self, begin: Effect, end: Effect) {
+    fn plan_begin_and_end(&mut self, begin: Effect, end: Effect) {
         let Incident { at, duration, .. } = *self.incident;
         self.add(at, begin);
         self.add(at + duration, end);
@@ -218,12 +221,12 @@
     }
 
     /// Returns a random share of the cache servers in the zone of the incident, or in all zones if it has none.
-    fn servers(&self, share: f64) -> Vec<usize> {
+    fn choose_servers(&self, share: f64) -> Vec<usize> {
         self.choose(fleet::server_count(self.script), share)
     }
 
     /// Returns a random share of the nodes in the zone of the incident, or in all zones if it has none.
-    fn nodes(&self, share: f64) -> Vec<usize> {
+    fn choose_nodes(&self, share: f64) -> Vec<usize> {
         self.choose(self.script.nodes as usize, share)
     }
 
--- a/crates/testbed/src/fault_schedule/mod.rs
+++ b/crates/testbed/src/fault_schedule/mod.rs
@@ -73,9 +73,9 @@
         /// The index of the node.
         node: usize,
     },
-    /// Fetches from the origin take longer.
+    /// The duration of fetches from the origin changes.
     SlowOrigin {
-        /// The factor. 1 is the normal speed.
+        /// The new duration, as a multiple of the normal one.
         factor: f64,
     },
     /// Discovery becomes available or unavailable.
@@ -83,9 +83,9 @@
         /// Whether discovery answers calls.
         available: bool,
     },
-    /// The fraction of discovery's answers that are truncated or malformed changes.
+    /// The error rate of discovery changes.
     SetDiscoveryErrors {
-        /// The new fraction.
+        /// The fraction of answers that are truncated or malformed.
         rate: f64,
     },
 }
@@ -133,7 +133,7 @@
 
 /// Returns all changes of a script in chronological order. Changes at the same time are in the order of their incidents.
 pub fn changes(script: &Script) -> Vec<(Duration, Change)> {
-    let mut effects = effects::all(script);
+    let mut effects = effects::expand_incidents(script);
     // The stable sort keeps effects at the same time in the order of the script.
     effects.sort_by_key(|scheduled| scheduled.at);
     let mut active = ActiveFaults::default();
--- a/crates/testbed/src/models/cache_server/entries.rs
+++ b/crates/testbed/src/models/cache_server/entries.rs
@@ -30,7 +30,7 @@
         self.used.len() + self.initial.count()
     }
 
-    /// Returns whether this entry is cached exactly if it belongs to this server at the start.
+    /// Returns whether the presence of this entry depends on the server to which it belongs at the start.
     pub(super) fn depends_on_initial(&self, key: u64, rank: u32) -> bool {
         self.initial.contains_rank(rank) && !self.used.contains(&key)
     }
--- a/crates/testbed/src/models/cache_server/mod.rs
+++ b/crates/testbed/src/models/cache_server/mod.rs
@@ -32,7 +32,8 @@
     pub id: JobId,
     /// The key of the requested entry.
     pub key: u64,
-    /// The popularity rank of the key if the entry, when initially cached at all, belongs to this server. `None` otherwise.
+    /// The popularity rank of the key, if its entry belongs to this server at the start. `None` otherwise, or if the rank
+    /// makes no difference.
     pub initial_rank: Option<u32>,
     /// The work of the job, in time on a standard core.
     pub work: Duration,
@@ -146,7 +147,7 @@
         self.entries.set_initial(initial);
     }
 
-    /// Returns whether a look-up of this entry depends on [`Job::initial_rank`].
+    /// Returns whether the cache result of a request for this entry depends on [`Job::initial_rank`].
     pub fn depends_on_initial_entries(&self, key: u64, rank: u32) -> bool {
         self.entries.depends_on_initial(key, rank)
     }
--- a/crates/testbed/src/network_model.rs
+++ b/crates/testbed/src/network_model.rs
@@ -6,10 +6,10 @@
 use crate::script::Network;
 use std::time::Duration;
 
-/// The minimum retransmission timeout of an established connection in Linux (RFC 6298 allows a longer one). It doubles with
-/// each further loss.
+/// The time after which a lost packet of an established connection is retransmitted, as in Linux. RFC 6298 allows a longer
+/// time. The time doubles with each further loss.
 const RETRANSMISSION_TIMEOUT: Duration = Duration::from_millis(200);
-/// The retransmission timeout of the first packet of a connection (RFC 6298, section 2.1).
+/// The time after which a lost first packet of a connection is retransmitted (RFC 6298, section 2.1).
 const INITIAL_RETRANSMISSION_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of consecutive losses of a packet.
 const MAX_LOSSES: u64 = 6;
@@ -47,7 +47,7 @@
     random.derive(61).uniform() < condition.reset_rate
 }
 
-/// Returns the sum of the retransmission timeouts, each twice the last, until a transmission is not lost.
+/// Returns the sum of the retransmission timeouts of a packet. Each timeout is twice the previous one.
 fn retransmission_delay(loss_rate: f64, timeout: Duration, random: RandomSource) -> Duration {
     let is_lost = |transmission: &u64| random.derive(60).derive(*transmission).uniform() < loss_rate;
     let losses = (0..MAX_LOSSES).take_while(is_lost).count();
--- a/crates/testbed/src/script/fault.rs
+++ b/crates/testbed/src/script/fault.rs
@@ -121,12 +121,12 @@
     },
     /// The rate of operations is multiplied.
     Surge {
-        /// The factor.
+        /// The factor of the rate.
         factor: f64,
     },
     /// Fetches from the origin take longer.
     SlowOrigin {
-        /// The factor.
+        /// The factor of the duration of a fetch.
         factor: f64,
     },
     /// Discovery does not answer.
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -188,7 +188,7 @@
 pub struct Discovery {
     /// The time until discovery detects that a cache server has started, begun to drain or ended.
     pub detection_delay: Duration,
-    /// The rate at which discovery can send lines to all nodes together.
+    /// Maximum number of lines per second that discovery sends to all nodes together.
     pub lines_per_second: f64,
     /// The cost of a call in lines, in addition to the entries that it returns.
     pub call_lines: f64,
@@ -207,7 +207,7 @@
     pub include_cache_result: bool,
 }
 
-/// The parameters of the four rules.
+/// The parameters of the four rules that the [`Judge`](crate::Judge) checks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// The time after a notification of a drain or removal in which a node may still send new requests to the cache server.
--- a/crates/testbed/src/virtual_time/attempts.rs
+++ b/crates/testbed/src/virtual_time/attempts.rs
@@ -122,7 +122,7 @@
     }
 
     /// Returns whether messages are delivered on an attempt's connection.
-    fn passes(&self, request: usize, attempt: usize) -> bool {
+    fn connection_delivers(&self, request: usize, attempt: usize) -> bool {
         let Attempt { server, established_at, .. } = self.requests[request].attempts[attempt];
         let index = self.servers[server].index;
         self.conditions[index].reachable
@@ -219,7 +219,7 @@
         let Attempt { server, process, new_connection, closed_by_server, .. } =
             self.requests[request].attempts[attempt];
         let Some(process) = process else { return };
-        if !self.passes(request, attempt) {
+        if !self.connection_delivers(request, attempt) {
             return;
         }
         if closed_by_server || !self.processes[process].alive {
@@ -250,7 +250,7 @@
 
     /// Sends a cache server's response to an attempt.
     pub(super) fn send_response(&mut self, request: usize, attempt: usize, status: AttemptStatus, hit: bool) {
-        if !self.passes(request, attempt) {
+        if !self.connection_delivers(request, attempt) {
             return;
         }
         let Attempt { server, process, .. } = self.requests[request].attempts[attempt];
--- a/crates/testbed/src/virtual_time/event_queue.rs
+++ b/crates/testbed/src/virtual_time/event_queue.rs
@@ -26,7 +26,7 @@
     DisconnectArrives { request: usize },
     /// The node's own timer for the deadline of a request expires.
     DeadlineTimer { request: usize },
-    /// A timer expires that a node's decision logic has set.
+    /// A timer of a node's decision logic expires.
     NodeTimer { node: usize, incarnation: u32 },
     /// The connection of an attempt is established, and its first byte is sent.
     SendAttempt { request: usize, attempt: usize },
--- a/crates/testbed/src/virtual_time/simulation.rs
+++ b/crates/testbed/src/virtual_time/simulation.rs
@@ -42,7 +42,8 @@
     pub(super) server_at: Vec<usize>,
     /// The condition of the server by index in the fleet.
     pub(super) conditions: Vec<ServerCondition>,
-    /// By index in the fleet. No packets pass on connections that were established up to this time.
+    /// The time of the last loss of connections by index in the fleet. No packets pass on connections that were established
+    /// up to this time.
     pub(super) connections_forgotten_at: Vec<Option<Timestamp>>,
     pub(super) processes: Vec<Process>,
     pub(super) nodes: Vec<Node>,
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -95,34 +95,34 @@
         load.rate * wave * surges.product::<f64>()
     }
 
-    fn class(&self, random: RandomSource) -> usize {
+    fn choose_class(&self, random: RandomSource) -> usize {
         let classes = &self.script.classes;
         let total: f64 = classes.iter().map(|class| class.share).sum();
-        let mut left = random.uniform() * total;
+        let mut remaining = random.uniform() * total;
         let class = classes.iter().position(|class| {
-            left -= class.share;
-            left < 0.0
+            remaining -= class.share;
+            remaining < 0.0
         });
         class.unwrap_or(classes.len() - 1)
     }
 
-    fn zone(&self, random: RandomSource) -> usize {
+    fn choose_zone(&self, random: RandomSource) -> usize {
         let zones = self.script.zones.len();
         let first = self.script.load.first_zone_share;
         let zone = match random.uniform() {
             _ if zones == 1 => 0,
-            at if at < first => 0,
-            at => 1 + ((at - first) / (1.0 - first) * (zones - 1) as f64) as usize,
+            position if position < first => 0,
+            position => 1 + ((position - first) / (1.0 - first) * (zones - 1) as f64) as usize,
         };
         zone.min(zones - 1)
     }
 
-    fn key_rank(&self, at: f64, random: RandomSource) -> u32 {
+    fn choose_key_rank(&self, at: f64, random: RandomSource) -> u32 {
         for (i, incident) in active_incidents(self.script, at).enumerate() {
             if let Fault::HotKeys { keys, share } = incident.fault {
                 let random = random.derive(i as u64);
                 if random.derive(0).uniform() < share {
-                    return self.hot_key_rank(incident, keys, random.derive(1));
+                    return self.choose_hot_key_rank(incident, keys, random.derive(1));
                 }
             }
         }
@@ -130,7 +130,7 @@
     }
 
     /// Returns a random one of an incident's hot keys. Outside the incident, these keys have a medium popularity.
-    fn hot_key_rank(&self, incident: &Incident, keys: u32, random: RandomSource) -> u32 {
+    fn choose_hot_key_rank(&self, incident: &Incident, keys: u32, random: RandomSource) -> u32 {
         let incident_random = RandomSource::new(self.script.seed).derive(incident.at.as_micros() as u64);
         let start = incident_random.uniform() / 2.0 + 0.25;
         let first = (start * f64::from(self.script.load.keys)) as u32;
@@ -159,9 +159,9 @@
         let operation = Operation {
             number: self.next_number,
             at: Duration::from_secs_f64(self.now),
-            class: self.class(random.derive(2)),
-            key_rank: self.key_rank(self.now, random.derive(4)),
-            zone: self.zone(random.derive(3)),
+            class: self.choose_class(random.derive(2)),
+            key_rank: self.choose_key_rank(self.now, random.derive(4)),
+            zone: self.choose_zone(random.derive(3)),
             random,
         };
         self.next_number += 1;
