--- a/crates/testbed/examples/control_plane.rs
+++ b/crates/testbed/examples/control_plane.rs
@@ -1,9 +1,10 @@
-//! Runs scenes of the control plane in virtual time and prints a table.
+//! Simulates scenes of the control plane in virtual time and prints a table of the outcomes.
 //!
 //!     cargo run --release -p testbed --example control_plane -- off 200 0 [SCENE...]
 //!
-//! The first argument is `off` (all nodes know one replica) or `on`; then the lines a second of one replica and the lines of
-//! a call that continues a watch. All scenes run if none is named.
+//! The first argument is `off` (nodes know only one replica) or `on` (nodes know all replicas). The other two are the lines
+//! that a replica processes per second, and the lines that a call costs that continues a watch. If no scene is named, all
+//! scenes run.
 
 use std::process::ExitCode;
 use testbed::scale::messages::ReplicaCapacity;
@@ -20,8 +21,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("{problem}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
@@ -43,9 +44,9 @@
         queue_limit_ms: QUEUE_LIMIT_MS,
     };
     let size = Size { nodes: NODES, servers: SERVERS, replicas: REPLICAS, mechanism, capacity, seed: 1 };
-    let asked: Vec<String> = arguments.collect();
-    let all = names().map(str::to_owned).collect();
-    let wanted = if asked.is_empty() { all } else { asked };
+    let named_scenes: Vec<String> = arguments.collect();
+    let all_scenes = names().map(str::to_owned).collect();
+    let wanted = if named_scenes.is_empty() { all_scenes } else { named_scenes };
     let mut rows = Vec::new();
     for name in wanted {
         let scene = named(&name, &size).map_err(|error| error.to_string())?;
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -1,4 +1,4 @@
-//! The cost of processes, from the files of `/proc`.
+//! Measures processor time and memory of processes from files in `/proc`.
 
 use super::real::Usage;
 use std::fs;
@@ -6,12 +6,12 @@
 use std::iter::Sum;
 use std::time::Duration;
 
-/// What a process, or all processes of a role, have cost so far.
+/// Processor time and memory of a process, or of all processes of a role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cost {
-    /// Processor time, of user and system.
+    /// Processor time in user and system mode since the start of the process.
     pub processor: Duration,
-    /// Resident anonymous memory (`RssAnon`), in bytes: without the text of the program.
+    /// Resident anonymous memory (`RssAnon`) in bytes, which excludes the program text.
     pub resident_bytes: u64,
 }
 
@@ -24,20 +24,20 @@
     }
 }
 
-/// What a process has cost since its start.
+/// Returns the processor time since the start of a process, and its present memory.
 ///
 /// # Errors
-/// When it has ended, or the system does not tell.
+/// If the process has ended, or its files in `/proc` cannot be read.
 pub fn cost_of(process: u32) -> io::Result<Cost> {
     let usage = Usage::of(process)?;
-    // By ticks where the system keeps no finer count.
-    let processor = scheduled(process).unwrap_or(usage.processor);
+    // Falls back to the count in clock ticks where the kernel provides no scheduler statistics.
+    let processor = scheduled_time(process).unwrap_or(usage.processor);
     Ok(Cost { processor, resident_bytes: usage.rss_anon })
 }
 
-/// The time that the scheduler gave to all threads, in nanoseconds. Threads that have ended are not in it; the processes of
-/// a run end none while they work.
-fn scheduled(process: u32) -> io::Result<Duration> {
+/// Returns the time that all threads of a process have run, from the scheduler statistics, which count nanoseconds. Threads
+/// that have ended are not included; the processes of a run end no thread while they work.
+fn scheduled_time(process: u32) -> io::Result<Duration> {
     let mut sum = Duration::ZERO;
     for thread in fs::read_dir(format!("/proc/{process}/task"))? {
         let text = fs::read_to_string(thread?.path().join("schedstat"))?;
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,17 +1,18 @@
-//! Scale runs: hundreds of hollow nodes in each of a few processes, and a few real nodes, against replicas of a stand-in
-//! discovery.
+//! Scale runs: a few processes with hundreds of hollow nodes each, and a few real nodes, poll replicas of a stand-in
+//! discovery service.
 //!
-//! A hollow node is the real discovery client with the real decisions and no clients, as Kubemark has hollow kubelets. The
-//! processes exchange the lines of JSON in [`messages`] with the run, which [`process`] reads and writes; [`replica`] is one
-//! replica of discovery.
+//! A hollow node runs the real discovery client and the real balancing decisions but serves no clients, like the hollow
+//! kubelets of Kubemark. The child processes exchange the JSON lines defined in [`messages`] with the run; [`process`] reads
+//! and writes them. [`replica`] implements one replica of discovery.
 //!
-//! - [`ScaleScript`] is read from TOML; [`scenarios`] are those that ship. [`steps`] are what its events do, and when.
-//! - [`requirements`] compares what a run needs with the limits of the machine, before anything starts.
-//! - [`run`](run::run) starts the [`child_processes`], carries the steps out and [measures](measure). [`replica_set`] has what
-//!   each replica knows, and [`real_fleet`] the [`real`] nodes.
-//! - [`propagation`] has the time from a change to the nodes that act on it; [`report`] and [`plot`] show it.
-//! - [`fit`] fits lines to the figures of several sizes.
-//! - [`virtual_time`] simulates the discovery clients alone, at any size, without sockets and clock.
+//! - [`ScaleScript`] is parsed from TOML; [`scenarios`] lists the scripts that ship. [`steps`] turns the events of a script
+//!   into timed steps.
+//! - [`requirements`] compares the resources that a run needs with the limits of the machine, before anything starts.
+//! - [`run`](run::run) starts the [`child_processes`], executes the steps and [measures](measure) the cost.
+//!   [`replica_set`] replicates the list to the replicas, and [`real_fleet`] manages the [`real`] nodes.
+//! - [`propagation`] measures the time from a change until nodes apply it; [`report`] and [`plot`] show it.
+//! - [`fit`] fits lines to the figures of runs of several sizes.
+//! - [`virtual_time`] simulates only the discovery clients, at any size, without sockets or a wall clock.
 
 pub mod child_processes;
 pub mod fit;
--- a/crates/testbed/src/scale/plot.rs
+++ b/crates/testbed/src/scale/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of scale runs as SVG.
+//! Plots the results of scale runs as SVG.
 
 use super::fit::{Fit, Line};
 use super::report::ScaleReport;
@@ -8,26 +8,26 @@
 
 const WIDTH: u32 = 960;
 const HEIGHT: u32 = 420;
-/// The size of the plot of one line.
+/// Width of the plot of one fitted line.
 const FIT_WIDTH: u32 = 480;
 const FIT_HEIGHT: u32 = 260;
 const BLUE_LINE: RGBColor = RGBColor(0, 90, 160);
 const RED_POINT: RGBColor = RGBColor(200, 60, 30);
-/// The ratio of an axis to the largest value on it.
+/// Ratio of the length of an axis to the largest value on it.
 const MARGIN: f64 = 1.05;
 
-/// A plot could not be drawn.
+/// An error while drawing a plot.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub struct PlotError(String);
 
-fn not_drawn<E: std::error::Error + Send + Sync>(error: DrawingAreaErrorKind<E>) -> PlotError {
+fn plot_error<E: std::error::Error + Send + Sync>(error: DrawingAreaErrorKind<E>) -> PlotError {
     PlotError(error.to_string())
 }
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// The cumulative distribution of the time from a change to the nodes that apply it.
+/// Plots the cumulative distribution of the time from a change of the list until a node applies it.
 ///
 /// # Errors
 /// If the plot can't be drawn.
@@ -42,22 +42,22 @@
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, (WIDTH, HEIGHT)).into_drawing_area();
-        area.fill(&WHITE).map_err(not_drawn)?;
+        area.fill(&WHITE).map_err(plot_error)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(caption, ("sans-serif", 15))
             .margin(8)
             .x_label_area_size(32)
             .y_label_area_size(48)
             .build_cartesian_2d(0.0..longest, 0.0..100.0)
-            .map_err(not_drawn)?;
-        chart.configure_mesh().x_desc("s").y_desc("% of acts").draw().map_err(not_drawn)?;
-        chart.draw_series(LineSeries::new(points, BLUE_LINE.stroke_width(2))).map_err(not_drawn)?;
-        area.present().map_err(not_drawn)?;
+            .map_err(plot_error)?;
+        chart.configure_mesh().x_desc("s").y_desc("% of acts").draw().map_err(plot_error)?;
+        chart.draw_series(LineSeries::new(points, BLUE_LINE.stroke_width(2))).map_err(plot_error)?;
+        area.present().map_err(plot_error)?;
     }
     Ok(svg)
 }
 
-/// The points and fitted lines of all figures, and the measured value at the predicted size.
+/// Plots the points and the fitted line of each figure, and the measured value at the predicted size.
 ///
 /// # Errors
 /// If the plot can't be drawn.
@@ -67,12 +67,12 @@
     {
         let size = (FIT_WIDTH * 2, FIT_HEIGHT * rows as u32);
         let area = SVGBackend::with_string(&mut svg, size).into_drawing_area();
-        area.fill(&WHITE).map_err(not_drawn)?;
+        area.fill(&WHITE).map_err(plot_error)?;
         let parts = area.split_evenly((rows, 2));
         for (part, line) in parts.iter().zip(&fit.lines) {
             draw_line(part, line)?;
         }
-        area.present().map_err(not_drawn)?;
+        area.present().map_err(plot_error)?;
     }
     Ok(svg)
 }
@@ -92,12 +92,12 @@
         .x_label_area_size(32)
         .y_label_area_size(64)
         .build_cartesian_2d(0.0..largest, lowest..highest)
-        .map_err(not_drawn)?;
-    chart.configure_mesh().x_desc(line.over.words()).x_labels(5).y_labels(5).draw().map_err(not_drawn)?;
-    chart.draw_series(LineSeries::new(ends, BLUE_LINE.stroke_width(1))).map_err(not_drawn)?;
+        .map_err(plot_error)?;
+    chart.configure_mesh().x_desc(line.over.label()).x_labels(5).y_labels(5).draw().map_err(plot_error)?;
+    chart.draw_series(LineSeries::new(ends, BLUE_LINE.stroke_width(1))).map_err(plot_error)?;
     let measured = line.points.iter().map(|&point| Circle::new(point, 3, BLUE_LINE.filled()));
-    chart.draw_series(measured).map_err(not_drawn)?;
+    chart.draw_series(measured).map_err(plot_error)?;
     let predicted = predicted.iter().map(|&point| Circle::new(point, 4, RED_POINT.stroke_width(2)));
-    chart.draw_series(predicted).map_err(not_drawn)?;
+    chart.draw_series(predicted).map_err(plot_error)?;
     Ok(())
 }
--- a/crates/testbed/src/scale/propagation.rs
+++ b/crates/testbed/src/scale/propagation.rs
@@ -1,14 +1,15 @@
-//! The propagation of the endpoint list: the changes, the incarnations of the nodes, and the lists that they applied.
+//! Measures the propagation of the endpoint list from its changes, the incarnations of the nodes, and the lists that nodes
+//! applied.
 
 use super::messages::Applied;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// The longest time that a histogram distinguishes: an hour, in microseconds.
+/// Maximum value of a histogram: an hour, in microseconds.
 const MAX_US: u64 = 3_600_000_000;
-/// The number of points of a distribution.
+/// Number of intervals between the points of a distribution.
 const DISTRIBUTION_POINTS: u32 = 200;
-/// The significant decimal digits of times.
+/// Significant decimal digits of recorded times.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// A change of the list.
@@ -18,12 +19,12 @@
     at_us: u64,
 }
 
-/// A run of a node, from its start to its end.
+/// One lifetime of a node, from its start until it is killed.
 #[derive(Clone, Copy, Debug)]
 struct Incarnation {
     from_us: u64,
     to_us: Option<u64>,
-    /// It started with a list.
+    /// Whether the node started with a list.
     with_list: bool,
 }
 
@@ -31,7 +32,7 @@
 struct Node {
     incarnations: Vec<Incarnation>,
     applied: Vec<Applied>,
-    /// The version of its list; `None` if the present incarnation has none.
+    /// The version of the list that the current incarnation has, if any.
     held_version: Option<u64>,
 }
 
@@ -40,11 +41,11 @@
 struct Launch {
     at_us: u64,
     nodes: Vec<u32>,
-    /// How long discovery takes to send them the whole list, by its capacity.
+    /// The time that discovery needs to send the whole list to all of these nodes, from its capacity.
     sending_ms: f64,
 }
 
-/// Records which node applied which list, and when.
+/// Tracks which node applied which version of the list, and when.
 #[derive(Clone, Debug)]
 pub struct Propagation {
     changes: Vec<Change>,
@@ -55,7 +56,7 @@
 /// A latency distribution.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LatencyFigures {
-    /// The number of values.
+    /// The number of recorded times.
     pub count: u64,
     /// The median, in milliseconds.
     pub p50_ms: f64,
@@ -65,46 +66,47 @@
     pub last_ms: f64,
 }
 
-/// From a change at discovery to the nodes that apply it.
+/// The propagation of changes from discovery to the nodes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PropagationFigures {
     /// The number of changes of the list.
     pub changes: u64,
-    /// The time from each change to each node that applied it.
+    /// The times from a change until a node applied it, over all changes and nodes.
     pub times: LatencyFigures,
-    /// The number of these times that are longer than the script expects.
+    /// The number of times that exceed the limit that the script expects.
     pub late: u64,
-    /// The number of pairs of a change and a node that ran on and never applied it.
+    /// The number of pairs of a change and a node that kept running and never applied it.
     pub never: u64,
     /// The number of nodes in such pairs.
     pub nodes_never: u64,
-    /// The number of pairs of a change and a node that was killed before it applied it, which is not expected of it.
+    /// The number of pairs of a change and a node that was killed before it applied the change. These count neither as late
+    /// nor as missed.
     pub killed_before: u64,
-    /// Fractions of all these times, and the milliseconds within which so many are.
+    /// The cumulative distribution: a fraction of all times, and the quantile of that fraction in milliseconds.
     pub distribution: Vec<(f64, f64)>,
 }
 
-/// From the start of nodes without a list until they hold one.
+/// The time from the start of nodes without a list until they have one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReadinessFigures {
     /// The number of nodes that were started without a list.
     pub launched: u64,
-    /// The time from each start to the first list.
+    /// The times from a start to the first list.
     pub times: LatencyFigures,
-    /// The number of nodes that ran on and never had a list.
+    /// The number of nodes that kept running and never had a list.
     pub never: u64,
-    /// The size of the largest group that was started together.
+    /// The size of the largest group of nodes started together.
     pub largest_group: u64,
-    /// The time until all of these had a list, in milliseconds.
+    /// The time until all nodes of that group had a list, in milliseconds.
     pub largest_group_ms: f64,
-    /// The time that discovery takes to send them the list, by its capacity, in milliseconds.
+    /// The time that discovery needs to send the list to that group, from its capacity, in milliseconds.
     pub largest_group_sending_ms: f64,
-    /// The former time in multiples of the latter.
+    /// The ratio of `largest_group_ms` to `largest_group_sending_ms`.
     pub largest_group_multiple: f64,
 }
 
 impl Propagation {
-    /// Creates the record of nodes that all start with a list of this version.
+    /// Creates a record of nodes that all start at `from_us` with a list of this version.
     pub fn new(nodes: u32, from_us: u64, version: u64) -> Self {
         let incarnation = Incarnation { from_us, to_us: None, with_list: true };
         let node = Node { incarnations: vec![incarnation], applied: Vec::new(), held_version: Some(version) };
@@ -128,8 +130,8 @@
         }
     }
 
-    /// Records that nodes were started without a list. `sending_ms` is the time that discovery takes to send it to all of them,
-    /// by its capacity.
+    /// Records that nodes were started without a list. `sending_ms` is the time that discovery needs to send the list to all
+    /// of them, from its capacity.
     pub fn record_launch(&mut self, nodes: &[u32], at_us: u64, sending_ms: f64) {
         for &number in nodes {
             if let Some(node) = self.nodes.get_mut(number as usize) {
@@ -140,7 +142,7 @@
         self.launches.push(Launch { at_us, nodes: nodes.to_vec(), sending_ms });
     }
 
-    /// Records that a node applied a list. Records of one node come in the order of time.
+    /// Records that a node applied a list. Calls for the same node must be in chronological order.
     pub fn record_applied(&mut self, applied: Applied) {
         let Some(node) = self.nodes.get_mut(applied.node as usize) else { return };
         node.applied.push(applied);
@@ -153,23 +155,23 @@
         }
     }
 
-    /// The number of changes.
+    /// Returns the number of recorded changes.
     pub fn change_count(&self) -> usize {
         self.changes.len()
     }
 
-    /// The number of running nodes that have neither this version of the list nor a later one.
+    /// Returns the number of running nodes that have neither this version of the list nor a later one.
     pub fn nodes_behind(&self, version: u64) -> usize {
-        let incarnations =
+        let is_running =
             |node: &&Node| node.incarnations.last().is_some_and(|incarnation| incarnation.to_us.is_none());
         self.nodes
             .iter()
-            .filter(incarnations)
+            .filter(is_running)
             .filter(|node| node.held_version.is_none_or(|held_version| held_version < version))
             .count()
     }
 
-    /// The numbers of deltas and of snapshots that were applied from a time on.
+    /// Returns the numbers of deltas and of snapshots that were applied since a time.
     pub fn lists_applied_since(&self, from_us: u64) -> (u64, u64) {
         let applied =
             self.nodes.iter().flat_map(|node| &node.applied).filter(|applied| applied.at_us >= from_us);
@@ -179,7 +181,7 @@
         })
     }
 
-    /// The times from changes to the nodes that applied them. `within_ms` is what the script expects.
+    /// Returns the figures of the times from changes until nodes applied them. Times above `within_ms` count as late.
     pub fn propagation_figures(&self, within_ms: Option<f64>) -> PropagationFigures {
         let mut figures =
             PropagationFigures { changes: self.changes.len() as u64, ..PropagationFigures::default() };
@@ -187,17 +189,18 @@
         for node in &self.nodes {
             let never_before = figures.never;
             for incarnation in &node.incarnations {
-                self.figures_of(node, incarnation, &mut figures, &mut times);
+                self.add_incarnation(node, incarnation, &mut figures, &mut times);
             }
             figures.nodes_never += u64::from(figures.never > never_before);
         }
-        figures.late = within_ms.map_or(0, |within_ms| times.later_than(within_ms));
-        figures.times = times.times();
+        figures.late = within_ms.map_or(0, |within_ms| times.count_later_than(within_ms));
+        figures.times = times.figures();
         figures.distribution = times.distribution();
         figures
     }
 
-    fn figures_of(
+    /// Adds the changes during one incarnation of a node to the figures.
+    fn add_incarnation(
         &self,
         node: &Node,
         incarnation: &Incarnation,
@@ -205,15 +208,18 @@
         times: &mut LatencyRecorder,
     ) {
         let until = incarnation.to_us.unwrap_or(u64::MAX);
-        // A node without a list is not ready yet; its first list contains the changes until then.
-        let from =
-            if incarnation.with_list { Some(incarnation.from_us) } else { first_list(node, incarnation) };
+        // Changes before the first list of a node don't count: the node is not ready yet, and its first list contains them.
+        let from = if incarnation.with_list {
+            Some(incarnation.from_us)
+        } else {
+            first_list_time(node, incarnation)
+        };
         let Some(from) = from else { return };
         let first = self.changes.partition_point(|change| change.at_us < from);
         for change in self.changes[first..].iter().take_while(|change| change.at_us < until) {
             let later = node.applied.partition_point(|applied| applied.at_us < change.at_us);
-            let acted = node.applied[later..].iter().find(|applied| applied.version >= change.version);
-            match acted.filter(|applied| applied.at_us < until) {
+            let applied = node.applied[later..].iter().find(|applied| applied.version >= change.version);
+            match applied.filter(|applied| applied.at_us < until) {
                 Some(applied) => times.record(applied.at_us - change.at_us),
                 None if incarnation.to_us.is_some() => figures.killed_before += 1,
                 None => figures.never += 1,
@@ -221,21 +227,21 @@
         }
     }
 
-    /// The times from starts without a list to the first list.
+    /// Returns the figures of the times from starts without a list to the first list.
     pub fn readiness_figures(&self) -> ReadinessFigures {
         let mut figures = ReadinessFigures::default();
         let mut times = LatencyRecorder::default();
         for node in &self.nodes {
             for incarnation in node.incarnations.iter().filter(|incarnation| !incarnation.with_list) {
                 figures.launched += 1;
-                match first_list(node, incarnation) {
+                match first_list_time(node, incarnation) {
                     Some(at_us) => times.record(at_us - incarnation.from_us),
                     None if incarnation.to_us.is_none() => figures.never += 1,
                     None => {}
                 }
             }
         }
-        figures.times = times.times();
+        figures.times = times.figures();
         let largest = self.launches.iter().max_by_key(|launch| launch.nodes.len());
         if let Some(launch) = largest {
             figures.largest_group = launch.nodes.len() as u64;
@@ -246,19 +252,20 @@
         figures
     }
 
+    /// Returns the time at which the last node of a group had its first list.
     fn last_ready(&self, launch: &Launch) -> u64 {
         let nodes = launch.nodes.iter().filter_map(|&number| self.nodes.get(number as usize));
         let ready = nodes.filter_map(|node| {
             let incarnation =
                 node.incarnations.iter().find(|incarnation| incarnation.from_us == launch.at_us)?;
-            first_list(node, incarnation)
+            first_list_time(node, incarnation)
         });
         ready.max().unwrap_or(launch.at_us)
     }
 }
 
-/// When an incarnation that started without a list had its first one.
-fn first_list(node: &Node, incarnation: &Incarnation) -> Option<u64> {
+/// Returns the time at which an incarnation that started without a list applied its first list.
+fn first_list_time(node: &Node, incarnation: &Incarnation) -> Option<u64> {
     let until = incarnation.to_us.unwrap_or(u64::MAX);
     let in_incarnation = |applied: &&Applied| (incarnation.from_us..until).contains(&applied.at_us);
     node.applied.iter().find(in_incarnation).map(|applied| applied.at_us)
@@ -270,7 +277,7 @@
 
 impl Default for LatencyRecorder {
     fn default() -> Self {
-        // The bounds are valid; if they were not, there would be no figures.
+        // The bounds are valid. If they were not, there would be no figures.
         Self(Histogram::new_with_bounds(1, MAX_US, SIGNIFICANT_DIGITS).ok())
     }
 }
@@ -282,13 +289,13 @@
         }
     }
 
-    fn later_than(&self, millis: f64) -> u64 {
+    fn count_later_than(&self, millis: f64) -> u64 {
         let Some(histogram) = &self.0 else { return 0 };
         let limit = ((millis * 1e3) as u64).clamp(1, MAX_US - 1);
         histogram.count_between(limit + 1, MAX_US)
     }
 
-    fn times(&self) -> LatencyFigures {
+    fn figures(&self) -> LatencyFigures {
         let Some(histogram) = self.0.as_ref().filter(|histogram| !histogram.is_empty()) else {
             return LatencyFigures::default();
         };
--- a/crates/testbed/src/scale/replica/address.rs
+++ b/crates/testbed/src/scale/replica/address.rs
@@ -1,33 +1,33 @@
-//! The address of a replica, which stays reserved while nothing listens there.
+//! The address of a replica, which stays reserved while the replica does not listen.
 
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// The backlog of the listening socket; the system may have a lower limit.
+/// Backlog of the listening socket. The system may impose a lower limit.
 const BACKLOG: u32 = 16_384;
 
-/// An address that is reserved by a socket that is bound and does not listen: connections are refused, and the system does not
-/// give the port to another socket, which it would soon do on a machine with thousands of connections.
+/// An address reserved by a socket that is bound but does not listen. Connections to it are refused. The system does not
+/// assign the port to another socket, which would soon happen on a machine with thousands of connections.
 #[derive(Debug)]
-pub struct HeldAddress {
+pub struct ReservedAddress {
     address: SocketAddr,
-    _holder: TcpSocket,
+    _socket: TcpSocket,
 }
 
-impl HeldAddress {
-    /// Reserves an address; the system chooses the port if it is 0.
-    pub fn hold(wanted: SocketAddr) -> io::Result<Self> {
-        let holder = bind(wanted)?;
-        Ok(Self { address: holder.local_addr()?, _holder: holder })
+impl ReservedAddress {
+    /// Reserves an address. The system chooses the port if it is 0.
+    pub fn reserve(requested: SocketAddr) -> io::Result<Self> {
+        let socket = bind(requested)?;
+        Ok(Self { address: socket.local_addr()?, _socket: socket })
     }
 
-    /// The address, with its port.
+    /// Returns the address with the port in use.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Listens there, until the listener is dropped.
+    /// Listens on the address until the returned listener is dropped.
     pub fn listen(&self) -> io::Result<TcpListener> {
         bind(self.address)?.listen(BACKLOG)
     }
--- a/crates/testbed/src/scale/replica/connection.rs
+++ b/crates/testbed/src/scale/replica/connection.rs
@@ -8,39 +8,39 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes of all connections.
+/// Byte counts of all connections.
 #[derive(Debug, Default)]
-pub struct Bytes {
-    /// Read from nodes.
+pub struct ByteCounts {
+    /// Bytes read from nodes.
     pub read: Cell<u64>,
-    /// Written to nodes.
+    /// Bytes written to nodes.
     pub written: Cell<u64>,
 }
 
-/// A connection whose bytes are counted as the socket takes and gives them.
+/// A connection that counts the bytes that its socket reads and writes.
 #[derive(Debug)]
 pub struct CountedStream {
     stream: TcpStream,
-    bytes: Rc<Bytes>,
+    bytes: Rc<ByteCounts>,
 }
 
 impl CountedStream {
-    /// Counts the bytes of this connection from now on.
-    pub fn new(stream: TcpStream, bytes: Rc<Bytes>) -> Self {
+    /// Wraps a connection and counts its bytes from now on.
+    pub fn new(stream: TcpStream, bytes: Rc<ByteCounts>) -> Self {
         Self { stream, bytes }
     }
 
     /// Closes the connection with a reset.
     pub fn reset(self) {
-        // This fails only if the connection has ended already.
+        // This only fails if the connection has already ended.
         let _ = self.stream.set_zero_linger();
     }
 
-    fn count_written(&self, wrote: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        if let Poll::Ready(Ok(length)) = &wrote {
+    fn count_written(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        if let Poll::Ready(Ok(length)) = &result {
             self.bytes.written.set(self.bytes.written.get() + *length as u64);
         }
-        wrote
+        result
     }
 }
 
@@ -64,8 +64,8 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.count_written(wrote)
+        let result = Pin::new(&mut self.stream).poll_write(context, bytes);
+        self.count_written(result)
     }
 
     fn poll_write_vectored(
@@ -73,8 +73,8 @@
         context: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
-        self.count_written(wrote)
+        let result = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
+        self.count_written(result)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/testbed/src/scale/replica/mod.rs
+++ b/crates/testbed/src/scale/replica/mod.rs
@@ -1,5 +1,5 @@
-//! A replica of the stand-in discovery, as a process: it answers calls for the whole list and watches over HTTP/1.1 with a
-//! fixed capacity, and executes [`ReplicaCommand`]s.
+//! A process that runs one replica of the stand-in discovery service. The replica answers calls for the whole list and watches
+//! over HTTP/1.1 with a fixed capacity, and executes [`ReplicaCommand`]s.
 
 mod address;
 mod connection;
@@ -10,18 +10,18 @@
 
 use super::messages::{Answering, ReplicaCommand, ReplicaEvent};
 use super::process::{commands, raise_descriptors, Events, ProcessError};
-use address::HeldAddress;
+use address::ReservedAddress;
 use service::Service;
 use std::rc::Rc;
 use tokio::runtime;
 use tokio::sync::mpsc::Receiver;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
-/// The commands for a replica, in their order. The replica ends with the channel.
+/// The channel of commands for a replica. The replica ends when the channel is closed.
 pub type Commands = Receiver<Result<ReplicaCommand, ProcessError>>;
 
-/// Reads [`ReplicaCommand`]s from standard input and writes [`ReplicaEvent`]s to standard output. It ends with the command
-/// to stop, or with its input.
+/// Runs a replica that reads [`ReplicaCommand`]s from standard input and writes [`ReplicaEvent`]s to standard output. Returns
+/// on the command to stop or at the end of the input.
 ///
 /// # Errors
 /// If a command cannot be read or executed, or a system call fails.
@@ -32,7 +32,7 @@
     events.finish().and(served)
 }
 
-/// Runs a replica on this thread; `emit` is called with its events.
+/// Runs a replica on this thread. `emit` is called with each event of the replica.
 ///
 /// # Errors
 /// If a command cannot be executed, or a system call fails.
@@ -45,7 +45,7 @@
 async fn execute(mut commands: Commands, emit: impl Fn(ReplicaEvent)) -> Result<(), ProcessError> {
     let mut replica = match commands.recv().await.transpose()? {
         Some(ReplicaCommand::Start { listen, capacity, version, servers }) => {
-            let address = HeldAddress::hold(listen).map_err(ProcessError::system("the address"))?;
+            let address = ReservedAddress::reserve(listen).map_err(ProcessError::system("the address"))?;
             Replica::start(address, Service::new(capacity, version, servers))?
         }
         Some(ReplicaCommand::Stop) | None => return Ok(()),
@@ -67,14 +67,14 @@
 
 /// A running replica.
 struct Replica {
-    address: HeldAddress,
+    address: ReservedAddress,
     service: Rc<Service>,
-    /// The task that accepts connections; `None` while the replica is away.
+    /// The task that accepts connections; `None` while the replica does not listen.
     accepting: Option<JoinHandle<()>>,
 }
 
 impl Replica {
-    fn start(address: HeldAddress, service: Service) -> Result<Self, ProcessError> {
+    fn start(address: ReservedAddress, service: Service) -> Result<Self, ProcessError> {
         let mut replica = Self { address, service: Rc::new(service), accepting: None };
         replica.listen()?;
         Ok(replica)
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    /// Listens, unless it already does.
+    /// Starts to listen, unless the replica already does.
     fn listen(&mut self) -> Result<(), ProcessError> {
         if self.accepting.is_none() {
             let listener = self.address.listen().map_err(ProcessError::system("listening"))?;
@@ -99,11 +99,11 @@
         Ok(())
     }
 
-    /// Closes the listening socket.
+    /// Closes the listening socket and waits until it is closed.
     async fn stop_listening(&mut self) {
         if let Some(accepting) = self.accepting.take() {
             accepting.abort();
-            // The error only says that the task was aborted.
+            // The only error is that the task was aborted.
             let _ = accepting.await;
         }
     }
--- a/crates/testbed/src/scale/replica/service.rs
+++ b/crates/testbed/src/scale/replica/service.rs
@@ -1,6 +1,6 @@
-//! The HTTP service of a replica: snapshots and watches, through one queue.
+//! The HTTP service of a replica. Snapshots and watches pass through one queue.
 
-use super::connection::{Bytes, CountedStream};
+use super::connection::{ByteCounts, CountedStream};
 use super::list::{Answer, VersionedList};
 use crate::discovery_call::{self, DiscoveryCall, WATCH_CONTINUED_WITHIN};
 use crate::scale::line_queue::{LineQueue, QueueFull};
@@ -21,33 +21,33 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-/// The longest head of a request, in bytes; it bounds the memory of a connection.
+/// Maximum size of a request head in bytes, which bounds the memory of a connection.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// The pause after a failure to accept, such as a lack of descriptors.
+/// Delay before the next attempt to accept after a failure, such as a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-type HttpAnswer = Response<Full<bytes::Bytes>>;
+type HttpResponse = Response<Full<bytes::Bytes>>;
 
-/// What all connections of a replica share.
+/// The state that all connections of a replica share.
 pub struct Service {
     capacity: ReplicaCapacity,
     list: RefCell<VersionedList>,
-    /// The version of the list, for watches.
+    /// The version of the list, which watches wait for.
     version: watch::Sender<u64>,
-    /// Times of the queue count from here.
+    /// The origin of the times in `queue`.
     started_at: Instant,
     queue: RefCell<LineQueue>,
     answering: watch::Sender<Answering>,
-    /// Counts the resets of all connections.
+    /// The number of times that all connections were reset.
     resets: watch::Sender<u64>,
-    bytes: Rc<Bytes>,
+    bytes: Rc<ByteCounts>,
     calls: Cell<u64>,
     refused: Cell<u64>,
     whole_lists: Cell<u64>,
 }
 
 impl Service {
-    /// Starts with this list.
+    /// Creates a service with this list.
     pub fn new(capacity: ReplicaCapacity, version: u64, servers: Vec<ListedServer>) -> Self {
         Self {
             capacity,
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// Replaces the list. Its version may be lower than the last one.
+    /// Replaces the list. The new version may be lower than the last one.
     pub fn reset(&self, version: u64, servers: Vec<ListedServer>) {
         self.list.replace(VersionedList::new(version, servers));
         self.version.send_replace(version);
@@ -89,7 +89,7 @@
         self.answering.send_replace(answering);
     }
 
-    /// What the replica has done so far.
+    /// Returns the counters since the start of the replica.
     pub fn report(&self) -> ReplicaReport {
         let queue = self.queue.borrow();
         ReplicaReport {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Accepts connections and serves them, for as long as this is polled.
+    /// Accepts connections and serves each one in a new task. Never returns.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -113,89 +113,94 @@
         }
     }
 
-    /// Serves one connection, until either end closes it or all are reset.
+    /// Serves a connection until one side closes it or all connections are reset.
     async fn serve(self: Rc<Self>, stream: TcpStream, mut resets: watch::Receiver<u64>) {
-        // Without it, answers are sent later but still arrive.
+        // A failure only delays answers.
         let _ = stream.set_nodelay(true);
         let stream = CountedStream::new(stream, self.bytes.clone());
-        let last_answer = Cell::new(None);
+        let last_watch_answer = Cell::new(None);
         let service = service_fn(|request| {
-            let (service, last_answer) = (&self, &last_answer);
-            async move { Ok::<_, Infallible>(service.respond(request, last_answer).await) }
+            let (service, last_watch_answer) = (&self, &last_watch_answer);
+            async move { Ok::<_, Infallible>(service.respond(request, last_watch_answer).await) }
         });
         let mut connection = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(stream), service);
         tokio::select! {
-            // A node that closes the connection ends its call.
+            // If the node closes the connection, its call in progress is cancelled.
             _ = &mut connection => {}
             _ = resets.changed() => connection.into_parts().io.into_inner().reset(),
         }
     }
 
-    /// Answers a call. `last_answer` is when the last watch on this connection was answered.
-    async fn respond(&self, request: Request<Incoming>, last_answer: &Cell<Option<Instant>>) -> HttpAnswer {
+    /// Answers a call. `last_watch_answer` is the time of the last answer on this connection if it was to a watch.
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+        last_watch_answer: &Cell<Option<Instant>>,
+    ) -> HttpResponse {
         self.calls.set(self.calls.get() + 1);
         if request.method() != Method::GET || request.uri().path() != discovery_call::PATH {
-            return empty(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         }
         let call = DiscoveryCall::read(request.uri().query());
         let continued = call.after.is_some()
-            && last_answer.take().is_some_and(|answered| answered.elapsed() <= WATCH_CONTINUED_WITHIN);
+            && last_watch_answer.take().is_some_and(|answered| answered.elapsed() <= WATCH_CONTINUED_WITHIN);
         self.wait_while_silent().await;
         let Ok(answer) = self.answer(call, continued).await else {
             self.refused.set(self.refused.get() + 1);
-            return empty(StatusCode::SERVICE_UNAVAILABLE);
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         };
         self.wait_while_silent().await;
-        self.whole_lists.set(self.whole_lists.get() + u64::from(answer.whole));
-        last_answer.set(call.after.map(|_| Instant::now()));
+        self.whole_lists.set(self.whole_lists.get() + u64::from(answer.is_snapshot));
+        last_watch_answer.set(call.after.map(|_| Instant::now()));
         Response::new(Full::new(answer.body))
     }
 
-    /// The answer to a call, after its turn.
+    /// Waits until the queue has processed a call, and returns the answer to it.
     async fn answer(&self, call: DiscoveryCall, continued: bool) -> Result<Answer, QueueFull> {
         let cost = if continued { self.capacity.continued_call_lines } else { self.capacity.call_lines };
         let Some(after) = call.after else {
-            return self.send_in_turn(None, cost).await;
+            return self.charge_and_answer(None, cost).await;
         };
-        let came = Instant::now();
-        sleep_until(self.charge(came, cost)?).await;
-        // The time in the queue is part of its wait.
-        self.wait_for_change(after, came + call.wait).await;
+        let arrived_at = Instant::now();
+        sleep_until(self.charge(arrived_at, cost)?).await;
+        // The time in the queue counts towards the wait that the call asks for.
+        self.wait_for_change(after, arrived_at + call.wait).await;
         self.wait_while_silent().await;
-        self.send_in_turn(Some(after), 0.0).await
+        self.charge_and_answer(Some(after), 0.0).await
     }
 
-    /// Charges lines and returns the time at which they are worked through.
+    /// Charges lines to the queue. Returns the time at which they have been processed.
     fn charge(&self, now: Instant, lines: f64) -> Result<Instant, QueueFull> {
         let ends = self.queue.borrow_mut().charge(now - self.started_at, lines)?;
         self.started_at.checked_add(ends).ok_or(QueueFull)
     }
 
-    /// Waits until there is a newer version, but no longer than until this time.
+    /// Waits until the version of the list is above `after`, but no longer than until a time.
     async fn wait_for_change(&self, after: u64, until: Instant) {
         let mut versions = self.version.subscribe();
-        // The sender lives as long as `self`. A watch that times out is answered without a change.
+        // The channel is not closed while `self` exists. After a timeout, the watch is answered without changes.
         let _ = timeout_at(until, versions.wait_for(|version| *version > after)).await;
     }
 
-    /// Charges the answer with what is newer than this version by now, and returns it after its turn.
-    async fn send_in_turn(&self, after: Option<u64>, more_lines: f64) -> Result<Answer, QueueFull> {
+    /// Builds the answer for a node with this version, charges its entries and `call_lines` to the queue, and returns it after
+    /// they have been processed.
+    async fn charge_and_answer(&self, after: Option<u64>, call_lines: f64) -> Result<Answer, QueueFull> {
         let answer = self.list.borrow_mut().answer(after);
-        let lines = answer.entries as f64 + more_lines;
+        let lines = answer.entries as f64 + call_lines;
         sleep_until(self.charge(Instant::now(), lines)?).await;
         Ok(answer)
     }
 
     async fn wait_while_silent(&self) {
         let mut answering = self.answering.subscribe();
-        // The sender lives as long as `self`.
+        // The channel is not closed while `self` exists.
         let _ = answering.wait_for(|answering| *answering != Answering::Silent).await;
     }
 }
 
-fn empty(status: StatusCode) -> HttpAnswer {
+fn empty_response(status: StatusCode) -> HttpResponse {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
--- a/crates/testbed/src/scale/replica_set.rs
+++ b/crates/testbed/src/scale/replica_set.rs
@@ -1,14 +1,15 @@
-//! Replication of the list to the replicas of discovery: at once, with a lag, or not at all while a replica has lost its state.
+//! Replicates the list to the replicas of discovery: immediately, with a lag, or not at all while a replica has lost its
+//! state.
 
 use super::messages::{ListedServer, ReplicaCommand};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The version that a replica starts again with when it has lost its own.
+/// The version at which a replica restarts when it has lost its own.
 const FIRST_VERSION: u64 = 1;
 
-/// The list of discovery, and the replication to each replica.
+/// The list of discovery, and the state of its replication to each replica.
 #[derive(Debug)]
 pub struct ReplicaSet {
     version: u64,
@@ -19,33 +20,33 @@
 #[derive(Debug, Default)]
 struct Replication {
     lag: Duration,
-    /// It has lost its state, and learns nothing until it is restored.
+    /// Whether the replica has lost its state. It receives no changes until it is restored.
     lost: bool,
-    /// Changes that it learns with a lag, in the order of time.
+    /// Changes that are delayed by the lag, in chronological order.
     pending: VecDeque<(Instant, ReplicaCommand)>,
 }
 
-/// A command, and the number of the replica that it is for.
+/// A command, and the index of the replica that it is sent to.
 pub type AddressedCommand = (usize, ReplicaCommand);
 
 impl ReplicaSet {
-    /// Creates replicas that all have the same list.
+    /// Creates a set of replicas that all have the same list.
     pub fn new(replicas: u32, version: u64, servers: &[ListedServer]) -> Self {
         let servers = servers.iter().map(|server| (server.host.clone(), server.clone())).collect();
         Self { version, servers, replicas: (0..replicas).map(|_| Replication::default()).collect() }
     }
 
-    /// The version of the list.
+    /// Returns the version of the list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The number of entries of the list.
-    pub fn listed(&self) -> usize {
+    /// Returns the number of servers on the list.
+    pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
-    /// Changes the entry of a server. Returns the commands that are due now.
+    /// Changes the entry of a server, or removes it if its health is `gone`. Returns the commands that are due now.
     pub fn change(&mut self, server: ListedServer, now: Instant) -> Vec<AddressedCommand> {
         self.version += 1;
         if server.health == "gone" {
@@ -65,8 +66,8 @@
         commands
     }
 
-    /// Sets the lag of a replica. Returns the commands that are due now.
-    pub fn lag(&mut self, number: usize, by: Duration) -> Vec<AddressedCommand> {
+    /// Sets the lag of a replica. Returns the pending commands if there is no lag any more.
+    pub fn set_lag(&mut self, number: usize, by: Duration) -> Vec<AddressedCommand> {
         let Some(replica) = self.replicas.get_mut(number) else { return Vec::new() };
         replica.lag = by;
         if !by.is_zero() {
@@ -76,7 +77,7 @@
     }
 
     /// Makes a replica lose its entries or its version. Returns the command for it.
-    pub fn lose(&mut self, number: usize, versions: bool) -> Vec<AddressedCommand> {
+    pub fn lose_state(&mut self, number: usize, versions: bool) -> Vec<AddressedCommand> {
         let Some(replica) = self.replicas.get_mut(number) else { return Vec::new() };
         replica.lost = true;
         replica.pending.clear();
@@ -92,20 +93,20 @@
     }
 
     /// Restores the list of a replica. Returns the command for it.
-    pub fn restore(&mut self, number: usize) -> Vec<AddressedCommand> {
+    pub fn restore_state(&mut self, number: usize) -> Vec<AddressedCommand> {
         let Some(replica) = self.replicas.get_mut(number) else { return Vec::new() };
         replica.lost = false;
         let servers = self.servers.values().cloned().collect();
         vec![(number, ReplicaCommand::Reset { version: self.version, servers })]
     }
 
-    /// When the next lagging replica learns of a change.
+    /// Returns the time at which the next delayed command is due.
     pub fn next_due(&self) -> Option<Instant> {
         self.replicas.iter().filter_map(|replica| replica.pending.front()).map(|(due, _)| *due).min()
     }
 
-    /// The commands for lagging replicas that are due by now.
-    pub fn due(&mut self, now: Instant) -> Vec<AddressedCommand> {
+    /// Removes and returns the delayed commands that are due.
+    pub fn take_due(&mut self, now: Instant) -> Vec<AddressedCommand> {
         let mut commands = Vec::new();
         for (number, replica) in self.replicas.iter_mut().enumerate() {
             let due = replica.pending.partition_point(|(due, _)| *due <= now);
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! The report of a scale run: as a table, and as one line of JSON that `fit` reads.
+//! The report of a scale run, as a table and as a line of JSON, which `scale fit` reads.
 
 use super::messages::{ReplicaCapacity, ReplicaReport};
 use super::propagation::{LatencyFigures, PropagationFigures, ReadinessFigures};
@@ -14,11 +14,11 @@
 /// The report of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScaleReport {
-    /// [`VERSION`].
+    /// The version of the format, [`VERSION`].
     pub version: u32,
     /// The name of the script.
     pub name: String,
-    /// The seed.
+    /// The seed of the random values.
     pub seed: u64,
     /// The number of hollow nodes.
     pub nodes: u32,
@@ -30,67 +30,68 @@
     pub hollow_processes: u32,
     /// The number of replicas.
     pub replicas: u32,
-    /// Whether nodes knew all replicas and their capacity.
+    /// Whether nodes were configured with all replicas and their capacity.
     pub mechanism: bool,
     /// The capacity of a replica.
     pub capacity: ReplicaCapacity,
-    /// The longest delay of a step of the run: beyond a few hundred milliseconds, the machine was too busy for meaningful
-    /// times.
+    /// The longest delay with which a step was executed, in milliseconds. Above a few hundred milliseconds, the machine was
+    /// too busy for meaningful times.
     #[serde(rename = "most_late_ms")]
     pub longest_step_delay_ms: f64,
     /// The figures before the first event.
     pub rest: WindowFigures,
     /// The figures from the first event until all nodes have caught up; `None` without events.
     pub active: Option<WindowFigures>,
-    /// From a change of the list to the nodes that apply it.
+    /// The propagation of changes of the list to the nodes.
     #[serde(rename = "acts")]
     pub propagation: PropagationFigures,
-    /// From the start of a node without a list to its first list.
+    /// The time from the start of a node without a list to its first list.
     #[serde(rename = "ready")]
     pub readiness: ReadinessFigures,
-    /// Processor time of a node for each delta that it applies, above that at rest, in microseconds; `None` if snapshots were
-    /// applied as well, since the two can't be distinguished.
+    /// Processor time of a node for each delta that it applies, in excess of that at rest, in microseconds. `None` if
+    /// snapshots were applied as well, since the costs of the two can't be separated.
     pub node_change_us: Option<f64>,
-    /// Processor time of a node for each snapshot, above that at rest, in microseconds; `None` if most lists were deltas.
+    /// Processor time of a node for each snapshot that it applies, in excess of that at rest, in microseconds. `None` unless
+    /// snapshots outnumbered deltas.
     pub node_whole_list_us: Option<f64>,
-    /// What each replica did during the measurement.
+    /// The activity of each replica during the measurement.
     pub replica_loads: Vec<ReplicaReport>,
-    /// The largest number of calls of a replica over the mean of all replicas.
+    /// The largest number of calls to a replica, divided by the mean of all replicas.
     pub calls_largest_over_mean: f64,
-    /// The largest number of lines of a replica over the mean of all replicas.
+    /// The largest number of lines charged to a replica, divided by the mean of all replicas.
     pub lines_largest_over_mean: f64,
     /// The figures of the real nodes, if there are any.
     pub real: Option<RealFigures>,
 }
 
-/// What a part of the run cost, by role.
+/// The cost and the activity of a part of the run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WindowFigures {
-    /// Its duration, in seconds.
+    /// The duration of this part, in seconds.
     pub seconds: f64,
     /// Processor time of all processes of hollow nodes, in seconds.
     pub hollow_processor_s: f64,
-    /// Of all replicas.
+    /// Processor time of all replicas, in seconds.
     pub replicas_processor_s: f64,
-    /// Of the run itself, with servers and clients for real nodes.
+    /// Processor time of the run itself, including the servers and clients for real nodes, in seconds.
     pub run_processor_s: f64,
-    /// Of all real nodes, at work for their clients.
+    /// Processor time of all real nodes, which serve their clients, in seconds.
     pub real_processor_s: f64,
-    /// `RssAnon` of all processes of hollow nodes at its end, in bytes.
+    /// `RssAnon` of all processes of hollow nodes at the end of this part, in bytes.
     pub hollow_resident_bytes: u64,
-    /// Of all replicas.
+    /// `RssAnon` of all replicas, in bytes.
     pub replicas_resident_bytes: u64,
-    /// Of the run itself.
+    /// `RssAnon` of the run itself, in bytes.
     pub run_resident_bytes: u64,
-    /// Of all real nodes.
+    /// `RssAnon` of all real nodes, in bytes.
     pub real_resident_bytes: u64,
-    /// Calls of nodes.
+    /// Calls that nodes made.
     pub calls: u64,
-    /// Calls that were refused.
+    /// Calls that replicas rejected.
     pub refused: u64,
-    /// Calls that failed, as the hollow nodes count.
+    /// Failed calls, as counted by the hollow nodes.
     pub failed_calls: u64,
-    /// Whole lists that replicas sent.
+    /// Snapshots that replicas sent.
     pub whole_lists: u64,
     /// Lines charged to replicas.
     pub lines: f64,
@@ -98,57 +99,57 @@
     pub bytes_from_nodes: u64,
     /// Bytes from replicas to nodes.
     pub bytes_to_nodes: u64,
-    /// Processor time of a hollow node in a second, in microseconds: 10,000 are 1% of a core.
+    /// Processor time of a hollow node per second, in microseconds: 10,000 are 1% of a core.
     pub node_processor_us_per_s: f64,
-    /// Resident memory of a hollow node, its part of the process's own included, in bytes.
+    /// Resident memory of a hollow node, including its share of the memory of its process, in bytes.
     pub node_resident_bytes: f64,
-    /// The same for each server on the list.
+    /// `node_resident_bytes` divided by the number of servers on the list.
     pub node_server_resident_bytes: f64,
-    /// Bytes that a node sends in a second.
+    /// Bytes that a node sends per second.
     pub node_bytes_out_per_s: f64,
-    /// Bytes that a node is sent in a second.
+    /// Bytes that a node receives per second.
     pub node_bytes_in_per_s: f64,
-    /// Messages of a node in a second, both ways: a call, and its answer.
+    /// Messages that a node sends and receives per second: each call and its answer.
     pub node_messages_per_s: f64,
 }
 
-/// The figures of the real nodes, as the judge has them.
+/// The figures of the real nodes, as recorded by the judge.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RealFigures {
-    /// Processes.
+    /// The number of real nodes.
     pub nodes: u32,
-    /// Requests of clients.
+    /// Requests that clients made.
     pub requests: u64,
-    /// Answered with what a server made.
+    /// Requests that were answered with the response of a server.
     pub served: u64,
-    /// Answered with 429 or 503.
+    /// Requests that were answered with status 429 or 503.
     pub refused: u64,
-    /// Answered otherwise.
+    /// Requests that were answered in any other way.
     pub failed: u64,
-    /// Not answered.
+    /// Requests that were not answered.
     pub unanswered: u64,
-    /// Not made, since too many were out at their node or it was not there.
+    /// Requests that were not made, since their node had too many in flight or was not running.
     pub held_back: u64,
-    /// The most requests of a run were made, and nodes had no load from then on.
+    /// Whether the maximum number of requests of a run was reached, so that nodes had no load from then on.
     pub load_ran_out: bool,
-    /// A client came so late with a request at the most, in microseconds.
+    /// The longest delay with which a client made a request, in microseconds.
     pub latest_us: u64,
-    /// Half of those served took no longer than this, in microseconds.
+    /// The median latency of served requests, in microseconds.
     pub p50_us: u32,
-    /// And 99 of 100.
+    /// The 99th percentile of the latency of served requests, in microseconds.
     pub p99_us: u32,
-    /// How often rules 1 to 4 were broken.
+    /// The numbers of violations of rules 1 to 4.
     pub rules_broken: [u64; 4],
-    /// The first times that one was, in words.
+    /// Descriptions of the first violations.
     pub breaches: Vec<String>,
 }
 
 impl WindowFigures {
-    /// The figures of a window with so many hollow nodes, real nodes and servers.
+    /// Computes the figures of a window from the numbers of hollow nodes, real nodes and servers.
     pub fn new(window: &Window, nodes: u32, real_nodes: u32, servers: u32) -> Self {
         let seconds = window.seconds.max(f64::MIN_POSITIVE);
         let node_seconds = f64::from(nodes) * seconds;
-        // Replicas don't tell calls of hollow nodes from those of real ones.
+        // Replicas can't distinguish calls of hollow nodes from those of real nodes.
         let caller_seconds = f64::from(nodes + real_nodes) * seconds;
         let calls = &window.calls;
         let hollow_processor_s = window.hollow.processor.as_secs_f64();
@@ -181,25 +182,25 @@
 }
 
 impl ScaleReport {
-    /// Whether every running node applied every change, every started node got a list, nothing was later than the script
-    /// expects, and the real nodes violated no rule.
+    /// Returns whether every running node applied every change within the time that the script expects, every started node
+    /// got a list, and the real nodes violated no rule.
     pub fn all_met(&self) -> bool {
         let rules_held = self.real.as_ref().is_none_or(|real| real.rules_broken == [0; 4]);
         self.propagation.never == 0 && self.propagation.late == 0 && self.readiness.never == 0 && rules_held
     }
 
-    /// One line of JSON.
+    /// Serializes the report as a line of JSON.
     ///
     /// # Errors
-    /// If a figure can't be represented.
+    /// If a figure can't be represented in JSON.
     pub fn json(&self) -> Result<String, serde_json::Error> {
         serde_json::to_string(self)
     }
 
-    /// Reads what [`Self::json`] wrote.
+    /// Parses the output of [`Self::json`].
     ///
     /// # Errors
-    /// If it is not a report of this version.
+    /// If the text is not a report, or one of another version.
     pub fn parse(text: &str) -> Result<Self, serde_json::Error> {
         let report: Self = serde_json::from_str(text)?;
         if report.version == VERSION {
@@ -209,7 +210,7 @@
         Err(serde::de::Error::custom(problem))
     }
 
-    /// A table for the terminal.
+    /// Formats the report as tables for the terminal.
     pub fn text(&self) -> String {
         let known = if self.mechanism { "all replicas" } else { "one address only" };
         let mut text = format!(
@@ -245,7 +246,7 @@
     }
 
     fn windows_table(&self) -> Table {
-        let mut table = bordered(["", "at rest", "with events"]);
+        let mut table = bordered_table(["", "at rest", "with events"]);
         let mut row = |what: &str, value: &dyn Fn(&WindowFigures) -> String| {
             let active = self.active.as_ref().map(value).unwrap_or_default();
             table.add_row([what.to_owned(), value(&self.rest), active]);
@@ -280,7 +281,7 @@
     }
 
     fn events_table(&self) -> Table {
-        let mut table = bordered(["", "figure"]);
+        let mut table = bordered_table(["", "figure"]);
         let mut row = |what: &str, value: String| {
             table.add_row([what.to_owned(), value]);
         };
@@ -288,7 +289,7 @@
         if propagation.changes > 0 {
             row("changes of the list", propagation.changes.to_string());
             row("acts of nodes on them", propagation.times.count.to_string());
-            row("  from change to act, ms: p50, p99, last", milliseconds(&propagation.times));
+            row("  from change to act, ms: p50, p99, last", format_milliseconds(&propagation.times));
             row("  later than expected, never", format!("{}, {}", propagation.late, propagation.never));
             row("  not expected: the node was killed before", propagation.killed_before.to_string());
         }
@@ -297,7 +298,7 @@
                 "nodes started without a list, never ready",
                 format!("{}, {}", readiness.launched, readiness.never),
             );
-            row("  from start to list, ms: p50, p99, last", milliseconds(&readiness.times));
+            row("  from start to list, ms: p50, p99, last", format_milliseconds(&readiness.times));
             row("  most at once", readiness.largest_group.to_string());
             let [took, sending] = [readiness.largest_group_ms, readiness.largest_group_sending_ms];
             let multiple = readiness.largest_group_multiple;
@@ -317,18 +318,18 @@
         if let Some(real) = &self.real {
             row("real nodes", real.nodes.to_string());
             let answers = [real.requests, real.served, real.refused, real.failed, real.unanswered];
-            row("  requests, served, refused, failed, unanswered", joined(&answers));
+            row("  requests, served, refused, failed, unanswered", join_counts(&answers));
             row("  requests not made", real.held_back.to_string());
             row("  clients late by at most, us", real.latest_us.to_string());
             row("  answered in us: p50, p99", format!("{}, {}", real.p50_us, real.p99_us));
-            row("  rules broken, 1 to 4", joined(&real.rules_broken));
+            row("  rules broken, 1 to 4", join_counts(&real.rules_broken));
         }
         table
     }
 }
 
-/// A table with these headers and right-aligned figures.
-pub(super) fn bordered<const N: usize>(headers: [&str; N]) -> Table {
+/// Creates a table with these headers. All columns but the first one are right-aligned.
+pub(super) fn bordered_table<const N: usize>(headers: [&str; N]) -> Table {
     let mut table = Table::new();
     table.load_preset(UTF8_BORDERS_ONLY).set_header(headers);
     for column in 1..N {
@@ -339,16 +340,16 @@
     table
 }
 
-fn milliseconds(times: &LatencyFigures) -> String {
+fn format_milliseconds(times: &LatencyFigures) -> String {
     format!("{:.1}, {:.1}, {:.1}", times.p50_ms, times.p99_ms, times.last_ms)
 }
 
-fn joined(counts: &[u64]) -> String {
+fn join_counts(counts: &[u64]) -> String {
     let counts: Vec<_> = counts.iter().map(ToString::to_string).collect();
     counts.join(", ")
 }
 
-/// The largest value over the mean; 0 if there are no values.
+/// Returns the largest value divided by the mean. Returns 0 if the sum is not positive, in particular without values.
 pub fn largest_over_mean(values: impl Iterator<Item = f64>) -> f64 {
     let (count, sum, largest) = values.fold((0.0, 0.0, 0.0_f64), |(count, sum, largest), value| {
         (count + 1.0, sum + value, largest.max(value))
--- a/crates/testbed/src/scale/requirements.rs
+++ b/crates/testbed/src/scale/requirements.rs
@@ -1,98 +1,98 @@
-//! The resources that a scale run needs, compared with the limits of the machine before anything starts.
+//! Compares the resources that a scale run needs with the limits of the machine, before anything starts.
 
 use super::script::ScaleScript;
 use std::fs;
 use thiserror::Error;
 
-/// The most descriptors of a process, whatever the system allows.
+/// Maximum number of file descriptors of a process, even if the system allows more.
 pub const MAX_DESCRIPTORS: u64 = 20_000;
-/// The most processes of a run.
+/// Maximum number of processes of a run.
 pub const MAX_PROCESSES: u64 = 300;
 
-/// Descriptors of any process beside those of nodes: standard streams, runtime, listener, files of the system.
+/// Descriptors that every process uses in addition to those of its nodes: standard streams, runtime, listener, system files.
 const OWN_DESCRIPTORS: u64 = 64;
-/// Connections of a hollow node to discovery: one, and a second one while it changes to another replica.
+/// Connections of a hollow node to discovery: one, and a second one while the node switches to another replica.
 const CONNECTIONS_PER_NODE: u64 = 2;
 /// Pipes between the run and each process that it starts.
 const PIPES_PER_PROCESS: u64 = 3;
-/// The descriptors of the run beside those of the servers for real nodes: for clients, and a reserve.
+/// Descriptors that the run uses for the clients of real nodes, with a reserve. Those for the servers are counted separately.
 const CLIENT_DESCRIPTORS: u64 = 2_000;
-/// The most connections of such servers.
+/// Maximum number of connections between real nodes and the run's servers.
 const MAX_SERVER_CONNECTIONS: u64 = 12_000;
 
-/// Resident memory of a process without nodes, in bytes.
+/// Resident memory of a process, not counting its nodes, in bytes.
 const PROCESS_BYTES: u64 = 16 << 20;
-/// Resident memory of a hollow node without its list, in bytes.
+/// Resident memory of a hollow node, not counting its list, in bytes.
 const NODE_BYTES: u64 = 96 << 10;
 /// Resident memory of a hollow node for each server on its list, in bytes.
 const LISTED_BYTES: u64 = 1_100;
 /// Resident memory of a replica for each connection, in bytes.
 const CONNECTION_BYTES: u64 = 64 << 10;
-/// Resident memory of a real node with its share of the run, in bytes.
+/// Resident memory of a real node, including its share of the run's memory, in bytes.
 const REAL_NODE_BYTES: u64 = 64 << 20;
 
 /// The resources that a run needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Requirements {
-    /// The descriptors of the process that needs most.
+    /// The number of file descriptors in the process that needs the most.
     pub descriptors: u64,
     /// The resident memory of all processes, in bytes.
     pub memory_bytes: u64,
-    /// The number of processes, with that of the run.
+    /// The number of processes, including the run itself.
     pub processes: u64,
 }
 
 /// The limits of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The descriptors that a process may hold.
+    /// Maximum number of file descriptors of a process.
     pub descriptors: u64,
-    /// Half of the machine's memory, in bytes.
+    /// Memory that the run may use, in bytes: half of the machine's.
     pub memory_bytes: u64,
-    /// The number of processes.
+    /// Maximum number of processes.
     pub processes: u64,
 }
 
-/// A resource of which there is too little.
+/// A resource of which the run needs more than is allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{what}: the run needs {needed} {unit}, {allowed} are allowed ({source_of_limit})")]
 pub struct Shortage {
-    /// The resource.
+    /// The name of the resource.
     pub what: &'static str,
-    /// The unit.
+    /// The unit of the amounts.
     pub unit: &'static str,
-    /// The amount that is needed.
+    /// The needed amount.
     pub needed: u64,
-    /// The amount that is allowed.
+    /// The allowed amount.
     pub allowed: u64,
-    /// Where the limit comes from.
+    /// The origin of the limit.
     pub source_of_limit: &'static str,
 }
 
-/// The limits of the machine could not be read.
+/// An error while reading the limits of the machine.
 #[derive(Debug, Error)]
 pub enum LimitsError {
     /// `/proc/meminfo` could not be read.
     #[error("/proc/meminfo: {0}")]
     Read(#[from] std::io::Error),
-    /// It has no line with the total memory.
+    /// `/proc/meminfo` has no valid line with the total memory.
     #[error("/proc/meminfo: expected a line such as \"MemTotal: 16384 kB\"")]
     Malformed,
 }
 
 impl Requirements {
-    /// The requirements of a script.
+    /// Estimates the requirements of a script.
     ///
     /// Memory is `processes * PROCESS + nodes * (NODE + servers * LISTED) + nodes * CONNECTIONS * CONNECTION + real *
-    /// REAL_NODE`. Of the runs that the constants were taken from, that of 5,900 nodes and 1,100 servers had 1,192,574 bytes
-    /// for each node at rest, those of 500 and 94 had 139,510, and those of 2,000 and 373 had 425,980.
+    /// REAL_NODE`. The constants come from runs that used, per node at rest, 1,192,574 bytes with 5,900 nodes and 1,100
+    /// servers, 139,510 bytes with 500 nodes and 94 servers, and 425,980 bytes with 2,000 nodes and 373 servers.
     pub fn of(script: &ScaleScript) -> Self {
         let (nodes, servers) = (u64::from(script.nodes), u64::from(script.servers));
         let hollow = u64::from(script.hollow_processes.min(script.nodes));
         let (replicas, real) = (u64::from(script.running_replicas()), u64::from(script.real.nodes));
         let processes = 1 + hollow + replicas + real;
         let hollow_descriptors = nodes.div_ceil(hollow) * CONNECTIONS_PER_NODE;
-        // All nodes may be connected to one replica while the others are away.
+        // All nodes may be connected to a single replica while the others are down.
         let replica_descriptors = nodes + real;
         let connections = (real * servers).min(MAX_SERVER_CONNECTIONS);
         let for_real = if real > 0 { CLIENT_DESCRIPTORS + servers + connections } else { 0 };
@@ -105,10 +105,10 @@
         Self { descriptors, memory_bytes, processes }
     }
 
-    /// Compares the requirements with the limits.
+    /// Checks the requirements against the limits.
     ///
     /// # Errors
-    /// All shortages.
+    /// Returns all shortages.
     pub fn fit(&self, limits: &Limits) -> Result<(), Vec<Shortage>> {
         const MIB: u64 = 1 << 20;
         let mut shortages = Vec::new();
@@ -131,7 +131,7 @@
 }
 
 impl Limits {
-    /// The limits of this process and machine.
+    /// Returns the limits of this process and machine.
     ///
     /// # Errors
     /// If the memory of the machine cannot be read.
@@ -145,7 +145,7 @@
     }
 }
 
-/// The memory of the machine in bytes, from the text of `/proc/meminfo`.
+/// Parses the total memory of the machine, in bytes, from the text of `/proc/meminfo`.
 fn memory_total(meminfo: &str) -> Result<u64, LimitsError> {
     let line =
         meminfo.lines().find_map(|line| line.strip_prefix("MemTotal:")).ok_or(LimitsError::Malformed)?;
--- a/crates/testbed/src/scale/run/executor.rs
+++ b/crates/testbed/src/scale/run/executor.rs
@@ -1,4 +1,4 @@
-//! Starts the processes of a run, executes its steps, and takes in what the processes report.
+//! Starts the processes of a run, executes its steps, and handles the events that the processes report.
 
 use super::{unix_us, Phase, Progress, RunError};
 use crate::scale::child_processes::{ChildError, ChildEvent, ChildId, ChildProcesses};
@@ -18,15 +18,15 @@
 
 /// The version of the list that nodes start with.
 const FIRST_VERSION: u64 = 1;
-/// Processes that have not started within this time have failed.
+/// Time within which a process must start.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// Processes that have not reported within this time have failed.
+/// Time within which a process must answer a request for a report.
 pub(super) const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often hollow nodes are polled during the script.
+/// Interval at which hollow nodes are polled during the script.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_secs(5);
-/// How often hollow nodes are polled while they catch up.
+/// Interval at which hollow nodes are polled while they catch up.
 const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the progress is reported.
+/// Interval at which the progress is reported.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 pub(super) struct Executor<'a, P> {
@@ -34,18 +34,18 @@
     pub(super) processes: ChildProcesses,
     pub(super) real_fleet: RealFleet,
     replicas: ReplicaSet,
-    /// The addresses of the replicas.
+    /// The addresses of the replicas, by index.
     addresses: Vec<SocketAddr>,
     pub(super) propagation: Propagation,
-    /// The last report of each replica; `None` while one is awaited.
+    /// The last report of each replica; `None` while the run waits for it.
     pub(super) replica_reports: Vec<Option<ReplicaReport>>,
     /// The number of processes of hollow nodes that have started.
     started_hollow_processes: usize,
-    /// The number of reports of hollow processes that are awaited.
+    /// The number of processes of hollow nodes that have not answered the last request for a report.
     pub(super) awaited_hollow_reports: usize,
     /// The version of the list at the time of the last poll.
     polled_version: u64,
-    /// The number of nodes that were behind that version.
+    /// The number of nodes that had an older version at that time.
     nodes_behind: usize,
     pub(super) failed_calls: u64,
     pub(super) next_poll: Option<Instant>,
@@ -90,7 +90,7 @@
         (self.phase, self.phase_began, self.phase_length) = (phase, Instant::now(), length);
     }
 
-    /// Records by how much a step was late.
+    /// Records the delay with which a step is executed.
     pub(super) fn record_delay(&mut self, delay: Duration) {
         self.longest_step_delay = self.longest_step_delay.max(delay);
     }
@@ -113,7 +113,7 @@
                 servers: servers.to_vec(),
             };
             self.processes.send_to_replica(number, &command).await?;
-            // One after the other, so that the addresses are in the order of the replicas.
+            // Replicas are started one at a time, so that their addresses arrive in the order of their indices.
             let listens = |executor: &Self| executor.addresses.len() > number;
             self.receive_until(START_TIMEOUT, ChildId::Replica(number), listens).await?;
         }
@@ -149,19 +149,19 @@
         self.receive_until(START_TIMEOUT, ChildId::Hollow(0), all_started).await
     }
 
-    /// The number of nodes in each process of hollow nodes.
+    /// Returns the number of nodes in each process of hollow nodes.
     pub(super) fn nodes_per_process(&self) -> Vec<u32> {
         let processes = self.script.hollow_processes.min(self.script.nodes);
         let (each, remainder) = (self.script.nodes / processes, self.script.nodes % processes);
         (0..processes).map(|process| each + u32::from(process < remainder)).collect()
     }
 
-    /// The addresses of the first replicas.
+    /// Returns the addresses of the first replicas.
     fn first_addresses(&self, replicas: u32) -> Vec<SocketAddr> {
         self.addresses.iter().take(replicas as usize).copied().collect()
     }
 
-    /// Groups nodes by their process.
+    /// Groups nodes by the process that they run in.
     fn by_process(&self, nodes: &[u32]) -> Vec<(usize, Vec<u32>)> {
         let mut first = 0;
         let mut groups = Vec::new();
@@ -202,16 +202,16 @@
                 }
                 Ok(())
             }
-            Step::Lag { replica, by } => {
-                let commands = self.replicas.lag(*replica as usize, *by);
+            Step::SetLag { replica, by } => {
+                let commands = self.replicas.set_lag(*replica as usize, *by);
                 self.send_all(commands).await
             }
-            Step::Lose { replica, versions } => {
-                let commands = self.replicas.lose(*replica as usize, *versions);
+            Step::LoseState { replica, versions } => {
+                let commands = self.replicas.lose_state(*replica as usize, *versions);
                 self.send_all(commands).await
             }
-            Step::Restore { replica } => {
-                let commands = self.replicas.restore(*replica as usize);
+            Step::RestoreState { replica } => {
+                let commands = self.replicas.restore_state(*replica as usize);
                 self.send_all(commands).await
             }
             Step::ReplicaSet(replicas) => {
@@ -242,15 +242,16 @@
         Ok(())
     }
 
-    /// How long the replicas that nodes know take to send so many whole lists, by their capacity.
+    /// Returns the time in milliseconds that the replicas known to nodes need to send this number of snapshots, from their
+    /// capacity.
     fn sending_ms(&self, lists: usize) -> f64 {
-        let lines = lists as f64 * (self.replicas.listed() as f64 + self.script.capacity.call_lines);
+        let lines = lists as f64 * (self.replicas.server_count() as f64 + self.script.capacity.call_lines);
         let lines_per_second =
             self.script.capacity.lines_per_second * f64::from(self.script.known_replicas());
         lines / lines_per_second * 1e3
     }
 
-    /// Takes in events until a time. Polls the nodes and updates lagging replicas meanwhile.
+    /// Handles events until a time. Meanwhile polls the nodes and sends delayed changes to lagging replicas.
     pub(super) async fn wait_until(&mut self, until: Instant) -> Result<(), RunError> {
         let mut next_progress = Instant::now();
         loop {
@@ -259,7 +260,7 @@
                 self.report_progress();
                 next_progress = now + PROGRESS_INTERVAL;
             }
-            let commands = self.replicas.due(now);
+            let commands = self.replicas.take_due(now);
             self.send_all(commands).await?;
             if self.next_poll.is_some_and(|poll| poll <= now) && self.awaited_hollow_reports == 0 {
                 self.poll_hollow_nodes().await?;
@@ -276,7 +277,7 @@
         }
     }
 
-    /// Waits until all nodes have the newest list, for as long as the script allows.
+    /// Waits until all nodes have the latest list, but no longer than the script allows.
     pub(super) async fn catch_up(&mut self) -> Result<(), RunError> {
         let until = Instant::now() + self.script.catch_up;
         self.next_poll = None;
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Asks all processes of hollow nodes for reports.
+    /// Requests a report from each process of hollow nodes.
     pub(super) async fn poll_hollow_nodes(&mut self) -> Result<(), RunError> {
         self.polled_version = self.replicas.version();
         for process in 0..self.nodes_per_process().len() {
@@ -300,13 +301,13 @@
         Ok(())
     }
 
-    /// Waits for the reports that hollow processes were asked for.
+    /// Waits for the outstanding reports of the processes of hollow nodes.
     pub(super) async fn receive_hollow_reports(&mut self) -> Result<(), RunError> {
         let complete = |executor: &Self| executor.awaited_hollow_reports == 0;
         self.receive_until(REPORT_TIMEOUT, ChildId::Hollow(0), complete).await
     }
 
-    /// Takes in events until a condition holds. `process` is named by the error if that takes too long.
+    /// Handles events until a condition holds. If that takes longer than `limit`, the error names `process`.
     pub(super) async fn receive_until(
         &mut self,
         limit: Duration,
@@ -353,7 +354,7 @@
         (self.progress)(&progress);
     }
 
-    /// Ends all processes. Returns the figures of the real nodes, if there are any.
+    /// Ends all processes. Returns the figures of the real nodes if there are any.
     pub(super) async fn finish(self) -> Option<RealFigures> {
         let real = self.real_fleet.finish(unix_us()).await;
         self.processes.stop().await;
--- a/crates/testbed/src/scale/run/measurement.rs
+++ b/crates/testbed/src/scale/run/measurement.rs
@@ -1,4 +1,4 @@
-//! Measures what the processes of a run cost, and reports it.
+//! Measures the cost of the processes of a run, and creates the report.
 
 use super::executor::{Executor, POLL_INTERVAL, REPORT_TIMEOUT};
 use super::{Progress, RunError};
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 impl<P: FnMut(&Progress)> Executor<'_, P> {
-    /// Reads what all processes have cost, and has them report what they have done.
+    /// Reads the cost of all processes and requests their reports.
     pub(super) async fn snapshot(&mut self) -> Result<Snapshot, RunError> {
         let at = std::time::Instant::now();
         let hollow = cost(&self.processes.ids(|process| matches!(process, ChildId::Hollow(_))))?;
@@ -21,7 +21,7 @@
         self.poll_hollow_nodes().await?;
         let reports = self.receive_replica_reports().await?;
         self.receive_hollow_reports().await?;
-        // Nodes are polled from the first snapshot on.
+        // Periodic polling starts with the first snapshot.
         self.next_poll.get_or_insert(Instant::now() + POLL_INTERVAL);
         Ok(Snapshot { at, hollow, replicas, run, real, reports, failed_calls: self.failed_calls })
     }
@@ -38,8 +38,8 @@
         Ok(self.replica_reports.iter().map(|report| report.unwrap_or_default()).collect())
     }
 
-    /// The report of a run from its snapshots: at the begin of the measurement, before the first step, and at the end.
-    /// `steps_from_us` is the time of the first step; `None` if there is none.
+    /// Creates the report of a run from the snapshots at the beginning of the measurement, before the first step, and at the
+    /// end. `steps_from_us` is the time of the first step, if there is one.
     pub(super) fn report(
         &self,
         at_begin: &Snapshot,
@@ -86,6 +86,7 @@
     }
 }
 
+/// Returns the total cost of processes, given by process id.
 fn cost(processes: &[u32]) -> Result<Cost, RunError> {
     processes
         .iter()
--- a/crates/testbed/src/scale/run/mod.rs
+++ b/crates/testbed/src/scale/run/mod.rs
@@ -1,5 +1,4 @@
-//! A scale run: `executor` starts the processes and executes the steps at their times, and `measurement` measures what they
-//! cost.
+//! Runs a script: `executor` starts the processes and executes the steps on schedule, and `measurement` measures their cost.
 
 mod executor;
 mod measurement;
@@ -10,7 +9,7 @@
 use super::report::ScaleReport;
 use super::requirements::{Limits, LimitsError, Requirements, Shortage};
 use super::script::ScaleScript;
-use super::steps::{plan, Planned};
+use super::steps::{plan, PlannedStep};
 use executor::Executor;
 use std::future::Future;
 use std::path::Path;
@@ -18,17 +17,17 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Why a scale run failed.
+/// The reason why a scale run failed.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The run needs more than the machine has.
-    #[error("the run does not fit into this machine:{}", listed(.0))]
+    /// The run needs more resources than the machine allows.
+    #[error("the run does not fit into this machine:{}", shortage_lines(.0))]
     Requirements(Vec<Shortage>),
     /// The machine's limits could not be read.
     #[error(transparent)]
     Limits(#[from] LimitsError),
-    /// The runtime did not start.
-    #[error("the runtime does not start: {0}")]
+    /// The async runtime could not be created.
+    #[error("the async runtime could not be created: {0}")]
     Runtime(std::io::Error),
     /// A child process failed.
     #[error(transparent)]
@@ -36,40 +35,40 @@
     /// A real node or a stand-in cache server failed.
     #[error("real nodes: {0}")]
     Real(#[from] RealError),
-    /// The cost of a process could not be read.
-    #[error("what process {process} costs can't be read: {source}")]
+    /// The processor time or memory of a process could not be read.
+    #[error("processor time and memory of process {process} could not be read: {source}")]
     Cost {
         /// The process id.
         process: u32,
-        /// What the system said.
+        /// The error of the system.
         source: std::io::Error,
     },
     /// The run was interrupted.
-    #[error("the run was broken off")]
+    #[error("the run was interrupted")]
     Interrupted,
 }
 
-fn listed(faults: &[Shortage]) -> String {
-    faults.iter().map(|fault| format!("\n  {fault}")).collect()
+fn shortage_lines(shortages: &[Shortage]) -> String {
+    shortages.iter().map(|shortage| format!("\n  {shortage}")).collect()
 }
 
 /// The phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The processes start.
+    /// The processes are being started.
     Starting,
     /// All nodes run, and nothing is measured yet.
     Settling,
     /// The script is being executed.
     Measuring,
-    /// The script is over, and the run waits for the nodes that are behind.
+    /// The script is over, and the run waits for nodes with an outdated list.
     CatchingUp,
 }
 
 /// The progress of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// The present phase.
+    /// The current phase.
     pub phase: Phase,
     /// The time since the beginning of the phase.
     pub elapsed: Duration,
@@ -77,15 +76,15 @@
     pub length: Duration,
     /// The number of changes of the list so far.
     pub changes: usize,
-    /// The number of nodes that were behind the list at the time of the last poll.
+    /// The number of nodes whose list was outdated at the time of the last poll.
     pub behind: usize,
 }
 
-/// Runs a script. The child processes are those of `program`, which has the subcommands `scale-replica` and `scale-hollow`;
-/// all of them have ended when this returns.
+/// Runs a script and returns its report. `program` is the executable of the child processes and must have the subcommands
+/// `scale-replica` and `scale-hollow`. All child processes have ended when this returns.
 ///
 /// # Errors
-/// If the run needs more than the machine has, a process fails, or `stop` completes first.
+/// If the run needs more resources than the machine allows, a process fails, or `stop` completes first.
 pub fn run(
     script: &ScaleScript,
     program: &Path,
@@ -100,12 +99,12 @@
         tokio::select! {
             biased;
             () = stop => Err(RunError::Interrupted),
-            report = run_to_report(script, program, progress) => report,
+            report = run_script(script, program, progress) => report,
         }
     })
 }
 
-async fn run_to_report(
+async fn run_script(
     script: &ScaleScript,
     program: &Path,
     progress: impl FnMut(&Progress),
@@ -124,7 +123,7 @@
     executor.wait_until(begin + first_step).await?;
     let before_steps = executor.snapshot().await?;
     let steps_from_us = unix_us();
-    for Planned { at, step } in &steps {
+    for PlannedStep { at, step } in &steps {
         executor.wait_until(begin + *at).await?;
         executor.record_delay((begin + *at).elapsed());
         executor.execute(step).await?;
@@ -141,7 +140,7 @@
     Ok(ScaleReport { real, ..report })
 }
 
-/// The present Unix time in microseconds.
+/// Returns the current Unix time in microseconds.
 fn unix_us() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
--- a/crates/testbed/src/scale/scenarios.rs
+++ b/crates/testbed/src/scale/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scripts of scale runs that ship with the program: the files under `scenarios/scale/`.
+//! The scale run scripts that ship with the program, from the files in `scenarios/scale/`.
 
 use crate::scenarios::Scenario;
 
@@ -8,7 +8,7 @@
     };
 }
 
-/// All scripts.
+/// All scripts that ship.
 pub const ALL: &[Scenario] = shipped![
     "quiet",
     "changes",
@@ -21,10 +21,10 @@
     "replica-silent",
 ];
 
-/// What is run where nothing is named.
+/// The name of the script that runs if none is given.
 pub const DEFAULT: &str = "quiet";
 
-/// The one of this name.
+/// Returns the script with this name.
 pub fn named(name: &str) -> Option<Scenario> {
     ALL.iter().find(|scenario| scenario.name == name).copied()
 }
--- a/crates/testbed/src/scale/script.rs
+++ b/crates/testbed/src/scale/script.rs
@@ -1,4 +1,4 @@
-//! The script of a scale run: the numbers of nodes, servers and replicas, the capacity of a replica, and the events.
+//! The script of a scale run: the numbers of nodes, servers and replicas, the capacity of each replica, and the events.
 
 use super::messages::ReplicaCapacity;
 use checked_toml::{time_text, Document, Fault, Table};
@@ -7,15 +7,15 @@
 
 /// The version of the format that this program reads.
 pub const VERSION: u64 = 1;
-/// The range of the number of hollow nodes.
+/// Allowed numbers of hollow nodes.
 pub const NODES: RangeInclusive<u64> = 1..=20_000;
-/// The range of the number of servers on the list at the start.
+/// Allowed numbers of servers on the list at the start.
 pub const SERVERS: RangeInclusive<u64> = 1..=4_000;
-/// The range of the number of replicas of discovery, which is that of a node's configuration.
+/// Allowed numbers of replicas of discovery, the same as in a node's configuration.
 pub const REPLICAS: RangeInclusive<u64> = 1..=64;
-/// The range of the number of processes of hollow nodes.
+/// Allowed numbers of processes of hollow nodes.
 pub const HOLLOW_PROCESSES: RangeInclusive<u64> = 1..=200;
-/// The range of the number of real nodes.
+/// Allowed numbers of real nodes.
 pub const REAL_NODES: RangeInclusive<u64> = 0..=20;
 
 const ZONES: RangeInclusive<u64> = 1..=64;
@@ -23,36 +23,36 @@
 const LENGTH: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(3_600);
 const STEP: RangeInclusive<Duration> = Duration::from_millis(10)..=Duration::from_secs(600);
 
-/// A scale run. The fields are those of the file, in the same words.
+/// A scale run. The fields have the names of the keys in the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScaleScript {
-    /// The name, for lists and titles.
+    /// The name shown in lists and titles.
     pub name: String,
-    /// What the run shows.
+    /// A description of the purpose of the run.
     pub about: String,
-    /// The seed of all random values.
+    /// The seed of the random values.
     pub seed: u64,
     /// The time from the start of all nodes to the beginning of the measurement.
     pub settle: Duration,
-    /// The duration of the measurement. Before the first event, nodes are at rest.
+    /// The duration of the measurement. Nodes are at rest until the first event.
     pub length: Duration,
-    /// How long nodes that are behind have to catch up after `length`.
+    /// The time after `length` in which nodes with an outdated list may catch up.
     pub catch_up: Duration,
-    /// Every node is expected to apply a change within this time.
+    /// The time within which every node is expected to apply a change.
     pub within: Option<Duration>,
     /// The number of hollow nodes.
     pub nodes: u32,
-    /// The number of servers on the list.
+    /// The number of servers on the list at the start.
     pub servers: u32,
-    /// The number of processes, which share the hollow nodes evenly.
+    /// The number of processes that the hollow nodes are split over evenly.
     pub hollow_processes: u32,
-    /// The number of zones. Nodes and servers are dealt out to them in turn.
+    /// The number of zones. Nodes and servers are assigned to them round-robin.
     pub zones: u32,
-    /// The number of regions. Zones are dealt out to them in turn, and have names that begin with theirs.
+    /// The number of regions. Zones are assigned to them round-robin; the name of a zone begins with that of its region.
     pub regions: u32,
     /// The number of replicas of discovery.
     pub replicas: u32,
-    /// Whether nodes know all replicas and their capacity; otherwise they know only the address of the first replica.
+    /// Whether nodes are configured with all replicas and their capacity, or only with the address of the first replica.
     pub mechanism: bool,
     /// The capacity of a replica.
     pub capacity: ReplicaCapacity,
@@ -67,19 +67,19 @@
 pub struct RealLoad {
     /// The number of real nodes, each a process of the daemon.
     pub nodes: u32,
-    /// Requests per second, over all of them.
+    /// Requests per second to all real nodes together.
     pub rate: f64,
 }
 
 /// An event and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// When it begins, from the beginning of the measurement.
+    /// The time of its beginning, counted from the beginning of the measurement.
     pub at: Duration,
-    /// How long it lasts; `None` if nothing ends it.
+    /// Its duration; `None` if it lasts until the end of the run.
     pub over: Option<Duration>,
-    /// The event.
-    pub what: EventKind,
+    /// What happens.
+    pub kind: EventKind,
 }
 
 /// A kind of event.
@@ -87,52 +87,52 @@
 pub enum EventKind {
     /// Servers are replaced: one drains, is removed one `step` later, and its successor is ready after another `step`.
     Changes {
-        /// Changes of the list per day; each replacement makes three.
+        /// Changes of the list per day. Each replacement causes three.
         per_day: f64,
-        /// See above.
+        /// The time from draining to removal, and from removal to the start of the successor.
         step: Duration,
     },
-    /// Nodes and servers restart, chosen at random in proportion to their numbers. A node comes back without a list.
+    /// Nodes and servers restart, chosen at random in proportion to their numbers. A restarted node has no list.
     Restarts {
         /// Restarts per day.
         per_day: f64,
-        /// The downtime of each.
+        /// The downtime of each restart.
         down: Duration,
         /// Whether only nodes restart.
         nodes_only: bool,
     },
-    /// The nodes of a zone are killed and its servers removed; at the end all are back.
+    /// The nodes of a zone are killed and its servers removed; at the end of the event all of them return.
     Zone {
-        /// Its number from 0; `None` for a random one.
+        /// The index of the zone; `None` for a random zone.
         zone: Option<u32>,
     },
     /// A replica resets its connections and refuses new ones.
     ReplicaLost {
-        /// Its number from 0; `None` for a random one of those that nodes know.
+        /// The index of the replica; `None` for a random one among those that nodes know.
         replica: Option<u32>,
     },
     /// A replica accepts connections and does not answer.
     ReplicaSilent {
-        /// As above.
+        /// The index of the replica; `None` for a random one among those that nodes know.
         replica: Option<u32>,
     },
-    /// A replica learns of each change later than the others.
+    /// A replica receives each change later than the others.
     ReplicaLagging {
-        /// As above.
+        /// The index of the replica; `None` for a random one among those that nodes know.
         replica: Option<u32>,
         /// The lag.
         lag: Duration,
     },
-    /// A replica loses its entries or its version until the end.
+    /// A replica loses its entries or its version until the end of the event.
     ReplicaReset {
-        /// As above.
+        /// The index of the replica; `None` for a random one among those that nodes know.
         replica: Option<u32>,
-        /// Whether it loses its version, which starts again from 1, instead of its entries.
+        /// Whether it loses its version, which restarts at 1, instead of its entries.
         versions: bool,
     },
-    /// All replicas are lost.
+    /// All replicas reset their connections and refuse new ones.
     DiscoveryAway,
-    /// Nodes are configured to use only the first replicas. Nothing changes at the end.
+    /// Nodes are reconfigured to use only the first replicas. The end of the event doesn't undo this.
     ReplicaSet {
         /// The number of replicas.
         replicas: u32,
@@ -140,15 +140,15 @@
 }
 
 impl ScaleScript {
-    /// Reads a script's text. `file` is the name that faults give it.
+    /// Parses the text of a script. `file` is the file name shown in faults.
     ///
     /// # Errors
-    /// All faults of the text, in the order of their lines.
+    /// Returns all faults of the text, in the order of their lines.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
-        Document::read(file, text, script)
+        Document::read(file, text, read_script)
     }
 
-    /// The number of replicas that nodes know at the start.
+    /// Returns the number of replicas that nodes know at the start.
     pub fn known_replicas(&self) -> u32 {
         if self.mechanism {
             self.replicas
@@ -157,24 +157,24 @@
         }
     }
 
-    /// The number of replicas that run: the most that nodes know at any time.
+    /// Returns the number of replicas that run: the maximum number that nodes know at any time.
     pub fn running_replicas(&self) -> u32 {
         if !self.mechanism {
             return 1;
         }
-        let configured = self.events.iter().filter_map(|event| match event.what {
+        let configured = self.events.iter().filter_map(|event| match event.kind {
             EventKind::ReplicaSet { replicas } => Some(replicas),
             _ => None,
         });
         configured.fold(self.replicas, u32::max)
     }
 
-    /// The name of a zone, which begins with that of its region.
+    /// Returns the name of a zone, which begins with the name of its region.
     pub fn zone_name(&self, zone: u32) -> String {
         format!("r{:02}-z{zone:02}", zone % self.regions)
     }
 
-    /// When the first event begins; the end of the measurement if there is none.
+    /// Returns the time of the first event, or the end of the measurement if there are no events.
     pub fn first_event(&self) -> Duration {
         self.events.iter().map(|event| event.at).min().unwrap_or(self.length)
     }
@@ -186,15 +186,15 @@
         && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b))
 }
 
-fn needed_count(table: &Table, name: &'static str, range: RangeInclusive<u64>) -> u32 {
+fn required_count(table: &Table, name: &'static str, range: RangeInclusive<u64>) -> u32 {
     table.need(name, table.count(name, range)) as u32
 }
 
-fn script(top: &Table) -> ScaleScript {
+fn read_script(top: &Table) -> ScaleScript {
     top.need("version", top.count("version", VERSION..=VERSION));
     let length = top.need("length", top.time("length", LENGTH));
     let zones = top.count("zones", ZONES).unwrap_or(34) as u32;
-    let replicas = needed_count(top, "replicas", REPLICAS);
+    let replicas = required_count(top, "replicas", REPLICAS);
     let regions = top.count("regions", ZONES).unwrap_or(14.min(u64::from(zones))) as u32;
     if regions > zones {
         top.fault("regions", format!("expected no more regions than the {zones} zones, found {regions}"));
@@ -207,26 +207,26 @@
         length,
         catch_up: top.time("catch_up", Duration::ZERO..=*STEP.end()).unwrap_or(Duration::from_secs(20)),
         within: top.time("within", STEP),
-        nodes: needed_count(top, "nodes", NODES),
-        servers: needed_count(top, "servers", SERVERS),
+        nodes: required_count(top, "nodes", NODES),
+        servers: required_count(top, "servers", SERVERS),
         hollow_processes: top.count("hollow_processes", HOLLOW_PROCESSES).unwrap_or(8) as u32,
         zones,
         regions,
         replicas,
         mechanism: top.flag("mechanism").unwrap_or(true),
         capacity: top
-            .need("capacity", top.table("capacity", |table| Some(capacity(table))))
+            .need("capacity", top.table("capacity", |table| Some(read_capacity(table))))
             .unwrap_or(NO_CAPACITY),
-        real: top.table("real", real).unwrap_or(RealLoad { nodes: 0, rate: 50.0 }),
-        events: events(top, length, zones, replicas),
+        real: top.table("real", read_real_load).unwrap_or(RealLoad { nodes: 0, rate: 50.0 }),
+        events: read_events(top, length, zones, replicas),
     }
 }
 
-/// The capacity of a script that states none, which is a fault.
+/// Placeholder for a script without a capacity, which is reported as a fault.
 const NO_CAPACITY: ReplicaCapacity =
     ReplicaCapacity { lines_per_second: 0.0, call_lines: 0.0, continued_call_lines: 0.0, queue_limit_ms: 0 };
 
-fn capacity(table: &Table) -> ReplicaCapacity {
+fn read_capacity(table: &Table) -> ReplicaCapacity {
     let lines = |name| table.need(name, table.number(name, 0.0..=1e6));
     let queue_limit = table.time("queue_limit", STEP);
     ReplicaCapacity {
@@ -237,9 +237,9 @@
     }
 }
 
-fn real(table: &Table) -> RealLoad {
+fn read_real_load(table: &Table) -> RealLoad {
     RealLoad {
-        nodes: needed_count(table, "nodes", REAL_NODES),
+        nodes: required_count(table, "nodes", REAL_NODES),
         rate: table.need("rate", table.number("rate", 0.0..=10_000.0)),
     }
 }
@@ -256,14 +256,14 @@
     "replica-set",
 ];
 
-fn events(top: &Table, length: Duration, zones: u32, replicas: u32) -> Vec<Event> {
+fn read_events(top: &Table, length: Duration, zones: u32, replicas: u32) -> Vec<Event> {
     let read = top.tables("event", |table| {
         let at = table.need("at", table.time("at", Duration::ZERO..=length));
         let over = table.time("over", Duration::ZERO..=length);
         let kind = table.word("kind", &KINDS);
         table.need("kind", kind.map(|_| ()));
         let kind = KINDS[kind?];
-        if !may_last(kind) {
+        if !duration_is_optional(kind) {
             table.need("over", over);
         }
         let end = at + over.unwrap_or_default();
@@ -273,17 +273,18 @@
             table
                 .fault("over", format!("expected an end within the length, \"{length}\", found \"{found}\""));
         }
-        Some(Event { at, over, what: event_kind(table, kind, zones, replicas) })
+        Some(Event { at, over, kind: read_event_kind(table, kind, zones, replicas) })
     });
     read.into_iter().flatten().collect()
 }
 
-/// Faults of replicas may last; a set of replicas always does.
-fn may_last(kind: &str) -> bool {
+/// Returns whether an event of this kind may omit its duration: faults of replicas may last until the end of the run, and a
+/// set of replicas is never undone.
+fn duration_is_optional(kind: &str) -> bool {
     kind.starts_with("replica-") || kind == "discovery-away"
 }
 
-fn event_kind(table: &Table, kind: &str, zones: u32, replicas: u32) -> EventKind {
+fn read_event_kind(table: &Table, kind: &str, zones: u32, replicas: u32) -> EventKind {
     let per_day = || table.need("per_day", table.number("per_day", PER_DAY));
     let below = |name, count: u32| {
         let number = table.count(name, 0..=u64::from(count.saturating_sub(1)));
@@ -311,6 +312,6 @@
             versions: table.word("loses", &["entries", "versions"]) == Some(1),
         },
         "discovery-away" => EventKind::DiscoveryAway,
-        _ => EventKind::ReplicaSet { replicas: needed_count(table, "replicas", REPLICAS) },
+        _ => EventKind::ReplicaSet { replicas: required_count(table, "replicas", REPLICAS) },
     }
 }
--- a/crates/testbed/src/scale/snapshot.rs
+++ b/crates/testbed/src/scale/snapshot.rs
@@ -1,13 +1,13 @@
-//! Snapshots of what all processes of a run have cost and done, and the difference between two of them.
+//! Snapshots of the cost and the counters of all processes of a run, and the difference between two of them.
 
 use super::measure::Cost;
 use super::messages::ReplicaReport;
 use std::time::Instant;
 
-/// What all processes have cost and done since their start.
+/// Cost and counters of all processes since their start.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// When it was taken.
+    /// The time of the snapshot.
     pub at: Instant,
     /// The cost of all processes of hollow nodes.
     pub hollow: Cost,
@@ -17,13 +17,13 @@
     pub run: Cost,
     /// The cost of all real nodes.
     pub real: Cost,
-    /// What each replica has done.
+    /// The report of each replica.
     pub reports: Vec<ReplicaReport>,
-    /// Calls of hollow nodes that failed.
+    /// Failed calls of hollow nodes.
     pub failed_calls: u64,
 }
 
-/// The difference between two snapshots. Memory is that of the later one.
+/// The difference between two snapshots. Memory is that of the later snapshot.
 #[derive(Clone, Debug)]
 pub struct Window {
     /// The time between them, in seconds.
@@ -36,37 +36,38 @@
     pub run: Cost,
     /// The cost of all real nodes.
     pub real: Cost,
-    /// What all replicas did together.
+    /// The sum of the reports of all replicas.
     pub calls: ReplicaReport,
-    /// Calls of hollow nodes that failed.
+    /// Failed calls of hollow nodes.
     pub failed_calls: u64,
 }
 
 impl Snapshot {
-    /// The difference from an earlier snapshot to this one.
+    /// Returns the difference between an earlier snapshot and this one.
     pub fn since(&self, earlier: &Self) -> Window {
         Window {
             seconds: self.at.duration_since(earlier.at).as_secs_f64(),
-            hollow: spent(&self.hollow, &earlier.hollow),
-            replicas: spent(&self.replicas, &earlier.replicas),
-            run: spent(&self.run, &earlier.run),
-            real: spent(&self.real, &earlier.real),
-            calls: self.loads_since(earlier).into_iter().fold(ReplicaReport::default(), sum),
+            hollow: cost_since(&self.hollow, &earlier.hollow),
+            replicas: cost_since(&self.replicas, &earlier.replicas),
+            run: cost_since(&self.run, &earlier.run),
+            real: cost_since(&self.real, &earlier.real),
+            calls: self.loads_since(earlier).into_iter().fold(ReplicaReport::default(), add_reports),
             failed_calls: self.failed_calls.saturating_sub(earlier.failed_calls),
         }
     }
 
-    /// What each replica did between an earlier snapshot and this one. The longest queue is that of the whole run.
+    /// Returns the activity of each replica between an earlier snapshot and this one. The longest wait is that of the whole
+    /// run.
     pub fn loads_since(&self, earlier: &Self) -> Vec<ReplicaReport> {
-        self.reports.iter().zip(&earlier.reports).map(|(now, before)| done(now, before)).collect()
+        self.reports.iter().zip(&earlier.reports).map(|(now, before)| report_since(now, before)).collect()
     }
 }
 
-fn spent(now: &Cost, before: &Cost) -> Cost {
+fn cost_since(now: &Cost, before: &Cost) -> Cost {
     Cost { processor: now.processor.saturating_sub(before.processor), resident_bytes: now.resident_bytes }
 }
 
-fn done(now: &ReplicaReport, before: &ReplicaReport) -> ReplicaReport {
+fn report_since(now: &ReplicaReport, before: &ReplicaReport) -> ReplicaReport {
     ReplicaReport {
         calls: now.calls.saturating_sub(before.calls),
         refused: now.refused.saturating_sub(before.refused),
@@ -78,7 +79,7 @@
     }
 }
 
-fn sum(sum: ReplicaReport, one: ReplicaReport) -> ReplicaReport {
+fn add_reports(sum: ReplicaReport, one: ReplicaReport) -> ReplicaReport {
     ReplicaReport {
         calls: sum.calls + one.calls,
         refused: sum.refused + one.refused,
--- a/crates/testbed/src/scale/steps.rs
+++ b/crates/testbed/src/scale/steps.rs
@@ -1,4 +1,5 @@
-//! The steps of a script's events, chosen at random by the seed: the same script gives the same steps.
+//! Turns the events of a script into timed steps. Random choices depend on the seed only, so the same script always gives
+//! the same steps.
 
 use super::messages::{Answering, ListedServer};
 use super::script::{Event, EventKind, ScaleScript};
@@ -7,67 +8,67 @@
 use std::time::Duration;
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// The number of changes of the list that the replacement of one server makes.
+/// Changes of the list caused by the replacement of one server.
 const CHANGES_PER_REPLACEMENT: f64 = 3.0;
-/// The number of servers in a cell.
+/// Servers in each cell.
 const SERVERS_PER_CELL: u32 = 16;
-/// The port of listed servers, which nobody connects to.
+/// The port of the servers on the list. Nothing connects to it.
 const SERVER_PORT: u16 = 7070;
 
 /// A step and its time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
-    /// From the beginning of the measurement.
+pub struct PlannedStep {
+    /// The time since the beginning of the measurement.
     pub at: Duration,
     /// The step.
     pub step: Step,
 }
 
-/// Something that the run does.
+/// An action of the run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// The entry of a server changes.
+    /// Changes the entry of a server.
     Change {
         /// The new entry.
         server: ListedServer,
-        /// The server starts now: its `born_ms` is the time of the step.
+        /// Whether the server starts now, so that `born_ms` is the time of the step.
         starts: bool,
     },
-    /// These hollow nodes are killed.
+    /// Kills hollow nodes, given by index.
     Kill(Vec<u32>),
-    /// These hollow nodes start, without a list.
+    /// Starts hollow nodes, given by index, without a list.
     Launch(Vec<u32>),
-    /// Replicas answer in another way from now on.
+    /// Sets how replicas answer from now on.
     Answer {
-        /// Their numbers.
+        /// The indices of the replicas.
         replicas: Vec<u32>,
         /// How they answer.
         answering: Answering,
     },
-    /// A replica learns of changes with a lag from now on.
-    Lag {
-        /// Its number.
+    /// Sets the lag with which a replica receives changes.
+    SetLag {
+        /// The index of the replica.
         replica: u32,
-        /// The lag. Zero ends it, and the replica learns at once of everything that is pending.
+        /// The lag. With zero, the replica receives all pending changes at once.
         by: Duration,
     },
-    /// A replica loses its entries or its version.
-    Lose {
-        /// Its number.
+    /// Makes a replica lose its entries or its version.
+    LoseState {
+        /// The index of the replica.
         replica: u32,
-        /// Whether it loses its version instead of its entries.
+        /// Whether the replica loses its version instead of its entries.
         versions: bool,
     },
-    /// A replica has again what it lost.
-    Restore {
-        /// Its number.
+    /// Restores what a replica has lost.
+    RestoreState {
+        /// The index of the replica.
         replica: u32,
     },
-    /// Nodes are configured to use only this many of the replicas, the first ones.
+    /// Configures nodes to use only this number of replicas, from the first one on.
     ReplicaSet(u32),
 }
 
-/// The list at the start of a run in which nobody connects to the servers: all of them are ready.
+/// Returns the list at the start of a run in which nothing connects to the servers. All of them are ready.
 pub fn servers_at_start(script: &ScaleScript) -> Vec<ListedServer> {
     (0..script.servers).map(|index| server_at_start(script, index)).collect()
 }
@@ -86,7 +87,8 @@
     }
 }
 
-/// The server after so many replacements of the first one: it has a name of its own, and the address of the first one.
+/// Returns the server after `generation` replacements of the first one. It has its own name and the address of the first
+/// server.
 fn successor(first: &ListedServer, generation: u32) -> ListedServer {
     match generation {
         0 => first.clone(),
@@ -94,14 +96,15 @@
     }
 }
 
-/// All steps of a script's events, in the order of time. `servers` are those of the list at the start.
-pub fn plan(script: &ScaleScript, servers: &[ListedServer]) -> Vec<Planned> {
+/// Returns the steps of all events of a script in chronological order. `servers` is the list at the start.
+pub fn plan(script: &ScaleScript, servers: &[ListedServer]) -> Vec<PlannedStep> {
     let mut planner = Planner::new(script, servers);
-    // A zone takes everything in it; the other events choose among the rest.
+    // The loss of a zone affects all of its nodes and servers, so it is planned first. The other events choose among the
+    // remaining ones.
     let (zones, others): (Vec<_>, Vec<_>) =
-        script.events.iter().enumerate().partition(|(_, event)| matches!(event.what, EventKind::Zone { .. }));
+        script.events.iter().enumerate().partition(|(_, event)| matches!(event.kind, EventKind::Zone { .. }));
     for (number, event) in zones.into_iter().chain(others) {
-        planner.event(event, RandomSource::new(script.seed).derive(number as u64));
+        planner.plan_event(event, RandomSource::new(script.seed).derive(number as u64));
     }
     planner.plan_server_changes();
     let mut planned = planner.planned;
@@ -109,7 +112,7 @@
     planned
 }
 
-/// When each node or server is taken by an event, so that none is chosen for two events at once.
+/// The times for which each node or server is reserved by an event, so that none is chosen for two events at once.
 #[derive(Debug)]
 struct Reservations(Vec<Vec<(Duration, Duration)>>);
 
@@ -118,139 +121,147 @@
         Self(vec![Vec::new(); count as usize])
     }
 
-    /// Reserves one for a time. Returns `false` if it is reserved for any part of that time.
+    /// Reserves an item for a period. Returns `false` if it is already reserved for any part of that period.
     fn reserve(&mut self, number: u32, from: Duration, to: Duration) -> bool {
         let times = &mut self.0[number as usize];
-        let free = times.iter().all(|&(taken_from, taken_to)| to < taken_from || taken_to < from);
+        let free = times.iter().all(|&(reserved_from, reserved_to)| to < reserved_from || reserved_to < from);
         if free {
             times.push((from, to));
         }
         free
     }
 
-    /// Reserves the first free one, from a random one on.
+    /// Reserves the first free item, searching from a random one on. Returns its index.
     fn reserve_random(&mut self, random: RandomSource, from: Duration, to: Duration) -> Option<u32> {
         let count = self.0.len() as u64;
         let first = random.bits() % count;
-        (0..count).map(|next| ((first + next) % count) as u32).find(|&number| self.reserve(number, from, to))
+        (0..count)
+            .map(|offset| ((first + offset) % count) as u32)
+            .find(|&number| self.reserve(number, from, to))
     }
 }
 
-/// What an event does to a server.
+/// A planned replacement or restart of a server.
 #[derive(Clone, Copy, Debug)]
-struct ServerJob {
+struct ServerOperation {
     index: u32,
     at: Duration,
-    kind: ServerJobKind,
+    kind: ServerOperationKind,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum ServerJobKind {
-    /// It drains, is removed one step later, and its successor is ready after another step.
+enum ServerOperationKind {
+    /// The server drains, is removed one step later, and its successor is ready after another step.
     Replace { step: Duration },
-    /// It is removed, and ready again at this time.
+    /// The server is removed, and is ready again at `back`.
     Restart { back: Duration },
 }
 
 struct Planner<'a> {
     script: &'a ScaleScript,
-    at_start: &'a [ListedServer],
+    initial_servers: &'a [ListedServer],
     nodes: Reservations,
     servers: Reservations,
-    /// Planned last: which replacement is running depends on all earlier ones.
-    server_jobs: Vec<ServerJob>,
-    planned: Vec<Planned>,
+    /// Turned into steps last, since the replacement that is running at a time depends on all earlier operations.
+    server_operations: Vec<ServerOperation>,
+    planned: Vec<PlannedStep>,
 }
 
 impl<'a> Planner<'a> {
-    fn new(script: &'a ScaleScript, at_start: &'a [ListedServer]) -> Self {
+    fn new(script: &'a ScaleScript, initial_servers: &'a [ListedServer]) -> Self {
         Self {
             script,
-            at_start,
+            initial_servers,
             nodes: Reservations::new(script.nodes),
-            servers: Reservations::new(at_start.len() as u32),
-            server_jobs: Vec::new(),
+            servers: Reservations::new(initial_servers.len() as u32),
+            server_operations: Vec::new(),
             planned: Vec::new(),
         }
     }
 
-    fn step(&mut self, at: Duration, step: Step) {
-        self.planned.push(Planned { at, step });
+    fn push_step(&mut self, at: Duration, step: Step) {
+        self.planned.push(PlannedStep { at, step });
     }
 
-    /// Adds the step that ends something, if it ends.
-    fn step_at_end(&mut self, end: Option<Duration>, step: Step) {
+    /// Adds a step at the end of an event, unless the event has no end.
+    fn push_end_step(&mut self, end: Option<Duration>, step: Step) {
         if let Some(at) = end {
-            self.step(at, step);
+            self.push_step(at, step);
         }
     }
 
-    fn event(&mut self, event: &Event, random: RandomSource) {
+    fn plan_event(&mut self, event: &Event, random: RandomSource) {
         let from = event.at;
         let to = event.over.map(|over| from + over);
-        match event.what {
-            EventKind::Changes { per_day, step } => self.changes(event, per_day, step, random),
+        match event.kind {
+            EventKind::Changes { per_day, step } => self.plan_changes(event, per_day, step, random),
             EventKind::Restarts { per_day, down, nodes_only } => {
-                self.restarts(event, per_day, down, nodes_only, random);
+                self.plan_restarts(event, per_day, down, nodes_only, random);
             }
             EventKind::Zone { zone } => {
-                let drawn = (random.bits() % u64::from(self.script.zones)) as u32;
-                self.zone(event, zone.unwrap_or(drawn));
+                let random_zone = (random.bits() % u64::from(self.script.zones)) as u32;
+                self.plan_zone_loss(event, zone.unwrap_or(random_zone));
             }
             EventKind::ReplicaLost { replica } => {
-                let replica = self.replica(replica, random);
-                self.answer(event, vec![replica], Answering::Away);
+                let replica = self.choose_replica(replica, random);
+                self.plan_answering(event, vec![replica], Answering::Away);
             }
             EventKind::ReplicaSilent { replica } => {
-                let replica = self.replica(replica, random);
-                self.answer(event, vec![replica], Answering::Silent);
+                let replica = self.choose_replica(replica, random);
+                self.plan_answering(event, vec![replica], Answering::Silent);
             }
             EventKind::ReplicaLagging { replica, lag } => {
-                let replica = self.replica(replica, random);
-                self.step(from, Step::Lag { replica, by: lag });
-                self.step_at_end(to, Step::Lag { replica, by: Duration::ZERO });
+                let replica = self.choose_replica(replica, random);
+                self.push_step(from, Step::SetLag { replica, by: lag });
+                self.push_end_step(to, Step::SetLag { replica, by: Duration::ZERO });
             }
             EventKind::ReplicaReset { replica, versions } => {
-                let replica = self.replica(replica, random);
-                self.step(from, Step::Lose { replica, versions });
-                self.step_at_end(to, Step::Restore { replica });
+                let replica = self.choose_replica(replica, random);
+                self.push_step(from, Step::LoseState { replica, versions });
+                self.push_end_step(to, Step::RestoreState { replica });
             }
             EventKind::DiscoveryAway => {
                 let all = (0..self.script.running_replicas()).collect();
-                self.answer(event, all, Answering::Away);
+                self.plan_answering(event, all, Answering::Away);
             }
             EventKind::ReplicaSet { replicas } if self.script.mechanism => {
-                self.step(from, Step::ReplicaSet(replicas));
+                self.push_step(from, Step::ReplicaSet(replicas));
             }
-            // Without the mechanism, nodes know one address whatever the set is.
+            // Without the mechanism, nodes know only one address.
             EventKind::ReplicaSet { .. } => {}
         }
     }
 
-    /// A replica that nodes know: the one that the script names, or a random one.
-    fn replica(&self, named: Option<u32>, random: RandomSource) -> u32 {
+    /// Returns a replica that nodes know: the one named by the script, or a random one.
+    fn choose_replica(&self, named: Option<u32>, random: RandomSource) -> u32 {
         let known = self.script.known_replicas();
         named.unwrap_or((random.bits() % u64::from(known)) as u32).min(known - 1)
     }
 
-    fn answer(&mut self, event: &Event, replicas: Vec<u32>, answering: Answering) {
-        self.step(event.at, Step::Answer { replicas: replicas.clone(), answering });
+    fn plan_answering(&mut self, event: &Event, replicas: Vec<u32>, answering: Answering) {
+        self.push_step(event.at, Step::Answer { replicas: replicas.clone(), answering });
         let end = event.over.map(|over| event.at + over);
-        self.step_at_end(end, Step::Answer { replicas, answering: Answering::Up });
+        self.push_end_step(end, Step::Answer { replicas, answering: Answering::Up });
     }
 
-    fn changes(&mut self, event: &Event, per_day: f64, step: Duration, random: RandomSource) {
-        let takes = step * 2;
+    fn plan_changes(&mut self, event: &Event, per_day: f64, step: Duration, random: RandomSource) {
+        let duration = step * 2;
         let replacements_per_day = per_day / CHANGES_PER_REPLACEMENT;
-        for (number, at) in times(event, replacements_per_day, takes, random).into_iter().enumerate() {
+        for (number, at) in
+            random_times(event, replacements_per_day, duration, random).into_iter().enumerate()
+        {
             let random = random.derive(1).derive(number as u64);
-            if let Some(index) = self.servers.reserve_random(random, at, at + takes) {
-                self.server_jobs.push(ServerJob { index, at, kind: ServerJobKind::Replace { step } });
+            if let Some(index) = self.servers.reserve_random(random, at, at + duration) {
+                self.server_operations.push(ServerOperation {
+                    index,
+                    at,
+                    kind: ServerOperationKind::Replace { step },
+                });
             }
         }
     }
 
-    fn restarts(
+    fn plan_restarts(
         &mut self,
         event: &Event,
         per_day: f64,
@@ -258,71 +269,76 @@
         nodes_only: bool,
         random: RandomSource,
     ) {
-        let machines = u64::from(self.script.nodes) + self.at_start.len() as u64;
-        for (number, at) in times(event, per_day, down, random).into_iter().enumerate() {
+        let machines = u64::from(self.script.nodes) + self.initial_servers.len() as u64;
+        for (number, at) in random_times(event, per_day, down, random).into_iter().enumerate() {
             let random = random.derive(1).derive(number as u64);
             let back = at + down;
             let is_node = nodes_only || random.bits() % machines < u64::from(self.script.nodes);
             if is_node {
                 if let Some(node) = self.nodes.reserve_random(random.derive(1), at, back) {
-                    self.step(at, Step::Kill(vec![node]));
-                    self.step(back, Step::Launch(vec![node]));
+                    self.push_step(at, Step::Kill(vec![node]));
+                    self.push_step(back, Step::Launch(vec![node]));
                 }
             } else if let Some(index) = self.servers.reserve_random(random.derive(1), at, back) {
-                self.server_jobs.push(ServerJob { index, at, kind: ServerJobKind::Restart { back } });
+                self.server_operations.push(ServerOperation {
+                    index,
+                    at,
+                    kind: ServerOperationKind::Restart { back },
+                });
             }
         }
     }
 
-    fn zone(&mut self, event: &Event, zone: u32) {
+    fn plan_zone_loss(&mut self, event: &Event, zone: u32) {
         let (from, to) = (event.at, event.at + event.over.unwrap_or_default());
         let in_zone = |number: &u32| number % self.script.zones == zone;
         let nodes: Vec<_> = (0..self.script.nodes).filter(in_zone).collect();
         let nodes: Vec<_> = nodes.into_iter().filter(|&node| self.nodes.reserve(node, from, to)).collect();
-        let indices: Vec<_> = (0..self.at_start.len() as u32).filter(in_zone).collect();
+        let indices: Vec<_> = (0..self.initial_servers.len() as u32).filter(in_zone).collect();
         for index in indices {
             if self.servers.reserve(index, from, to) {
-                let kind = ServerJobKind::Restart { back: to };
-                self.server_jobs.push(ServerJob { index, at: from, kind });
+                let kind = ServerOperationKind::Restart { back: to };
+                self.server_operations.push(ServerOperation { index, at: from, kind });
             }
         }
         if !nodes.is_empty() {
-            self.step(from, Step::Kill(nodes.clone()));
-            self.step(to, Step::Launch(nodes));
+            self.push_step(from, Step::Kill(nodes.clone()));
+            self.push_step(to, Step::Launch(nodes));
         }
     }
 
-    /// Turns server jobs into changes of the list, each of the replacement that is running by then.
+    /// Turns server operations into changes of the list. Each one applies to the generation of the server that is listed at
+    /// that time.
     fn plan_server_changes(&mut self) {
-        let mut jobs = std::mem::take(&mut self.server_jobs);
-        jobs.sort_by_key(|job| job.at);
-        let mut generations = vec![0_u32; self.at_start.len()];
-        for ServerJob { index, at, kind } in jobs {
-            let first = &self.at_start[index as usize];
+        let mut operations = std::mem::take(&mut self.server_operations);
+        operations.sort_by_key(|operation| operation.at);
+        let mut generations = vec![0_u32; self.initial_servers.len()];
+        for ServerOperation { index, at, kind } in operations {
+            let first = &self.initial_servers[index as usize];
             let generation = &mut generations[index as usize];
-            let present = successor(first, *generation);
+            let current = successor(first, *generation);
             match kind {
-                ServerJobKind::Replace { step } => {
+                ServerOperationKind::Replace { step } => {
                     *generation += 1;
                     let successor = successor(first, *generation);
-                    self.change(at, with_health(&present, "draining"));
-                    self.change(at + step, with_health(&present, "gone"));
-                    self.server_starts(at + step * 2, successor);
+                    self.push_change(at, with_health(&current, "draining"));
+                    self.push_change(at + step, with_health(&current, "gone"));
+                    self.push_server_start(at + step * 2, successor);
                 }
-                ServerJobKind::Restart { back } => {
-                    self.change(at, with_health(&present, "gone"));
-                    self.server_starts(back, present);
+                ServerOperationKind::Restart { back } => {
+                    self.push_change(at, with_health(&current, "gone"));
+                    self.push_server_start(back, current);
                 }
             }
         }
     }
 
-    fn change(&mut self, at: Duration, server: ListedServer) {
-        self.step(at, Step::Change { server, starts: false });
+    fn push_change(&mut self, at: Duration, server: ListedServer) {
+        self.push_step(at, Step::Change { server, starts: false });
     }
 
-    fn server_starts(&mut self, at: Duration, server: ListedServer) {
-        self.step(at, Step::Change { server, starts: true });
+    fn push_server_start(&mut self, at: Duration, server: ListedServer) {
+        self.push_step(at, Step::Change { server, starts: true });
     }
 }
 
@@ -330,13 +346,13 @@
     ListedServer { health: health.into(), ..server.clone() }
 }
 
-/// The times, within an event, of things that happen at this rate and take this long: one at a random time within each of
-/// equal parts. There is at least one.
-fn times(event: &Event, per_day: f64, takes: Duration, random: RandomSource) -> Vec<Duration> {
+/// Returns the start times of operations that happen at a rate within an event and end before it does: one at a random time
+/// in each of equal parts of the event. There is at least one.
+fn random_times(event: &Event, per_day: f64, duration: Duration, random: RandomSource) -> Vec<Duration> {
     let over = event.over.unwrap_or_default();
     let count = (per_day * over.as_secs_f64() / SECONDS_PER_DAY).round().max(1.0) as u32;
-    let room = over.saturating_sub(takes);
-    let part = room / count;
+    let available = over.saturating_sub(duration);
+    let part = available / count;
     (0..count)
         .map(|number| event.at + part * number + part.mul_f64(random.derive(u64::from(number)).uniform()))
         .collect()
--- a/crates/testbed/src/scale/virtual_time/calls.rs
+++ b/crates/testbed/src/scale/virtual_time/calls.rs
@@ -1,8 +1,8 @@
-//! The calls of nodes to replicas, from the decision to call until the answer is applied.
+//! Simulates the calls of nodes to replicas, from the decision to call until the answer is applied.
 
-use super::client::{listed, CallEnd, Listing, Next, NextCall};
+use super::client::{list_entry, AfterCall, CallOutcome, ListResponse, NextCall};
 use super::event_queue::{CallId, SimulationEvent};
-use super::measure::Sent;
+use super::measure::SentLines;
 use super::nodes::{Call, CallResult, Connection};
 use super::replica::Answer;
 use super::simulation::{Simulation, LATENCY};
@@ -10,11 +10,11 @@
 use crate::scale::messages::Answering;
 use std::time::Duration;
 
-/// The round trips, in latencies, until a call on a new connection arrives.
+/// One-way latencies until a call on a new connection arrives: two for the handshake, one for the call.
 const NEW_CONNECTION_LATENCIES: u32 = 3;
 
 impl Simulation<'_> {
-    /// A node makes its next call.
+    /// Makes the next call of a node.
     pub(super) fn begin_call(&mut self, node: u32, incarnation: u32) {
         let now = self.now;
         let state = &mut self.nodes[node as usize];
@@ -33,23 +33,23 @@
             answer: None,
             result: None,
         });
-        // A connection to another replica is closed.
+        // A connection to a different replica is closed.
         state.connection = state.connection.filter(|connection| connection.replica == parameters.replica);
         let connected = state.connection.is_some();
-        self.events.schedule(now + parameters.limit, SimulationEvent::CallTimesOut(id));
+        self.events.schedule(now + parameters.timeout, SimulationEvent::CallTimesOut(id));
         self.send_call(id, parameters, connected);
     }
 
     /// Sends a call, on the existing connection or on a new one.
     fn send_call(&mut self, id: CallId, parameters: NextCall, connected: bool) {
         let replica = parameters.replica;
-        let passes = self.passes(id.node, replica);
+        let can_communicate = self.can_communicate(id.node, replica);
         let away = self.replicas[replica as usize].answering == Answering::Away;
-        match (connected, passes) {
+        match (connected, can_communicate) {
             (true, true) => self.events.schedule(self.now + LATENCY, SimulationEvent::CallArrives(id)),
-            // The connection seems to be open, and nothing passes.
+            // The node believes that the connection is open, but messages are lost.
             (true, false) => {}
-            (false, false) => self.end_call(id.node, CallResult::Unreachable, parameters.connect),
+            (false, false) => self.end_call(id.node, CallResult::Unreachable, parameters.connect_timeout),
             (false, true) if away => self.end_call(id.node, CallResult::Unreachable, LATENCY * 2),
             (false, true) => {
                 let connection = Connection { replica, watch_answered_at: None };
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The replica of a call that is still in flight and not lost.
+    /// Returns the replica of a call that is still in flight and not lost.
     fn replica_of(&self, id: CallId) -> Option<u32> {
         let call = self.nodes[id.node as usize].call.as_ref()?;
         let in_flight = call.number == id.number && !call.lost && call.result.is_none();
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A replica accepts a call.
+    /// Processes a call at its replica: queues the answer if there is news, or charges the call before it watches.
     pub(super) fn serve(&mut self, id: CallId) {
         let Some(replica) = self.replica_of(id) else { return };
         self.counts[replica as usize].calls += 1;
@@ -88,20 +88,21 @@
         let continues_watch = after.is_some()
             && answered_at.is_some_and(|answered_at| now - answered_at <= WATCH_CONTINUED_WITHIN);
         let cost = if continues_watch { capacity.continued_call_lines } else { capacity.call_lines };
-        let has_news = after.is_none_or(|after| self.replicas[replica as usize].has_news(after));
-        if has_news {
+        let has_newer = after.is_none_or(|after| self.replicas[replica as usize].has_newer(after));
+        if has_newer {
             self.queue_answer(id, replica, after, cost);
         } else {
             self.charge(id, replica, cost, SimulationEvent::CallHandled(id));
         }
     }
 
-    /// Charges lines to a replica. The event happens once they are sent; if the queue is full, the call is rejected.
+    /// Charges lines to a replica and schedules the event for when they have been processed. Rejects the call if the queue is
+    /// full.
     fn charge(&mut self, id: CallId, replica: u32, lines: f64, event: SimulationEvent) {
         match self.replicas[replica as usize].queue.charge(self.now, lines) {
             Ok(at) => {
                 if self.traced {
-                    self.sent.push(Sent { replica, at, lines });
+                    self.sent.push(SentLines { replica, at, lines });
                 }
                 self.events.schedule(at, event);
             }
@@ -112,14 +113,14 @@
         }
     }
 
-    /// A replica begins to watch for changes, unless there is one by now.
+    /// Lets a call wait for changes, or answers it if there are some by now.
     pub(super) fn call_handled(&mut self, id: CallId) {
         let Some(replica) = self.replica_of(id) else { return };
         let call = self.nodes[id.node as usize].call.as_ref();
         let Some(parameters) = call.map(|call| call.parameters) else { return };
         let after = parameters.after.unwrap_or_default();
         let state = &mut self.replicas[replica as usize];
-        if state.has_news(after) && state.answering == Answering::Up {
+        if state.has_newer(after) && state.answering == Answering::Up {
             return self.send_answer(id);
         }
         state.watch(id, after);
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Answers a call with what there is by now.
+    /// Queues the answer to a call with all changes so far.
     pub(super) fn send_answer(&mut self, id: CallId) {
         let Some(replica) = self.replica_of(id) else { return };
         let after = self.nodes[id.node as usize].call.as_ref().and_then(|call| call.parameters.after);
@@ -149,7 +150,7 @@
         self.charge(id, replica, lines, SimulationEvent::AnswerSent(id));
     }
 
-    /// A replica has sent an answer, unless it has become silent.
+    /// Delivers an answer, or holds it back while the replica is silent.
     pub(super) fn answer_sent(&mut self, id: CallId) {
         let Some(replica) = self.replica_of(id) else { return };
         if self.replicas[replica as usize].answering == Answering::Silent {
@@ -163,13 +164,13 @@
         }
         let counts = &mut self.counts[replica as usize];
         counts.answers += 1;
-        counts.whole_lists += u64::from(answer.whole);
+        counts.whole_lists += u64::from(answer.is_snapshot);
         let bytes = answer.entries.iter().map(|(server, _)| self.versions.entry_bytes(*server));
         counts.entry_bytes += bytes.sum::<usize>() as u64;
         self.end_call(id.node, CallResult::Answer(answer), LATENCY);
     }
 
-    /// The result of a node's call reaches the node after a time.
+    /// Schedules the arrival of a call's result at the node after a delay.
     pub(super) fn end_call(&mut self, node: u32, result: CallResult, after: Duration) {
         let call = self.nodes[node as usize].call.as_mut();
         if let Some(call) = call.filter(|call| call.result.is_none()) {
@@ -188,10 +189,10 @@
             Some(CallResult::Answer(answer)) => self.call_answered(id.node, took, &answer),
             Some(CallResult::Unreachable) => {
                 self.outcome.unreached += 1;
-                self.call_failed(id.node, CallEnd::Unreached { took });
+                self.call_failed(id.node, CallOutcome::Unreachable { took });
             }
-            Some(CallResult::Rejected) => self.call_failed(id.node, CallEnd::Refused { took }),
-            Some(CallResult::Failed) | None => self.call_failed(id.node, CallEnd::Failed),
+            Some(CallResult::Rejected) => self.call_failed(id.node, CallOutcome::Rejected { took }),
+            Some(CallResult::Failed) | None => self.call_failed(id.node, CallOutcome::Failed),
         }
     }
 
@@ -200,11 +201,11 @@
         if call.is_some_and(|call| call.number == id.number) {
             self.drop_call(id.node);
             self.outcome.overdue += 1;
-            self.call_failed(id.node, CallEnd::Overdue);
+            self.call_failed(id.node, CallOutcome::TimedOut);
         }
     }
 
-    /// Removes the call that a node has in flight, if there is one, from the node and the replica.
+    /// Removes the call in flight of a node, if there is one, from the node and from its replica.
     pub(super) fn drop_call(&mut self, node: u32) {
         if let Some(call) = self.nodes[node as usize].call.take() {
             let id = CallId { node, number: call.number };
@@ -214,35 +215,40 @@
 
     fn call_answered(&mut self, node: u32, took: Duration, answer: &Answer) {
         let (now, versions) = (self.now, &self.versions);
-        let entries = answer.entries.iter().map(|(server, state)| listed(versions.name(*server), *state));
-        let listing = Listing { version: answer.version, whole: answer.whole, entries: entries.collect() };
-        let end = CallEnd::Answered { took, listing };
-        let next = self.nodes[node as usize].decide(|decisions, random| decisions.ended(now, end, random));
+        let entries = answer.entries.iter().map(|(server, state)| list_entry(versions.name(*server), *state));
+        let response = ListResponse {
+            version: answer.version,
+            is_snapshot: answer.is_snapshot,
+            entries: entries.collect(),
+        };
+        let outcome = CallOutcome::Answered { took, response };
+        let next =
+            self.nodes[node as usize].decide(|decisions, random| decisions.call_ended(now, outcome, random));
         let Some(next) = next else { return };
         match next.applied {
             Some(version) => self.list_applied(node, version),
-            // A rejected list ends its connection.
+            // A node that rejects a list closes the connection.
             None => self.nodes[node as usize].connection = None,
         }
         self.schedule_next_call(node, next);
     }
 
-    fn call_failed(&mut self, node: u32, end: CallEnd) {
+    fn call_failed(&mut self, node: u32, outcome: CallOutcome) {
         let now = self.now;
         let state = &mut self.nodes[node as usize];
         state.connection = None;
-        if let Some(next) = state.decide(|decisions, random| decisions.ended(now, end, random)) {
+        if let Some(next) = state.decide(|decisions, random| decisions.call_ended(now, outcome, random)) {
             self.schedule_next_call(node, next);
         }
     }
 
-    fn schedule_next_call(&mut self, node: u32, next: Next) {
+    fn schedule_next_call(&mut self, node: u32, next: AfterCall) {
         let incarnation = self.nodes[node as usize].incarnation;
         let event = SimulationEvent::CallBegins { node, incarnation };
         self.events.schedule(self.now + next.pause, event);
     }
 
-    /// A node applies a list of this version.
+    /// Records that a node applies a list of this version.
     fn list_applied(&mut self, node: u32, version: u64) {
         let state = &mut self.nodes[node as usize];
         let before = state.version.replace(version);
@@ -250,9 +256,9 @@
         if let Some(launched_at) = state.launched_at.take() {
             self.outcome.lists.add(self.now - launched_at);
         }
-        let from = before.unwrap_or(0).max(state.counts_after);
+        let from = before.unwrap_or(0).max(state.counted_after);
         for version in from + 1..=version {
-            if let Some(change) = self.versions.made(version) {
+            if let Some(change) = self.versions.change_at(version) {
                 self.outcome.latencies.add(self.now - change.at);
             }
         }
--- a/crates/testbed/src/scale/virtual_time/client.rs
+++ b/crates/testbed/src/scale/virtual_time/client.rs
@@ -1,4 +1,4 @@
-//! The decisions of a discovery client: which replica it calls, for what, how long it waits, and when it calls again.
+//! The decisions of a discovery client: which replica it calls, what it requests, how long it waits, and when it calls again.
 
 use super::scene::Scene;
 use balancer_core::discovery::{
@@ -8,60 +8,60 @@
 use balancer_core::{EndpointState, Timestamp};
 use std::time::Duration;
 
-/// The connect timeout to a discovery without replicas.
+/// Connect timeout if discovery is a single address.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The connect timeout to one of several replicas.
+/// Connect timeout if discovery has several replicas.
 const REPLICA_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The maximum poll interval, as the platform configures nodes.
+/// Maximum poll interval in the platform's configuration of nodes.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
-/// The drain grace, as the platform configures nodes.
+/// Drain grace in the platform's configuration of nodes.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
 /// The parameters of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NextCall {
-    /// The replica, by number.
+    /// The index of the replica.
     pub replica: u32,
-    /// The node wants what is newer than this version; `None` for the whole list.
+    /// The version that the node has, to request newer changes; `None` to request a snapshot.
     pub after: Option<u64>,
-    /// How long discovery waits for a change.
+    /// The time for which discovery may wait for a change.
     pub wait: Duration,
     /// The timeout of the call.
-    pub limit: Duration,
-    /// The timeout of the connection.
-    pub connect: Duration,
+    pub timeout: Duration,
+    /// The timeout for establishing a connection.
+    pub connect_timeout: Duration,
 }
 
-/// A snapshot or delta as the client has read it.
+/// A snapshot or delta that a client received.
 #[derive(Clone, Debug)]
-pub struct Listing<'a> {
-    /// Its version.
+pub struct ListResponse<'a> {
+    /// The version of the list.
     pub version: u64,
-    /// Whether it is a snapshot.
-    pub whole: bool,
-    /// Its entries.
+    /// Whether the response is a snapshot.
+    pub is_snapshot: bool,
+    /// The entries.
     pub entries: Vec<ListEntry<'a>>,
 }
 
-/// The end of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug)]
-pub enum CallEnd<'a> {
+pub enum CallOutcome<'a> {
     /// An answer arrived.
     Answered {
         /// The time since the call.
         took: Duration,
         /// The list.
-        listing: Listing<'a>,
+        response: ListResponse<'a>,
     },
     /// The call timed out.
-    Overdue,
-    /// No connection was established.
-    Unreached {
+    TimedOut,
+    /// No connection could be established.
+    Unreachable {
         /// The time since the call.
         took: Duration,
     },
-    /// The replica rejected it because its queue was full.
-    Refused {
+    /// The replica rejected the call because its queue was full.
+    Rejected {
         /// The time since the call.
         took: Duration,
     },
@@ -69,27 +69,32 @@
     Failed,
 }
 
-/// What follows from the end of a call.
+/// The reaction of a client to the outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Next {
+pub struct AfterCall {
     /// The pause before the next call.
     pub pause: Duration,
-    /// The version of the list that the node has applied; `None` if it applied none.
+    /// The version of the list that the node applied; `None` if it applied none.
     pub applied: Option<u64>,
 }
 
 /// The decisions of a node's discovery client. `random` returns uniform random values from 0 to 1.
 pub trait ClientDecisions {
-    /// The next call.
+    /// Returns the next call.
     fn next_call(&mut self, now: Duration, random: &mut dyn FnMut() -> f64) -> NextCall;
 
-    /// Takes in the end of the last call.
-    fn ended(&mut self, now: Duration, end: CallEnd, random: &mut dyn FnMut() -> f64) -> Next;
+    /// Handles the outcome of the last call.
+    fn call_ended(
+        &mut self,
+        now: Duration,
+        outcome: CallOutcome,
+        random: &mut dyn FnMut() -> f64,
+    ) -> AfterCall;
 }
 
-/// The real decisions, for one address or for several replicas of known capacity.
-pub struct ReplicasClient {
-    terms: PollSettings,
+/// The decisions of the discovery client of `balancer_core`, for one address or for several replicas of known capacity.
+pub struct CoreClientDecisions {
+    poll_settings: PollSettings,
     capacity: Option<ReplicaCapacity>,
     names: Vec<String>,
     client: DiscoveryClient,
@@ -97,20 +102,20 @@
     call: Poll,
 }
 
-impl ReplicasClient {
-    /// Creates the decisions of a node that has not called yet.
+impl CoreClientDecisions {
+    /// Creates the decisions of a node that has not made a call yet.
     pub fn new(start: &ClientStart) -> Self {
         let script = &start.scene.script;
         let names: Vec<_> = (0..script.known_replicas()).map(replica_name).collect();
-        let stated = ReplicaCapacity {
+        let capacity = ReplicaCapacity {
             lines_per_second: script.capacity.lines_per_second,
             call_lines: script.capacity.call_lines,
         };
         let version = start.list.map(|(version, _)| version);
         let ready = start.list.iter().flat_map(|(_, ready)| ready.iter().cloned());
         Self {
-            terms: start.terms(),
-            capacity: script.mechanism.then_some(stated),
+            poll_settings: start.poll_settings(),
+            capacity: script.mechanism.then_some(capacity),
             client: DiscoveryClient::new(ReplicaSelection::new(&start.name(), names.clone())),
             names,
             membership: ListValidator::new(version, ready),
@@ -121,85 +126,94 @@
     fn pace(&self) -> PollPacing {
         let held = u32::try_from(self.membership.ready_count()).unwrap_or(u32::MAX);
         let list_lines = Some(held).filter(|lines| *lines > 0);
-        PollPacing::new(self.terms, self.client.replicas().available(), self.capacity, list_lines)
+        PollPacing::new(self.poll_settings, self.client.replicas().available(), self.capacity, list_lines)
     }
 
-    /// Whether a list is accepted.
-    fn accepts(&mut self, listing: &Listing) -> bool {
-        let place = self.client.replicas().current();
-        let replica = self.names.get(place).map_or("", String::as_str);
+    /// Validates a received list. Returns whether it is accepted.
+    fn accepts(&mut self, response: &ListResponse) -> bool {
+        let index = self.client.replicas().current();
+        let replica = self.names.get(index).map_or("", String::as_str);
         let source = ListSource { replica, replicas: self.names.len() };
-        let received =
-            ReceivedList { version: listing.version, is_snapshot: listing.whole, entries: &listing.entries };
+        let received = ReceivedList {
+            version: response.version,
+            is_snapshot: response.is_snapshot,
+            entries: &response.entries,
+        };
         self.membership.validate(source, &received).is_ok()
     }
 
-    fn end(&mut self, end: CallEnd) -> (PollOutcome, Option<u64>) {
-        match end {
-            CallEnd::Answered { took, listing } if self.accepts(&listing) => {
-                let has_changes = !listing.entries.is_empty();
-                (PollOutcome::Answered { took, has_changes }, Some(listing.version))
+    /// Converts the outcome of a call, and returns the version of its list if the list is accepted.
+    fn poll_outcome(&mut self, outcome: CallOutcome) -> (PollOutcome, Option<u64>) {
+        match outcome {
+            CallOutcome::Answered { took, response } if self.accepts(&response) => {
+                let has_changes = !response.entries.is_empty();
+                (PollOutcome::Answered { took, has_changes }, Some(response.version))
             }
-            CallEnd::Answered { .. } | CallEnd::Failed => (PollOutcome::Failed, None),
-            CallEnd::Refused { took } => (PollOutcome::Overloaded { took }, None),
-            CallEnd::Overdue => (PollOutcome::TimedOut, None),
-            CallEnd::Unreached { took } => (PollOutcome::Unreachable { took }, None),
+            CallOutcome::Answered { .. } | CallOutcome::Failed => (PollOutcome::Failed, None),
+            CallOutcome::Rejected { took } => (PollOutcome::Overloaded { took }, None),
+            CallOutcome::TimedOut => (PollOutcome::TimedOut, None),
+            CallOutcome::Unreachable { took } => (PollOutcome::Unreachable { took }, None),
         }
     }
 }
 
-impl ClientDecisions for ReplicasClient {
+impl ClientDecisions for CoreClientDecisions {
     fn next_call(&mut self, _now: Duration, random: &mut dyn FnMut() -> f64) -> NextCall {
         self.call = self.client.next_poll(self.pace(), self.membership.next_poll_kind(), random());
-        let Poll { wait, timeout: limit } = self.call;
+        let Poll { wait, timeout } = self.call;
         NextCall {
             replica: self.client.replicas().current() as u32,
             after: self.membership.watch_from(),
             wait,
-            limit,
-            connect: if self.names.len() > 1 { REPLICA_CONNECT_TIMEOUT } else { CONNECT_TIMEOUT },
+            timeout,
+            connect_timeout: if self.names.len() > 1 { REPLICA_CONNECT_TIMEOUT } else { CONNECT_TIMEOUT },
         }
     }
 
-    fn ended(&mut self, now: Duration, end: CallEnd, random: &mut dyn FnMut() -> f64) -> Next {
-        let (end, applied) = self.end(end);
+    fn call_ended(
+        &mut self,
+        now: Duration,
+        outcome: CallOutcome,
+        random: &mut dyn FnMut() -> f64,
+    ) -> AfterCall {
+        let (outcome, applied) = self.poll_outcome(outcome);
         let now = Timestamp::from_micros(now.as_micros() as u64);
         let jitter = Jitter { hold_down: random(), pause: random() };
         let (pace, kind) = (self.pace(), self.membership.next_poll_kind());
-        let next = self.client.poll_ended(now, pace, self.call, end, kind, jitter);
-        Next { pause: next.pause, applied }
+        let next = self.client.poll_ended(now, pace, self.call, outcome, kind, jitter);
+        AfterCall { pause: next.pause, applied }
     }
 }
 
-/// The name by which nodes know a replica.
+/// Returns the name under which nodes know a replica.
 fn replica_name(replica: u32) -> String {
     format!("10.0.0.{}:7100", replica + 1)
 }
 
-/// An entry as the client reads it. Every server of a scene has an address.
-pub fn listed(name: &str, state: EndpointState) -> ListEntry<'_> {
+/// Creates a list entry as a client reads it. Every server of a scene has an address.
+pub fn list_entry(name: &str, state: EndpointState) -> ListEntry<'_> {
     ListEntry { id: name, state, has_address: true }
 }
 
-/// A node that starts.
+/// The start of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientStart<'a> {
     /// The scene.
     pub scene: &'a Scene,
-    /// Its number.
+    /// The index of the node.
     pub node: u32,
-    /// The version and the servers of the list that it starts with; `None` if it starts without one.
+    /// The version and the servers of the list that the node starts with; `None` if it starts without a list.
     pub list: Option<(u64, &'a [String])>,
 }
 
 impl ClientStart<'_> {
-    /// Its name, as on sockets.
+    /// Returns the name of the node, which is the same as in runs on sockets.
     pub fn name(&self) -> String {
         format!("h{}", self.node)
     }
 
-    /// Its polling parameters.
-    pub fn terms(&self) -> PollSettings {
+    /// Returns the polling settings of the node.
+    pub fn poll_settings(&self) -> PollSettings {
         let nodes = self.scene.script.nodes;
         PollSettings {
             nodes,
@@ -209,8 +223,8 @@
         }
     }
 
-    /// The real decisions.
+    /// Creates the decisions of the discovery client of `balancer_core`.
     pub fn client(&self) -> Box<dyn ClientDecisions> {
-        Box::new(ReplicasClient::new(self))
+        Box::new(CoreClientDecisions::new(self))
     }
 }
--- a/crates/testbed/src/scale/virtual_time/event_queue.rs
+++ b/crates/testbed/src/scale/virtual_time/event_queue.rs
@@ -1,39 +1,39 @@
-//! The events of a simulation, in the order of time; at the same time, in the order in which they were scheduled.
+//! The queue of simulation events, in chronological order. Simultaneous events keep the order in which they were scheduled.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// A call of a node. It is obsolete once the node has begun another call or was killed.
+/// Identifies a call. Its events are obsolete once the node has begun another call or was killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CallId {
     pub(super) node: u32,
-    /// Counts the calls of all incarnations of the node.
+    /// The number of the call, counted over all incarnations of the node.
     pub(super) number: u64,
 }
 
-/// An event of a simulation.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum SimulationEvent {
-    /// The occurrence of the scene with this index happens.
-    Occurrence(usize),
+    /// The event of the scene with this index happens.
+    SceneEvent(usize),
     /// The measurement begins.
     MeasurementBegins,
     /// A node begins its next call.
     CallBegins { node: u32, incarnation: u32 },
     /// A call reaches its replica.
     CallArrives(CallId),
-    /// The replica has worked through the lines that a watch costs.
+    /// The replica has processed the lines that a watch costs.
     CallHandled(CallId),
-    /// A watch has waited for as long as it asks.
+    /// A watch has waited as long as its call allows.
     WatchTimesOut(CallId),
     /// The replica has sent the last line of an answer.
     AnswerSent(CallId),
-    /// The end of a call reaches the node.
+    /// The result of a call reaches the node.
     CallEnds(CallId),
-    /// The node's own timeout of a call ends.
+    /// The node's timeout for a call expires.
     CallTimesOut(CallId),
-    /// A replica learns of all versions up to this one.
+    /// A replica receives all changes up to this version.
     VersionReplicated { replica: u32, version: u64 },
 }
 
--- a/crates/testbed/src/scale/virtual_time/mod.rs
+++ b/crates/testbed/src/scale/virtual_time/mod.rs
@@ -1,12 +1,12 @@
-//! The control plane in virtual time: discovery clients with the real decisions, against replicas of discovery with one queue
-//! each. There are no sockets and no wall clock: the same scene and seed give the same bytes.
+//! Simulates the control plane in virtual time: discovery clients with the real decisions, and replicas of discovery with one
+//! queue each. There are no sockets and no wall clock: the same scene and seed give byte-identical results.
 //!
-//! What a node does beside its discovery client is left out. Connections cost nothing but latency; messages arrive whole.
+//! Only the discovery client of a node is simulated. Connections cost nothing but latency, and messages arrive as a whole.
 //!
-//! - [`Scene`] has a script and what happens; [`scenes`] are those with a name.
-//! - [`client`] has the decisions of one node.
-//! - [`simulation`] runs a scene; [`replica`] is the queue, the list and the watches of one replica.
-//! - [`Outcome`] is the result; [`table`] compares several.
+//! - [`Scene`] combines a script with the events that happen; [`scenes`] lists the named scenes.
+//! - [`client`] makes the decisions of one node.
+//! - [`simulation`] runs a scene; [`replica`] holds the queue, the list and the watches of one replica.
+//! - [`Outcome`] is the result of a run; [`table`] compares several outcomes.
 
 mod calls;
 pub mod client;
@@ -20,7 +20,7 @@
 pub mod simulation;
 mod versions;
 
-pub use measure::{Latencies, Outcome, ReplicaOutcome, Sent};
+pub use measure::{Latencies, Outcome, ReplicaOutcome, SentLines};
 pub use report::table;
-pub use scene::{Occurrence, Scene, SceneError};
+pub use scene::{Scene, SceneError, SceneEvent};
 pub use simulation::{run, run_traced, run_with};
--- a/crates/testbed/src/scale/virtual_time/nodes.rs
+++ b/crates/testbed/src/scale/virtual_time/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes of a simulation: an incarnation, a connection, a call in flight, and the decisions of a discovery client.
+//! The state of simulated nodes: incarnation, connection, call in flight, and the decisions of the discovery client.
 
 use super::client::{ClientDecisions, NextCall};
 use super::replica::Answer;
@@ -11,11 +11,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Connection {
     pub(super) replica: u32,
-    /// When a watch on it was answered, if that was the last call.
+    /// The time at which the last call on this connection was answered, if that call was a watch.
     pub(super) watch_answered_at: Option<Duration>,
 }
 
-/// The result of a call, on its way to the node.
+/// The result of a call that is on its way to the node.
 #[derive(Debug)]
 pub(super) enum CallResult {
     Answer(Rc<Answer>),
@@ -30,7 +30,7 @@
     pub(super) number: u64,
     pub(super) parameters: NextCall,
     pub(super) began_at: Duration,
-    /// A partition has cut it off: nothing that belongs to it passes any more.
+    /// Whether a network partition cut off the call, so that none of its messages arrive any more.
     pub(super) lost: bool,
     /// The answer that the replica is sending.
     pub(super) answer: Option<Rc<Answer>>,
@@ -38,19 +38,19 @@
 }
 
 pub(super) struct Node {
-    /// Counts its kills.
+    /// The number of times that the node was killed.
     pub(super) incarnation: u32,
     pub(super) up: bool,
     pub(super) decisions: Option<Box<dyn ClientDecisions>>,
     pub(super) call: Option<Call>,
-    /// The number of calls of all incarnations.
+    /// The number of calls that all incarnations made.
     pub(super) calls: u64,
     pub(super) connection: Option<Connection>,
-    /// The version of its list.
+    /// The version of the node's list.
     pub(super) version: Option<u64>,
-    /// Changes up to this version do not count: it was not running yet.
-    pub(super) counts_after: u64,
-    /// When it was launched; `None` once it has a list.
+    /// The last version before the node was launched. Changes up to this version do not count.
+    pub(super) counted_after: u64,
+    /// The time of the launch; `None` once the node has a list.
     pub(super) launched_at: Option<Duration>,
     random: RandomSource,
     random_values: u64,
@@ -66,19 +66,19 @@
             calls: 0,
             connection: None,
             version: None,
-            counts_after: FIRST_VERSION,
+            counted_after: FIRST_VERSION,
             launched_at: None,
             random,
             random_values: 0,
         }
     }
 
-    /// When it makes its first call, as a fraction of the time over which first calls are spread.
+    /// Returns the time of the first call as a fraction of the period over which first calls are spread.
     pub(super) fn first_call_fraction(&self) -> f64 {
         self.random.derive(0).uniform()
     }
 
-    /// Calls its decisions, if it has any, with a source of uniform random values.
+    /// Calls the node's decisions with a source of uniform random values. Returns `None` if the node is not running.
     pub(super) fn decide<T>(
         &mut self,
         decide: impl FnOnce(&mut dyn ClientDecisions, &mut dyn FnMut() -> f64) -> T,
--- a/crates/testbed/src/scale/virtual_time/replica.rs
+++ b/crates/testbed/src/scale/virtual_time/replica.rs
@@ -1,4 +1,4 @@
-//! A replica of discovery: a queue of bounded rate, a list that is known up to some version, and watches.
+//! A simulated replica of discovery: a queue with a bounded rate, a list up to some version, and watches.
 
 use super::event_queue::CallId;
 use super::versions::{ServerNumber, Versions, FIRST_VERSION};
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub(super) struct Answer {
     pub(super) version: u64,
-    pub(super) whole: bool,
+    pub(super) is_snapshot: bool,
     pub(super) entries: Vec<(ServerNumber, EndpointState)>,
 }
 
@@ -23,17 +23,20 @@
 pub(super) struct Replica {
     pub(super) answering: Answering,
     pub(super) queue: LineQueue,
-    /// How much later than others it learns of changes.
+    /// The delay with which the replica receives changes.
     pub(super) lag: Duration,
     version: u64,
     servers: BTreeMap<ServerNumber, EndpointState>,
     answers: HashMap<Option<u64>, Rc<Answer>>,
-    /// Watches in the order in which they began, and the version that each has.
+    /// The version that each watch has, in the order in which watches began.
     watches: BTreeMap<(u64, CallId), u64>,
+    /// The position of each watch in that order.
     watch_order: BTreeMap<CallId, u64>,
-    order: u64,
-    /// Calls that arrived, and answers that were due, while it was silent.
+    /// The position of the last watch.
+    last_watch: u64,
+    /// Calls that arrived while the replica was silent.
     pub(super) held_calls: Vec<CallId>,
+    /// Calls whose answers were due while the replica was silent.
     pub(super) held_answers: Vec<CallId>,
 }
 
@@ -48,16 +51,16 @@
             answers: HashMap::new(),
             watches: BTreeMap::new(),
             watch_order: BTreeMap::new(),
-            order: 0,
+            last_watch: 0,
             held_calls: Vec::new(),
             held_answers: Vec::new(),
         }
     }
 
-    /// Learns of all versions up to this one.
-    pub(super) fn learn(&mut self, versions: &Versions, upto: u64) {
-        for version in self.version + 1..=upto {
-            let Some(change) = versions.made(version) else { break };
+    /// Applies all changes up to the version `last`.
+    pub(super) fn apply_changes(&mut self, versions: &Versions, last: u64) {
+        for version in self.version + 1..=last {
+            let Some(change) = versions.change_at(version) else { break };
             if change.state == EndpointState::Removed {
                 self.servers.remove(&change.server);
             } else {
@@ -68,12 +71,13 @@
         }
     }
 
-    /// Whether it has a newer version.
-    pub(super) fn has_news(&self, after: u64) -> bool {
+    /// Returns whether the replica has a newer version.
+    pub(super) fn has_newer(&self, after: u64) -> bool {
         self.version > after
     }
 
-    /// The answer for a node that has this version of the list: a delta, or a snapshot if it has none or one that is too old.
+    /// Returns the answer for a node with this version of the list: a delta, or a snapshot if the node has no version or one
+    /// that is too old.
     pub(super) fn answer(&mut self, versions: &Versions, after: Option<u64>) -> Rc<Answer> {
         if let Some(answer) = self.answers.get(&after) {
             return answer.clone();
@@ -83,16 +87,16 @@
             Some(after) => self.changed(versions, after),
             None => self.servers.iter().map(|(server, state)| (*server, *state)).collect(),
         };
-        let answer = Rc::new(Answer { version: self.version, whole: known.is_none(), entries });
+        let answer = Rc::new(Answer { version: self.version, is_snapshot: known.is_none(), entries });
         self.answers.insert(after, answer.clone());
         answer
     }
 
-    /// The last change of each server since this version, in the order of versions.
+    /// Returns the last change of each server since this version, in the order of versions.
     fn changed(&self, versions: &Versions, after: u64) -> Vec<(ServerNumber, EndpointState)> {
         let (mut seen, mut entries) = (BTreeSet::new(), Vec::new());
         for version in (after + 1..=self.version).rev() {
-            let Some(change) = versions.made(version) else { continue };
+            let Some(change) = versions.change_at(version) else { continue };
             if seen.insert(change.server) {
                 entries.push((change.server, change.state));
             }
@@ -101,21 +105,21 @@
         entries
     }
 
-    /// A call waits for a newer version.
+    /// Lets a call wait for a newer version.
     pub(super) fn watch(&mut self, call: CallId, after: u64) {
-        self.order += 1;
-        self.watches.insert((self.order, call), after);
-        self.watch_order.insert(call, self.order);
+        self.last_watch += 1;
+        self.watches.insert((self.last_watch, call), after);
+        self.watch_order.insert(call, self.last_watch);
     }
 
-    /// A call no longer waits. Returns whether it did.
+    /// Ends the wait of a call. Returns whether the call was waiting.
     pub(super) fn unwatch(&mut self, call: CallId) -> bool {
         let order = self.watch_order.remove(&call);
         order.is_some_and(|order| self.watches.remove(&(order, call)).is_some())
     }
 
-    /// Removes and returns the watches for which there is a newer version, in the order in which they began.
-    pub(super) fn take_watches_with_news(&mut self) -> Vec<CallId> {
+    /// Removes and returns the watches whose version is older than the replica's, in the order in which they began.
+    pub(super) fn take_due_watches(&mut self) -> Vec<CallId> {
         let version = self.version;
         let due = self.watches.iter().filter(|(_, after)| version > **after);
         let due: Vec<_> = due.map(|((_, call), _)| *call).collect();
@@ -125,8 +129,8 @@
         due
     }
 
-    /// Removes all watches, and all that was held back.
-    pub(super) fn drop_calls(&mut self) {
+    /// Removes all watches, and the calls and answers that were held back.
+    pub(super) fn clear_calls(&mut self) {
         self.watches.clear();
         self.watch_order.clear();
         self.held_calls.clear();
--- a/crates/testbed/src/scale/virtual_time/report.rs
+++ b/crates/testbed/src/scale/virtual_time/report.rs
@@ -1,4 +1,4 @@
-//! Compares outcomes in a table.
+//! Formats outcomes as a table.
 
 use super::measure::{Latencies, Outcome};
 use comfy_table::presets::ASCII_MARKDOWN;
@@ -22,8 +22,9 @@
     "bytes a node a second",
 ];
 
-/// A Markdown table with a row for each outcome. Times are from a change at discovery until a node applies it; `last list` is
-/// from a launch until the node has a list, and `over sending` that time over what sending all these lists takes.
+/// Returns a Markdown table with a row for each outcome. The columns `p50`, `p99` and `last` show the times from a change at
+/// discovery until a node applies it. `last list` is the longest time from a launch until the node has a list, and
+/// `over sending` is that time divided by the time that replicas need to send all these lists.
 pub fn table<'a>(rows: impl IntoIterator<Item = (&'a str, &'a Outcome)>) -> String {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN);
@@ -40,7 +41,7 @@
 }
 
 fn cells(name: &str, outcome: &Outcome) -> [String; 14] {
-    let latency = |part| time(outcome.latencies.quantile(part));
+    let latency = |fraction| time(outcome.latencies.quantile(fraction));
     let last_list = outcome.lists.quantile(1.0);
     let bytes = outcome.total(|replica| replica.bytes() as f64);
     let node_seconds = f64::from(outcome.nodes) * outcome.measured.as_secs_f64();
@@ -51,9 +52,9 @@
         latency(0.5),
         latency(0.99),
         latency(1.0),
-        part_of(outcome.never, &outcome.latencies),
+        count_with_percentage(outcome.never, &outcome.latencies),
         time(last_list),
-        over_sending(last_list, outcome.sending_takes),
+        relative_to_sending(last_list, outcome.sending_takes),
         outcome.without_list.to_string(),
         outcome.total(|replica| replica.calls as f64).to_string(),
         outcome.total(|replica| replica.refused as f64).to_string(),
@@ -67,7 +68,7 @@
     time.map_or("-".into(), |time| format!("{:.2} s", time.as_secs_f64()))
 }
 
-fn part_of(never: u64, latencies: &Latencies) -> String {
+fn count_with_percentage(never: u64, latencies: &Latencies) -> String {
     let all = never + latencies.count();
     if never == 0 {
         "0".into()
@@ -76,7 +77,7 @@
     }
 }
 
-fn over_sending(last_list: Option<Duration>, sending: Duration) -> String {
+fn relative_to_sending(last_list: Option<Duration>, sending: Duration) -> String {
     match last_list {
         Some(last) if !sending.is_zero() => format!("{:.2}", last.as_secs_f64() / sending.as_secs_f64()),
         _ => "-".into(),
--- a/crates/testbed/src/scale/virtual_time/scene.rs
+++ b/crates/testbed/src/scale/virtual_time/scene.rs
@@ -1,92 +1,94 @@
-//! A scene: the script of a scale run, and what happens in it.
+//! A scene: the script of a scale run, and the events that happen in the simulation.
 
 use crate::scale::script::ScaleScript;
 use crate::scale::steps::{plan, servers_at_start, Step};
 use std::time::Duration;
 use thiserror::Error;
 
-/// Something that happens.
+/// An event of a scene.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Occurrence {
-    /// A step that runs on sockets have, too.
+pub enum SceneEvent {
+    /// A step that runs on sockets support as well.
     Step(Step),
-    /// Nothing passes between a region and the others.
+    /// Cuts a region off: no messages pass between it and the other regions.
     CutOff {
-        /// Its number from 0.
+        /// The index of the region.
         region: u32,
     },
-    /// Messages pass again.
+    /// Reconnects a region that was cut off.
     Reconnect {
-        /// Its number from 0.
+        /// The index of the region.
         region: u32,
     },
 }
 
-/// Why a script can't be run in virtual time.
+/// The reason why a script can't run in virtual time.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SceneError {
     /// There is no scene of this name.
     #[error("{name}: expected the name of a scene or a script's file")]
     Unknown {
-        /// The name.
+        /// The unknown name.
         name: String,
     },
     /// The script has faults.
     #[error("{faults}")]
     Script {
-        /// All faults.
+        /// The faults, joined.
         faults: String,
     },
     /// The script has an event that the simulation does not support.
-    #[error("event {kind}: expected one that can be played in virtual time: any but replica-reset and replica-set")]
-    NotPlayed {
+    #[error(
+        "event {kind}: expected a kind that virtual time supports: any but replica-reset and replica-set"
+    )]
+    UnsupportedEvent {
         /// The kind of the event in the script.
         kind: &'static str,
     },
 }
 
-/// A scene.
+/// A scene to simulate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scene {
-    /// Sizes, capacity, durations and seed. Its events are in `occurrences`.
+    /// Sizes, capacity, durations and seed. The script's own events are ignored; `events` contains their steps.
     pub script: ScaleScript,
-    /// What happens, from the beginning of the measurement, in the order of time.
-    pub occurrences: Vec<(Duration, Occurrence)>,
-    /// Whether nodes run, and have the list, from the beginning; otherwise each waits until it is launched.
-    pub nodes_run: bool,
+    /// The events in chronological order, with their times since the beginning of the measurement.
+    pub events: Vec<(Duration, SceneEvent)>,
+    /// Whether nodes run and have the list from the beginning. Otherwise each node starts when it is launched.
+    pub starts_running: bool,
 }
 
 impl Scene {
-    /// The scene of a script.
+    /// Creates the scene of a script.
     ///
     /// # Errors
     /// If the script has an event that the simulation does not support.
     pub fn of_script(script: ScaleScript) -> Result<Self, SceneError> {
         let planned =
             plan(&script, &servers_at_start(&script)).into_iter().map(|planned| match &planned.step {
-                Step::Lose { .. } | Step::Restore { .. } => {
-                    Err(SceneError::NotPlayed { kind: "replica-reset" })
+                Step::LoseState { .. } | Step::RestoreState { .. } => {
+                    Err(SceneError::UnsupportedEvent { kind: "replica-reset" })
                 }
-                Step::ReplicaSet(_) => Err(SceneError::NotPlayed { kind: "replica-set" }),
-                _ => Ok((planned.at, Occurrence::Step(planned.step))),
+                Step::ReplicaSet(_) => Err(SceneError::UnsupportedEvent { kind: "replica-set" }),
+                _ => Ok((planned.at, SceneEvent::Step(planned.step))),
             });
-        let occurrences = planned.collect::<Result<_, _>>()?;
-        Ok(Self { script, occurrences, nodes_run: true })
+        let events = planned.collect::<Result<_, _>>()?;
+        Ok(Self { script, events, starts_running: true })
     }
 
-    /// Adds occurrences.
-    pub fn with(mut self, more: impl IntoIterator<Item = (Duration, Occurrence)>) -> Self {
-        self.occurrences.extend(more);
-        self.occurrences.sort_by_key(|(at, _)| *at);
+    /// Adds events to the scene.
+    pub fn with(mut self, more: impl IntoIterator<Item = (Duration, SceneEvent)>) -> Self {
+        self.events.extend(more);
+        self.events.sort_by_key(|(at, _)| *at);
         self
     }
 
-    /// The region of a node.
+    /// Returns the region of a node.
     pub fn region_of_node(&self, node: u32) -> u32 {
         node % self.script.zones % self.script.regions
     }
 
-    /// The region of a replica: they are dealt out in turn.
+    /// Returns the region of a replica. Replicas are assigned to regions round-robin.
     pub fn region_of_replica(&self, replica: u32) -> u32 {
         replica % self.script.regions
     }
--- a/crates/testbed/src/scale/virtual_time/scenes.rs
+++ b/crates/testbed/src/scale/virtual_time/scenes.rs
@@ -1,7 +1,7 @@
-//! The scenes with a name: the scripts of scale runs that ship with the program, and scenes that sockets do not support: a
-//! rack that is lost, a region that is cut off, and all nodes started at once without a list.
+//! The named scenes: the scale run scripts that ship with the program, and scenes that runs on sockets do not support: the
+//! loss of a rack, a region that is cut off, and the start of all nodes at once without a list.
 
-use super::scene::{Occurrence, Scene, SceneError};
+use super::scene::{Scene, SceneError, SceneEvent};
 use crate::scale::messages::{ListedServer, ReplicaCapacity};
 use crate::scale::scenarios;
 use crate::scale::script::{Event, EventKind, ScaleScript};
@@ -18,18 +18,18 @@
     ("all-start", "All nodes start at once, without a list"),
 ];
 
-/// The minimum time before the measurement, in which the calls of nodes spread out.
+/// Minimum time before the measurement, in which the calls of nodes spread out.
 const MIN_SETTLE: Duration = Duration::from_secs(120);
-/// The minimum time for nodes to catch up.
+/// Minimum time for nodes to catch up.
 const MIN_CATCH_UP: Duration = Duration::from_secs(60);
 const CHANGES_PER_DAY: f64 = 12_000.0;
-/// The number of racks of a zone, which share its nodes and servers evenly.
+/// Number of racks in a zone, which share its nodes and servers evenly.
 const RACKS_PER_ZONE: u32 = 4;
 const RACK_LOST_FOR: Duration = Duration::from_secs(60);
 const CUT_OFF_FOR: Duration = Duration::from_secs(3_600);
-/// The time before and after an event.
+/// Time before and after the event of a scene.
 const MARGIN: Duration = Duration::from_secs(30);
-/// The length of `all-start`: a few replicas may take most of it to send all lists.
+/// Length of `all-start`. If there are few replicas, sending all lists may take most of it.
 const ALL_START_LENGTH: Duration = Duration::from_secs(3_600);
 
 /// The size of a scene.
@@ -41,16 +41,16 @@
     pub servers: u32,
     /// The number of replicas of discovery.
     pub replicas: u32,
-    /// Whether nodes know all replicas; otherwise they know only the first one.
+    /// Whether nodes know all replicas, or only the first one.
     pub mechanism: bool,
     /// The capacity of a replica.
     pub capacity: ReplicaCapacity,
-    /// The seed of all random values.
+    /// The seed of the random values.
     pub seed: u64,
 }
 
 impl Size {
-    /// The size of a script.
+    /// Returns the size of a script.
     pub fn of(script: &ScaleScript) -> Self {
         Self {
             nodes: script.nodes,
@@ -63,16 +63,16 @@
     }
 }
 
-/// The names of all scenes.
+/// Returns the names of all scenes.
 pub fn names() -> impl Iterator<Item = &'static str> {
     let shipped = scenarios::ALL.iter().map(|scenario| scenario.name);
     shipped.chain(VIRTUAL_ONLY.iter().map(|(name, _)| *name))
 }
 
-/// The scene of this name, at this size.
+/// Creates the scene with this name at a given size.
 ///
 /// # Errors
-/// If there is none of this name, or its script has faults or an event that the simulation does not support.
+/// If no scene has this name, or its script has faults or an event that the simulation does not support.
 pub fn named(name: &str, size: &Size) -> Result<Scene, SceneError> {
     match name {
         "rack-lost" => rack_lost(size),
@@ -82,7 +82,7 @@
     }
 }
 
-/// The scene of a script, with longer times to settle and catch up than on sockets.
+/// Creates the scene of a script, with longer times to settle and catch up than in runs on sockets.
 pub fn of_script(script: ScaleScript) -> Result<Scene, SceneError> {
     Scene::of_script(ScaleScript {
         settle: script.settle.max(MIN_SETTLE),
@@ -113,15 +113,15 @@
     }
 }
 
-/// A script without events.
+/// Creates a script without events.
 fn quiet(name: &str, length: Duration, size: &Size) -> Result<ScaleScript, SceneError> {
     let scene = shipped(scenarios::DEFAULT, size)?;
     Ok(ScaleScript { name: name.into(), length, events: Vec::new(), ..scene.script })
 }
 
 fn changes(length: Duration) -> Event {
-    let what = EventKind::Changes { per_day: CHANGES_PER_DAY, step: Duration::from_secs(2) };
-    Event { at: Duration::ZERO, over: Some(length), what }
+    let kind = EventKind::Changes { per_day: CHANGES_PER_DAY, step: Duration::from_secs(2) };
+    Event { at: Duration::ZERO, over: Some(length), kind }
 }
 
 fn rack_lost(size: &Size) -> Result<Scene, SceneError> {
@@ -139,8 +139,8 @@
     });
     let of_nodes = [(lost, Step::Kill(nodes.clone())), (back, Step::Launch(nodes))];
     let steps: Vec<_> = of_nodes.into_iter().chain(of_servers).collect();
-    let occurrences = steps.into_iter().map(|(at, step)| (at, Occurrence::Step(step)));
-    Ok(Scene::of_script(script)?.with(occurrences))
+    let events = steps.into_iter().map(|(at, step)| (at, SceneEvent::Step(step)));
+    Ok(Scene::of_script(script)?.with(events))
 }
 
 fn change(server: ListedServer, starts: bool) -> Step {
@@ -150,10 +150,10 @@
 fn region_cut_off(size: &Size) -> Result<Scene, SceneError> {
     let length = MARGIN + CUT_OFF_FOR + MARGIN;
     let script = ScaleScript { events: vec![changes(length)], ..quiet("region-cut-off", length, size)? };
-    // The last of the regions: with fewer replicas than regions it has none of its own.
+    // The last region, which has no replica of its own if there are fewer replicas than regions.
     let region = script.regions - 1;
-    let cut = (MARGIN, Occurrence::CutOff { region });
-    let back = (MARGIN + CUT_OFF_FOR, Occurrence::Reconnect { region });
+    let cut = (MARGIN, SceneEvent::CutOff { region });
+    let back = (MARGIN + CUT_OFF_FOR, SceneEvent::Reconnect { region });
     Ok(Scene::of_script(script)?.with([cut, back]))
 }
 
@@ -164,7 +164,7 @@
         ..quiet("all-start", ALL_START_LENGTH, size)?
     };
     let all = (0..script.nodes).collect();
-    let launch = (Duration::ZERO, Occurrence::Step(Step::Launch(all)));
+    let launch = (Duration::ZERO, SceneEvent::Step(Step::Launch(all)));
     let scene = Scene::of_script(script)?.with([launch]);
-    Ok(Scene { nodes_run: false, ..scene })
+    Ok(Scene { starts_running: false, ..scene })
 }
--- a/crates/testbed/src/scale/virtual_time/simulation.rs
+++ b/crates/testbed/src/scale/virtual_time/simulation.rs
@@ -1,12 +1,11 @@
-//! Simulates a scene: what happens to nodes and replicas, and the way from an event to the next. The calls of nodes are in
-//! `calls`.
+//! Simulates a scene: the event loop, and the effects of events on nodes and replicas. `calls` simulates the calls of nodes.
 
 use super::client::{ClientDecisions, ClientStart};
 use super::event_queue::{EventQueue, SimulationEvent};
-use super::measure::{Outcome, ReplicaOutcome, Sent};
+use super::measure::{Outcome, ReplicaOutcome, SentLines};
 use super::nodes::{CallResult, Node};
 use super::replica::Replica;
-use super::scene::{Occurrence, Scene};
+use super::scene::{Scene, SceneEvent};
 use super::versions::{Versions, FIRST_VERSION};
 use crate::random::RandomSource;
 use crate::scale::messages::{Answering, ListedServer};
@@ -14,12 +13,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The one-way latency between a node and a replica.
+/// One-way latency between a node and a replica.
 pub(super) const LATENCY: Duration = Duration::from_millis(5);
-/// The first calls of nodes that run from the beginning are spread over this time, as those of a fleet that has run for long.
+/// Time over which the first calls of nodes that run from the beginning are spread, like those of a fleet that has been
+/// running for long.
 const FIRST_CALLS: Duration = Duration::from_secs(20);
 
-/// Makes the decisions of a node's discovery client.
+/// Creates the decisions of a node's discovery client.
 pub type MakeClient<'a> = &'a mut dyn FnMut(ClientStart) -> Box<dyn ClientDecisions>;
 
 /// Runs a scene with the real decisions.
@@ -27,14 +27,14 @@
     run_with(scene, &mut |start| start.client())
 }
 
-/// Runs a scene with the real decisions. Also returns all lines that replicas sent.
-pub fn run_traced(scene: &Scene) -> (Outcome, Vec<Sent>) {
+/// Runs a scene with the real decisions. Also returns the lines that replicas processed.
+pub fn run_traced(scene: &Scene) -> (Outcome, Vec<SentLines>) {
     let mut make_client = |start: ClientStart| start.client();
     let simulation = Simulation { traced: true, ..Simulation::new(scene, &mut make_client) };
     simulation.run()
 }
 
-/// Runs a scene with other decisions.
+/// Runs a scene with the decisions that `make_client` creates.
 pub fn run_with(scene: &Scene, make_client: MakeClient) -> Outcome {
     Simulation::new(scene, make_client).run().0
 }
@@ -50,13 +50,13 @@
     pub(super) nodes: Vec<Node>,
     pub(super) replicas: Vec<Replica>,
     pub(super) counts: Vec<ReplicaOutcome>,
-    /// The counts at the beginning of the measurement.
-    counts_before: Vec<ReplicaOutcome>,
-    /// Regions that are cut off from the others.
+    /// The values of `counts` at the beginning of the measurement.
+    counts_at_measurement_start: Vec<ReplicaOutcome>,
+    /// The regions that are cut off from the others.
     cut_off: BTreeSet<u32>,
     pub(super) outcome: Outcome,
     pub(super) traced: bool,
-    pub(super) sent: Vec<Sent>,
+    pub(super) sent: Vec<SentLines>,
 }
 
 impl<'a> Simulation<'a> {
@@ -75,7 +75,7 @@
             nodes: (0..script.nodes).map(|node| Node::new(random.derive(u64::from(node)))).collect(),
             replicas: (0..replicas).map(|_| Replica::new(&script.capacity, script.servers)).collect(),
             counts: vec![ReplicaOutcome::default(); replicas as usize],
-            counts_before: vec![ReplicaOutcome::default(); replicas as usize],
+            counts_at_measurement_start: vec![ReplicaOutcome::default(); replicas as usize],
             cut_off: BTreeSet::new(),
             outcome: Outcome { nodes: script.nodes, ..Outcome::default() },
             traced: false,
@@ -83,14 +83,14 @@
         }
     }
 
-    fn run(mut self) -> (Outcome, Vec<Sent>) {
+    fn run(mut self) -> (Outcome, Vec<SentLines>) {
         let script = &self.scene.script;
         let end = script.settle + script.length + script.catch_up;
         self.events.schedule(script.settle, SimulationEvent::MeasurementBegins);
-        for (index, (at, _)) in self.scene.occurrences.iter().enumerate() {
-            self.events.schedule(script.settle + *at, SimulationEvent::Occurrence(index));
+        for (index, (at, _)) in self.scene.events.iter().enumerate() {
+            self.events.schedule(script.settle + *at, SimulationEvent::SceneEvent(index));
         }
-        if self.scene.nodes_run {
+        if self.scene.starts_running {
             (0..script.nodes).for_each(|node| self.start_with_list(node));
         }
         while let Some((at, event)) = self.events.pop().filter(|(at, _)| *at <= end) {
@@ -100,7 +100,7 @@
         self.finish(end)
     }
 
-    /// Starts a node that runs, and has the list, from the beginning.
+    /// Starts a node that runs and has the list from the beginning.
     fn start_with_list(&mut self, node: u32) {
         let list = Some((FIRST_VERSION, self.initial_servers.as_slice()));
         let decisions = (self.make_client)(ClientStart { scene: self.scene, node, list });
@@ -111,11 +111,11 @@
         self.events.schedule(at, SimulationEvent::CallBegins { node, incarnation: 0 });
     }
 
-    fn finish(mut self, end: Duration) -> (Outcome, Vec<Sent>) {
+    fn finish(mut self, end: Duration) -> (Outcome, Vec<SentLines>) {
         let script = &self.scene.script;
         let latest = self.versions.latest();
         for node in self.nodes.iter().filter(|node| node.up) {
-            self.outcome.never += latest - node.version.unwrap_or(0).max(node.counts_after).min(latest);
+            self.outcome.never += latest - node.version.unwrap_or(0).max(node.counted_after).min(latest);
             self.outcome.without_list += u64::from(node.version.is_none());
         }
         let capacity = &script.capacity;
@@ -124,14 +124,14 @@
         self.outcome.sending_takes = Duration::from_secs_f64(lines / rate);
         self.outcome.measured = end.saturating_sub(script.settle);
         self.outcome.changes = latest - FIRST_VERSION;
-        self.outcome.replicas = self.present_counts();
-        for (replica, before) in self.outcome.replicas.iter_mut().zip(&self.counts_before) {
+        self.outcome.replicas = self.current_counts();
+        for (replica, before) in self.outcome.replicas.iter_mut().zip(&self.counts_at_measurement_start) {
             *replica = replica.since(before);
         }
         (self.outcome, self.sent)
     }
 
-    fn present_counts(&self) -> Vec<ReplicaOutcome> {
+    fn current_counts(&self) -> Vec<ReplicaOutcome> {
         let both = self.counts.iter().zip(&self.replicas);
         let counts = both.map(|(counts, replica)| ReplicaOutcome {
             lines: replica.queue.lines(),
@@ -143,8 +143,8 @@
 
     fn handle(&mut self, event: SimulationEvent) {
         match event {
-            SimulationEvent::Occurrence(index) => self.occurrence(index),
-            SimulationEvent::MeasurementBegins => self.counts_before = self.present_counts(),
+            SimulationEvent::SceneEvent(index) => self.handle_scene_event(index),
+            SimulationEvent::MeasurementBegins => self.counts_at_measurement_start = self.current_counts(),
             SimulationEvent::CallBegins { node, incarnation } => self.begin_call(node, incarnation),
             SimulationEvent::CallArrives(call) => self.call_arrives(call),
             SimulationEvent::CallHandled(call) => self.call_handled(call),
@@ -156,12 +156,12 @@
         }
     }
 
-    fn occurrence(&mut self, index: usize) {
+    fn handle_scene_event(&mut self, index: usize) {
         let scene = self.scene;
-        match &scene.occurrences[index].1 {
-            Occurrence::Step(step) => self.execute(step),
-            Occurrence::CutOff { region } => self.cut_off(*region),
-            Occurrence::Reconnect { region } => self.reconnect(*region),
+        match &scene.events[index].1 {
+            SceneEvent::Step(step) => self.execute(step),
+            SceneEvent::CutOff { region } => self.cut_off(*region),
+            SceneEvent::Reconnect { region } => self.reconnect(*region),
         }
     }
 
@@ -173,14 +173,14 @@
             Step::Answer { replicas, answering } => {
                 replicas.iter().for_each(|replica| self.set_answering(*replica, *answering));
             }
-            Step::Lag { replica, by } => self.set_lag(*replica, *by),
-            // `Scene::of_script` refuses scripts with these.
-            Step::Lose { .. } | Step::Restore { .. } | Step::ReplicaSet(_) => {}
+            Step::SetLag { replica, by } => self.set_lag(*replica, *by),
+            // `Scene::of_script` rejects scripts with these steps.
+            Step::LoseState { .. } | Step::RestoreState { .. } | Step::ReplicaSet(_) => {}
         }
     }
 
     fn change(&mut self, server: &ListedServer) {
-        let version = self.versions.change(server, self.now);
+        let version = self.versions.record_change(server, self.now);
         for replica in 0..self.replicas.len() as u32 {
             let lag = self.replicas[replica as usize].lag;
             let event = SimulationEvent::VersionReplicated { replica, version };
@@ -196,21 +196,21 @@
         }
     }
 
-    /// A replica learns of changes, unless its region is cut off: changes are made in another one.
+    /// Replicates changes to a replica, unless its region is cut off from the region in which changes originate.
     fn replicate(&mut self, replica: u32, version: u64) {
         if self.cut_off.contains(&self.scene.region_of_replica(replica)) {
             return;
         }
         let state = &mut self.replicas[replica as usize];
-        state.learn(&self.versions, version);
+        state.apply_changes(&self.versions, version);
         self.answer_watches(replica);
     }
 
-    /// Answers the watches for which there are changes.
+    /// Answers the watches that a replica has newer changes for.
     fn answer_watches(&mut self, replica: u32) {
         let state = &mut self.replicas[replica as usize];
         if state.answering == Answering::Up {
-            for call in state.take_watches_with_news() {
+            for call in state.take_due_watches() {
                 self.send_answer(call);
             }
         }
@@ -228,7 +228,7 @@
         let decisions = (self.make_client)(ClientStart { scene: self.scene, node, list: None });
         let state = &mut self.nodes[node as usize];
         (state.up, state.decisions, state.launched_at) = (true, Some(decisions), Some(self.now));
-        state.counts_after = self.versions.latest();
+        state.counted_after = self.versions.latest();
         self.outcome.launches += 1;
         let event = SimulationEvent::CallBegins { node, incarnation: state.incarnation };
         self.events.schedule(self.now, event);
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Continues with the calls and answers that were held back while a replica was silent.
+    /// Processes the calls and answers that were held back while a replica was silent.
     fn resume(&mut self, replica: u32) {
         let state = &mut self.replicas[replica as usize];
         let calls = std::mem::take(&mut state.held_calls);
@@ -255,7 +255,7 @@
     }
 
     fn reset_connections(&mut self, replica: u32) {
-        self.replicas[replica as usize].drop_calls();
+        self.replicas[replica as usize].clear_calls();
         for node in 0..self.nodes.len() as u32 {
             let state = &mut self.nodes[node as usize];
             if state.connection.is_some_and(|connection| connection.replica == replica) {
@@ -270,9 +270,9 @@
         for node in 0..self.nodes.len() as u32 {
             let call = self.nodes[node as usize].call.as_ref();
             let replica = call.map(|call| call.parameters.replica);
-            let passes = replica.is_none_or(|replica| self.passes(node, replica));
+            let can_communicate = replica.is_none_or(|replica| self.can_communicate(node, replica));
             if let Some(call) = self.nodes[node as usize].call.as_mut() {
-                call.lost |= !passes;
+                call.lost |= !can_communicate;
             }
         }
     }
@@ -286,8 +286,8 @@
         }
     }
 
-    /// Whether messages pass between a node and a replica.
-    pub(super) fn passes(&self, node: u32, replica: u32) -> bool {
+    /// Returns whether messages pass between a node and a replica.
+    pub(super) fn can_communicate(&self, node: u32, replica: u32) -> bool {
         let (from, to) = (self.scene.region_of_node(node), self.scene.region_of_replica(replica));
         from == to || !self.cut_off.contains(&from) && !self.cut_off.contains(&to)
     }
