--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -6,9 +6,11 @@
 use testbed::scale::line_queue::{LineQueue, QueueFull};
 use testbed::scale::messages::ReplicaCapacity;
 use testbed::scale::script::{Event, EventKind, ScaleScript};
-use testbed::scale::virtual_time::client::{CallEnd, ClientDecisions, Next, NextCall};
+use testbed::scale::virtual_time::client::{AfterCall, CallOutcome, ClientDecisions, NextCall};
 use testbed::scale::virtual_time::scenes::{named, names, Size, VIRTUAL_ONLY};
-use testbed::scale::virtual_time::{run, run_traced, run_with, Occurrence, Outcome, Scene, SceneError, Sent};
+use testbed::scale::virtual_time::{
+    run, run_traced, run_with, Outcome, Scene, SceneError, SceneEvent, SentLines,
+};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -29,11 +31,11 @@
     Scene::of_script(script).expect("a scene")
 }
 
-fn event(at: u64, over: u64, what: EventKind) -> Event {
-    Event { at: Duration::from_secs(at), over: Some(Duration::from_secs(over)), what }
+fn event(at: u64, over: u64, kind: EventKind) -> Event {
+    Event { at: Duration::from_secs(at), over: Some(Duration::from_secs(over)), kind }
 }
 
-fn assert_all_have_all(outcome: &Outcome) {
+fn assert_all_caught_up(outcome: &Outcome) {
     assert_eq!((outcome.never, outcome.without_list, outcome.went_back), (0, 0, 0), "{outcome:?}");
 }
 
@@ -58,7 +60,7 @@
         // Waits are random between 10 and 20 s.
         let mean = outcome.measured.as_secs_f64() * 100.0 / replica.calls as f64;
         assert!((14.0..16.0).contains(&mean), "a call every {mean} s");
-        assert_all_have_all(&outcome);
+        assert_all_caught_up(&outcome);
     }
 }
 
@@ -72,7 +74,7 @@
     assert_eq!((outcome.changes, outcome.latencies.count()), (3, 750));
     let last = outcome.latencies.quantile(1.0).expect("some");
     assert!((2_500 * SECOND / 1_000..2_600 * SECOND / 1_000).contains(&last), "{last:?}");
-    assert_all_have_all(&outcome);
+    assert_all_caught_up(&outcome);
 }
 
 #[test]
@@ -84,7 +86,7 @@
     assert!(outcome.replicas[0].refused > 0, "{outcome:?}");
     assert!(outcome.replicas[0].longest_queue <= 3 * SECOND);
     assert!(outcome.latencies.quantile(1.0) > Some(5 * SECOND), "five seconds are what telling takes");
-    assert_all_have_all(&outcome);
+    assert_all_caught_up(&outcome);
 }
 
 #[test]
@@ -102,8 +104,8 @@
 fn a_region_that_is_cut_off_hears_nothing_until_it_is_reconnected_and_then_all() {
     let several = Size { replicas: 3, mechanism: true, ..size(68) };
     let changes = event(20, 60, EventKind::Changes { per_day: 20_000.0, step: SECOND });
-    let cut = |region, at| (Duration::from_secs(at), Occurrence::CutOff { region });
-    let back = |region, at| (Duration::from_secs(at), Occurrence::Reconnect { region });
+    let cut = |region, at| (Duration::from_secs(at), SceneEvent::CutOff { region });
+    let back = |region, at| (Duration::from_secs(at), SceneEvent::Reconnect { region });
     let scene = quiet(&several, vec![changes]);
     let whole = run(&scene);
     assert!(whole.latencies.quantile(1.0) < Some(SECOND), "{whole:?}");
@@ -112,7 +114,7 @@
         let outcome = run(&scene.clone().with([cut(region, 10), back(region, 110)]));
         assert!(outcome.latencies.quantile(1.0) > Some(60 * SECOND), "region {region}: {outcome:?}");
         assert!(outcome.latencies.quantile(0.5) < Some(SECOND), "the others receive changes as before");
-        assert_all_have_all(&outcome);
+        assert_all_caught_up(&outcome);
         // Had it lasted to the end, they would never have been.
         let never = run(&scene.clone().with([cut(region, 10)]));
         assert!(never.never > 0 && never.went_back == 0, "region {region}: {never:?}");
@@ -125,35 +127,46 @@
     let away = run(&quiet(&size(50), vec![changes.clone(), event(30, 20, EventKind::DiscoveryAway)]));
     assert!(away.unreached > 0 && away.overdue == 0, "{away:?}");
     assert!(away.latencies.quantile(1.0) > Some(15 * SECOND));
-    assert_all_have_all(&away);
+    assert_all_caught_up(&away);
     let silent = EventKind::ReplicaSilent { replica: Some(0) };
     let silent = run(&quiet(&size(50), vec![changes.clone(), event(30, 40, silent)]));
     assert!(silent.overdue > 0 && silent.unreached == 0, "{silent:?}");
-    assert_all_have_all(&silent);
+    assert_all_caught_up(&silent);
     let lagging = EventKind::ReplicaLagging { replica: Some(0), lag: 7 * SECOND };
     let lagging = run(&quiet(&size(50), vec![changes, event(0, 120, lagging)]));
     assert!(lagging.latencies.quantile(0.0) >= Some(7 * SECOND), "{lagging:?}");
-    assert_all_have_all(&lagging);
+    assert_all_caught_up(&lagging);
 }
 
 /// A client that asks two replicas in turn for the whole list, and takes what it gets.
-struct Gullible {
+struct TrustingClient {
     replica: u32,
 }
 
-impl ClientDecisions for Gullible {
-    fn next_call(&mut self, _now: Duration, _draw: &mut dyn FnMut() -> f64) -> NextCall {
+impl ClientDecisions for TrustingClient {
+    fn next_call(&mut self, _now: Duration, _random: &mut dyn FnMut() -> f64) -> NextCall {
         self.replica = 1 - self.replica;
-        let limit = 3 * SECOND;
-        NextCall { replica: self.replica, after: None, wait: Duration::ZERO, limit, connect: SECOND }
+        let timeout = 3 * SECOND;
+        NextCall {
+            replica: self.replica,
+            after: None,
+            wait: Duration::ZERO,
+            timeout,
+            connect_timeout: SECOND,
+        }
     }
 
-    fn ended(&mut self, _now: Duration, end: CallEnd, _draw: &mut dyn FnMut() -> f64) -> Next {
+    fn call_ended(
+        &mut self,
+        _now: Duration,
+        end: CallOutcome,
+        _random: &mut dyn FnMut() -> f64,
+    ) -> AfterCall {
         let applied = match end {
-            CallEnd::Answered { listing, .. } => Some(listing.version),
+            CallOutcome::Answered { response, .. } => Some(response.version),
             _ => None,
         };
-        Next { pause: SECOND, applied }
+        AfterCall { pause: SECOND, applied }
     }
 }
 
@@ -164,9 +177,9 @@
     let changes = event(20, 60, EventKind::Changes { per_day: 20_000.0, step: SECOND });
     let lagging = EventKind::ReplicaLagging { replica: Some(1), lag: 10 * SECOND };
     let scene = quiet(&two, vec![changes, event(0, 120, lagging)]);
-    let gullible = run_with(&scene, &mut |_| Box::new(Gullible { replica: 0 }));
-    assert!(gullible.went_back > 10, "{gullible:?}");
-    assert_all_have_all(&run(&scene));
+    let trusting = run_with(&scene, &mut |_| Box::new(TrustingClient { replica: 0 }));
+    assert!(trusting.went_back > 10, "{trusting:?}");
+    assert_all_caught_up(&run(&scene));
 }
 
 /// The count of changes that never arrived must count: an outage without end raises it.
@@ -185,18 +198,18 @@
     for name in names() {
         let scene = named(name, &size(10)).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!((scene.script.name.as_str(), scene.script.nodes), (name, 10));
-        assert!(scene.occurrences.windows(2).all(|pair| pair[0].0 <= pair[1].0), "{name}");
+        assert!(scene.events.windows(2).all(|pair| pair[0].0 <= pair[1].0), "{name}");
     }
     assert!(VIRTUAL_ONLY.iter().all(|(name, _)| names().any(|known| known == *name)));
     let unknown = named("quake", &size(10)).expect_err("no scene");
     assert_eq!(unknown.to_string(), "quake: expected the name of a scene or a script's file");
     let reset = event(1, 1, EventKind::ReplicaReset { replica: None, versions: false });
     let script = ScaleScript { events: vec![reset], ..quiet(&size(10), Vec::new()).script };
-    assert_eq!(Scene::of_script(script), Err(SceneError::NotPlayed { kind: "replica-reset" }));
+    assert_eq!(Scene::of_script(script), Err(SceneError::UnsupportedEvent { kind: "replica-reset" }));
 }
 
 /// Whether each replica worked lines through no faster than it can.
-fn within_capacity(sent: &[Sent], capacity: &ReplicaCapacity) -> bool {
+fn within_capacity(sent: &[SentLines], capacity: &ReplicaCapacity) -> bool {
     let mut done: BTreeMap<u32, Duration> = BTreeMap::new();
     let slack = Duration::from_nanos(10);
     sent.iter().all(|sent| {
@@ -206,9 +219,9 @@
     })
 }
 
-fn trouble() -> impl Strategy<Value = Event> {
+fn arbitrary_event() -> impl Strategy<Value = Event> {
     let step = 1..5_u32;
-    let what = prop_oneof![
+    let kind = prop_oneof![
         (1_000.0..100_000.0, step)
             .prop_map(|(per_day, step)| EventKind::Changes { per_day, step: SECOND * step }),
         (1_000.0..100_000.0).prop_map(|per_day| EventKind::Restarts {
@@ -222,15 +235,15 @@
         (1..10u32).prop_map(|lag| EventKind::ReplicaLagging { replica: None, lag: SECOND * lag }),
         Just(EventKind::DiscoveryAway),
     ];
-    (0..60u64, 1..60u64, what).prop_map(|(at, over, what)| event(at, over, what))
+    (0..60u64, 1..60u64, kind).prop_map(|(at, over, kind)| event(at, over, kind))
 }
 
 /// A small world in which anything goes wrong, and all is well again in the end.
-fn scene() -> impl Strategy<Value = Scene> {
+fn arbitrary_scene() -> impl Strategy<Value = Scene> {
     let capacity = (200.0..2_000.0, prop::sample::select(vec![0.0, 1.0, 10.0]), 500..5_000u64);
     let sizes = (1..80u32, 1..30u32, 1..5u32, any::<u64>());
     let cuts = prop::collection::vec((0..14u32, 0..60u64, 1..60u64), 0..3);
-    (sizes, capacity, prop::collection::vec(trouble(), 0..6), cuts).prop_map(
+    (sizes, capacity, prop::collection::vec(arbitrary_event(), 0..6), cuts).prop_map(
         |(
             (nodes, servers, replicas, seed),
             (lines_per_second, continued_call_lines, queue_limit_ms),
@@ -242,7 +255,7 @@
             let size = Size { nodes, servers, replicas, mechanism: true, capacity, seed };
             let cuts = cuts.into_iter().flat_map(|(region, at, over)| {
                 let (at, to) = (Duration::from_secs(at), Duration::from_secs(at + over));
-                [(at, Occurrence::CutOff { region }), (to, Occurrence::Reconnect { region })]
+                [(at, SceneEvent::CutOff { region }), (to, SceneEvent::Reconnect { region })]
             });
             quiet(&size, events).with(cuts)
         },
@@ -259,13 +272,13 @@
     #![proptest_config(cases(64))]
 
     #[test]
-    fn versions_never_go_back_and_all_nodes_have_all_changes_in_the_end(scene in scene()) {
+    fn versions_never_go_back_and_all_nodes_have_all_changes_in_the_end(scene in arbitrary_scene()) {
         let outcome = run(&scene);
         prop_assert_eq!((outcome.went_back, outcome.never, outcome.without_list), (0, 0, 0), "{:?}", outcome);
     }
 
     #[test]
-    fn a_replica_never_sends_more_than_its_capacity_and_no_call_waits_beyond_its_limit(scene in scene()) {
+    fn a_replica_never_sends_more_than_its_capacity_and_no_call_waits_beyond_its_limit(scene in arbitrary_scene()) {
         let capacity = scene.script.capacity;
         let (outcome, sent) = run_traced(&scene);
         prop_assert!(within_capacity(&sent, &capacity));
@@ -276,7 +289,7 @@
     }
 
     #[test]
-    fn the_same_seed_gives_the_same_result(scene in scene()) {
+    fn the_same_seed_gives_the_same_result(scene in arbitrary_scene()) {
         prop_assert_eq!(run(&scene), run(&scene));
     }
 }
--- a/crates/testbed/tests/scale_fit.rs
+++ b/crates/testbed/tests/scale_fit.rs
@@ -1,7 +1,7 @@
 //! Lines through the figures of several sizes.
 
 use testbed::random::RandomSource;
-use testbed::scale::fit::{fit, FitError, Line, Over};
+use testbed::scale::fit::{fit, FitError, Line, Variable};
 use testbed::scale::messages::ReplicaCapacity;
 use testbed::scale::plot;
 use testbed::scale::propagation::{PropagationFigures, ReadinessFigures};
@@ -55,7 +55,7 @@
     let line = |over, name: &str| {
         fit.lines.iter().find(|line| line.over == over && line.figure.contains(name)).unwrap()
     };
-    let processor = line(Over::Nodes, "processor at rest");
+    let processor = line(Variable::Nodes, "processor at rest");
     assert!(
         (processor.slope - 5e-6).abs() < 1e-12 && (processor.intercept - 0.01).abs() < 1e-9,
         "{processor:?}"
@@ -63,7 +63,7 @@
     assert!(processor.residual_largest < 1e-9);
     let prediction = processor.prediction.unwrap();
     assert!((prediction.predicted - 0.0395).abs() < 1e-9 && prediction.miss.abs() < 1e-9, "{prediction:?}");
-    let memory = line(Over::Servers, "one node's resident");
+    let memory = line(Variable::Servers, "one node's resident");
     assert!((memory.slope - 300.0).abs() < 1e-6 && (memory.intercept - 40_000.0).abs() < 1e-3, "{memory:?}");
     assert!(fit.text().contains("5900 x 1100 predicted"), "{}", fit.text());
 }
@@ -78,7 +78,7 @@
             (size, figure * RandomSource::new(5).derive(n as u64).uniform_between(1.0 - noise, 1.0 + noise))
         })
         .collect();
-    let line = Line::through(points).unwrap();
+    let line = Line::least_squares(points).unwrap();
     assert!((line.slope - 0.5).abs() < 0.5 * noise, "{line:?}");
     assert!(line.residual_rms > 0.0 && line.residual_largest > 0.0, "{line:?}");
 }
@@ -86,7 +86,7 @@
 #[test]
 fn the_line_of_least_squares_is_the_textbooks() {
     // Points (1, 1), (2, 2), (3, 4): slope 3/2, intercept -2/3, and residuals 1/6, -1/3, 1/6.
-    let line = Line::through(vec![(1.0, 1.0), (2.0, 2.0), (3.0, 4.0)]).unwrap();
+    let line = Line::least_squares(vec![(1.0, 1.0), (2.0, 2.0), (3.0, 4.0)]).unwrap();
     assert!((line.slope - 1.5).abs() < 1e-12 && (line.intercept + 2.0 / 3.0).abs() < 1e-12);
     assert!((line.residual_rms - (1.0_f64 / 18.0).sqrt()).abs() < 1e-12);
     assert!((line.residual_largest - 1.0 / 6.0).abs() < 1e-12);
@@ -107,7 +107,7 @@
     let two = [result(500, 100), result(1_000, 200), result(1_000, 200)];
     assert_eq!(fit(&two, None), Err(FitError::TooFewSizes { found: 2 }));
     assert_eq!(fit(&[], None), Err(FitError::TooFewSizes { found: 0 }));
-    assert!(Line::through(vec![(1.0, 1.0), (2.0, 2.0), (2.0, 3.0)]).is_none());
+    assert!(Line::least_squares(vec![(1.0, 1.0), (2.0, 2.0), (2.0, 3.0)]).is_none());
 }
 
 #[test]
--- a/crates/testbed/tests/scale_replica_set.rs
+++ b/crates/testbed/tests/scale_replica_set.rs
@@ -41,9 +41,9 @@
     let (servers, now) = (servers(), Instant::now());
     let mut set = ReplicaSet::new(2, 1, &servers);
     assert_eq!(changes(&set.change(with_health(&servers[0], "draining"), now)), [(0, 2), (1, 2)]);
-    assert_eq!((set.version(), set.listed()), (2, 3));
+    assert_eq!((set.version(), set.server_count()), (2, 3));
     assert_eq!(changes(&set.change(with_health(&servers[0], "gone"), now)), [(0, 3), (1, 3)]);
-    assert_eq!((set.version(), set.listed()), (3, 2));
+    assert_eq!((set.version(), set.server_count()), (3, 2));
     assert_eq!(set.next_due(), None);
 }
 
@@ -51,15 +51,15 @@
 fn a_replica_that_lags_learns_of_changes_later_and_in_their_order() {
     let (servers, now) = (servers(), Instant::now());
     let mut set = ReplicaSet::new(2, 1, &servers);
-    assert!(set.lag(1, LAG).is_empty());
+    assert!(set.set_lag(1, LAG).is_empty());
     let second = now + Duration::from_secs(1);
     assert_eq!(changes(&set.change(with_health(&servers[0], "draining"), now)), [(0, 2)]);
     assert_eq!(changes(&set.change(with_health(&servers[0], "gone"), second)), [(0, 3)]);
     assert_eq!(set.next_due(), Some(now + LAG));
-    assert!(set.due(second).is_empty());
-    assert_eq!(changes(&set.due(now + LAG)), [(1, 2)]);
+    assert!(set.take_due(second).is_empty());
+    assert_eq!(changes(&set.take_due(now + LAG)), [(1, 2)]);
     // With the lag's end it learns at once what was still to come, and what comes from then on.
-    assert_eq!(changes(&set.lag(1, Duration::ZERO)), [(1, 3)]);
+    assert_eq!(changes(&set.set_lag(1, Duration::ZERO)), [(1, 3)]);
     assert_eq!(set.next_due(), None);
     assert_eq!(changes(&set.change(with_health(&servers[1], "gone"), second)), [(0, 4), (1, 4)]);
 }
@@ -68,9 +68,9 @@
 fn a_replica_that_lost_its_entries_learns_nothing_until_it_has_the_whole_list_again() {
     let (servers, now) = (servers(), Instant::now());
     let mut set = ReplicaSet::new(2, 7, &servers);
-    assert_eq!(reset(&set.lose(0, false)), (0, 7, 0));
+    assert_eq!(reset(&set.lose_state(0, false)), (0, 7, 0));
     assert_eq!(changes(&set.change(with_health(&servers[0], "gone"), now)), [(1, 8)]);
-    assert_eq!(reset(&set.restore(0)), (0, 8, 2));
+    assert_eq!(reset(&set.restore_state(0)), (0, 8, 2));
     assert_eq!(changes(&set.change(with_health(&servers[1], "gone"), now)), [(0, 9), (1, 9)]);
 }
 
@@ -78,16 +78,20 @@
 fn a_replica_that_lost_its_count_of_versions_begins_at_1_with_the_list_of_that_time() {
     let (servers, now) = (servers(), Instant::now());
     let mut set = ReplicaSet::new(2, 7, &servers);
-    set.lag(0, LAG);
+    set.set_lag(0, LAG);
     set.change(with_health(&servers[0], "gone"), now);
-    assert_eq!(reset(&set.lose(0, true)), (0, 1, 2));
+    assert_eq!(reset(&set.lose_state(0, true)), (0, 1, 2));
     // What it was to learn later is lost as well.
     assert_eq!(set.next_due(), None);
-    assert_eq!(reset(&set.restore(0)), (0, 8, 2));
+    assert_eq!(reset(&set.restore_state(0)), (0, 8, 2));
 }
 
 #[test]
 fn replicas_that_are_none_are_told_nothing() {
     let mut set = ReplicaSet::new(2, 1, &servers());
-    assert!(set.lag(2, LAG).is_empty() && set.lose(2, true).is_empty() && set.restore(2).is_empty());
+    assert!(
+        set.set_lag(2, LAG).is_empty()
+            && set.lose_state(2, true).is_empty()
+            && set.restore_state(2).is_empty()
+    );
 }
--- a/crates/testbed/tests/scale_script.rs
+++ b/crates/testbed/tests/scale_script.rs
@@ -55,7 +55,7 @@
     let set = "[[event]]\nkind = \"replica-set\"\nat = \"5s\"\nreplicas = 8\n";
     let script = ScaleScript::parse("my.toml", &format!("{SMALL}{set}")).unwrap();
     assert_eq!((script.known_replicas(), script.running_replicas()), (3, 8));
-    assert_eq!(script.events[0].what, EventKind::ReplicaSet { replicas: 8 });
+    assert_eq!(script.events[0].kind, EventKind::ReplicaSet { replicas: 8 });
 }
 
 #[test]
--- a/crates/testbed/tests/scale_steps.rs
+++ b/crates/testbed/tests/scale_steps.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use testbed::scale::messages::Answering;
 use testbed::scale::script::{Event, EventKind};
-use testbed::scale::steps::{servers_at_start, Planned, Step};
+use testbed::scale::steps::{servers_at_start, PlannedStep, Step};
 use testbed::scale::{scenarios, ScaleScript};
 
 fn shipped(name: &str) -> ScaleScript {
@@ -12,16 +12,16 @@
     ScaleScript::parse(scenario.name, scenario.text).unwrap()
 }
 
-fn with_event(what: EventKind) -> ScaleScript {
-    let event = Event { at: Duration::from_secs(5), over: Some(Duration::from_secs(20)), what };
+fn with_event(kind: EventKind) -> ScaleScript {
+    let event = Event { at: Duration::from_secs(5), over: Some(Duration::from_secs(20)), kind };
     ScaleScript { events: vec![event], ..shipped("quiet") }
 }
 
-fn plan(script: &ScaleScript) -> Vec<Planned> {
+fn plan(script: &ScaleScript) -> Vec<PlannedStep> {
     testbed::scale::steps::plan(script, &servers_at_start(script))
 }
 
-fn changes(steps: &[Planned]) -> usize {
+fn changes(steps: &[PlannedStep]) -> usize {
     steps.iter().filter(|planned| matches!(planned.step, Step::Change { .. })).count()
 }
 
@@ -63,7 +63,7 @@
     let mut entries: BTreeMap<_, _> =
         servers_at_start(&script).into_iter().map(|server| (server.host.clone(), server)).collect();
     assert_eq!(entries.len(), script.servers as usize);
-    for Planned { step, .. } in plan(&script) {
+    for PlannedStep { step, .. } in plan(&script) {
         let Step::Change { server, starts } = step else { panic!("{step:?}") };
         let before = entries.get(&server.host).map(|entry| entry.health.clone());
         match server.health.as_str() {
@@ -97,7 +97,7 @@
     };
     let steps = plan(&script);
     let (mut killed, mut launched, mut gone, mut ready) = (0, 0, 0, 0);
-    for Planned { step, .. } in &steps {
+    for PlannedStep { step, .. } in &steps {
         match step {
             Step::Kill(nodes) => killed += nodes.len(),
             Step::Launch(nodes) => launched += nodes.len(),
@@ -131,7 +131,7 @@
     // 32 servers are gone, and ready again.
     assert_eq!(changes(&steps), 64);
     let zone = script.zone_name(12);
-    let in_zone = |planned: &Planned| match &planned.step {
+    let in_zone = |planned: &PlannedStep| match &planned.step {
         Step::Change { server, .. } => server.site == zone,
         _ => true,
     };
@@ -144,15 +144,15 @@
     let over = Some(Duration::from_secs(25));
     let at = Duration::from_secs(5);
     let step = Duration::from_secs(2);
-    script.events.push(Event { at, over, what: EventKind::Changes { per_day: 100_000.0, step } });
+    script.events.push(Event { at, over, kind: EventKind::Changes { per_day: 100_000.0, step } });
     script.events.push(Event {
         at,
         over,
-        what: EventKind::Restarts { per_day: 100_000.0, down: step, nodes_only: false },
+        kind: EventKind::Restarts { per_day: 100_000.0, down: step, nodes_only: false },
     });
     let mut health: BTreeMap<String, String> = BTreeMap::new();
     let mut down = BTreeSet::new();
-    for Planned { step, .. } in plan(&script) {
+    for PlannedStep { step, .. } in plan(&script) {
         match step {
             Step::Kill(nodes) => {
                 nodes.iter().for_each(|node| assert!(down.insert(*node), "{node} killed twice"))
