--- a/crates/testbed/examples/control_plane.rs
+++ b/crates/testbed/examples/control_plane.rs
@@ -11,7 +11,7 @@
 use testbed::scale::virtual_time::scenes::{named, names, Size};
 use testbed::scale::virtual_time::{run as run_scene, table};
 
-const USAGE: &str = "expected: off|on LINES-A-SECOND LINES-OF-A-CONTINUED-CALL [SCENE...]";
+const USAGE: &str = "expected: off|on LINES-PER-SECOND LINES-PER-CONTINUED-CALL [SCENE...]";
 const NODES: u32 = 5_900;
 const SERVERS: u32 = 1_100;
 const REPLICAS: u32 = 16;
--- a/crates/testbed/src/scale/steps.rs
+++ b/crates/testbed/src/scale/steps.rs
@@ -123,10 +123,11 @@
 
     /// Reserves an item for a period. Returns `false` if it is already reserved for any part of that period.
     fn reserve(&mut self, number: u32, from: Duration, to: Duration) -> bool {
-        let times = &mut self.0[number as usize];
-        let free = times.iter().all(|&(reserved_from, reserved_to)| to < reserved_from || reserved_to < from);
+        let periods = &mut self.0[number as usize];
+        let free =
+            periods.iter().all(|&(reserved_from, reserved_to)| to < reserved_from || reserved_to < from);
         if free {
-            times.push((from, to));
+            periods.push((from, to));
         }
         free
     }
--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -1,4 +1,4 @@
-//! The control plane in virtual time: figures that follow from the scene alone, and what holds for every scene and seed.
+//! The control plane in virtual time: outcomes that can be computed from the scene, and properties of every scene and seed.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -40,17 +40,17 @@
 }
 
 #[test]
-fn a_call_whose_turn_would_come_too_late_is_refused_and_costs_nothing() {
+fn a_call_beyond_the_queue_limit_is_rejected_without_charge() {
     let mut queue = LineQueue::new(&ReplicaCapacity { lines_per_second: 10.0, ..CAPACITY });
     assert_eq!(queue.charge(SECOND, 31.0), Ok(Duration::from_millis(4_100)));
     assert_eq!(queue.charge(SECOND, 5.0), Err(QueueFull), "3.1 s are more than 3 s");
     assert_eq!(queue.charge(Duration::from_millis(1_100), 5.0), Ok(Duration::from_millis(4_600)));
     assert_eq!((queue.lines(), queue.longest_wait()), (36.0, 3 * SECOND));
-    assert_eq!(queue.charge(9 * SECOND, 0.0), Ok(9 * SECOND), "nothing waits any more");
+    assert_eq!(queue.charge(9 * SECOND, 0.0), Ok(9 * SECOND), "the queue is empty again");
 }
 
 #[test]
-fn at_rest_watches_follow_each_other_at_the_cost_of_continued_ones_and_nothing_fails() {
+fn idle_watches_cost_only_continued_calls_and_do_not_fail() {
     for continued_call_lines in [0.0, 1.0, 10.0] {
         let capacity = ReplicaCapacity { continued_call_lines, ..CAPACITY };
         let outcome = run(&quiet(&Size { capacity, ..size(100) }, Vec::new()));
@@ -65,12 +65,12 @@
 }
 
 #[test]
-fn a_change_takes_as_long_as_telling_all_nodes_takes() {
+fn propagation_of_a_change_takes_as_long_as_sending_it_to_all_nodes() {
     let capacity =
         ReplicaCapacity { lines_per_second: 100.0, call_lines: 1.0, continued_call_lines: 0.0, ..CAPACITY };
     let changes = event(30, 90, EventKind::Changes { per_day: 2_880.0, step: 30 * SECOND });
     let outcome = run(&quiet(&Size { capacity, ..size(250) }, vec![changes]));
-    // Drained, gone and ready again, half a minute apart: 250 lines each, at 100 a second.
+    // The three changes (draining, gone, ready) are half a minute apart. Each takes 250 lines at 100 lines per second.
     assert_eq!((outcome.changes, outcome.latencies.count()), (3, 750));
     let last = outcome.latencies.quantile(1.0).expect("some");
     assert!((2_500 * SECOND / 1_000..2_600 * SECOND / 1_000).contains(&last), "{last:?}");
@@ -78,30 +78,33 @@
 }
 
 #[test]
-fn more_nodes_than_a_replica_can_tell_within_its_limit_are_refused_and_told_later() {
+fn answers_beyond_the_queue_limit_are_rejected_and_delivered_later() {
     let capacity =
         ReplicaCapacity { lines_per_second: 50.0, call_lines: 1.0, continued_call_lines: 0.0, ..CAPACITY };
     let changes = event(30, 90, EventKind::Changes { per_day: 2_880.0, step: 30 * SECOND });
     let outcome = run(&quiet(&Size { capacity, ..size(250) }, vec![changes]));
     assert!(outcome.replicas[0].refused > 0, "{outcome:?}");
     assert!(outcome.replicas[0].longest_queue <= 3 * SECOND);
-    assert!(outcome.latencies.quantile(1.0) > Some(5 * SECOND), "five seconds are what telling takes");
+    assert!(outcome.latencies.quantile(1.0) > Some(5 * SECOND), "sending alone takes five seconds");
     assert_all_caught_up(&outcome);
 }
 
 #[test]
-fn nodes_that_start_at_once_have_lists_no_sooner_than_sending_takes() {
+fn nodes_starting_at_once_wait_at_least_as_long_as_sending_all_lists_takes() {
     let outcome = run(&named("all-start", &size(200)).expect("a scene"));
     assert_eq!((outcome.launches, outcome.lists.count(), outcome.without_list), (200, 200, 0));
-    // 200 calls of 10 lines and lists of 40, at 1,000 lines a second.
+    // 200 calls of 10 lines with lists of 40 lines, at 1,000 lines per second.
     assert_eq!(outcome.sending_takes, 10 * SECOND);
     assert!(outcome.lists.quantile(1.0) >= Some(10 * SECOND), "{outcome:?}");
-    assert!(outcome.replicas[0].refused > 0, "more than three seconds of them come at once");
+    assert!(
+        outcome.replicas[0].refused > 0,
+        "the calls at the start exceed the queue limit of three seconds"
+    );
     assert_eq!(outcome.replicas[0].whole_lists, 200);
 }
 
 #[test]
-fn a_region_that_is_cut_off_hears_nothing_until_it_is_reconnected_and_then_all() {
+fn a_region_that_is_cut_off_receives_all_changes_after_it_is_reconnected() {
     let several = Size { replicas: 3, mechanism: true, ..size(68) };
     let changes = event(20, 60, EventKind::Changes { per_day: 20_000.0, step: SECOND });
     let cut = |region, at| (Duration::from_secs(at), SceneEvent::CutOff { region });
@@ -109,20 +112,20 @@
     let scene = quiet(&several, vec![changes]);
     let whole = run(&scene);
     assert!(whole.latencies.quantile(1.0) < Some(SECOND), "{whole:?}");
-    // Region 0 has a replica of its own and region 13 has none: both receive no change until it is over.
+    // Region 0 has its own replica and region 13 has none. Neither receives changes until it is reconnected.
     for region in [0, 13] {
         let outcome = run(&scene.clone().with([cut(region, 10), back(region, 110)]));
         assert!(outcome.latencies.quantile(1.0) > Some(60 * SECOND), "region {region}: {outcome:?}");
         assert!(outcome.latencies.quantile(0.5) < Some(SECOND), "the others receive changes as before");
         assert_all_caught_up(&outcome);
-        // Had it lasted to the end, they would never have been.
+        // Without a reconnect, some changes never arrive.
         let never = run(&scene.clone().with([cut(region, 10)]));
         assert!(never.never > 0 && never.went_back == 0, "region {region}: {never:?}");
     }
 }
 
 #[test]
-fn a_replica_that_is_away_is_not_reached_and_a_silent_one_lets_calls_run_out() {
+fn calls_to_an_unavailable_replica_fail_to_connect_and_calls_to_a_silent_one_time_out() {
     let changes = event(20, 60, EventKind::Changes { per_day: 20_000.0, step: SECOND });
     let away = run(&quiet(&size(50), vec![changes.clone(), event(30, 20, EventKind::DiscoveryAway)]));
     assert!(away.unreached > 0 && away.overdue == 0, "{away:?}");
@@ -138,7 +141,7 @@
     assert_all_caught_up(&lagging);
 }
 
-/// A client that asks two replicas in turn for the whole list, and takes what it gets.
+/// A client that requests snapshots from two replicas in turn and applies them without checking their versions.
 struct TrustingClient {
     replica: u32,
 }
@@ -159,10 +162,10 @@
     fn call_ended(
         &mut self,
         _now: Duration,
-        end: CallOutcome,
+        outcome: CallOutcome,
         _random: &mut dyn FnMut() -> f64,
     ) -> AfterCall {
-        let applied = match end {
+        let applied = match outcome {
             CallOutcome::Answered { response, .. } => Some(response.version),
             _ => None,
         };
@@ -170,9 +173,10 @@
     }
 }
 
-/// The count of versions that went back must count: a client that accepts older lists raises it, and the real one does not.
+/// Guards against a `went_back` count that never increases: a client that applies older lists must raise it, and the real
+/// client must not.
 #[test]
-fn a_client_that_takes_older_lists_is_seen_to_go_back_and_the_real_one_does_not() {
+fn only_a_client_that_applies_older_lists_is_counted_as_going_back() {
     let two = Size { replicas: 2, mechanism: true, ..size(5) };
     let changes = event(20, 60, EventKind::Changes { per_day: 20_000.0, step: SECOND });
     let lagging = EventKind::ReplicaLagging { replica: Some(1), lag: 10 * SECOND };
@@ -182,19 +186,19 @@
     assert_all_caught_up(&run(&scene));
 }
 
-/// The count of changes that never arrived must count: an outage without end raises it.
+/// Guards against a `never` count that never increases: an outage that lasts until the end must raise it.
 #[test]
-fn a_discovery_that_does_not_come_back_leaves_changes_that_are_never_told() {
+fn changes_that_never_arrive_in_an_outage_until_the_end_are_counted() {
     let changes = event(20, 60, EventKind::Changes { per_day: 20_000.0, step: SECOND });
     let scene = quiet(&size(5), vec![changes, event(30, 90, EventKind::DiscoveryAway)]);
-    let until_back = ScaleScript { catch_up: Duration::ZERO, ..scene.script.clone() };
-    let outcome = run(&Scene { script: until_back, ..scene });
+    let without_catch_up = ScaleScript { catch_up: Duration::ZERO, ..scene.script.clone() };
+    let outcome = run(&Scene { script: without_catch_up, ..scene });
     assert!(outcome.never > 0, "{outcome:?}");
     assert_eq!(outcome.never + outcome.latencies.count(), outcome.changes * 5);
 }
 
 #[test]
-fn every_scene_is_played_and_one_that_is_not_known_is_named() {
+fn every_named_scene_exists_and_errors_name_unknown_scenes_and_unsupported_events() {
     for name in names() {
         let scene = named(name, &size(10)).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!((scene.script.name.as_str(), scene.script.nodes), (name, 10));
@@ -208,7 +212,7 @@
     assert_eq!(Scene::of_script(script), Err(SceneError::UnsupportedEvent { kind: "replica-reset" }));
 }
 
-/// Whether each replica worked lines through no faster than it can.
+/// Returns whether no replica processed lines faster than its capacity allows.
 fn within_capacity(sent: &[SentLines], capacity: &ReplicaCapacity) -> bool {
     let mut done: BTreeMap<u32, Duration> = BTreeMap::new();
     let slack = Duration::from_nanos(10);
@@ -238,7 +242,7 @@
     (0..60u64, 1..60u64, kind).prop_map(|(at, over, kind)| event(at, over, kind))
 }
 
-/// A small world in which anything goes wrong, and all is well again in the end.
+/// Generates small scenes with arbitrary events and partitions, all of which end before the scene does.
 fn arbitrary_scene() -> impl Strategy<Value = Scene> {
     let capacity = (200.0..2_000.0, prop::sample::select(vec![0.0, 1.0, 10.0]), 500..5_000u64);
     let sizes = (1..80u32, 1..30u32, 1..5u32, any::<u64>());
@@ -262,23 +266,27 @@
     )
 }
 
-/// So many, unless `PROPTEST_CASES` says otherwise.
-fn cases(usual: u32) -> ProptestConfig {
+/// Configures the number of cases, which the environment variable `PROPTEST_CASES` overrides.
+fn cases(default: u32) -> ProptestConfig {
     let wanted = std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
-    ProptestConfig { cases: wanted.unwrap_or(usual), failure_persistence: None, ..ProptestConfig::default() }
+    ProptestConfig {
+        cases: wanted.unwrap_or(default),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    }
 }
 
 proptest! {
     #![proptest_config(cases(64))]
 
     #[test]
-    fn versions_never_go_back_and_all_nodes_have_all_changes_in_the_end(scene in arbitrary_scene()) {
+    fn versions_never_go_back_and_all_nodes_catch_up(scene in arbitrary_scene()) {
         let outcome = run(&scene);
         prop_assert_eq!((outcome.went_back, outcome.never, outcome.without_list), (0, 0, 0), "{:?}", outcome);
     }
 
     #[test]
-    fn a_replica_never_sends_more_than_its_capacity_and_no_call_waits_beyond_its_limit(scene in arbitrary_scene()) {
+    fn replicas_never_exceed_their_capacity_or_queue_limit(scene in arbitrary_scene()) {
         let capacity = scene.script.capacity;
         let (outcome, sent) = run_traced(&scene);
         prop_assert!(within_capacity(&sent, &capacity));
@@ -289,7 +297,7 @@
     }
 
     #[test]
-    fn the_same_seed_gives_the_same_result(scene in arbitrary_scene()) {
+    fn the_same_scene_gives_the_same_outcome(scene in arbitrary_scene()) {
         prop_assert_eq!(run(&scene), run(&scene));
     }
 }
--- a/crates/testbed/tests/scale_fit.rs
+++ b/crates/testbed/tests/scale_fit.rs
@@ -1,4 +1,4 @@
-//! Lines through the figures of several sizes.
+//! Fitting lines to the figures of runs of several sizes.
 
 use testbed::random::RandomSource;
 use testbed::scale::fit::{fit, FitError, Line, Variable};
@@ -7,7 +7,8 @@
 use testbed::scale::propagation::{PropagationFigures, ReadinessFigures};
 use testbed::scale::report::{largest_over_mean, ScaleReport, WindowFigures, VERSION};
 
-/// A result in which a node takes 5 us a second and its memory is 40,000 bytes and 300 for each server.
+/// A result in which each node uses 5 us of processor time per second and 40,000 bytes of memory plus 300 for each server.
+/// The processor time of all nodes has a constant part of 0.01 s/s as well.
 fn result(nodes: u32, servers: u32) -> ScaleReport {
     let node_bytes = 40_000.0 + 300.0 * f64::from(servers);
     let rest = WindowFigures {
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn a_line_without_noise_is_found_and_predicts_another_size() {
+fn a_line_without_noise_is_fitted_exactly_and_predicts_another_size() {
     let results = [result(500, 100), result(1_000, 200), result(2_000, 400)];
     let fit = fit(&results, Some(&result(5_900, 1_100))).unwrap();
     assert_eq!(fit.predicted_size, Some((5_900, 1_100)));
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn a_line_through_noise_is_found_within_the_noise() {
+fn a_line_with_noise_is_fitted_within_the_noise() {
     let noise = 0.02;
     let points: Vec<_> = (1..=40)
         .map(|n| {
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn the_line_of_least_squares_is_the_textbooks() {
+fn least_squares_matches_a_line_computed_by_hand() {
     // Points (1, 1), (2, 2), (3, 4): slope 3/2, intercept -2/3, and residuals 1/6, -1/3, 1/6.
     let line = Line::least_squares(vec![(1.0, 1.0), (2.0, 2.0), (3.0, 4.0)]).unwrap();
     assert!((line.slope - 1.5).abs() < 1e-12 && (line.intercept + 2.0 / 3.0).abs() < 1e-12);
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn a_miss_is_told_as_a_part_of_what_was_measured() {
+fn a_prediction_error_is_a_fraction_of_the_measured_figure() {
     let results = [result(500, 100), result(1_000, 200), result(2_000, 400)];
     let mut larger = result(4_000, 800);
     larger.rest.hollow_processor_s *= 2.0;
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn fewer_than_three_sizes_are_refused() {
+fn fewer_than_three_sizes_are_rejected() {
     let two = [result(500, 100), result(1_000, 200), result(1_000, 200)];
     assert_eq!(fit(&two, None), Err(FitError::TooFewSizes { found: 2 }));
     assert_eq!(fit(&[], None), Err(FitError::TooFewSizes { found: 0 }));
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn results_of_different_kinds_are_refused() {
+fn results_of_different_scripts_or_mechanisms_are_rejected() {
     let mut other = result(2_000, 400);
     other.mechanism = false;
     let mixed = fit(&[result(500, 100), result(1_000, 200), other], None).unwrap_err();
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn a_result_is_read_again_as_it_was_written() {
+fn a_report_survives_a_round_trip_through_json() {
     let report = result(500, 100);
     assert_eq!(ScaleReport::parse(&report.json().unwrap()).unwrap(), report);
     let newer = report.json().unwrap().replacen("\"version\":1", "\"version\":2", 1);
@@ -131,22 +132,22 @@
 }
 
 #[test]
-fn a_share_is_told_by_the_largest_over_the_mean() {
+fn largest_over_mean_is_the_ratio_or_zero() {
     assert_eq!(largest_over_mean([1.0, 2.0, 3.0].into_iter()), 1.5);
     assert_eq!(largest_over_mean([0.0, 0.0].into_iter()), 0.0);
 }
 
 #[test]
-fn plots_show_each_line_with_its_points_and_the_distribution_of_acts() {
+fn plots_show_fitted_lines_with_points_and_the_propagation_distribution() {
     let results = [result(500, 100), result(1_000, 200), result(2_000, 400)];
     let fit = fit(&results, Some(&result(5_900, 1_100))).unwrap();
     let svg = plot::fits(&fit).unwrap();
     assert_eq!(svg.matches("<circle").count(), fit.lines.len() * 4);
-    // Of hollow nodes, over both sizes, and of replicas.
+    // Hollow nodes over two variables, and replicas.
     assert_eq!(svg.matches("processor at rest, s/s").count(), 3);
     let mut report = result(500, 100);
     report.propagation.distribution = vec![(0.0, 1.0), (0.5, 20.0), (1.0, 80.0)];
     assert!(plot::propagation(&report).unwrap().contains("<polyline"));
-    // Nothing to show is no failure.
+    // A plot without data does not fail.
     assert!(plot::propagation(&result(500, 100)).unwrap().contains("500 nodes"));
 }
--- a/crates/testbed/tests/scale_propagation.rs
+++ b/crates/testbed/tests/scale_propagation.rs
@@ -1,4 +1,4 @@
-//! The time from a change of the list to the nodes that apply it.
+//! The time from a change of the list until nodes apply it.
 
 use testbed::scale::messages::Applied;
 use testbed::scale::propagation::Propagation;
@@ -12,7 +12,7 @@
     let mut propagation = Propagation::new(2, 0, 1);
     propagation.record_change(2, 1_000);
     propagation.record_change(3, 2_000);
-    // One takes both at once, the other one after the other.
+    // Node 0 applies both changes with one list, node 1 with two.
     propagation.record_applied(applied(0, 3, 5_000));
     propagation.record_applied(applied(1, 2, 1_500));
     assert_eq!(propagation.nodes_behind(3), 1);
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn a_running_node_without_a_change_is_counted_as_never() {
+fn a_change_that_a_running_node_never_applied_is_counted() {
     let mut propagation = Propagation::new(3, 0, 1);
     propagation.record_change(2, 1_000);
     propagation.record_change(3, 2_000);
     propagation.record_applied(applied(0, 3, 2_500));
-    // An older list is no act on a newer one.
+    // A list of version 2 does not contain the change of version 3.
     propagation.record_applied(applied(1, 2, 2_500));
     let figures = propagation.propagation_figures(None);
     assert_eq!((figures.times.count, figures.never, figures.nodes_never), (3, 3, 2));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn nothing_is_expected_of_a_node_that_was_killed() {
+fn changes_are_not_expected_of_a_killed_node() {
     let mut propagation = Propagation::new(1, 0, 1);
     propagation.record_change(2, 1_000);
     propagation.record_kill(&[0], 1_500);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_started_node_is_ready_with_its_first_list() {
+fn a_launched_node_is_ready_with_its_first_list() {
     let mut propagation = Propagation::new(2, 0, 1);
     propagation.record_kill(&[0, 1], 1_000);
     propagation.record_launch(&[0, 1], 2_000, 4.0);
@@ -60,7 +60,7 @@
     propagation.record_change(3, 12_000);
     propagation.record_applied(applied(0, 3, 13_000));
     let (figures, ready) = (propagation.propagation_figures(None), propagation.readiness_figures());
-    // The other node is never ready, which is counted once.
+    // The other node is never ready, which is counted in the readiness figures only.
     assert_eq!((figures.times.count, figures.never), (1, 0));
     assert_eq!((ready.launched, ready.times.count, ready.never, ready.largest_group), (2, 1, 1, 2));
     assert!((ready.largest_group_ms - 8.0).abs() < 1e-9 && (ready.largest_group_multiple - 2.0).abs() < 1e-9);
--- a/crates/testbed/tests/scale_replica_set.rs
+++ b/crates/testbed/tests/scale_replica_set.rs
@@ -1,4 +1,4 @@
-//! The replication of the list to the replicas of a scale run.
+//! Replication of the list to the replicas of a scale run.
 
 use std::time::Duration;
 use testbed::scale::messages::{ListedServer, ReplicaCommand};
@@ -19,7 +19,7 @@
     ListedServer { health: health.into(), ..server.clone() }
 }
 
-/// The replicas that a change is sent to, and its version.
+/// Returns the replica and the version of each command, all of which must be changes.
 fn changes(commands: &[AddressedCommand]) -> Vec<(usize, u64)> {
     let change = |(replica, command): &AddressedCommand| match command {
         ReplicaCommand::Change { version, .. } => (*replica, *version),
@@ -28,7 +28,7 @@
     commands.iter().map(change).collect()
 }
 
-/// The one replica that is reset, to which version and how many entries.
+/// Returns the replica, the version and the number of entries of the only command, which must be a reset.
 fn reset(commands: &[AddressedCommand]) -> (usize, u64, usize) {
     match commands {
         [(replica, ReplicaCommand::Reset { version, servers })] => (*replica, *version, servers.len()),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn each_change_has_a_version_of_its_own_and_goes_to_all_replicas() {
+fn each_change_has_its_own_version_and_is_sent_to_all_replicas() {
     let (servers, now) = (servers(), Instant::now());
     let mut set = ReplicaSet::new(2, 1, &servers);
     assert_eq!(changes(&set.change(with_health(&servers[0], "draining"), now)), [(0, 2), (1, 2)]);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_replica_that_lags_learns_of_changes_later_and_in_their_order() {
+fn a_lagging_replica_receives_changes_later_and_in_order() {
     let (servers, now) = (servers(), Instant::now());
     let mut set = ReplicaSet::new(2, 1, &servers);
     assert!(set.set_lag(1, LAG).is_empty());
@@ -58,14 +58,14 @@
     assert_eq!(set.next_due(), Some(now + LAG));
     assert!(set.take_due(second).is_empty());
     assert_eq!(changes(&set.take_due(now + LAG)), [(1, 2)]);
-    // With the lag's end it learns at once what was still to come, and what comes from then on.
+    // When the lag ends, the replica receives pending changes at once, and later changes without delay.
     assert_eq!(changes(&set.set_lag(1, Duration::ZERO)), [(1, 3)]);
     assert_eq!(set.next_due(), None);
     assert_eq!(changes(&set.change(with_health(&servers[1], "gone"), second)), [(0, 4), (1, 4)]);
 }
 
 #[test]
-fn a_replica_that_lost_its_entries_learns_nothing_until_it_has_the_whole_list_again() {
+fn a_replica_without_its_entries_receives_no_changes_until_it_is_restored() {
     let (servers, now) = (servers(), Instant::now());
     let mut set = ReplicaSet::new(2, 7, &servers);
     assert_eq!(reset(&set.lose_state(0, false)), (0, 7, 0));
@@ -75,19 +75,19 @@
 }
 
 #[test]
-fn a_replica_that_lost_its_count_of_versions_begins_at_1_with_the_list_of_that_time() {
+fn a_replica_that_lost_its_version_restarts_at_1_with_the_current_list() {
     let (servers, now) = (servers(), Instant::now());
     let mut set = ReplicaSet::new(2, 7, &servers);
     set.set_lag(0, LAG);
     set.change(with_health(&servers[0], "gone"), now);
     assert_eq!(reset(&set.lose_state(0, true)), (0, 1, 2));
-    // What it was to learn later is lost as well.
+    // Pending changes are lost as well.
     assert_eq!(set.next_due(), None);
     assert_eq!(reset(&set.restore_state(0)), (0, 8, 2));
 }
 
 #[test]
-fn replicas_that_are_none_are_told_nothing() {
+fn commands_for_unknown_replicas_are_ignored() {
     let mut set = ReplicaSet::new(2, 1, &servers());
     assert!(
         set.set_lag(2, LAG).is_empty()
--- a/crates/testbed/tests/scale_script.rs
+++ b/crates/testbed/tests/scale_script.rs
@@ -1,4 +1,4 @@
-//! Scripts of scale runs: those that ship, and what is said of faulty ones.
+//! Scripts of scale runs: the ones that ship, defaults, and the messages for faulty scripts.
 
 use testbed::scale::scenarios;
 use testbed::scale::script::{EventKind, ScaleScript};
@@ -9,12 +9,12 @@
                      queue_limit = \"2s\"\n";
 
 fn faults(text: &str) -> Vec<String> {
-    let faults = ScaleScript::parse("my.toml", text).expect_err("a faulty script was taken");
+    let faults = ScaleScript::parse("my.toml", text).expect_err("a faulty script was accepted");
     faults.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn all_that_ship_are_without_fault_and_go_by_their_names() {
+fn shipped_scripts_are_valid_and_have_the_names_of_their_files() {
     for scenario in scenarios::ALL {
         let script =
             ScaleScript::parse(scenario.name, scenario.text).unwrap_or_else(|faults| panic!("{faults:?}"));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_a_script_leaves_out_has_its_default() {
+fn omitted_keys_have_their_defaults() {
     let script = ScaleScript::parse("my.toml", SMALL).unwrap();
     assert_eq!((script.zones, script.regions, script.seed), (34, 14, 1));
     assert!(script.mechanism && script.events.is_empty() && script.real.nodes == 0);
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn faults_of_replicas_may_last() {
+fn faults_of_replicas_may_last_until_the_end() {
     let lost = "[[event]]\nkind = \"replica-lost\"\nat = \"5s\"\n";
     let script = ScaleScript::parse("my.toml", &format!("{SMALL}{lost}")).unwrap();
     assert_eq!((script.events[0].over, script.first_event().as_secs()), (None, 5));
 }
 
 #[test]
-fn without_the_mechanism_one_replica_is_known_and_runs() {
+fn without_the_mechanism_only_one_replica_runs() {
     let text = SMALL.replace("replicas = 3", "replicas = 3\nmechanism = false");
     let set = "[[event]]\nkind = \"replica-set\"\nat = \"5s\"\nreplicas = 8\n";
     let script = ScaleScript::parse("my.toml", &format!("{text}{set}")).unwrap();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn replicas_that_nodes_are_told_of_later_run_from_the_start() {
+fn replicas_that_nodes_are_configured_with_later_run_from_the_start() {
     let set = "[[event]]\nkind = \"replica-set\"\nat = \"5s\"\nreplicas = 8\n";
     let script = ScaleScript::parse("my.toml", &format!("{SMALL}{set}")).unwrap();
     assert_eq!((script.known_replicas(), script.running_replicas()), (3, 8));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_number_out_of_range_is_refused_with_its_place_the_expectation_and_the_figure() {
+fn a_value_out_of_range_is_reported_with_its_place_and_the_allowed_range() {
     let cases = [
         ("nodes = 10", "nodes = 0", "my.toml:4: nodes: expected a whole number from 1 to 20000, found 0"),
         (
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_faulty_event_is_refused_with_its_place() {
+fn a_faulty_event_is_reported_with_its_place() {
     let cases = [
         (
             "kind = \"flood\"\nat = \"1s\"\nover = \"1s\"",
--- a/crates/testbed/tests/scale_steps.rs
+++ b/crates/testbed/tests/scale_steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a script's events.
+//! Planning the steps of a script's events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_steps_again_and_another_one_draws_others() {
+fn the_same_seed_gives_the_same_steps_and_another_seed_gives_different_ones() {
     for scenario in scenarios::ALL.iter().filter(|scenario| scenario.name != "quiet") {
         let script = shipped(scenario.name);
         assert_eq!(plan(&script), plan(&script), "{}", scenario.name);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn steps_come_in_the_order_of_time_and_within_the_length() {
+fn steps_are_in_chronological_order_and_within_the_length() {
     for scenario in scenarios::ALL {
         let script = shipped(scenario.name);
         let times: Vec<_> = plan(&script).iter().map(|planned| planned.at).collect();
@@ -51,14 +51,14 @@
 }
 
 #[test]
-fn changes_come_at_their_rate() {
-    // 40 s of a day are 1/2160.
+fn changes_happen_at_the_configured_rate() {
+    // The event lasts 40 s, which is 1/2160 of a day.
     assert_eq!(changes(&plan(&shipped("changes"))), 6);
     assert_eq!(changes(&plan(&shipped("changes-tenfold"))), 57);
 }
 
 #[test]
-fn a_replaced_server_drains_is_gone_and_has_a_successor_in_its_zone() {
+fn a_replaced_server_drains_and_is_removed_and_its_successor_has_its_address() {
     let script = shipped("changes-tenfold");
     let mut entries: BTreeMap<_, _> =
         servers_at_start(&script).into_iter().map(|server| (server.host.clone(), server)).collect();
@@ -76,7 +76,7 @@
     }
     let ready: Vec<_> = entries.values().filter(|server| server.health == "ready").collect();
     assert_eq!(ready.len(), script.servers as usize);
-    // Each listens where the one before it did, and nowhere are two at once.
+    // Each successor has the address of its predecessor, and no address is used twice.
     let dials: BTreeSet<_> = ready.iter().map(|server| server.dial).collect();
     assert_eq!(dials.len(), ready.len());
     let first: BTreeSet<_> = servers_at_start(&script).iter().map(|server| server.dial).collect();
@@ -84,12 +84,12 @@
 }
 
 #[test]
-fn restarts_strike_nodes_and_servers_in_proportion_and_all_come_back() {
+fn restarts_affect_nodes_and_servers_in_proportion_and_all_return() {
     let script = ScaleScript {
         nodes: 900,
         servers: 100,
         ..with_event(EventKind::Restarts {
-            // 200 in 20 s.
+            // This is 200 restarts in 20 s.
             per_day: 864_000.0,
             down: Duration::from_secs(1),
             nodes_only: false,
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_zone_is_lost_with_all_that_is_in_it_and_comes_back() {
+fn the_loss_of_a_zone_affects_all_its_nodes_and_servers_until_it_returns() {
     let lost = with_event(EventKind::Zone { zone: Some(12) });
     let script = ScaleScript { nodes: 5_900, servers: 1_100, ..lost };
     let steps = plan(&script);
@@ -128,7 +128,7 @@
     assert_eq!(killed.1, launched.1);
     assert_eq!((killed.0.as_secs(), launched.0.as_secs(), killed.1.len()), (5, 25, 174));
     assert!(killed.1.iter().all(|node| node % 34 == 12));
-    // 32 servers are gone, and ready again.
+    // 32 servers are removed and become ready again.
     assert_eq!(changes(&steps), 64);
     let zone = script.zone_name(12);
     let in_zone = |planned: &PlannedStep| match &planned.step {
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn nothing_is_drawn_for_two_things_at_once() {
+fn no_node_or_server_is_chosen_for_two_events_at_once() {
     let mut script = ScaleScript { servers: 40, nodes: 40, ..shipped("zone") };
     let over = Some(Duration::from_secs(25));
     let at = Duration::from_secs(5);
@@ -157,7 +157,9 @@
             Step::Kill(nodes) => {
                 nodes.iter().for_each(|node| assert!(down.insert(*node), "{node} killed twice"))
             }
-            Step::Launch(nodes) => nodes.iter().for_each(|node| assert!(down.remove(node), "{node} ran")),
+            Step::Launch(nodes) => {
+                nodes.iter().for_each(|node| assert!(down.remove(node), "{node} launched while running"))
+            }
             Step::Change { server, .. } => {
                 let before = health.insert(server.host.clone(), server.health.clone());
                 assert_ne!(before, Some(server.health), "{}", server.host);
@@ -169,7 +171,7 @@
 }
 
 #[test]
-fn without_the_mechanism_it_is_the_one_known_replica_that_fails() {
+fn without_the_mechanism_the_only_known_replica_is_lost() {
     let script = ScaleScript { mechanism: false, ..with_event(EventKind::ReplicaLost { replica: Some(5) }) };
     let steps: Vec<_> = plan(&script).into_iter().map(|planned| planned.step).collect();
     let answers = |answering| Step::Answer { replicas: vec![0], answering };
@@ -177,7 +179,7 @@
 }
 
 #[test]
-fn discovery_away_is_all_replicas_away() {
+fn discovery_away_affects_all_replicas() {
     let script = ScaleScript { replicas: 4, ..with_event(EventKind::DiscoveryAway) };
     let steps: Vec<_> = plan(&script).into_iter().map(|planned| planned.step).collect();
     let answers = |answering| Step::Answer { replicas: vec![0, 1, 2, 3], answering };
@@ -185,7 +187,7 @@
 }
 
 #[test]
-fn a_fault_of_no_stated_length_is_not_ended() {
+fn a_fault_without_a_duration_has_no_end_step() {
     let mut script = with_event(EventKind::ReplicaLost { replica: Some(5) });
     script.events[0].over = None;
     let steps: Vec<_> = plan(&script).into_iter().map(|planned| planned.step).collect();
@@ -193,10 +195,10 @@
 }
 
 #[test]
-fn restarts_of_nodes_only_change_nothing_on_the_list() {
+fn restarts_of_nodes_only_do_not_change_the_list() {
     let steps = plan(&shipped("node-restarts"));
     assert_eq!(changes(&steps), 0);
-    // 40 s of a day are 1/2160.
+    // The event lasts 40 s, which is 1/2160 of a day.
     let killed = steps.iter().filter(|planned| matches!(planned.step, Step::Kill(_))).count();
     assert_eq!((killed, steps.len()), (60, 120));
 }
