--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -28,7 +28,7 @@
     pub figure: String,
     /// The independent variable.
     pub over: Variable,
-    /// The size and the measured figure of each result.
+    /// The size and the measured figure of each result, in the order of the results.
     pub points: Vec<(f64, f64)>,
     /// The slope.
     pub slope: f64,
@@ -266,11 +266,11 @@
 impl Fit {
     /// Formats the lines as a table for the terminal.
     pub fn text(&self) -> String {
-        let shown = |(nodes, servers): &(u32, u32)| format!("{nodes} x {servers}");
-        let sizes: Vec<_> = self.sizes.iter().map(shown).collect();
+        let format_size = |(nodes, servers): &(u32, u32)| format!("{nodes} x {servers}");
+        let sizes: Vec<_> = self.sizes.iter().map(format_size).collect();
         let mut text = format!("{}: lines through nodes x servers of {}", self.name, sizes.join(", "));
         if let Some(size) = &self.predicted_size {
-            let _ = write!(text, "; {} predicted", shown(size));
+            let _ = write!(text, "; {} predicted", format_size(size));
         }
         let mut table = bordered_table([
             "figure",
--- a/crates/testbed/src/scale/plot.rs
+++ b/crates/testbed/src/scale/plot.rs
@@ -32,8 +32,12 @@
 /// # Errors
 /// If the plot can't be drawn.
 pub fn propagation(report: &ScaleReport) -> Result<String, PlotError> {
-    let points: Vec<_> =
-        report.propagation.distribution.iter().map(|&(part, millis)| (millis / 1e3, part * 100.0)).collect();
+    let points: Vec<_> = report
+        .propagation
+        .distribution
+        .iter()
+        .map(|&(fraction, millis)| (millis / 1e3, fraction * 100.0))
+        .collect();
     let longest = points.iter().map(|&(seconds, _)| seconds).fold(0.001, f64::max) * MARGIN;
     let caption = format!(
         "{}: from a change to nodes that act on it, {} nodes, {} servers, {} replicas",
--- a/crates/testbed/src/scale/propagation.rs
+++ b/crates/testbed/src/scale/propagation.rs
@@ -308,7 +308,8 @@
         let Some(histogram) = self.0.as_ref().filter(|histogram| !histogram.is_empty()) else {
             return Vec::new();
         };
-        let parts = (0..=DISTRIBUTION_POINTS).map(|point| f64::from(point) / f64::from(DISTRIBUTION_POINTS));
-        parts.map(|part| (part, histogram.value_at_quantile(part) as f64 / 1e3)).collect()
+        let fractions =
+            (0..=DISTRIBUTION_POINTS).map(|point| f64::from(point) / f64::from(DISTRIBUTION_POINTS));
+        fractions.map(|fraction| (fraction, histogram.value_at_quantile(fraction) as f64 / 1e3)).collect()
     }
 }
--- a/crates/testbed/src/scale/replica/service.rs
+++ b/crates/testbed/src/scale/replica/service.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Accepts connections and serves each one in a new task. Never returns.
+    /// Accepts connections and serves each one in a new task, until the returned future is dropped.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
--- a/crates/testbed/src/scale/run/executor.rs
+++ b/crates/testbed/src/scale/run/executor.rs
@@ -166,8 +166,8 @@
         let mut first = 0;
         let mut groups = Vec::new();
         for (number, count) in self.nodes_per_process().into_iter().enumerate() {
-            let here = first..first + count;
-            let group: Vec<_> = nodes.iter().copied().filter(|node| here.contains(node)).collect();
+            let process_nodes = first..first + count;
+            let group: Vec<_> = nodes.iter().copied().filter(|node| process_nodes.contains(node)).collect();
             if !group.is_empty() {
                 groups.push((number, group));
             }
--- a/crates/testbed/src/scale/scenarios.rs
+++ b/crates/testbed/src/scale/scenarios.rs
@@ -2,14 +2,14 @@
 
 use crate::scenarios::Scenario;
 
-macro_rules! shipped {
+macro_rules! bundled_scripts {
     ($($name:literal),* $(,)?) => {
         &[$(Scenario { name: $name, text: include_str!(concat!("../../../../scenarios/scale/", $name, ".toml")) }),*]
     };
 }
 
 /// All scripts that ship.
-pub const ALL: &[Scenario] = shipped![
+pub const ALL: &[Scenario] = bundled_scripts![
     "quiet",
     "changes",
     "changes-tenfold",
--- a/crates/testbed/src/scale/virtual_time/client.rs
+++ b/crates/testbed/src/scale/virtual_time/client.rs
@@ -98,8 +98,8 @@
     capacity: Option<ReplicaCapacity>,
     names: Vec<String>,
     client: DiscoveryClient,
-    membership: ListValidator,
-    call: Poll,
+    list_validator: ListValidator,
+    poll: Poll,
 }
 
 impl CoreClientDecisions {
@@ -118,14 +118,14 @@
             capacity: script.mechanism.then_some(capacity),
             client: DiscoveryClient::new(ReplicaSelection::new(&start.name(), names.clone())),
             names,
-            membership: ListValidator::new(version, ready),
-            call: Poll { wait: Duration::ZERO, timeout: Duration::ZERO },
+            list_validator: ListValidator::new(version, ready),
+            poll: Poll { wait: Duration::ZERO, timeout: Duration::ZERO },
         }
     }
 
-    fn pace(&self) -> PollPacing {
-        let held = u32::try_from(self.membership.ready_count()).unwrap_or(u32::MAX);
-        let list_lines = Some(held).filter(|lines| *lines > 0);
+    fn pacing(&self) -> PollPacing {
+        let ready_servers = u32::try_from(self.list_validator.ready_count()).unwrap_or(u32::MAX);
+        let list_lines = Some(ready_servers).filter(|lines| *lines > 0);
         PollPacing::new(self.poll_settings, self.client.replicas().available(), self.capacity, list_lines)
     }
 
@@ -139,7 +139,7 @@
             is_snapshot: response.is_snapshot,
             entries: &response.entries,
         };
-        self.membership.validate(source, &received).is_ok()
+        self.list_validator.validate(source, &received).is_ok()
     }
 
     /// Converts the outcome of a call, and returns the version of its list if the list is accepted.
@@ -159,11 +159,11 @@
 
 impl ClientDecisions for CoreClientDecisions {
     fn next_call(&mut self, _now: Duration, random: &mut dyn FnMut() -> f64) -> NextCall {
-        self.call = self.client.next_poll(self.pace(), self.membership.next_poll_kind(), random());
-        let Poll { wait, timeout } = self.call;
+        self.poll = self.client.next_poll(self.pacing(), self.list_validator.next_poll_kind(), random());
+        let Poll { wait, timeout } = self.poll;
         NextCall {
             replica: self.client.replicas().current() as u32,
-            after: self.membership.watch_from(),
+            after: self.list_validator.watch_from(),
             wait,
             timeout,
             connect_timeout: if self.names.len() > 1 { REPLICA_CONNECT_TIMEOUT } else { CONNECT_TIMEOUT },
@@ -179,8 +179,8 @@
         let (outcome, applied) = self.poll_outcome(outcome);
         let now = Timestamp::from_micros(now.as_micros() as u64);
         let jitter = Jitter { hold_down: random(), pause: random() };
-        let (pace, kind) = (self.pace(), self.membership.next_poll_kind());
-        let next = self.client.poll_ended(now, pace, self.call, outcome, kind, jitter);
+        let (pacing, kind) = (self.pacing(), self.list_validator.next_poll_kind());
+        let next = self.client.poll_ended(now, pacing, self.poll, outcome, kind, jitter);
         AfterCall { pause: next.pause, applied }
     }
 }
--- a/crates/testbed/src/scale/virtual_time/scene.rs
+++ b/crates/testbed/src/scale/virtual_time/scene.rs
@@ -8,7 +8,7 @@
 /// An event of a scene.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SceneEvent {
-    /// A step that runs on sockets support as well.
+    /// Executes a step of a script, as in a run on sockets.
     Step(Step),
     /// Cuts a region off: no messages pass between it and the other regions.
     CutOff {
--- a/crates/testbed/src/scale/virtual_time/simulation.rs
+++ b/crates/testbed/src/scale/virtual_time/simulation.rs
@@ -132,8 +132,8 @@
     }
 
     fn current_counts(&self) -> Vec<ReplicaOutcome> {
-        let both = self.counts.iter().zip(&self.replicas);
-        let counts = both.map(|(counts, replica)| ReplicaOutcome {
+        let pairs = self.counts.iter().zip(&self.replicas);
+        let counts = pairs.map(|(counts, replica)| ReplicaOutcome {
             lines: replica.queue.lines(),
             longest_queue: replica.queue.longest_wait(),
             ..*counts
