--- a/crates/testbed/src/scale/scenarios.rs
+++ b/crates/testbed/src/scale/scenarios.rs
@@ -1,15 +1,15 @@
-//! The scripts of scale runs that ship with the program: the files under `scenarios/scale/`.
+//! The scale run scripts that ship with the program, from the files in `scenarios/scale/`.
 
 use crate::scenarios::Scenario;
 
-macro_rules! shipped {
+macro_rules! bundled_scripts {
     ($($name:literal),* $(,)?) => {
         &[$(Scenario { name: $name, text: include_str!(concat!("../../../../scenarios/scale/", $name, ".toml")) }),*]
     };
 }
 
-/// All scripts.
-pub const ALL: &[Scenario] = shipped![
+/// All scripts that ship.
+pub const ALL: &[Scenario] = bundled_scripts![
     "quiet",
     "changes",
     "changes-tenfold",
@@ -21,10 +21,10 @@
     "replica-silent",
 ];
 
-/// What is run where nothing is named.
+/// The name of the script that runs if none is given.
 pub const DEFAULT: &str = "quiet";
 
-/// The one of this name.
+/// Returns the script with this name.
 pub fn named(name: &str) -> Option<Scenario> {
     ALL.iter().find(|scenario| scenario.name == name).copied()
 }
