--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -40,7 +40,7 @@
     RealSettings {
         program: env!("CARGO_BIN_EXE_cache-balancer").into(),
         count: NODES,
-        fleet: NODES,
+        fleet_size: NODES,
         zones: vec!["a".into(), "b".into()],
         replicas: vec![discovery.address],
         capacity: None,
@@ -73,7 +73,7 @@
     fn change(&mut self, places: std::ops::Range<usize>, change: impl Fn(&mut ListedServer)) {
         for place in places {
             change(&mut self.listed[place]);
-            self.nodes.notify(&self.listed[place], now_us()).unwrap();
+            self.nodes.apply_entry(&self.listed[place], now_us()).unwrap();
         }
     }
 
@@ -89,12 +89,12 @@
 
 /// Each request has one outcome.
 fn assert_accounted(report: &RealReport, sent: u64) {
-    let answers = report.served + report.refused + report.failed + report.unanswered;
+    let answers = report.served + report.rejected + report.failed + report.unanswered;
     assert_eq!(report.requests, answers, "{report:#?}");
     // A request that was not accepted met no node.
     assert!(report.requests <= sent, "{report:#?}");
     assert!(report.attempts >= report.served, "{report:#?}");
-    assert_eq!((report.turned_away, report.nodes.len()), (0, NODES as usize));
+    assert_eq!((report.rejected_connections, report.nodes.len()), (0, NODES as usize));
     assert!(!report.load_ran_out);
 }
 
@@ -149,10 +149,10 @@
     sleep(NOTIFIED_AFTER + DRAIN_GRACE * 2).await;
     run.wait_for_requests(100).await;
     let report = run.nodes.finish().await;
-    let RulesBroken { lost, repeated_effect, after_drain, cold_server_fell } = report.rules_broken;
+    let RulesBroken { lost, repeated_effect, after_drain, warming_server_overloaded } = report.rules_broken;
     assert!(after_drain > 0, "{report:#?}");
-    assert_eq!((lost, repeated_effect, cold_server_fell), (0, 0, 0), "{report:#?}");
-    assert!(report.breaches.iter().all(|breach| breach.rule == 3), "{report:#?}");
+    assert_eq!((lost, repeated_effect, warming_server_overloaded), (0, 0, 0), "{report:#?}");
+    assert!(report.violations.iter().all(|breach| breach.rule == 3), "{report:#?}");
 }
 
 #[tokio::test]
@@ -164,7 +164,7 @@
     sleep(NOTIFIED_AFTER + DRAIN_GRACE * 2).await;
     run.wait_for_requests(100).await;
     let sent = run.nodes.requests();
-    run.nodes.discovery_away(from, now_us());
+    run.nodes.record_outage(from, now_us());
     let report = run.nodes.finish().await;
     assert_accounted(&report, sent + MAX_IN_FLIGHT * u64::from(NODES));
     assert_eq!(report.rules_broken, RulesBroken::default(), "{report:#?}");
@@ -182,13 +182,13 @@
     let nodes = nodes.await.unwrap();
     // Nodes are not notified that they are cold, and so send them as much as others.
     for server in &listed {
-        nodes.notify(&ListedServer { born_ms: now_us() / 1_000, ..server.clone() }, now_us()).unwrap();
+        nodes.apply_entry(&ListedServer { born_ms: now_us() / 1_000, ..server.clone() }, now_us()).unwrap();
     }
     let run = Run { listed, discovery, nodes };
     run.wait_for_requests(100).await;
     let report = run.nodes.finish().await;
-    let RulesBroken { lost, repeated_effect, after_drain, cold_server_fell } = report.rules_broken;
-    assert!((1..=2).contains(&cold_server_fell), "{report:#?}");
+    let RulesBroken { lost, repeated_effect, after_drain, warming_server_overloaded } = report.rules_broken;
+    assert!((1..=2).contains(&warming_server_overloaded), "{report:#?}");
     assert_eq!((lost, repeated_effect, after_drain), (0, 0, 0), "{report:#?}");
 }
 
@@ -202,7 +202,7 @@
     discovery.wait_until_notified(1);
     let report = nodes.finish().await;
     assert_accounted(&report, 0);
-    assert_eq!((report.attempts, report.held_back, report.rules_broken), (0, 0, RulesBroken::default()));
+    assert_eq!((report.attempts, report.not_sent, report.rules_broken), (0, 0, RulesBroken::default()));
     assert_eq!((report.latency.p50_us, report.latency.p99_us), (0, 0));
 }
 
@@ -212,7 +212,7 @@
     let folder = run.nodes.folder().to_owned();
     let files = std::fs::read_dir(&folder).unwrap().count();
     assert_eq!(files, NODES as usize);
-    let processes = run.nodes.processes();
+    let processes = run.nodes.process_ids();
     assert_eq!(processes.len(), NODES as usize);
     // Each in a group of its own: Ctrl-C at a terminal is for the run alone.
     assert!(processes.iter().all(|id| group(*id) == Some(*id)));
@@ -243,7 +243,7 @@
     let zones = vec!["a".into()];
     let servers = CacheServers::start(ServerSettings { count: 1, zones }).await.unwrap();
     let discovery = Discovery::start(&entries(&servers.servers()));
-    let bad = RealSettings { fleet: 0, ..settings(&discovery) };
+    let bad = RealSettings { fleet_size: 0, ..settings(&discovery) };
     let error = RealNodes::start(&servers, bad).await.unwrap_err().to_string();
     assert!(error.contains("nodes: expected a whole number from 1 to 10000, found 0"), "{error}");
 }
--- a/crates/testbed/src/scale/child_processes.rs
+++ b/crates/testbed/src/scale/child_processes.rs
@@ -199,7 +199,7 @@
     }
 
     /// The process ids of the running processes that are selected.
-    pub fn ids(&self, is_selected: impl Fn(ChildId) -> bool) -> Vec<u32> {
+    pub fn process_ids(&self, is_selected: impl Fn(ChildId) -> bool) -> Vec<u32> {
         self.running
             .iter()
             .filter(|running| is_selected(running.id))
--- a/crates/testbed/src/scale/real/mod.rs
+++ b/crates/testbed/src/scale/real/mod.rs
@@ -119,17 +119,17 @@
         Ok(Self { servers, settings, processes, nodes, statistics, log_lines, stop, load, folder })
     }
 
-    /// Takes in an entry that discovery has since `at_us`; see [`CacheServers::notify`].
+    /// Takes in an entry that discovery has since `at_us`; see [`CacheServers::apply_entry`].
     ///
     /// # Errors
     ///
-    /// Those of [`CacheServers::notify`].
-    pub fn notify(&self, entry: &ListedServer, at_us: u64) -> Result<(), RealError> {
-        self.servers.notify(entry, at_us)
+    /// Those of [`CacheServers::apply_entry`].
+    pub fn apply_entry(&self, entry: &ListedServer, at_us: u64) -> Result<(), RealError> {
+        self.servers.apply_entry(entry, at_us)
     }
 
     /// Records that no node could reach discovery in this time, in microseconds of Unix time.
-    pub fn discovery_away(&self, from_us: u64, to_us: u64) {
+    pub fn record_outage(&self, from_us: u64, to_us: u64) {
         let recorder = self.servers.recorder();
         let (from, to) = (recorder.time(from_us), recorder.time(to_us));
         recorder.with_judge(|judge| judge.record_outage(from, to));
@@ -187,7 +187,7 @@
     }
 
     /// The process ids of the running nodes.
-    pub fn processes(&self) -> Vec<u32> {
+    pub fn process_ids(&self) -> Vec<u32> {
         self.processes.iter().filter_map(|state| state.process.as_ref()?.id()).collect()
     }
 
@@ -217,23 +217,23 @@
         let verdict = self.servers.recorder().verdict(self.settings.classes.clone());
         let answers = |answer: FinalAnswer| verdict.answers[answer as usize];
         let served = answers(FinalAnswer::Served);
-        let refused = answers(FinalAnswer::Rejected);
+        let rejected = answers(FinalAnswer::Rejected);
         let failed = answers(FinalAnswer::Failed);
         let latencies = std::mem::take(&mut *lock(&self.statistics.latencies_us));
         RealReport {
             requests: verdict.accepted,
             served,
-            refused,
+            rejected,
             failed,
-            unanswered: verdict.accepted - served - refused - failed,
-            held_back: self.statistics.not_sent.load(Ordering::Relaxed),
+            unanswered: verdict.accepted - served - rejected - failed,
+            not_sent: self.statistics.not_sent.load(Ordering::Relaxed),
             load_ran_out: self.statistics.load_ran_out.load(Ordering::Relaxed),
-            latest_us: self.statistics.longest_delay_us.load(Ordering::Relaxed),
+            longest_delay_us: self.statistics.longest_delay_us.load(Ordering::Relaxed),
             attempts: verdict.attempts,
-            turned_away: self.servers.rejected_connections(),
+            rejected_connections: self.servers.rejected_connections(),
             log_lines: self.log_lines.load(Ordering::Relaxed),
             rules_broken: RulesBroken::of(&verdict),
-            breaches: verdict.violations,
+            violations: verdict.violations,
             latency: Latency::of(latencies),
             nodes,
         }
--- a/crates/testbed/src/scale/real/process.rs
+++ b/crates/testbed/src/scale/real/process.rs
@@ -39,7 +39,7 @@
          [[listener]]\nname = \"clients\"\naddress = \"127.0.0.1:0\"\n\
          [[pool]]\nname = \"servers\"\n{discovery}{classes}",
         name = name(node),
-        fleet = settings.fleet,
+        fleet = settings.fleet_size,
         // TOML integers are signed.
         seed = RandomSource::new(settings.seed).derive(u64::from(node)).bits() >> 1,
         attempts = rules.max_attempts,
--- a/crates/testbed/src/scale/real/report.rs
+++ b/crates/testbed/src/scale/real/report.rs
@@ -13,19 +13,20 @@
     /// A node sent a new request to a cache server after it was notified that the server drains or is removed.
     pub after_drain: u64,
     /// A warming cache server was overloaded.
-    pub cold_server_fell: u64,
+    #[serde(rename = "cold_server_fell")]
+    pub warming_server_overloaded: u64,
 }
 
 impl RulesBroken {
     /// The number of violations of any rule.
     pub fn all(&self) -> u64 {
-        self.lost + self.repeated_effect + self.after_drain + self.cold_server_fell
+        self.lost + self.repeated_effect + self.after_drain + self.warming_server_overloaded
     }
 
     /// The counts of a verdict.
     pub fn of(verdict: &Verdict) -> Self {
-        let [lost, repeated_effect, after_drain, cold_server_fell] = verdict.violation_counts;
-        Self { lost, repeated_effect, after_drain, cold_server_fell }
+        let [lost, repeated_effect, after_drain, warming_server_overloaded] = verdict.violation_counts;
+        Self { lost, repeated_effect, after_drain, warming_server_overloaded }
     }
 }
 
@@ -69,28 +70,33 @@
     /// Requests that were served.
     pub served: u64,
     /// Requests that were rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
     /// Requests without such an answer: lost, as `rules_broken` counts them, or in flight at a node that was killed.
     pub unanswered: u64,
     /// Requests that were not sent because too many were in flight at their node, or it did not run.
-    pub held_back: u64,
+    #[serde(rename = "held_back")]
+    pub not_sent: u64,
     /// The maximum number of requests of a run was sent, and nodes had no load afterwards.
     pub load_ran_out: bool,
     /// The longest delay of a request at its client, in microseconds. If that is not small against the 50 ms of tolerance, the
     /// machine was too busy, and a violation by less than this may be due to the testbed.
-    pub latest_us: u64,
+    #[serde(rename = "latest_us")]
+    pub longest_delay_us: u64,
     /// Attempts that reached cache servers.
     pub attempts: u64,
     /// Connections that cache servers closed at once because they had as many as they may.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected_connections: u64,
     /// Lines that nodes logged after their starts.
     pub log_lines: u64,
     /// The violations of each rule.
     pub rules_broken: RulesBroken,
     /// The first violations.
-    pub breaches: Vec<Violation>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
     /// The latency of served requests.
     pub latency: Latency,
     /// By node.
--- a/crates/testbed/src/scale/real/servers/mod.rs
+++ b/crates/testbed/src/scale/real/servers/mod.rs
@@ -118,7 +118,7 @@
     /// # Errors
     ///
     /// If no server listens at the entry's address, or its health is not one of discovery's words.
-    pub fn notify(&self, entry: &ListedServer, at_us: u64) -> Result<(), RealError> {
+    pub fn apply_entry(&self, entry: &ListedServer, at_us: u64) -> Result<(), RealError> {
         let unknown = || RealError::UnknownServer { host: entry.host.clone(), dial: entry.dial };
         let server = &self.0.servers[*self.0.by_address.get(&entry.dial).ok_or_else(unknown)?];
         let recorder = &self.0.shared.recorder;
--- a/crates/testbed/src/scale/real/settings.rs
+++ b/crates/testbed/src/scale/real/settings.rs
@@ -21,7 +21,7 @@
     /// The number of real nodes, from 1 to [`MAX_NODES`].
     pub count: u32,
     /// The number of nodes of the whole fleet, with hollow ones, as nodes are configured.
-    pub fleet: u32,
+    pub fleet_size: u32,
     /// Zones of the nodes, dealt in turn by their numbers.
     pub zones: Vec<String>,
     /// Addresses of discovery.
--- a/crates/testbed/src/scale/real_fleet.rs
+++ b/crates/testbed/src/scale/real_fleet.rs
@@ -64,7 +64,7 @@
         let settings = RealSettings {
             program: program.to_owned(),
             count: script.real.nodes,
-            fleet: script.nodes + script.real.nodes,
+            fleet_size: script.nodes + script.real.nodes,
             zones: zones(script),
             replicas,
             capacity: script.mechanism.then_some(script.capacity),
@@ -85,7 +85,7 @@
     /// # Errors
     /// If the entry is not of a server that was started here.
     pub fn record_change(&self, server: &ListedServer, at_us: u64) -> Result<(), RealError> {
-        self.nodes.as_ref().map_or(Ok(()), |nodes| nodes.notify(server, at_us))
+        self.nodes.as_ref().map_or(Ok(()), |nodes| nodes.apply_entry(server, at_us))
     }
 
     /// Records how replicas answer from now on. Discovery is away while no replica that nodes know answers.
@@ -107,7 +107,7 @@
     fn end_outage(&mut self, at_us: u64) {
         let since = self.discovery_away_since_us.take();
         if let (Some(nodes), Some(since)) = (&self.nodes, since) {
-            nodes.discovery_away(since, at_us);
+            nodes.record_outage(since, at_us);
         }
     }
 
@@ -139,15 +139,20 @@
         nodes: report.nodes.len() as u32,
         requests: report.requests,
         served: report.served,
-        refused: report.refused,
+        refused: report.rejected,
         failed: report.failed,
         unanswered: report.unanswered,
-        held_back: report.held_back,
+        held_back: report.not_sent,
         load_ran_out: report.load_ran_out,
-        latest_us: report.latest_us,
+        latest_us: report.longest_delay_us,
         p50_us: report.latency.p50_us,
         p99_us: report.latency.p99_us,
-        rules_broken: [broken.lost, broken.repeated_effect, broken.after_drain, broken.cold_server_fell],
-        breaches: report.breaches.iter().map(|violation| violation.description.clone()).collect(),
+        rules_broken: [
+            broken.lost,
+            broken.repeated_effect,
+            broken.after_drain,
+            broken.warming_server_overloaded,
+        ],
+        breaches: report.violations.iter().map(|violation| violation.description.clone()).collect(),
     }
 }
--- a/crates/testbed/src/scale/run/measurement.rs
+++ b/crates/testbed/src/scale/run/measurement.rs
@@ -13,8 +13,8 @@
     /// Reads what all processes have cost, and has them report what they have done.
     pub(super) async fn snapshot(&mut self) -> Result<Snapshot, RunError> {
         let at = std::time::Instant::now();
-        let hollow = cost(&self.processes.ids(|process| matches!(process, ChildId::Hollow(_))))?;
-        let replicas = cost(&self.processes.ids(|process| matches!(process, ChildId::Replica(_))))?;
+        let hollow = cost(&self.processes.process_ids(|process| matches!(process, ChildId::Hollow(_))))?;
+        let replicas = cost(&self.processes.process_ids(|process| matches!(process, ChildId::Replica(_))))?;
         let run = cost(&[std::process::id()])?;
         let real = self.real_fleet.cost();
         self.receive_hollow_reports().await?;
--- a/crates/testbed/tests/scale_real.rs
+++ b/crates/testbed/tests/scale_real.rs
@@ -97,7 +97,8 @@
     }
 }
 
-const KEPT: RulesBroken = RulesBroken { lost: 0, repeated_effect: 0, after_drain: 0, cold_server_fell: 0 };
+const KEPT: RulesBroken =
+    RulesBroken { lost: 0, repeated_effect: 0, after_drain: 0, warming_server_overloaded: 0 };
 
 /// What one read that is sent at this time breaks.
 fn read_at(ms: u64, prepare: impl FnOnce(&mut Books)) -> RulesBroken {
@@ -451,7 +452,7 @@
     let good = RealSettings {
         program: "no such program".into(),
         count: 1,
-        fleet: 1,
+        fleet_size: 1,
         zones: zones(),
         replicas: vec![servers.servers()[0].dial],
         capacity: None,
@@ -489,13 +490,13 @@
     let servers = servers(2).await;
     let before = servers.servers();
     let elsewhere = ListedServer { dial: ([127, 0, 0, 1], 1).into(), ..before[0].clone() };
-    let error = servers.notify(&elsewhere, now_us()).unwrap_err();
+    let error = servers.apply_entry(&elsewhere, now_us()).unwrap_err();
     assert_eq!(
         error.to_string(),
         "no cache server listens at 127.0.0.1:1 here, where server-0 is said to be"
     );
     let odd = ListedServer { health: "well".into(), ..before[0].clone() };
-    let error = servers.notify(&odd, now_us()).unwrap_err();
+    let error = servers.apply_entry(&odd, now_us()).unwrap_err();
     assert_eq!(
         error.to_string(),
         "server-0: expected its health to be ready, draining or gone, found \"well\""
@@ -526,14 +527,14 @@
     .await
     .expect("a connection");
     let gone = ListedServer { health: "gone".into(), ..first.clone() };
-    servers.notify(&gone, now_us()).unwrap();
+    servers.apply_entry(&gone, now_us()).unwrap();
     let ended = timeout(PATIENCE, kept.read(&mut [0])).await.expect("the connection's end");
     assert!(matches!(ended, Ok(0)) || ended.is_err());
     assert_eq!(servers.servers().iter().map(|s| s.host.as_str()).collect::<Vec<_>>(), ["server-1"]);
     let successor = ListedServer { host: "server-0.1".into(), born_ms: now_us() / 1_000, ..first };
-    servers.notify(&successor, now_us()).unwrap();
+    servers.apply_entry(&successor, now_us()).unwrap();
     assert_eq!(servers.servers()[0], successor);
     // What is said of the one before does not end its successor.
-    servers.notify(&gone, now_us()).unwrap();
+    servers.apply_entry(&gone, now_us()).unwrap();
     assert_eq!(servers.servers()[0], successor);
 }
