--- a/crates/testbed/src/scale/child_processes.rs
+++ b/crates/testbed/src/scale/child_processes.rs
@@ -1,4 +1,5 @@
-//! The child processes of a scale run: replicas and hollow nodes, their commands and events, and their end.
+//! Starts and stops the child processes of a scale run (replicas and hollow nodes), sends them commands and receives their
+//! events.
 
 use super::messages::{HollowCommand, HollowEvent, ReplicaCommand, ReplicaEvent};
 use serde::de::DeserializeOwned;
@@ -15,16 +16,16 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::timeout;
 
-/// A process that has not read a command within this time has failed.
+/// Time within which a process must read a command; after it, the process counts as failed.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(60);
-/// Processes that have not ended this long after [`ChildProcesses::stop`] are killed.
+/// Time that processes have to exit after [`ChildProcesses::stop`] before they are killed.
 const STOP_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest line of an event, in bytes.
+/// Maximum length of the line of an event, in bytes.
 const MAX_EVENT_BYTES: u64 = 256 << 20;
-/// The longest line of standard error that is kept whole, in bytes.
+/// Maximum length of a line of standard error, in bytes; a longer line is split.
 const MAX_ERROR_BYTES: u64 = 4_096;
 
-/// A child process.
+/// Identifies a child process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChildId {
     /// The replica of discovery with this number.
@@ -42,29 +43,29 @@
     }
 }
 
-/// The failure of a child process.
+/// An error of a child process.
 #[derive(Debug, Error)]
 pub enum ChildError {
     /// The process did not start.
-    #[error("{process} does not start: {source}")]
+    #[error("{process} failed to start: {source}")]
     Start {
         /// The process.
         process: ChildId,
-        /// What the system said.
+        /// The system error.
         source: io::Error,
     },
-    /// The process does not read commands.
-    #[error("{process} takes no commands: {source}; it said last: {last_line}")]
+    /// The process did not read a command.
+    #[error("{process} did not read a command: {source}; last line on standard error: {last_line}")]
     Command {
         /// The process.
         process: ChildId,
-        /// What the system said.
+        /// The system error.
         source: io::Error,
         /// The last line that the process wrote to standard error.
         last_line: String,
     },
     /// The process ended before it was stopped.
-    #[error("{process} has ended; it said last: {last_line}")]
+    #[error("{process} ended unexpectedly; last line on standard error: {last_line}")]
     Ended {
         /// The process.
         process: ChildId,
@@ -72,19 +73,19 @@
         last_line: String,
     },
     /// The process wrote a line that is not an event.
-    #[error("{process} wrote a line that is no event: {source}")]
+    #[error("{process} wrote a line that is not an event: {source}")]
     Malformed {
         /// The process.
         process: ChildId,
-        /// What is wrong with the line.
+        /// The parse error.
         source: serde_json::Error,
     },
     /// The process did not send an expected event in time.
-    #[error("{process} has not answered within {waited:?}")]
+    #[error("{process} did not send the expected event within {waited:?}")]
     Silent {
         /// The process.
         process: ChildId,
-        /// How long the run waited.
+        /// The time that the run waited.
         waited: Duration,
     },
 }
@@ -92,28 +93,28 @@
 /// An event of a child process, with the number of the process.
 #[derive(Debug)]
 pub enum ChildEvent {
-    /// From a replica.
+    /// An event of a replica.
     Replica(usize, ReplicaEvent),
-    /// From a process of hollow nodes.
+    /// An event of a process of hollow nodes.
     Hollow(usize, HollowEvent),
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningProcess {
     id: ChildId,
-    /// Killed when it is dropped.
+    /// Dropping it kills the process.
     child: Child,
     commands: ChildStdin,
-    /// The last line on standard error.
+    /// The last line that the process wrote to standard error.
     last_line: Arc<Mutex<String>>,
 }
 
 type EventSender = UnboundedSender<Result<ChildEvent, ChildError>>;
 
-/// The child processes of a run. Dropping this kills all of them.
+/// The child processes of a run. Dropping it kills all of them.
 #[derive(Debug)]
 pub struct ChildProcesses {
-    running: Vec<Running>,
+    running: Vec<RunningProcess>,
     sender: EventSender,
     events: UnboundedReceiver<Result<ChildEvent, ChildError>>,
 }
@@ -129,34 +130,34 @@
     /// Starts a process of `program`, which then waits for its first command.
     ///
     /// # Errors
-    /// If the system does not start it.
+    /// Returns [`ChildError::Start`] if the process cannot be spawned.
     pub fn start(&mut self, program: &Path, id: ChildId) -> Result<(), ChildError> {
         let failed = |source| ChildError::Start { process: id, source };
         let mut child = command(program, id).spawn().map_err(failed)?;
         let missing = || failed(io::ErrorKind::BrokenPipe.into());
         let commands = child.stdin.take().ok_or_else(missing)?;
-        let events = child.stdout.take().ok_or_else(missing)?;
-        let errors = child.stderr.take().ok_or_else(missing)?;
+        let stdout = child.stdout.take().ok_or_else(missing)?;
+        let stderr = child.stderr.take().ok_or_else(missing)?;
         let last_line = Arc::new(Mutex::new(String::new()));
-        let (sender, explanation) = (self.sender.clone(), last_line.clone());
-        let reading_errors = tokio::spawn(keep_last_line(errors, last_line.clone()));
+        let (sender, final_line) = (self.sender.clone(), last_line.clone());
+        let stderr_reader = tokio::spawn(keep_last_line(stderr, last_line.clone()));
         tokio::spawn(async move {
-            let malformed = forward_events(id, events, &sender).await;
-            // The last line on standard error explains the end of the process.
-            let _ = reading_errors.await;
-            let last_line = text(&explanation);
+            let malformed = forward_events(id, stdout, &sender).await;
+            // Standard error is read to its end first, since its last line explains why the process ended.
+            let _ = stderr_reader.await;
+            let last_line = read_line(&final_line);
             let error = malformed.unwrap_or(ChildError::Ended { process: id, last_line });
-            // The run may have ended by now.
+            // Sending fails if the run has ended by now.
             let _ = sender.send(Err(error));
         });
-        self.running.push(Running { id, child, commands, last_line });
+        self.running.push(RunningProcess { id, child, commands, last_line });
         Ok(())
     }
 
     /// Sends a command to a replica.
     ///
     /// # Errors
-    /// If it does not read the command in time.
+    /// Returns an error if the process does not run or does not read the command in time.
     pub async fn send_to_replica(
         &mut self,
         number: usize,
@@ -168,7 +169,7 @@
     /// Sends a command to a process of hollow nodes.
     ///
     /// # Errors
-    /// If it does not read the command in time.
+    /// Returns an error if the process does not run or does not read the command in time.
     pub async fn send_to_hollow(&mut self, number: usize, command: &HollowCommand) -> Result<(), ChildError> {
         self.send(ChildId::Hollow(number), command).await
     }
@@ -182,14 +183,14 @@
         written.map_err(|source| ChildError::Command {
             process: id,
             source,
-            last_line: text(&running.last_line),
+            last_line: read_line(&running.last_line),
         })
     }
 
     /// Waits for the next event of any process.
     ///
     /// # Errors
-    /// If a process has ended, or wrote a line that is not an event.
+    /// Returns an error if a process has ended or wrote a line that is not an event.
     pub async fn next_event(&mut self) -> Result<ChildEvent, ChildError> {
         match self.events.recv().await {
             Some(event) => event,
@@ -198,7 +199,7 @@
         }
     }
 
-    /// The process ids of the running processes that are selected.
+    /// Returns the process ids of the running processes for which `is_selected` is true.
     pub fn process_ids(&self, is_selected: impl Fn(ChildId) -> bool) -> Vec<u32> {
         self.running
             .iter()
@@ -207,10 +208,10 @@
             .collect()
     }
 
-    /// Stops all processes and waits for their end. Those that do not end in time are killed.
+    /// Stops all processes and waits until they have ended. Processes that do not end in time are killed.
     pub async fn stop(mut self) {
         for running in &mut self.running {
-            // A process that has ended does not read the command, and need not.
+            // Writing fails if the process has ended already.
             let _ = match running.id {
                 ChildId::Replica(_) => write_line(&mut running.commands, &ReplicaCommand::Stop).await,
                 ChildId::Hollow(_) => write_line(&mut running.commands, &HollowCommand::Stop).await,
@@ -218,11 +219,11 @@
         }
         let ended = async {
             for running in &mut self.running {
-                // A process that cannot be waited for is killed below.
+                // If waiting fails, the process is killed below.
                 let _ = running.child.wait().await;
             }
         };
-        // Dropping `self` kills those that still run.
+        // Dropping `self` kills the processes that still run.
         let _ = timeout(STOP_TIMEOUT, ended).await;
     }
 }
@@ -234,12 +235,12 @@
     };
     let mut command = Command::new(program);
     command.arg(subcommand).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
-    // Ctrl-C on the terminal goes to the run, which ends its processes.
+    // A process group of its own keeps Ctrl-C on the terminal from the process; the run receives it and ends its processes.
     command.process_group(0).kill_on_drop(true);
     command
 }
 
-fn text(line: &Mutex<String>) -> String {
+fn read_line(line: &Mutex<String>) -> String {
     line.lock().unwrap_or_else(PoisonError::into_inner).clone()
 }
 
@@ -250,29 +251,29 @@
     commands.flush().await
 }
 
-/// Forwards the events of a process until it ends. Returns the error if it wrote a line that is not an event.
-async fn forward_events(id: ChildId, events: ChildStdout, sender: &EventSender) -> Option<ChildError> {
+/// Forwards the events of a process until it ends. Returns an error if it wrote a line that is not an event.
+async fn forward_events(id: ChildId, stdout: ChildStdout, sender: &EventSender) -> Option<ChildError> {
     match id {
         ChildId::Replica(number) => {
-            forward(id, events, sender, |event| ChildEvent::Replica(number, event)).await
+            forward(id, stdout, sender, |event| ChildEvent::Replica(number, event)).await
         }
         ChildId::Hollow(number) => {
-            forward(id, events, sender, |event| ChildEvent::Hollow(number, event)).await
+            forward(id, stdout, sender, |event| ChildEvent::Hollow(number, event)).await
         }
     }
 }
 
 async fn forward<E: DeserializeOwned>(
     id: ChildId,
-    events: impl AsyncRead + Unpin,
+    stdout: impl AsyncRead + Unpin,
     sender: &EventSender,
     wrap: impl Fn(E) -> ChildEvent,
 ) -> Option<ChildError> {
-    let mut events = BufReader::new(events);
+    let mut stdout = BufReader::new(stdout);
     let mut line = Vec::new();
     loop {
         line.clear();
-        let read = (&mut events).take(MAX_EVENT_BYTES).read_until(b'\n', &mut line).await;
+        let read = (&mut stdout).take(MAX_EVENT_BYTES).read_until(b'\n', &mut line).await;
         if !matches!(read, Ok(1..)) {
             return None;
         }
@@ -283,13 +284,13 @@
     }
 }
 
-/// Reads standard error to its end and keeps the last line.
-async fn keep_last_line(errors: impl AsyncRead + Unpin, last_line: Arc<Mutex<String>>) {
-    let mut errors = BufReader::new(errors);
+/// Reads standard error to its end and stores each line in `last_line`.
+async fn keep_last_line(stderr: impl AsyncRead + Unpin, last_line: Arc<Mutex<String>>) {
+    let mut stderr = BufReader::new(stderr);
     let mut line = Vec::new();
     loop {
         line.clear();
-        let read = (&mut errors).take(MAX_ERROR_BYTES).read_until(b'\n', &mut line).await;
+        let read = (&mut stderr).take(MAX_ERROR_BYTES).read_until(b'\n', &mut line).await;
         if !matches!(read, Ok(1..)) {
             return;
         }
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -1,40 +1,40 @@
 //! The messages between the processes of a scale run: one JSON value per line, commands on standard input and events on
-//! standard output. Times are microseconds of Unix time; all processes share one machine's clock.
+//! standard output. Times are microseconds of Unix time; all processes run on one machine and share its clock.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The capacity of a replica of discovery, as the script states it and as nodes may be configured with it.
+/// The capacity of a replica of discovery. The script states it, and nodes may be configured with it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaCapacity {
-    /// Lines per second: one for each entry that is sent, and those that a call costs.
+    /// Lines per second. Each entry sent counts as one line; calls count as the two fields below say.
     pub lines_per_second: f64,
-    /// Lines that a call costs that opens a watch or wants the whole list.
+    /// Cost in lines of a call that opens a watch or requests the whole list.
     pub call_lines: f64,
-    /// Lines that a call costs that continues a watch: it comes within 200 ms of the last answer.
+    /// Cost in lines of a call that continues a watch, which is one within 200 ms of the last answer.
     pub continued_call_lines: f64,
-    /// A call whose answer would begin later than this is rejected with status 503.
+    /// Maximum wait in the queue, in milliseconds; a call that would wait longer is rejected with status 503.
     pub queue_limit_ms: u64,
 }
 
-/// A cache server as discovery's protocol lists it: id, address, zone, kind, cell, state, weight and start time.
+/// An entry for a cache server as discovery's protocol lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedServer {
-    /// Its name.
+    /// The id of the server.
     pub host: String,
-    /// Where it listens.
+    /// The address at which the server listens.
     pub dial: SocketAddr,
-    /// Its zone.
+    /// The zone of the server.
     pub site: String,
-    /// Its kind of machine.
+    /// The kind of machine.
     pub class: String,
-    /// Its cell.
+    /// The cell of the server.
     pub block: u64,
-    /// `ready`, `draining` or `gone`.
+    /// The state of the server: `ready`, `draining` or `gone`.
     pub health: String,
-    /// Its weight.
+    /// The weight of the server.
     pub share: f64,
-    /// When it last started, in milliseconds of Unix time; 0 for long ago.
+    /// The time of the last start, in milliseconds of Unix time; 0 if it was long ago.
     pub born_ms: u64,
 }
 
@@ -42,11 +42,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answering {
-    /// It answers.
+    /// The replica answers calls.
     Up,
-    /// It resets its connections and refuses new ones.
+    /// The replica resets its connections and refuses new ones.
     Away,
-    /// It accepts connections and does not answer.
+    /// The replica accepts connections and does not answer.
     Silent,
 }
 
@@ -54,39 +54,39 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "snake_case")]
 pub enum ReplicaCommand {
-    /// Start with this list. This is the first command.
+    /// Starts the replica with this list. This is the first command.
     Start {
-        /// Where to listen; the system chooses the port if it is 0.
+        /// The address to listen at; the system chooses the port if it is 0.
         listen: SocketAddr,
-        /// The capacity.
+        /// The capacity of the replica.
         capacity: ReplicaCapacity,
         /// The version of the list.
         version: u64,
         /// The list.
         servers: Vec<ListedServer>,
     },
-    /// The entry of a server changes.
+    /// Changes the entry of a server.
     Change {
         /// The version of the list from now on.
         version: u64,
         /// The new entry.
         server: ListedServer,
     },
-    /// Answer in this way from now on.
+    /// Changes how the replica answers.
     Answer {
-        /// How.
+        /// How the replica answers from now on.
         answering: Answering,
     },
-    /// Replace the list: a fault.
+    /// Replaces the list, as a fault of the replica.
     Reset {
         /// The version of the list from now on.
         version: u64,
         /// The list from now on.
         servers: Vec<ListedServer>,
     },
-    /// Send a [`ReplicaEvent::Report`].
+    /// Requests a [`ReplicaEvent::Report`].
     Report,
-    /// End.
+    /// Ends the process.
     Stop,
 }
 
@@ -96,23 +96,23 @@
 pub enum ReplicaEvent {
     /// The replica listens.
     Listening {
-        /// Its address.
+        /// The address of the replica.
         address: SocketAddr,
     },
-    /// What it has done since its start.
+    /// The counts since the start of the replica.
     Report(ReplicaReport),
 }
 
-/// What a replica has done since its start.
+/// Counts of a replica since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaReport {
-    /// Calls of all kinds.
+    /// Calls received, of all kinds.
     pub calls: u64,
     /// Calls that were rejected.
     pub refused: u64,
     /// Snapshots sent.
     pub whole_lists: u64,
-    /// Lines charged: entries sent, and those of calls.
+    /// Lines charged for entries sent and for calls.
     pub lines: f64,
     /// Bytes read from nodes.
     pub bytes_in: u64,
@@ -126,45 +126,45 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "snake_case")]
 pub enum HollowCommand {
-    /// Start the nodes. This is the first command.
+    /// Starts the nodes. This is the first command.
     Start {
-        /// The number of the first node here; its name is `h` and that number.
+        /// The number of the first node in this process; a node's name is `h` followed by its number.
         first: u32,
         /// The number of nodes in this process.
         count: u32,
         /// The number of nodes of the whole fleet.
         fleet: u32,
-        /// The replicas of discovery; one address is discovery without replicas.
+        /// The addresses of the replicas of discovery; a single address stands for a discovery without replicas.
         replicas: Vec<SocketAddr>,
         /// The capacity of a replica, if nodes are configured with it.
         capacity: Option<ReplicaCapacity>,
-        /// The version of the list that nodes start with; `None` if they start without a list.
+        /// The version of the list that the nodes start with; `None` if they start without a list.
         version: Option<u64>,
-        /// That list.
+        /// The list that the nodes start with.
         servers: Vec<ListedServer>,
         /// The seed of random values.
         seed: u64,
-        /// Zones of the nodes, dealt in turn by their numbers.
+        /// The zones of the nodes, assigned in turn by node number.
         zones: Vec<String>,
     },
-    /// Kill these nodes: their connections are closed, and their state is lost.
+    /// Kills nodes: their connections are closed, and their state is lost.
     Kill {
-        /// Their numbers.
+        /// The numbers of the nodes.
         nodes: Vec<u32>,
     },
-    /// Start these nodes again, without a list.
+    /// Restarts killed nodes without a list.
     Launch {
-        /// Their numbers.
+        /// The numbers of the nodes.
         nodes: Vec<u32>,
     },
-    /// Use other replicas from now on, as after SIGHUP.
+    /// Replaces the replicas that the nodes use, as a reload by SIGHUP does.
     Replicas {
         /// The addresses of the replicas.
         replicas: Vec<SocketAddr>,
     },
-    /// Send a [`HollowEvent::Report`] of what has not been reported yet.
+    /// Requests a [`HollowEvent::Report`] of everything since the previous report.
     Report,
-    /// End.
+    /// Ends the process.
     Stop,
 }
 
@@ -174,11 +174,11 @@
 pub enum HollowEvent {
     /// All nodes of this process have started.
     Started,
-    /// What the nodes have done since the last report.
+    /// The activity of the nodes since the last report.
     Report(HollowReport),
 }
 
-/// What the hollow nodes of one process have done since the last report.
+/// The activity of the hollow nodes of one process since the last report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HollowReport {
     /// Lists that nodes have applied.
@@ -187,15 +187,15 @@
     pub failed_calls: u64,
 }
 
-/// A node has applied a list.
+/// Records that a node applied a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Applied {
-    /// The node's number.
+    /// The number of the node.
     pub node: u32,
     /// The version of the list.
     pub version: u64,
-    /// When its decisions had it.
+    /// When the list took effect in the node's decisions, in microseconds of Unix time.
     pub at_us: u64,
-    /// Whether it was a snapshot.
+    /// Whether the list was a snapshot.
     pub whole: bool,
 }
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -1,38 +1,38 @@
-//! What the child processes of a scale run have in common: commands on standard input, events on standard output, and a raised
-//! limit of descriptors.
+//! Code that the child processes of a scale run share: they read commands from standard input, write events to standard
+//! output and raise their limit of descriptors.
 
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::io::{self, BufRead, Write};
-use std::sync::mpsc as blocking;
+use std::sync::mpsc as std_mpsc;
 use std::thread::{self, JoinHandle};
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// The number of commands that are read ahead of the one that is being executed.
+/// Maximum number of commands that are read ahead of the current one.
 const READ_AHEAD: usize = 64;
-/// The most descriptors that a process asks for.
+/// Maximum limit of descriptors that a process sets.
 const MAX_DESCRIPTORS: u64 = 20_000;
 
-/// Why a process of a scale run ended.
+/// An error that ends a child process of a scale run.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// A line on standard input is not a command.
+    /// A line on standard input is not a valid command.
     #[error("line {line} of the commands: {error}")]
     Unreadable {
-        /// Its number, from 1.
+        /// The number of the line, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The parse error.
         error: serde_json::Error,
     },
-    /// The first command is not to start.
+    /// The first command is not the command `start`.
     #[error("line 1 of the commands: expected the command start")]
     NotStarted,
-    /// The command to start was repeated.
+    /// The command `start` was sent again.
     #[error("expected the command start once, found it again")]
     StartedTwice,
-    /// The version of a change is not above that of the list.
+    /// The version of a change is not above the version of the list.
     #[error("change of {host}: expected a version above {held}, found {version}")]
     OldVersion {
         /// The server whose entry changed.
@@ -42,38 +42,38 @@
         /// The version of the list.
         held: u64,
     },
-    /// A command names a node of another process.
+    /// A command names a node that is not in this process.
     #[error("node {node}: expected one from {first} to {last}")]
     ForeignNode {
-        /// Its number.
+        /// The number of the node.
         node: u32,
-        /// The first one here.
+        /// The number of the first node in this process.
         first: u32,
-        /// The last one here.
+        /// The number of the last node in this process.
         last: u32,
     },
-    /// There is no replica for the nodes.
+    /// A command gives the nodes no address of a replica.
     #[error("replicas: expected one address or more, found none")]
     NoReplica,
     /// A system call failed.
-    #[error("{what}: {error}")]
+    #[error("{context}: {error}")]
     System {
-        /// What was tried.
-        what: &'static str,
-        /// How it failed.
+        /// The operation or object that the call was for.
+        context: &'static str,
+        /// The system error.
         error: io::Error,
     },
 }
 
 impl ProcessError {
-    /// For `map_err`: what was tried when the system call failed.
-    pub fn system(what: &'static str) -> impl Fn(io::Error) -> Self {
-        move |error| Self::System { what, error }
+    /// Returns a function for `map_err` that adds the context of a failed system call.
+    pub fn system(context: &'static str) -> impl Fn(io::Error) -> Self {
+        move |error| Self::System { context, error }
     }
 }
 
-/// The commands on standard input, in their order; the channel ends with the input. A thread reads them, since a blocking read
-/// cannot be cancelled.
+/// Returns a channel of the commands on standard input, which is closed at the end of the input. A separate thread reads
+/// them, since a blocking read cannot be cancelled.
 pub fn commands<T: DeserializeOwned + Send + 'static>() -> mpsc::Receiver<Result<T, ProcessError>> {
     let (sender, commands) = mpsc::channel(READ_AHEAD);
     thread::spawn(move || {
@@ -81,9 +81,9 @@
             let command = match line {
                 Ok(line) => serde_json::from_str(&line)
                     .map_err(|error| ProcessError::Unreadable { line: number + 1, error }),
-                Err(error) => Err(ProcessError::System { what: "standard input", error }),
+                Err(error) => Err(ProcessError::System { context: "standard input", error }),
             };
-            // The receiver is gone when the process ends.
+            // The receiver is dropped when the process ends.
             if sender.blocking_send(command).is_err() {
                 return;
             }
@@ -92,16 +92,16 @@
     commands
 }
 
-/// Writes events to standard output in a thread of its own, so that a slow reader does not block the process.
+/// Writes events to standard output on a separate thread, so that a slow reader does not block the process.
 pub struct Events<T> {
-    sender: blocking::Sender<T>,
+    sender: std_mpsc::Sender<T>,
     writer: JoinHandle<io::Result<()>>,
 }
 
 impl<T: Serialize + Send + 'static> Events<T> {
-    /// Starts the thread.
+    /// Starts the writer thread.
     pub fn start() -> Self {
-        let (sender, events) = blocking::channel::<T>();
+        let (sender, events) = std_mpsc::channel::<T>();
         let writer = thread::spawn(move || {
             let mut output = io::stdout().lock();
             for event in events {
@@ -115,13 +115,13 @@
         Self { sender, writer }
     }
 
-    /// Writes an event after all earlier ones.
+    /// Queues an event to be written after all earlier ones.
     pub fn send(&self, event: T) {
-        // `finish` reports the error of a writer that has failed.
+        // Sending fails if the writer has failed; `finish` returns its error.
         let _ = self.sender.send(event);
     }
 
-    /// Waits until all events are written.
+    /// Waits until all events are written and returns the error of the writer, if any.
     pub fn finish(self) -> Result<(), ProcessError> {
         drop(self.sender);
         let written = self.writer.join().unwrap_or_else(|_| Err(io::ErrorKind::Other.into()));
@@ -129,7 +129,7 @@
     }
 }
 
-/// Raises the soft limit of descriptors of this process to the hard limit, but not above 20,000.
+/// Raises the soft limit of descriptors of this process to its hard limit, but not above 20,000.
 pub fn raise_descriptors() -> Result<(), ProcessError> {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
     let wanted = maximum.map_or(MAX_DESCRIPTORS, |maximum| maximum.min(MAX_DESCRIPTORS));
@@ -137,5 +137,8 @@
         return Ok(());
     }
     let raised = setrlimit(Resource::Nofile, Rlimit { current: Some(wanted), maximum });
-    raised.map_err(|error| ProcessError::System { what: "the limit of descriptors", error: error.into() })
+    raised.map_err(|error| ProcessError::System {
+        context: "raising the limit of descriptors",
+        error: error.into(),
+    })
 }
--- a/crates/testbed/src/scale/real_fleet.rs
+++ b/crates/testbed/src/scale/real_fleet.rs
@@ -1,4 +1,4 @@
-//! The real nodes of a scale run and their cache servers, which learn of the same events as the replicas.
+//! The real nodes of a scale run and their cache servers, which receive the same events as the replicas of discovery.
 
 use super::measure::Cost;
 use super::messages::{Answering, ListedServer};
@@ -12,24 +12,24 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The real nodes of a run and the cache servers that they use. Both are absent if the script has no real nodes.
+/// The real nodes of a run and the cache servers that they use; neither is started if the script has no real nodes.
 #[derive(Debug)]
 pub struct RealFleet {
     servers: Option<CacheServers>,
     nodes: Option<RealNodes>,
-    /// How each replica answers.
+    /// How each replica answers, by its number.
     answering: Vec<Answering>,
-    /// The number of replicas that nodes know.
+    /// The number of replicas in the configuration of the nodes; they are the first ones.
     known_replicas: usize,
-    /// Since when no known replica answers, in microseconds of Unix time.
-    discovery_away_since_us: Option<u64>,
+    /// Since when none of the known replicas answers, in microseconds of Unix time; `None` while one does.
+    outage_started_us: Option<u64>,
 }
 
 impl RealFleet {
-    /// Starts the cache servers, if the script has real nodes.
+    /// Starts the cache servers if the script has real nodes.
     ///
     /// # Errors
-    /// If they do not start.
+    /// Returns an error if they do not start.
     pub async fn start_servers(script: &ScaleScript) -> Result<Self, RealError> {
         let mut servers = None;
         if script.real.nodes > 0 {
@@ -41,19 +41,19 @@
             nodes: None,
             answering: vec![Answering::Up; script.running_replicas() as usize],
             known_replicas: script.known_replicas() as usize,
-            discovery_away_since_us: None,
+            outage_started_us: None,
         })
     }
 
-    /// The list of cache servers at the start.
+    /// Returns the list of cache servers at the start of the run.
     pub fn servers(&self, script: &ScaleScript) -> Vec<ListedServer> {
         self.servers.as_ref().map_or_else(|| servers_at_start(script), CacheServers::servers)
     }
 
-    /// Starts the real nodes, if the script has any, and waits until they are ready.
+    /// Starts the real nodes if the script has any, and waits until they are ready.
     ///
     /// # Errors
-    /// If a node does not start.
+    /// Returns an error if a node does not start.
     pub async fn start_nodes(
         &mut self,
         script: &ScaleScript,
@@ -73,45 +73,45 @@
             seed: script.seed,
         };
         let nodes = RealNodes::start(servers, settings).await?;
-        // The nodes have read their files and are not started again; without this, a run that is killed would leave the files
-        // behind. What cannot be removed now is removed with the nodes.
+        // The nodes have read their files and are not started again. Removing the files now means that a run that is killed
+        // leaves none behind. Files that cannot be removed now are removed with the nodes.
         let _ = std::fs::remove_dir_all(nodes.folder());
         self.nodes = Some(nodes);
         Ok(())
     }
 
-    /// Records a new entry of discovery's list.
+    /// Applies a changed entry of discovery's list to the cache servers and records it for the judge.
     ///
     /// # Errors
-    /// If the entry is not of a server that was started here.
+    /// Returns an error if no cache server of this fleet listens at the entry's address, or its health is unknown.
     pub fn record_change(&self, server: &ListedServer, at_us: u64) -> Result<(), RealError> {
         self.nodes.as_ref().map_or(Ok(()), |nodes| nodes.apply_entry(server, at_us))
     }
 
-    /// Records how replicas answer from now on. Discovery is away while no replica that nodes know answers.
+    /// Records how replicas answer from now on. Discovery is unavailable while no replica that the nodes know answers.
     pub fn set_answering(&mut self, replicas: &[u32], answering: Answering, at_us: u64) {
         for &replica in replicas {
-            if let Some(of_replica) = self.answering.get_mut(replica as usize) {
-                *of_replica = answering;
+            if let Some(current) = self.answering.get_mut(replica as usize) {
+                *current = answering;
             }
         }
         let mut known = self.answering.iter().take(self.known_replicas);
-        let away = known.all(|answering| *answering != Answering::Up);
-        match self.discovery_away_since_us {
-            None if away => self.discovery_away_since_us = Some(at_us),
-            Some(_) if !away => self.end_outage(at_us),
+        let unavailable = known.all(|answering| *answering != Answering::Up);
+        match self.outage_started_us {
+            None if unavailable => self.outage_started_us = Some(at_us),
+            Some(_) if !unavailable => self.end_outage(at_us),
             _ => {}
         }
     }
 
     fn end_outage(&mut self, at_us: u64) {
-        let since = self.discovery_away_since_us.take();
-        if let (Some(nodes), Some(since)) = (&self.nodes, since) {
-            nodes.record_outage(since, at_us);
+        let started = self.outage_started_us.take();
+        if let (Some(nodes), Some(started)) = (&self.nodes, started) {
+            nodes.record_outage(started, at_us);
         }
     }
 
-    /// What all real nodes have cost since their start.
+    /// Returns the resource usage of all real nodes since their start.
     pub fn cost(&self) -> Cost {
         let usage = self.nodes.as_ref().map(RealNodes::usage).unwrap_or_default();
         let cost = |node: &NodeUsage| Cost {
@@ -121,7 +121,7 @@
         usage.iter().map(cost).sum()
     }
 
-    /// Ends the real nodes and judges what they did.
+    /// Stops the real nodes, judges them and returns their figures; `None` if there are no real nodes.
     pub async fn finish(mut self, at_us: u64) -> Option<RealFigures> {
         self.end_outage(at_us);
         let nodes = self.nodes.take()?;
