--- a/crates/testbed/src/scale/real/load.rs
+++ b/crates/testbed/src/scale/real/load.rs
@@ -1,4 +1,4 @@
-//! The load on real nodes: clients that keep connections open, and the results of their requests.
+//! The load on the real nodes: clients that send requests on persistent connections and record the results.
 
 use super::recorder::{lock, Recorder};
 use super::response_body;
@@ -21,18 +21,18 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// The most requests in flight at one node, each on a connection of its own.
+/// Maximum number of requests in flight at one node, each on a connection of its own.
 const MAX_IN_FLIGHT: usize = 32;
-/// The most requests of one run; the judge remembers each of them.
+/// Maximum number of requests of one run. The judge keeps a record of each of them.
 const MAX_REQUESTS: u64 = 500_000;
-/// The longest time between two requests, longer than any run.
+/// Maximum time between two requests, which is longer than any run.
 const MAX_GAP: Duration = Duration::from_secs(365 * 24 * 3_600);
-/// The number of keys that are requested.
+/// Number of keys that requests choose from.
 const KEYS: u64 = 64;
-/// The longest answer of a cache server, in bytes.
+/// Maximum length of a response body, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// A node as its clients know it.
+/// The state of a node at its clients.
 #[derive(Debug)]
 pub(super) struct Node {
     state: Mutex<NodeState>,
@@ -41,9 +41,9 @@
 
 #[derive(Debug, Default)]
 struct NodeState {
-    /// Where it listens; `None` while it does not run.
+    /// The address at which the node listens; `None` while it does not run.
     address: Option<SocketAddr>,
-    /// Counts its kills: requests that were in flight at a kill are excused.
+    /// The number of times that the node was killed. Requests that were in flight at a kill are excused.
     kills: u64,
     idle: Vec<Connection>,
 }
@@ -54,18 +54,18 @@
         Self { state: Mutex::default(), in_flight: Arc::new(Semaphore::new(MAX_IN_FLIGHT)) }
     }
 
-    /// The node listens at this address from now on.
+    /// Records that the node listens at this address.
     pub(super) fn set_started(&self, address: SocketAddr) {
         lock(&self.state).address = Some(address);
     }
 
-    /// The node is about to be killed. Clients still send requests to it.
+    /// Records that the node is about to be killed. Clients still send requests to it.
     pub(super) fn set_being_killed(&self) {
         lock(&self.state).kills += 1;
     }
 
-    /// The node is gone, and clients know.
-    pub(super) fn set_gone(&self) {
+    /// Records that the node has ended; clients send it no more requests.
+    pub(super) fn set_ended(&self) {
         let mut state = lock(&self.state);
         state.address = None;
         state.idle.clear();
@@ -79,7 +79,8 @@
         lock(&self.state).address.is_some()
     }
 
-    /// The address of the node and an idle connection, if there is one. Returns `None` if the node does not run.
+    /// Takes an idle connection, if there is one, and returns it with the address of the node. Returns `None` if the node
+    /// does not run.
     fn take_idle(&self) -> Option<(SocketAddr, Option<Connection>)> {
         let mut state = lock(&self.state);
         let address = state.address?;
@@ -87,8 +88,8 @@
         Some((address, state.idle.pop()))
     }
 
-    /// Keeps a connection for another request, unless the node has ended since.
-    fn keep(&self, connection: Connection) {
+    /// Returns a connection to the idle ones, unless the node has ended since.
+    fn put_back(&self, connection: Connection) {
         let mut state = lock(&self.state);
         if state.address == Some(connection.address) {
             state.idle.push(connection);
@@ -96,7 +97,7 @@
     }
 }
 
-/// A connection to a node. Dropping it closes it.
+/// A connection to a node, which is closed when it is dropped.
 #[derive(Debug)]
 struct Connection {
     address: SocketAddr,
@@ -110,14 +111,14 @@
     }
 }
 
-/// What clients observe beside what the judge records.
+/// Statistics of the clients, in addition to the observations for the judge.
 #[derive(Debug, Default)]
 pub(super) struct Statistics {
-    /// Requests that were not sent because too many were in flight at their node, or it did not run.
+    /// Requests that were not sent because too many were in flight at their node or the node did not run.
     pub(super) not_sent: AtomicU64,
-    /// The longest delay of a request at its client, in microseconds.
+    /// The longest delay between the due time of a request and its start at the client, in microseconds.
     pub(super) longest_delay_us: AtomicU64,
-    /// [`MAX_REQUESTS`] were sent, and the load has ended.
+    /// Whether [`MAX_REQUESTS`] were sent, after which the load ended.
     pub(super) load_ran_out: AtomicBool,
     /// The latencies of served requests, in microseconds.
     pub(super) latencies_us: Mutex<Vec<u32>>,
@@ -141,18 +142,18 @@
     pub(super) rate: f64,
     /// The classes of requests.
     pub(super) classes: Vec<Class>,
-    /// The source of everything random.
+    /// The source of random values.
     pub(super) random: RandomSource,
-    /// The nodes.
+    /// The nodes that requests are sent to.
     pub(super) nodes: Arc<Vec<Node>>,
     /// Records observations for the judge.
     pub(super) recorder: Arc<Recorder>,
-    /// What they observe beside that.
+    /// The statistics of the clients.
     pub(super) statistics: Arc<Statistics>,
 }
 
 impl Clients {
-    /// Sends requests at the rate until told to stop, and then waits for those in flight.
+    /// Sends requests at the configured rate until `stop` is set, then waits for the requests in flight.
     pub(super) async fn run(self: Arc<Self>, mut stop: watch::Receiver<bool>) {
         let mut in_flight = JoinSet::new();
         let mut due = Instant::now();
@@ -161,7 +162,7 @@
             due += self.gap(random.derive(1));
             tokio::select! {
                 () = sleep_until(due) => {}
-                // A sender that was dropped stops the load, too.
+                // The load also stops if the sender is dropped.
                 _ = stop.wait_for(|stop| *stop) => break,
             }
             self.statistics.record_delay(due.elapsed());
@@ -173,7 +174,7 @@
             };
             let clients = self.clone();
             in_flight.spawn(async move {
-                clients.request(node, random).await;
+                clients.send_random_request(node, random).await;
                 drop(permit);
             });
             while in_flight.try_join_next().is_some() {}
@@ -182,27 +183,28 @@
         while in_flight.join_next().await.is_some() {}
     }
 
-    /// The time between two requests; without load, longer than any run.
+    /// Returns a random time until the next request; at rate 0, [`MAX_GAP`].
     fn gap(&self, random: RandomSource) -> Duration {
         Duration::try_from_secs_f64(random.exponential() / self.rate).map_or(MAX_GAP, |gap| gap.min(MAX_GAP))
     }
 
-    fn class(&self, random: RandomSource) -> usize {
+    /// Returns the index of a random class, weighted by the shares of the classes.
+    fn random_class(&self, random: RandomSource) -> usize {
         let total: f64 = self.classes.iter().map(|class| class.share).sum();
-        let mut left = random.uniform() * total;
+        let mut remaining = random.uniform() * total;
         let found = self.classes.iter().position(|class| {
-            left -= class.share;
-            left < 0.0
+            remaining -= class.share;
+            remaining < 0.0
         });
         found.unwrap_or(0)
     }
 
     /// Sends a random request to a node and waits for the answer.
-    async fn request(&self, node: usize, random: RandomSource) {
+    async fn send_random_request(&self, node: usize, random: RandomSource) {
         if !self.nodes[node].is_running() {
             return self.statistics.count_not_sent();
         }
-        let class_index = self.class(random.derive(3));
+        let class_index = self.random_class(random.derive(3));
         let class = &self.classes[class_index];
         let work = class.mean_work.mul_f64(random.derive(4).log_normal(class.work_variation));
         let request = OutgoingRequest {
@@ -212,11 +214,11 @@
             key: random.derive(5).bits() % KEYS,
             expires_at: Instant::now() + class.deadline,
         };
-        // After that the client disconnects, and an answer that is due and missing is lost.
+        // After this time the client disconnects; an answer that was due and has not arrived counts as lost.
         let _ = timeout_at(request.expires_at + TOLERANCE, self.exchange(&request)).await;
     }
 
-    /// Sends a request and reads the answer.
+    /// Sends a request, retries it if an idle connection turns out closed, and records the answer.
     async fn exchange(&self, request: &OutgoingRequest) {
         let node = &self.nodes[request.node];
         let kills = node.kills();
@@ -239,17 +241,17 @@
                 Ok(answer) => {
                     let request = request.number;
                     self.recorder.record(|at| Observation::Answered { request, at, answer });
-                    return node.keep(connection);
+                    return node.put_back(connection);
                 }
-                // A node may close an idle connection while a request is on its way; it is sent again on a new connection.
+                // A node may close an idle connection while a request is on its way. The request is sent again.
                 Err(_) if reused => {}
-                // The answer is lost, unless the node was killed meanwhile.
+                // The answer is lost unless the node was killed in the meantime.
                 Err(_) if node.kills() == kills => return,
                 Err(_) => break,
             }
         }
         if accepted {
-            // The node is gone, or did not listen any more when the request was sent again: it never accepted it.
+            // The node was killed, or no longer listened when the request was sent again, so it never accepted the request.
             let request = request.number;
             self.recorder.record(|_| Observation::ClientDisconnected { request });
         }
@@ -257,13 +259,13 @@
 
     fn record_accepted(&self, request: &OutgoingRequest) {
         let (number, node) = (request.number, request.node);
-        let left = request.expires_at.saturating_duration_since(Instant::now());
+        let time_left = request.expires_at.saturating_duration_since(Instant::now());
         self.recorder.record(|at| Observation::RequestAccepted {
             request: number,
             operation: number,
             node,
             at,
-            expires_at: at + left,
+            expires_at: at + time_left,
         });
     }
 
@@ -276,7 +278,7 @@
         let response = connection.sender.send_request(self.http_request(request)?).await?;
         let status = response.status();
         let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await;
-        // An answer that is cut short has failed: the client can tell that it is incomplete.
+        // A truncated answer counts as failed, not as lost, since the client can tell that it is incomplete.
         let Ok(body) = body.map(|body| body.to_bytes()) else { return Ok(FinalAnswer::Failed) };
         let answer = match status {
             StatusCode::OK if body == response_body(request.number) => FinalAnswer::Served,
@@ -294,7 +296,7 @@
     fn http_request(&self, request: &OutgoingRequest) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
         let class = &self.classes[request.class];
         let id = format!("{:x}", request.number);
-        let left = request.expires_at.saturating_duration_since(Instant::now());
+        let time_left = request.expires_at.saturating_duration_since(Instant::now());
         let body = if class.write { format!("value of {id}") } else { String::new() };
         let mut builder = Request::builder()
             .method(if class.write { Method::PUT } else { Method::GET })
@@ -302,7 +304,7 @@
             .header("host", "service.internal")
             .header("req-id", &id)
             .header("req-kind", &class.name)
-            .header("req-deadline-ms", left.as_millis() as u64);
+            .header("req-deadline-ms", time_left.as_millis() as u64);
         if matches!(class.idempotency, Idempotency::WithKey { .. }) {
             builder = builder.header("idempotency-key", &id);
         }
@@ -317,16 +319,16 @@
     node: usize,
     class: usize,
     key: u64,
-    /// When the client's timeout ends.
+    /// When the client's timeout expires.
     expires_at: Instant,
 }
 
-/// Why there is no answer on a connection.
+/// An error that leaves a request without an answer on its connection.
 #[derive(Debug, Error)]
 enum NoAnswer {
-    #[error("the request can't be made: {0}")]
+    #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
-    #[error("the connection ended: {0}")]
+    #[error("connection error: {0}")]
     Connection(#[from] hyper::Error),
 }
 
@@ -335,7 +337,7 @@
     stream.set_nodelay(true).ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let task = tokio::spawn(async move {
-        // An error shows at the request that is sent on it.
+        // An error also fails the request on this connection.
         let _ = connection.await;
     });
     Some(Connection { address, sender, task: task.abort_handle() })
--- a/crates/testbed/src/scale/real/mod.rs
+++ b/crates/testbed/src/scale/real/mod.rs
@@ -1,19 +1,21 @@
-//! Real nodes beside the hollow ones of a scale run: up to 64 processes of the daemon under a light load, judged by the four
-//! rules.
+//! Real nodes of a scale run, which run beside the hollow ones: up to 64 processes of the daemon under a light load. A judge
+//! checks the four rules on them.
 //!
-//! - [`CacheServers`] are stand-ins on loopback, up to 1,100 in this process; their entries are what discovery lists.
-//! - [`RealNodes`] starts the nodes, sends requests to them, is notified of what discovery has, and reports at the end.
-//! - [`NotificationJudge`] decides when a node counts as notified of a change; the [`Judge`](crate::Judge) decides the rules.
+//! - [`CacheServers`] runs up to 1,100 stand-ins on loopback in this process. Discovery lists their entries.
+//! - [`RealNodes`] starts the nodes, sends requests to them, applies changes of discovery's list and reports at the end.
+//! - [`NotificationJudge`] determines when a node counts as notified of a change; the [`Judge`](crate::Judge) checks the
+//!   rules.
 //!
-//! Discovery is another process here, and what it sends to a node is not observed. So the operators' definition alone counts:
-//! a node is notified of a change 6 s after discovery had it and could be reached
-//! ([`notification_judge::NOTIFIED_AFTER`]), counted anew from the end of an outage and from the node's own start; then come
-//! the drain grace of 0.5 s and the judge's tolerance of 50 ms. What was sent to the node earlier is not seen, so this judge
-//! is milder than one that sees the wire. An attempt is timed when it reaches the stand-in.
+//! Discovery runs in another process, so the messages that it sends to a node are not observed. The judge therefore relies
+//! on the operators' definition alone: a node is notified of a change 6 s after discovery had it and could be reached
+//! ([`notification_judge::NOTIFIED_AFTER`]). The 6 s start again at the end of an outage and at the start of the node. The
+//! drain grace of 0.5 s and the judge's tolerance of 50 ms are added. A node that was notified earlier is still judged by
+//! the 6 s, so this judge is less strict than one that sees the messages. An attempt is timed when it reaches the stand-in.
 //!
-//! All tasks are spawned on the caller's runtime. Nodes are started with `--with-parent`, so they end with the thread that
-//! started them at the latest: call from a thread that lives on. Configuration files are in a temporary folder. It is removed,
-//! and nodes are killed, when [`RealNodes`] is dropped, also after errors; a program that handles Ctrl-C has to drop it then.
+//! All tasks are spawned on the caller's runtime. Nodes are started with `--with-parent`, which ends them when the thread
+//! that started them ends, so start them from a thread that outlives the run. Dropping [`RealNodes`] kills the nodes and
+//! removes the temporary folder with their configuration files, also after errors. A program that handles Ctrl-C has to drop
+//! it.
 
 mod error;
 mod load;
@@ -45,24 +47,24 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// The purpose of the random values of the load.
-const LOAD: u64 = 0x7265_616c;
+/// Derives the random values of the load from the seed.
+const LOAD_STREAM: u64 = 0x7265_616c;
 
-/// The response body to a request, which no other request has.
+/// Returns the response body for a request, which is unique to it.
 fn response_body(request: RequestNumber) -> String {
     format!("answer to {request:x}")
 }
 
-/// A node that can be killed and launched again.
+/// A node that can be killed and started again.
 #[derive(Debug)]
 struct NodeProcess {
     config_file: PathBuf,
     process: Option<Process>,
-    /// What its earlier processes used.
+    /// The usage of the earlier processes of the node.
     earlier_usage: Usage,
 }
 
-/// Real nodes under load. See the module's documentation.
+/// Real nodes under load; see the module documentation.
 #[derive(Debug)]
 pub struct RealNodes {
     servers: CacheServers,
@@ -73,7 +75,7 @@
     log_lines: Arc<AtomicU64>,
     stop: watch::Sender<bool>,
     load: JoinHandle<()>,
-    /// Declared after the processes, so that it is dropped after them.
+    /// The folder of the configuration files. It is declared after the processes, so that it is dropped after them.
     folder: TempDir,
 }
 
@@ -88,14 +90,14 @@
     ///
     /// # Errors
     ///
-    /// If a setting is out of range, the cache servers were used before, the program can't be run, or a node isn't ready in
-    /// time.
+    /// Returns an error if a setting is out of range, the cache servers were used in an earlier run, the program cannot be
+    /// run, or a node is not ready in time.
     pub async fn start(servers: &CacheServers, settings: RealSettings) -> Result<Self, RealError> {
         settings.check()?;
         let folder = tempfile::Builder::new().prefix("cache-balancer-scale-").tempdir();
         let folder = folder.map_err(RealError::system("a temporary folder"))?;
         if !servers.recorder().start_run(settings.count as usize) {
-            return Err(RealError::Used);
+            return Err(RealError::ServersReused);
         }
         let log_lines = Arc::<AtomicU64>::default();
         let processes = start_all(&settings, &folder, &log_lines).await?;
@@ -109,7 +111,7 @@
         let clients = Clients {
             rate: settings.rate,
             classes: settings.classes.clone(),
-            random: RandomSource::new(settings.seed).derive(LOAD),
+            random: RandomSource::new(settings.seed).derive(LOAD_STREAM),
             nodes: nodes.clone(),
             recorder: servers.recorder().clone(),
             statistics: statistics.clone(),
@@ -119,27 +121,27 @@
         Ok(Self { servers, settings, processes, nodes, statistics, log_lines, stop, load, folder })
     }
 
-    /// Takes in an entry that discovery has since `at_us`; see [`CacheServers::apply_entry`].
+    /// Applies an entry that discovery has had since `at_us`; see [`CacheServers::apply_entry`].
     ///
     /// # Errors
     ///
-    /// Those of [`CacheServers::apply_entry`].
+    /// Returns the errors of [`CacheServers::apply_entry`].
     pub fn apply_entry(&self, entry: &ListedServer, at_us: u64) -> Result<(), RealError> {
         self.servers.apply_entry(entry, at_us)
     }
 
-    /// Records that no node could reach discovery in this time, in microseconds of Unix time.
+    /// Records an outage of discovery for all nodes; the times are microseconds of Unix time.
     pub fn record_outage(&self, from_us: u64, to_us: u64) {
         let recorder = self.servers.recorder();
         let (from, to) = (recorder.time(from_us), recorder.time(to_us));
         recorder.with_judge(|judge| judge.record_outage(from, to));
     }
 
-    /// Kills a node and waits until it is gone. Requests in flight at it are excused.
+    /// Kills a node and waits until it has ended. Its requests in flight are excused.
     ///
     /// # Errors
     ///
-    /// If there is no such node, or it does not run.
+    /// Returns [`RealError::NoNode`] if the node does not exist or does not run.
     pub async fn kill(&mut self, node: u32) -> Result<(), RealError> {
         let number = node as usize;
         let state = self.processes.get_mut(number);
@@ -153,7 +155,7 @@
         self.nodes[number].set_being_killed();
         process.kill().await;
         self.servers.recorder().record(|at| Observation::NodeKilled { node: number, at });
-        self.nodes[number].set_gone();
+        self.nodes[number].set_ended();
         Ok(())
     }
 
@@ -161,7 +163,7 @@
     ///
     /// # Errors
     ///
-    /// If there is no such node, it runs, or it does not start.
+    /// Returns an error if the node does not exist, already runs or does not start.
     pub async fn launch(&mut self, node: u32) -> Result<(), RealError> {
         let number = node as usize;
         let state = self.processes.get_mut(number).filter(|state| state.process.is_none());
@@ -176,49 +178,49 @@
         Ok(())
     }
 
-    /// The number of requests that clients have started so far.
+    /// Returns the number of requests that clients have started so far.
     pub fn requests(&self) -> u64 {
         self.servers.recorder().requests()
     }
 
-    /// The folder of the nodes' configuration files, which is removed with the nodes.
+    /// Returns the folder of the nodes' configuration files, which is removed with the nodes.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// The process ids of the running nodes.
+    /// Returns the process ids of the running nodes.
     pub fn process_ids(&self) -> Vec<u32> {
         self.processes.iter().filter_map(|state| state.process.as_ref()?.id()).collect()
     }
 
-    /// What the nodes have used so far.
+    /// Returns the resource usage of each node so far.
     pub fn usage(&self) -> Vec<NodeUsage> {
         let usage = self.processes.iter().enumerate().map(|(number, state)| {
-            let present = state.process.as_ref().map(usage);
-            let processor = state.earlier_usage.processor + present.unwrap_or_default().processor;
+            let current = state.process.as_ref().map(usage);
+            let processor = state.earlier_usage.processor + current.unwrap_or_default().processor;
             NodeUsage {
                 name: process::name(number as u32),
-                running: present.is_some(),
+                running: current.is_some(),
                 processor_us: u64::try_from(processor.as_micros()).unwrap_or(u64::MAX),
-                rss_anon: present.unwrap_or(state.earlier_usage).rss_anon,
+                rss_anon: current.unwrap_or(state.earlier_usage).rss_anon,
             }
         });
         usage.collect()
     }
 
-    /// Ends the load, waits for requests in flight, ends the nodes, and judges.
+    /// Stops the load, waits for the requests in flight, ends the nodes, and returns the report with the judge's verdict.
     pub async fn finish(mut self) -> RealReport {
-        // The receiver is gone if the load ran out.
+        // `send_replace` also works if the load ran out and dropped the receiver.
         self.stop.send_replace(true);
-        // The load ends by itself, since each request ends by its deadline.
+        // The load ends soon, since each request ends by its deadline.
         let _ = (&mut self.load).await;
         let nodes = self.usage();
         self.processes.clear();
         let verdict = self.servers.recorder().verdict(self.settings.classes.clone());
-        let answers = |answer: FinalAnswer| verdict.answers[answer as usize];
-        let served = answers(FinalAnswer::Served);
-        let rejected = answers(FinalAnswer::Rejected);
-        let failed = answers(FinalAnswer::Failed);
+        let count = |answer: FinalAnswer| verdict.answers[answer as usize];
+        let served = count(FinalAnswer::Served);
+        let rejected = count(FinalAnswer::Rejected);
+        let failed = count(FinalAnswer::Failed);
         let latencies = std::mem::take(&mut *lock(&self.statistics.latencies_us));
         RealReport {
             requests: verdict.accepted,
@@ -257,14 +259,14 @@
         starting.spawn(async move { (node, Process::start(&program, &path, node, lines).await) });
     }
     while let Some(started) = starting.join_next().await {
-        // A task that panicked has dropped its process, which kills it.
+        // A task that panicked has dropped its process, which was killed thereby.
         let Ok((node, process)) = started else { continue };
         processes[node as usize].process = Some(process?);
     }
     Ok(processes)
 }
 
-/// What a process has used; nothing if it has ended.
+/// Returns the resource usage of a process, or zero if it has ended.
 fn usage(process: &Process) -> Usage {
     process.id().and_then(|id| Usage::of(id).ok()).unwrap_or_default()
 }
--- a/crates/testbed/src/scale/real/notification_judge.rs
+++ b/crates/testbed/src/scale/real/notification_judge.rs
@@ -1,7 +1,7 @@
-//! Decides when a real node counts as notified of a change; the [`Judge`] decides the rules.
+//! Determines when a real node counts as notified of a change; the [`Judge`] checks the rules.
 //!
-//! Observations are kept and judged at the end, in the order of time, so an outage of discovery may be recorded when it is
-//! over.
+//! Observations are stored and judged at the end in chronological order, so that an outage of discovery can be recorded
+//! after it has ended.
 
 use crate::judge::{Judge, Observation, Verdict};
 use crate::script::{Class, Script};
@@ -9,19 +9,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A node counts as notified of a change this long after discovery had it, if the node could reach discovery throughout. The
-/// operators define this time.
+/// Time after which a node counts as notified of a change that discovery has, if the node could reach discovery throughout.
+/// The operators define it.
 pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// How long a node may send requests to a cache server after it was notified that the server is unavailable. The judge adds
-/// its tolerance.
+/// Time for which a node may still send requests to a cache server after it was notified that the server is unavailable. The
+/// judge adds its tolerance.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
 /// Whether discovery lists a cache server as ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It is ready.
+    /// The server is listed as ready.
     Available,
-    /// It drains or is removed.
+    /// The server drains or is removed.
     Unavailable,
 }
 
@@ -30,14 +30,14 @@
     name: String,
     zone: usize,
     cell: u64,
-    /// The times in which it was unavailable, in order.
+    /// The periods in which the server was unavailable, in chronological order.
     unavailable: Vec<UnavailableSpan>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct UnavailableSpan {
     from: Timestamp,
-    /// `None` if it has not ended.
+    /// `None` if the period has not ended.
     to: Option<Timestamp>,
 }
 
@@ -47,15 +47,15 @@
     to: Timestamp,
 }
 
-/// The run of a node's process.
+/// The lifetime of one process of a node.
 #[derive(Clone, Copy, Debug)]
 struct Incarnation {
     from: Timestamp,
-    /// `None` if it has not ended.
+    /// `None` if the period has not ended.
     to: Option<Timestamp>,
 }
 
-/// Records what clients, cache servers and discovery do. Nodes are numbered from 0.
+/// Records observations of clients, cache servers and discovery, and judges them at the end. Nodes are numbered from 0.
 #[derive(Debug)]
 pub struct NotificationJudge {
     nodes: usize,
@@ -66,7 +66,7 @@
 }
 
 impl NotificationJudge {
-    /// Creates the judge of so many nodes.
+    /// Creates a judge for this number of nodes.
     pub fn new(nodes: usize) -> Self {
         Self {
             nodes,
@@ -77,12 +77,13 @@
         }
     }
 
-    /// Sets the number of nodes, before an observation names one of them.
+    /// Sets the number of nodes. Call it before the first observation of a node.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.nodes = nodes;
     }
 
-    /// The number of the cache server with this name. `zone` and `cell` are those of the first call for it.
+    /// Returns the number of the cache server with this name, and adds it if it is new. `zone` and `cell` are ignored if it
+    /// is known.
     pub fn server(&mut self, name: &str, zone: usize, cell: u64) -> usize {
         if let Some(number) = self.server_by_name.get(name) {
             return *number;
@@ -93,34 +94,35 @@
         number
     }
 
-    /// Records how discovery lists a cache server from a time on. Changes of one server come in the order of time.
+    /// Records how discovery lists a cache server from a time on. Changes of one server must be recorded in chronological
+    /// order.
     pub fn record_change(&mut self, server: usize, at: Timestamp, availability: Availability) {
         let spans = &mut self.servers[server].unavailable;
-        let open = spans.last_mut().filter(|span| span.to.is_none());
-        match (open, availability) {
+        let current = spans.last_mut().filter(|span| span.to.is_none());
+        match (current, availability) {
             (Some(span), Availability::Available) => span.to = Some(at),
             (None, Availability::Unavailable) => spans.push(UnavailableSpan { from: at, to: None }),
-            // Nodes are notified of a server that drains and is then removed at its drain.
+            // A server that drains and is then removed counts as unavailable from its drain on.
             (Some(_), Availability::Unavailable) | (None, Availability::Available) => {}
         }
     }
 
-    /// Records that no node could reach discovery during a time.
+    /// Records a period in which no node could reach discovery.
     pub fn record_outage(&mut self, from: Timestamp, to: Timestamp) {
         self.outages.push(Outage { from, to });
     }
 
-    /// Records an observation. The judge derives [`Observation::EndpointNotified`] by itself.
+    /// Records an observation, other than [`Observation::EndpointNotified`], which the judge derives itself.
     pub fn record(&mut self, at: Timestamp, observation: Observation) {
         self.observations.push((at, observation));
     }
 
-    /// Judges everything that was recorded, for requests of these classes.
+    /// Returns the verdict on all recorded observations, for requests of these classes.
     pub fn verdict(mut self, classes: Vec<Class>) -> Verdict {
         self.outages.sort_by_key(|outage| outage.from);
         let mut observations = self.notifications();
         observations.append(&mut self.observations);
-        // The sort is stable: at the same time, the order of recording remains.
+        // The sort is stable, so observations at the same time stay in the order of recording.
         observations.sort_by_key(|(at, _)| *at);
         let mut script = Script { classes, ..Script::default() };
         script.rules.drain_grace = DRAIN_GRACE;
@@ -134,7 +136,7 @@
         judge.verdict()
     }
 
-    /// When each node counts as notified of what.
+    /// Returns the derived notifications of all nodes.
     fn notifications(&self) -> Vec<(Timestamp, Observation)> {
         let mut notifications = Vec::new();
         for node in 0..self.nodes {
@@ -151,7 +153,7 @@
         notifications
     }
 
-    /// The notifications of one incarnation of a node about the beginning and the end of one span.
+    /// Returns the notifications of one incarnation of a node for the beginning and the end of one span.
     fn notifications_of(
         &self,
         node: usize,
@@ -160,8 +162,8 @@
         span: &UnavailableSpan,
     ) -> Vec<(Timestamp, Observation)> {
         let at = self.notified_at(span.from.max(incarnation.from));
-        // A server that is back before a node counts as notified may be sent requests all the time. So may one that is back at
-        // that very time: the node may have been notified earlier.
+        // A node that does not count as notified before the server is available again may send requests to it throughout.
+        // The same holds if both happen at the same time, since the node may have been notified earlier.
         if span.to.is_some_and(|to| to <= at) || incarnation.to.is_some_and(|to| to <= at) {
             return Vec::new();
         }
@@ -172,7 +174,7 @@
         notifications
     }
 
-    /// The incarnations of a node, in order. A node without recorded starts runs from the beginning.
+    /// Returns the incarnations of a node in chronological order. A node without recorded starts runs from the beginning.
     fn incarnations(&self, node: usize) -> Vec<Incarnation> {
         let starts = self.observations.iter().filter_map(|(at, observation)| match observation {
             Observation::NodeStarted { node: started } if *started == node => Some(*at),
@@ -184,17 +186,17 @@
         starts.iter().copied().zip(ends).map(|(from, to)| Incarnation { from, to }).collect()
     }
 
-    /// When a node counts as notified of what discovery had at this time. An outage in between starts the time anew at its
-    /// end.
-    fn notified_at(&self, had: Timestamp) -> Timestamp {
-        let counts_from = self.outages.iter().fold(had, |counts_from, outage| {
-            let overlaps = outage.from < counts_from + NOTIFIED_AFTER && counts_from < outage.to;
+    /// Returns when a node counts as notified of a change that discovery had at `changed_at`. The time starts again at the
+    /// end of an outage that begins before it has passed.
+    fn notified_at(&self, changed_at: Timestamp) -> Timestamp {
+        let start = self.outages.iter().fold(changed_at, |start, outage| {
+            let overlaps = outage.from < start + NOTIFIED_AFTER && start < outage.to;
             if overlaps {
                 outage.to
             } else {
-                counts_from
+                start
             }
         });
-        counts_from + NOTIFIED_AFTER
+        start + NOTIFIED_AFTER
     }
 }
--- a/crates/testbed/src/scale/real/process.rs
+++ b/crates/testbed/src/scale/real/process.rs
@@ -1,4 +1,4 @@
-//! Real nodes as processes of the daemon: their configuration, their start and their end.
+//! Configures, starts and kills the daemon processes of the real nodes.
 
 use super::{servers, RealError, RealSettings};
 use crate::node_process::{read_address, wait_until_ready, Listening};
@@ -17,16 +17,16 @@
 use tokio::process::{Child, Command};
 use tokio::time::timeout;
 
-/// A node that is not ready after this time has failed to start. It may have to wait for discovery.
+/// Time within which a node must listen, and then within which it must be ready. It may have to wait for discovery.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// How often a starting node is asked whether it is ready.
+/// Time between two readiness checks of a starting node.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The most descriptors of a node: for the connections of its clients and to cache servers.
+/// Limit of descriptors of a node, for its connections from clients and to cache servers.
 const DESCRIPTORS: u32 = 512;
-/// The idle timeout of connections to cache servers.
+/// Idle timeout of connections to cache servers.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The operator's file of a node.
+/// Returns the configuration file of a node.
 pub(super) fn config(settings: &RealSettings, node: u32) -> String {
     let quoted = |time: Duration| format!("\"{}\"", time_text(time));
     let (rules, kind) = (Script::default().rules, servers::kind());
@@ -48,22 +48,22 @@
         warm = quoted(kind.slow_start_window),
         factor = rules.slow_start_overload_factor,
         window = quoted(rules.slow_start_overload_window),
-        discovery = discovery(settings),
+        discovery = discovery_settings(settings),
         classes = settings.classes.iter().map(class_table).collect::<String>(),
     )
 }
 
-/// The name of a node.
+/// Returns the name of a node.
 pub(super) fn name(node: u32) -> String {
     format!("real-{node}")
 }
 
-/// The lines of a pool about discovery.
-fn discovery(settings: &RealSettings) -> String {
+/// Returns the discovery settings of the pool.
+fn discovery_settings(settings: &RealSettings) -> String {
     let quoted: Vec<_> = settings.replicas.iter().map(|address| format!("\"{address}\"")).collect();
     let mut text = match &quoted[..] {
-        // The form for a discovery without replicas.
-        [only] => format!("discovery = {only}\n"),
+        // A single address is written without a list, as for a discovery without replicas.
+        [single] => format!("discovery = {single}\n"),
         all => format!("discovery = [{}]\n", all.join(", ")),
     };
     if let Some(capacity) = &settings.capacity {
@@ -78,12 +78,13 @@
 #[derive(Debug)]
 pub(super) struct Process {
     child: Child,
-    /// Where it listens for clients.
+    /// The address at which the node listens for clients.
     pub(super) address: SocketAddr,
 }
 
 impl Process {
-    /// Starts a node with a configuration file and waits until it is ready. Lines that it logs afterwards are counted.
+    /// Starts a node with a configuration file and waits until it is ready. `log_lines` counts the lines that it logs after
+    /// it has started to listen.
     pub(super) async fn start(
         program: &Path,
         file: &Path,
@@ -93,15 +94,15 @@
         let mut command = command(program, file);
         let mut child = command.spawn().map_err(RealError::system(program.display().to_string()))?;
         let failed = |reason: &str| RealError::Node { node, reason: reason.to_owned() };
-        let log = child.stderr.take().ok_or_else(|| failed("it has no log"))?;
+        let log = child.stderr.take().ok_or_else(|| failed("its standard error is not connected"))?;
         let mut log = BufReader::new(log).lines();
         let listening = timeout(START_TIMEOUT, read_address(&mut log)).await;
-        let listening = listening.map_err(|_| failed("it does not listen"))?;
+        let listening = listening.map_err(|_| failed("it does not listen in time"))?;
         let address = match listening.map_err(RealError::system("a node's log"))? {
             Listening::At(address) => address,
             Listening::LogEnded { last_line } => return Err(failed(&last_line)),
         };
-        // A full pipe would block the node.
+        // The log is read to its end, since a full pipe would block the node.
         tokio::spawn(async move {
             while let Ok(Some(_)) = log.next_line().await {
                 log_lines.fetch_add(1, Ordering::Relaxed);
@@ -109,20 +110,20 @@
         });
         let ready = wait_until_ready(address, READY_POLL_INTERVAL);
         tokio::select! {
-            ready = timeout(START_TIMEOUT, ready) => ready.map_err(|_| failed("it is never ready"))?,
+            ready = timeout(START_TIMEOUT, ready) => ready.map_err(|_| failed("it is not ready in time"))?,
             _ = child.wait() => return Err(failed("it ended before it was ready")),
         }
         Ok(Self { child, address })
     }
 
-    /// The process id; `None` once it has ended.
+    /// Returns the process id; `None` if the process has ended.
     pub(super) fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Kills the process and waits until it is gone.
+    /// Kills the process and waits until it has ended.
     pub(super) async fn kill(&mut self) {
-        // It may have ended by itself.
+        // Killing fails if the process has ended already.
         let _ = self.child.kill().await;
     }
 }
@@ -134,7 +135,8 @@
         command.env_remove(variable);
     }
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
-    // Ctrl-C goes to the run, which ends its nodes itself; a node that ended first would lose requests.
+    // A process group of its own keeps Ctrl-C from the node. The run ends its nodes itself; a node that ended first would
+    // lose requests.
     command.process_group(0);
     command
 }
--- a/crates/testbed/src/scale/real/recorder.rs
+++ b/crates/testbed/src/scale/real/recorder.rs
@@ -1,4 +1,4 @@
-//! Records what cache servers and clients observe, by one clock, for the judge.
+//! Records the observations of cache servers and clients for the judge, on a common clock.
 
 use super::notification_judge::NotificationJudge;
 use crate::judge::{Observation, RequestNumber, Verdict};
@@ -8,19 +8,19 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Locks a mutex whose data no panic leaves inconsistent.
+/// Locks a mutex and ignores poisoning, since a panic does not leave the data inconsistent.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A monotonic clock and the Unix time of its start.
+/// A monotonic clock with the Unix time of its start.
 #[derive(Clone, Copy, Debug)]
 struct Clock {
     started_at: Instant,
     started_at_unix: Duration,
 }
 
-/// A request that a client has sent, as cache servers need it.
+/// A request that a client has sent, with what cache servers need to know of it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentRequest {
     /// The work of one attempt.
@@ -33,7 +33,7 @@
 struct State {
     judge: NotificationJudge,
     run_started: bool,
-    /// By request number.
+    /// The requests that clients have sent, by number.
     requests: Vec<SentRequest>,
 }
 
@@ -52,17 +52,17 @@
         Self { clock: Clock { started_at: Instant::now(), started_at_unix }, state: Mutex::new(state) }
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub(super) fn now(&self) -> Timestamp {
         Timestamp::default() + self.clock.started_at.elapsed()
     }
 
-    /// Converts microseconds of Unix time. Times before the start of the clock become the start.
+    /// Converts microseconds of Unix time to a timestamp. A time before the start of the clock becomes the start.
     pub(super) fn time(&self, unix_us: u64) -> Timestamp {
         Timestamp::default() + Duration::from_micros(unix_us).saturating_sub(self.clock.started_at_unix)
     }
 
-    /// Converts a time for timers.
+    /// Converts a timestamp to an instant for timers.
     pub(super) fn instant(&self, at: Timestamp) -> Instant {
         self.clock.started_at + at.since(Timestamp::default())
     }
@@ -72,7 +72,8 @@
         function(&mut lock(&self.state).judge)
     }
 
-    /// Starts a run of so many nodes. Returns `false` if one was started before: request numbers start from 0 only once.
+    /// Starts a run with this number of nodes. Returns `false` if a run was started before, since request numbers start from
+    /// 0 only once.
     pub(super) fn start_run(&self, nodes: usize) -> bool {
         let mut state = lock(&self.state);
         let first = !std::mem::replace(&mut state.run_started, true);
@@ -82,14 +83,14 @@
         first
     }
 
-    /// Records what is observed now.
+    /// Records an observation at the current time.
     pub(super) fn record(&self, observation: impl FnOnce(Timestamp) -> Observation) {
         let mut state = lock(&self.state);
         let at = self.now();
         state.judge.record(at, observation(at));
     }
 
-    /// Records a new request and returns its number. `work` is that of one attempt.
+    /// Records a new request and returns its number. `work` is the work of one attempt.
     pub(super) fn start_request(&self, class: usize, work: Duration) -> RequestNumber {
         let mut state = lock(&self.state);
         let (at, request) = (self.now(), state.requests.len() as RequestNumber);
@@ -99,12 +100,12 @@
         request
     }
 
-    /// The number of requests so far.
+    /// Returns the number of requests so far.
     pub(super) fn requests(&self) -> u64 {
         lock(&self.state).requests.len() as u64
     }
 
-    /// Counts an attempt at a request, and returns the request as it was before. Returns `None` if no client has sent it.
+    /// Counts an attempt at a request and returns the request as it was before. Returns `None` if no client has sent it.
     pub(super) fn start_attempt(&self, request: RequestNumber) -> Option<SentRequest> {
         let mut state = lock(&self.state);
         let request = state.requests.get_mut(usize::try_from(request).ok()?)?;
@@ -113,7 +114,7 @@
         Some(before)
     }
 
-    /// Judges what was recorded so far.
+    /// Returns the verdict on all observations so far and resets the judge.
     pub(super) fn verdict(&self, classes: Vec<Class>) -> Verdict {
         let judge = std::mem::replace(&mut lock(&self.state).judge, NotificationJudge::new(0));
         judge.verdict(classes)
--- a/crates/testbed/src/scale/real/servers/connection.rs
+++ b/crates/testbed/src/scale/real/servers/connection.rs
@@ -1,4 +1,4 @@
-//! The connections of a cache server, and its responses over HTTP/1.1.
+//! Serves the connections of a cache server over HTTP/1.1.
 
 use super::server::{ConnectionPermit, Offered, Server};
 use super::Shared;
@@ -24,12 +24,12 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// The longest request body, in bytes.
+/// Maximum length of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// The pause after a failure to accept, such as a lack of descriptors.
+/// Pause after accepting a connection has failed, such as for lack of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts connections for as long as it is polled.
+/// Accepts and serves connections until the future is dropped.
 pub(super) async fn accept(shared: Arc<Shared>, server: Arc<Server>, listener: TcpListener) {
     // Dropping the set aborts its tasks, which closes their sockets.
     let mut connections = JoinSet::new();
@@ -44,28 +44,29 @@
     }
 }
 
-/// Serves a connection until either end closes it or the process ends.
+/// Serves a connection until the node or the server closes it or the server's process ends.
 async fn serve(shared: Arc<Shared>, server: Arc<Server>, stream: TcpStream) {
-    let of_all = shared.connections.clone().try_acquire_owned();
-    let (Ok(_of_all), Some(_of_server)) = (of_all, ConnectionPermit::acquire(&server)) else {
+    let global_permit = shared.connections.clone().try_acquire_owned();
+    let (Ok(_global_permit), Some(_server_permit)) = (global_permit, ConnectionPermit::acquire(&server))
+    else {
         shared.rejected_connections.fetch_add(1, Ordering::Relaxed);
         return;
     };
-    // This fails only if the node has closed the connection already.
+    // Setting the option fails only if the node has closed the connection already.
     let _ = stream.set_nodelay(true);
     let mut incarnation = server.incarnation();
     let service = service_fn(|request| respond(shared.recorder.clone(), server.clone(), request));
     tokio::select! {
-        // A connection error shows at the node, and in what the judge records.
+        // The node sees a connection error too, and the judge records its effects.
         _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service) => {}
-        // The sender lives as long as the server.
+        // The sender lives as long as the server, so this completes only when the process ends.
         _ = incarnation.changed() => {}
     }
 }
 
-/// The connection is closed without a response: the process has ended, or the request is incomplete.
+/// Closes the connection without a response, since the process has ended or the request is incomplete.
 #[derive(Debug, Error)]
-#[error("the connection breaks off")]
+#[error("connection closed without a response")]
 struct ConnectionClosed;
 
 type HttpResponse = Response<Full<Bytes>>;
@@ -76,11 +77,11 @@
     request: Request<Incoming>,
 ) -> Result<HttpResponse, ConnectionClosed> {
     let Some((id, work)) = record_attempt(&recorder, &server, &request) else {
-        return Ok(empty(StatusCode::BAD_REQUEST));
+        return Ok(empty_response(StatusCode::BAD_REQUEST));
     };
-    let Some(key) = key(&request) else { return Ok(empty(StatusCode::BAD_REQUEST)) };
+    let Some(key) = request_key(&request) else { return Ok(empty_response(StatusCode::BAD_REQUEST)) };
     let write = request.method() == Method::PUT;
-    // A job starts only when the whole body has arrived.
+    // A job starts only after the whole body has arrived.
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
     body.await.map_err(|_| ConnectionClosed)?;
     let job = Job {
@@ -94,20 +95,20 @@
     };
     let finished = match server.offer(&recorder, job) {
         Offered::Accepted(finished) => finished,
-        Offered::Declined => return Ok(declined()),
+        Offered::Declined => return Ok(declined_response()),
         Offered::Ended => return Err(ConnectionClosed),
     };
     finished.await.map_err(|_| ConnectionClosed)?;
     Ok(Response::new(Full::new(Bytes::from(response_body(id.request)))))
 }
 
-fn key(request: &Request<Incoming>) -> Option<u64> {
+fn request_key(request: &Request<Incoming>) -> Option<u64> {
     let key = request.uri().path().rsplit('/').next()?;
     u64::from_str_radix(key, 16).ok()
 }
 
-/// Records an attempt at the request that its header names, and returns the attempt's work. Returns `None` if no client has
-/// sent that request.
+/// Records an attempt at the request that the header `req-id` names, and returns the attempt's id and work. Returns `None`
+/// if no client has sent that request.
 fn record_attempt(
     recorder: &Recorder,
     server: &Server,
@@ -121,14 +122,14 @@
     Some((AttemptId::new(number, u64::from(sent.attempts)), sent.work))
 }
 
-fn empty(status: StatusCode) -> HttpResponse {
+fn empty_response(status: StatusCode) -> HttpResponse {
     let mut response = Response::new(Full::new(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-fn declined() -> HttpResponse {
-    let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
+fn declined_response() -> HttpResponse {
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     response.headers_mut().insert("srv-declined", HeaderValue::from_static("1"));
     response
 }
--- a/crates/testbed/src/scale/real/servers/mod.rs
+++ b/crates/testbed/src/scale/real/servers/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-in cache servers, up to 1,100 in this process: the state machine of [`crate::models`] behind a listener each.
+//! Stand-in cache servers, up to 1,100 in this process. Each runs the state machine of [`crate::models`] behind a listener.
 //!
-//! Each has a loopback address of its own and keeps it when it is removed: a request that is sent to it then is recorded for
-//! the judge, and its connection is closed, as by a machine whose process has ended. Work waits instead of using the
-//! processor; fetches from the origin take no time.
+//! Each server has a loopback address of its own and keeps listening at it after its removal: requests that arrive then are
+//! recorded for the judge, and their connections are closed, as by a machine whose process has ended. Work is emulated by
+//! waiting instead of using the processor; fetches from the origin take no time.
 
 mod connection;
 mod server;
@@ -23,34 +23,34 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-/// The most cache servers in one process.
+/// Maximum number of cache servers in one process.
 pub const MAX_SERVERS: u32 = 1_100;
-/// The most connections of all cache servers together; a further one is closed at once and counted.
+/// Maximum number of connections of all cache servers together. A further one is closed at once and counted.
 const MAX_CONNECTIONS: usize = 12_000;
-/// Descriptors that are reserved for the rest of the process, but at most half of its limit.
+/// Number of descriptors that are reserved for the rest of the process, but no more than half of its limit.
 const RESERVED_DESCRIPTORS: u64 = 2_000;
-/// The number of servers whose addresses differ in the last byte only.
+/// Number of servers whose addresses differ only in the last byte.
 const ADDRESSES_PER_ROW: u32 = 250;
-/// The second byte of the addresses, 127.80.y.z.
+/// Second byte of the addresses, which are 127.80.y.z.
 const ADDRESS_BLOCK: u8 = 80;
-/// The number of cache servers in a cell, which share their memory of idempotency keys.
+/// Number of cache servers in a cell. The servers of a cell share their memory of idempotency keys.
 const SERVERS_PER_CELL: u32 = 8;
 
-/// How many cache servers are started, and in which zones.
+/// The number and zones of the cache servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSettings {
     /// The number of servers, from 1 to [`MAX_SERVERS`].
     pub count: u32,
-    /// Their zones, dealt out in turn; at least one.
+    /// The zones of the servers, assigned in turn; at least one.
     pub zones: Vec<String>,
 }
 
-/// The kind of all stand-ins, as nodes are configured for it.
+/// Returns the kind of all stand-ins; nodes are configured for it.
 pub(super) fn kind() -> ServerKind {
     ServerKind { name: "standard".into(), error_rate: 0.0, ..ServerKind::default() }
 }
 
-/// What all servers share.
+/// State that all servers share.
 #[derive(Debug)]
 struct Shared {
     recorder: Arc<Recorder>,
@@ -58,7 +58,7 @@
     rejected_connections: AtomicU64,
 }
 
-/// The cache servers of a run. They end when the last clone is dropped.
+/// The cache servers of a run, which end when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct CacheServers(Arc<Inner>);
 
@@ -68,7 +68,7 @@
     by_address: HashMap<SocketAddr, usize>,
     zones: Vec<String>,
     shared: Arc<Shared>,
-    /// Dropping them aborts them.
+    /// Dropping the set aborts its tasks.
     _tasks: JoinSet<()>,
 }
 
@@ -77,14 +77,15 @@
     ///
     /// # Errors
     ///
-    /// If the count is not from 1 to [`MAX_SERVERS`], there is no zone, or this process may not hold enough descriptors.
+    /// Returns an error if the count is not from 1 to [`MAX_SERVERS`], there is no zone, this process may not open enough
+    /// descriptors, or a server cannot listen.
     pub async fn start(settings: ServerSettings) -> Result<Self, RealError> {
         let ServerSettings { count, zones } = settings;
         if !(1..=MAX_SERVERS).contains(&count) {
-            return Err(RealError::Servers { found: count });
+            return Err(RealError::ServerCount { found: count });
         }
         if zones.is_empty() {
-            return Err(RealError::Zones);
+            return Err(RealError::NoZones);
         }
         let shared = Arc::new(Shared {
             connections: Arc::new(Semaphore::new(max_connections(count)?)),
@@ -97,7 +98,7 @@
             let listener = TcpListener::bind(SocketAddr::from((ip_address(index), 0)));
             let listener = listener.await.map_err(RealError::system("a cache server's socket"))?;
             let address = listener.local_addr().map_err(RealError::system("a cache server's socket"))?;
-            let entry = first_entry(index, address, &zones);
+            let entry = initial_entry(index, address, &zones);
             let server = Arc::new(Server::new(entry, &zones, &shared.recorder));
             by_address.insert(address, servers.len());
             tasks.spawn(connection::accept(shared.clone(), server.clone(), listener));
@@ -107,17 +108,17 @@
         Ok(Self(Arc::new(Inner { servers, by_address, zones, shared, _tasks: tasks })))
     }
 
-    /// The present list, without removed servers.
+    /// Returns the current list, without removed servers.
     pub fn servers(&self) -> Vec<ListedServer> {
         self.0.servers.iter().filter_map(|server| server.listed()).collect()
     }
 
-    /// Takes in an entry that discovery has since `at_us`, in microseconds of Unix time: the server drains, is removed, or is
-    /// ready. A server that was removed, or has started since, is cold, and may have another name.
+    /// Applies an entry that discovery has had since `at_us`, in microseconds of Unix time: the server drains, is removed,
+    /// or is ready. A ready server is cold if it was removed before or the entry has another name or start time.
     ///
     /// # Errors
     ///
-    /// If no server listens at the entry's address, or its health is not one of discovery's words.
+    /// Returns an error if no server listens at the entry's address or its health is not a value of discovery's protocol.
     pub fn apply_entry(&self, entry: &ListedServer, at_us: u64) -> Result<(), RealError> {
         let unknown = || RealError::UnknownServer { host: entry.host.clone(), dial: entry.dial };
         let server = &self.0.servers[*self.0.by_address.get(&entry.dial).ok_or_else(unknown)?];
@@ -145,18 +146,18 @@
         Ok(())
     }
 
-    /// The number of connections that were closed at once because servers had as many as they may.
+    /// Returns the number of connections that were closed at once because a limit of connections was reached.
     pub fn rejected_connections(&self) -> u64 {
         self.0.shared.rejected_connections.load(Ordering::Relaxed)
     }
 
-    /// The most descriptors that the servers hold: listeners and connections.
+    /// Returns the maximum number of descriptors of the servers, for listeners and connections.
     pub fn max_descriptors(&self) -> usize {
         let free = self.0.shared.connections.available_permits();
         self.0.servers.len() + MAX_CONNECTIONS.min(free + self.connections())
     }
 
-    /// The number of connections that the servers hold.
+    /// Returns the number of open connections of all servers.
     pub fn connections(&self) -> usize {
         self.0.servers.iter().map(|server| server.connections()).sum()
     }
@@ -166,16 +167,16 @@
     }
 }
 
-/// How many connections this process may hold beside so many listeners.
+/// Returns the maximum number of connections of this process beside this number of listeners.
 fn max_connections(listeners: u32) -> Result<usize, RealError> {
     let limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     let reserved = RESERVED_DESCRIPTORS.min(limit / 2);
-    let left = limit.saturating_sub(reserved + u64::from(listeners));
-    // At least one connection for each server.
-    if left < u64::from(listeners) {
+    let available = limit.saturating_sub(reserved + u64::from(listeners));
+    // Each server needs at least one connection.
+    if available < u64::from(listeners) {
         return Err(RealError::Descriptors { needed: reserved + 2 * u64::from(listeners), limit });
     }
-    Ok(usize::try_from(left).unwrap_or(usize::MAX).min(MAX_CONNECTIONS))
+    Ok(usize::try_from(available).unwrap_or(usize::MAX).min(MAX_CONNECTIONS))
 }
 
 fn ip_address(index: u32) -> Ipv4Addr {
@@ -183,7 +184,7 @@
     Ipv4Addr::new(127, ADDRESS_BLOCK, row as u8, last as u8)
 }
 
-fn first_entry(index: u32, address: SocketAddr, zones: &[String]) -> ListedServer {
+fn initial_entry(index: u32, address: SocketAddr, zones: &[String]) -> ListedServer {
     let kind = kind();
     ListedServer {
         host: format!("server-{index}"),
@@ -197,7 +198,7 @@
     }
 }
 
-/// The index of a zone; an unknown zone counts as one behind all.
+/// Returns the index of a zone. An unknown zone gets the index after the last one.
 fn zone_number(zones: &[String], zone: &str) -> usize {
     zones.iter().position(|known| known == zone).unwrap_or(zones.len())
 }
--- a/crates/testbed/src/scale/real/servers/server.rs
+++ b/crates/testbed/src/scale/real/servers/server.rs
@@ -1,4 +1,4 @@
-//! A cache server: the process that runs at its address, and its jobs.
+//! A cache server: the emulated process at its address and the jobs of that process.
 
 use super::{kind, zone_number};
 use crate::attempt_id::AttemptId;
@@ -14,43 +14,44 @@
 use tokio::sync::{oneshot, watch, Notify};
 use tokio::time::sleep_until;
 
-/// The lifecycle phase of the process at an address.
+/// The lifecycle phase of the emulated process at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Serving,
-    /// It declines new requests.
+    /// The process declines new requests.
     Draining,
-    /// No process runs.
+    /// The process has ended, and no other runs at the address.
     Ended,
 }
 
+/// The emulated process of a cache server.
 #[derive(Debug)]
 struct Process {
     listed: ListedServer,
-    /// Its number at the judge.
+    /// The number of the server at the judge.
     judge_number: usize,
     phase: Phase,
     model: CacheServer,
-    /// Notified when a job ends; dropped when the process ends.
+    /// The senders that signal the end of each job. They are dropped when the process ends.
     jobs: HashMap<JobId, oneshot::Sender<()>>,
     connections: u32,
 }
 
-/// A cache server.
+/// A cache server, at whose address one process after another may run.
 #[derive(Debug)]
 pub(super) struct Server {
     process: Mutex<Process>,
-    /// The model has new work, or a process has started.
+    /// Notified when the model has new work or a process has started.
     changed: Notify,
-    /// Counts the processes; connections end with theirs.
+    /// Incremented when a process ends, which closes its connections.
     incarnation: watch::Sender<u64>,
 }
 
 /// The result of [`Server::offer`].
 pub(super) enum Offered {
-    /// The job will be done; the receiver completes then, or fails with the process.
+    /// The job was accepted. The receiver completes when it is done, or fails if the process ends first.
     Accepted(oneshot::Receiver<()>),
-    /// The job is declined.
+    /// The job was declined.
     Declined,
     /// No process runs.
     Ended,
@@ -72,7 +73,7 @@
         Self { process: Mutex::new(process), changed: Notify::new(), incarnation: watch::Sender::new(0) }
     }
 
-    /// Its entry on the list; `None` if it is removed.
+    /// Returns the entry of the server on the list; `None` if the server was removed.
     pub(super) fn listed(&self) -> Option<ListedServer> {
         let process = lock(&self.process);
         (process.phase != Phase::Ended).then(|| process.listed.clone())
@@ -86,12 +87,12 @@
         lock(&self.process).connections as usize
     }
 
-    /// Completes when the present process ends.
+    /// Returns a receiver that is notified when the current process ends.
     pub(super) fn incarnation(&self) -> watch::Receiver<u64> {
         self.incarnation.subscribe()
     }
 
-    /// Drains the server, unless its process has a successor.
+    /// Drains the server, unless the entry is of an earlier process at the same address.
     pub(super) fn drain(&self, entry: &ListedServer) {
         let mut process = lock(&self.process);
         if process.phase == Phase::Serving && process.listed.host == entry.host {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Ends the process, unless it has a successor at the same address.
+    /// Ends the process, unless the entry is of an earlier process at the same address.
     pub(super) fn remove(&self, entry: &ListedServer) {
         let mut process = lock(&self.process);
         if process.listed.host == entry.host {
@@ -109,18 +110,18 @@
         }
     }
 
-    /// Ends a process: its jobs are lost, and its connections are closed.
+    /// Ends a process. Its jobs are lost, and its connections are closed.
     fn end_process(&self, process: &mut Process) {
         process.phase = Phase::Ended;
         process.jobs.clear();
         self.incarnation.send_modify(|incarnation| *incarnation += 1);
     }
 
-    /// The server is ready. A cold process starts if none runs, or the entry is that of another one.
+    /// Marks the server as ready. A cold process starts if none runs or if the entry has another name or start time.
     pub(super) fn set_ready(&self, entry: &ListedServer, judge_number: usize, now: Timestamp) {
         let mut process = lock(&self.process);
-        let same = process.listed.host == entry.host && process.listed.born_ms == entry.born_ms;
-        if process.phase == Phase::Ended || !same {
+        let same_process = process.listed.host == entry.host && process.listed.born_ms == entry.born_ms;
+        if process.phase == Phase::Ended || !same_process {
             self.end_process(&mut process);
             process.model = new_model(now, false);
         }
@@ -130,7 +131,7 @@
         self.changed.notify_one();
     }
 
-    /// Offers a job to the process.
+    /// Offers a job to the current process.
     pub(super) fn offer(&self, recorder: &Recorder, job: Job) -> Offered {
         let mut process = lock(&self.process);
         match process.phase {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Advances the process up to now. Returns when it is due again.
+    /// Advances the model of the process to the current time. Returns the time of its next event.
     fn advance(&self, recorder: &Recorder) -> Option<Timestamp> {
         let mut process = lock(&self.process);
         if process.phase == Phase::Ended {
@@ -183,19 +184,19 @@
     fn finish(&mut self, recorder: &Recorder, job: JobId) {
         let (request, server) = (AttemptId::of_job(job).request, self.judge_number);
         recorder.record(|at| Observation::Executed { request, server, at });
-        if let Some(waiting) = self.jobs.remove(&job) {
-            // The node may have closed the connection: the job was done all the same.
-            let _ = waiting.send(());
+        if let Some(sender) = self.jobs.remove(&job) {
+            // Sending fails if the node has closed the connection; the job is done nevertheless.
+            let _ = sender.send(());
         }
     }
 }
 
 fn new_model(now: Timestamp, warm: bool) -> CacheServer {
-    let base = Script::default();
-    CacheServer::new(kind(), base.rules, base.load_reports, now, warm)
+    let defaults = Script::default();
+    CacheServer::new(kind(), defaults.rules, defaults.load_reports, now, warm)
 }
 
-/// Drives the state machine of a server.
+/// Advances the state machine of a server whenever it is due or changes.
 pub(super) async fn drive(recorder: Arc<Recorder>, server: Arc<Server>) {
     loop {
         match server.advance(&recorder) {
@@ -208,11 +209,11 @@
     }
 }
 
-/// Counts a connection of a server for as long as it lives.
+/// Counts one connection of a server until it is dropped.
 pub(super) struct ConnectionPermit(Arc<Server>);
 
 impl ConnectionPermit {
-    /// Returns `None` if the server has as many connections as it may.
+    /// Returns `None` if the server has reached its maximum number of connections.
     pub(super) fn acquire(server: &Arc<Server>) -> Option<Self> {
         let mut process = lock(&server.process);
         if process.connections >= process.model.max_connections() {
--- a/crates/testbed/src/scale/real/settings.rs
+++ b/crates/testbed/src/scale/real/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of real nodes and their load.
+//! The settings of the real nodes and their load.
 
 use super::RealError;
 use crate::scale::messages::ReplicaCapacity;
@@ -8,27 +8,27 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The most real nodes; each is a process.
+/// Maximum number of real nodes; each is a process.
 pub const MAX_NODES: u32 = 64;
-/// The most requests per second, over all nodes.
+/// Maximum number of requests per second, over all nodes.
 pub(super) const MAX_RATE: f64 = 10_000.0;
 
-/// The settings of real nodes and their load.
+/// The settings of the real nodes and their load.
 #[derive(Clone, Debug)]
 pub struct RealSettings {
-    /// The program, `cache-balancer`.
+    /// The path of the program `cache-balancer`.
     pub program: PathBuf,
     /// The number of real nodes, from 1 to [`MAX_NODES`].
     pub count: u32,
-    /// The number of nodes of the whole fleet, with hollow ones, as nodes are configured.
+    /// The number of nodes of the whole fleet, including hollow ones; nodes are configured with it.
     pub fleet_size: u32,
-    /// Zones of the nodes, dealt in turn by their numbers.
+    /// The zones of the nodes, assigned in turn by node number.
     pub zones: Vec<String>,
-    /// Addresses of discovery.
+    /// The addresses of the replicas of discovery.
     pub replicas: Vec<SocketAddr>,
     /// The capacity of a replica, if nodes are configured with it.
     pub capacity: Option<ReplicaCapacity>,
-    /// Requests per second, over all real nodes; 0 for none.
+    /// Requests per second over all real nodes; 0 disables the load.
     pub rate: f64,
     /// The classes of requests, such as [`classes`].
     pub classes: Vec<Class>,
@@ -39,13 +39,13 @@
 impl RealSettings {
     pub(super) fn check(&self) -> Result<(), RealError> {
         if !(1..=MAX_NODES).contains(&self.count) {
-            return Err(RealError::Nodes { found: self.count });
+            return Err(RealError::NodeCount { found: self.count });
         }
         if self.zones.is_empty() {
-            return Err(RealError::Zones);
+            return Err(RealError::NoZones);
         }
         if self.replicas.is_empty() {
-            return Err(RealError::Replicas);
+            return Err(RealError::NoReplicas);
         }
         if !(0.0..=MAX_RATE).contains(&self.rate) {
             return Err(RealError::Rate { found: self.rate });
@@ -59,8 +59,9 @@
     }
 }
 
-/// Reads of an idempotent class, and writes of a class with idempotency keys and of one that is not idempotent, with little
-/// work each. Their deadline is long, so that a test machine that is short of processor time does not lose a request.
+/// Returns three classes with little work per request: reads that are idempotent, writes with idempotency keys, and writes
+/// that are not idempotent. Their deadline is long, so that no request is lost on a test machine that is short of processor
+/// time.
 pub fn classes() -> Vec<Class> {
     let class = |name: &str, share, idempotency, write| Class {
         name: name.into(),
--- a/crates/testbed/tests/scale_real.rs
+++ b/crates/testbed/tests/scale_real.rs
@@ -443,7 +443,7 @@
         );
     }
     let error = CacheServers::start(ServerSettings { count: 1, zones: Vec::new() }).await.unwrap_err();
-    assert!(matches!(error, RealError::Zones), "{error}");
+    assert!(matches!(error, RealError::NoZones), "{error}");
 }
 
 #[tokio::test]
@@ -477,7 +477,7 @@
         (changed(&|s| s.classes[0].share = 0.0), "classes: expected at least one, each with a share above 0"),
         (good.clone(), "no such program: No such file or directory (os error 2)"),
         // The run before it had begun when its program turned out not to be there.
-        (good.clone(), "these cache servers were used in a run before; a further one starts its own"),
+        (good.clone(), "these cache servers were used in an earlier run; expected new ones for each run"),
     ];
     for (settings, expected) in bad {
         let error = RealNodes::start(&servers, settings).await.unwrap_err();
@@ -493,7 +493,7 @@
     let error = servers.apply_entry(&elsewhere, now_us()).unwrap_err();
     assert_eq!(
         error.to_string(),
-        "no cache server listens at 127.0.0.1:1 here, where server-0 is said to be"
+        "server-0: expected the address of a cache server of this run, found 127.0.0.1:1"
     );
     let odd = ListedServer { health: "well".into(), ..before[0].clone() };
     let error = servers.apply_entry(&odd, now_us()).unwrap_err();
