--- a/crates/testbed/src/scale/child_processes.rs
+++ b/crates/testbed/src/scale/child_processes.rs
@@ -145,7 +145,7 @@
             let malformed = forward_events(id, stdout, &sender).await;
             // Standard error is read to its end first, since its last line explains why the process ended.
             let _ = stderr_reader.await;
-            let last_line = read_line(&final_line);
+            let last_line = current_line(&final_line);
             let error = malformed.unwrap_or(ChildError::Ended { process: id, last_line });
             // Sending fails if the run has ended by now.
             let _ = sender.send(Err(error));
@@ -183,7 +183,7 @@
         written.map_err(|source| ChildError::Command {
             process: id,
             source,
-            last_line: read_line(&running.last_line),
+            last_line: current_line(&running.last_line),
         })
     }
 
@@ -240,7 +240,7 @@
     command
 }
 
-fn read_line(line: &Mutex<String>) -> String {
+fn current_line(line: &Mutex<String>) -> String {
     line.lock().unwrap_or_else(PoisonError::into_inner).clone()
 }
 
--- a/crates/testbed/src/scale/real/load.rs
+++ b/crates/testbed/src/scale/real/load.rs
@@ -88,7 +88,7 @@
         Some((address, state.idle.pop()))
     }
 
-    /// Returns a connection to the idle ones, unless the node has ended since.
+    /// Keeps a connection for later requests, unless the node has ended since.
     fn put_back(&self, connection: Connection) {
         let mut state = lock(&self.state);
         if state.address == Some(connection.address) {
--- a/crates/testbed/src/scale/real/mod.rs
+++ b/crates/testbed/src/scale/real/mod.rs
@@ -14,8 +14,8 @@
 //!
 //! All tasks are spawned on the caller's runtime. Nodes are started with `--with-parent`, which ends them when the thread
 //! that started them ends, so start them from a thread that outlives the run. Dropping [`RealNodes`] kills the nodes and
-//! removes the temporary folder with their configuration files, also after errors. A program that handles Ctrl-C has to drop
-//! it.
+//! removes the temporary folder with their configuration files, also after errors. A program that handles Ctrl-C must
+//! drop it then.
 
 mod error;
 mod load;
@@ -47,7 +47,7 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Derives the random values of the load from the seed.
+/// Number of the random stream of the load.
 const LOAD_STREAM: u64 = 0x7265_616c;
 
 /// Returns the response body for a request, which is unique to it.
--- a/crates/testbed/src/scale/real/process.rs
+++ b/crates/testbed/src/scale/real/process.rs
@@ -17,7 +17,8 @@
 use tokio::process::{Child, Command};
 use tokio::time::timeout;
 
-/// Time within which a node must listen, and then within which it must be ready. It may have to wait for discovery.
+/// Time within which a node must listen, and then time within which it must be ready; otherwise it has failed to start. It
+/// may have to wait for discovery.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time between two readiness checks of a starting node.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
