--- a/crates/cache-balancer/src/config/operator.rs
+++ b/crates/cache-balancer/src/config/operator.rs
@@ -273,7 +273,7 @@
         kind: t.text("kind", NAME, is_name),
         cell: t.count("cell", 0..=u64::MAX),
         state: t
-            .word("health", &["ready", "draining"])
+            .one_of("health", &["ready", "draining"])
             .map_or("ready", |i| ["ready", "draining"][i])
             .to_owned()
             .into(),
@@ -285,9 +285,9 @@
 fn class(t: &Table, name: String) -> RequestClass {
     let base = RequestClass::default();
     let scopes = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell];
-    let scope = t.word("scope", &["all", "zone", "cell"]);
+    let scope = t.one_of("scope", &["all", "zone", "cell"]);
     let window = t.time("window", TIME);
-    let effect = match t.word("effect", &["safe", "keyed", "unsafe"]) {
+    let effect = match t.one_of("effect", &["safe", "keyed", "unsafe"]) {
         Some(0) => Idempotency::Idempotent,
         Some(1) => {
             Idempotency::WithKey { scope: scopes[t.need("scope", scope)], window: t.need("window", window) }
--- a/crates/checked-toml/src/lib.rs
+++ b/crates/checked-toml/src/lib.rs
@@ -142,7 +142,7 @@
     }
 
     /// Reads one of these words and returns its index.
-    pub fn word(&self, name: &'static str, words: &[&str]) -> Option<usize> {
+    pub fn one_of(&self, name: &'static str, words: &[&str]) -> Option<usize> {
         let expected = format!("one of {}", words.join(", "));
         self.parsed(name, &expected, |value| words.iter().position(|word| value.as_str() == Some(word)))
     }
--- a/crates/testbed/src/scale/script.rs
+++ b/crates/testbed/src/scale/script.rs
@@ -260,7 +260,7 @@
     let read = top.tables("event", |table| {
         let at = table.need("at", table.time("at", Duration::ZERO..=length));
         let over = table.time("over", Duration::ZERO..=length);
-        let kind = table.word("kind", &KINDS);
+        let kind = table.one_of("kind", &KINDS);
         table.need("kind", kind.map(|_| ()));
         let kind = KINDS[kind?];
         if !may_last(kind) {
@@ -308,7 +308,7 @@
         }
         "replica-reset" => EventKind::ReplicaReset {
             replica: replica(),
-            versions: table.word("loses", &["entries", "versions"]) == Some(1),
+            versions: table.one_of("loses", &["entries", "versions"]) == Some(1),
         },
         "discovery-away" => EventKind::DiscoveryAway,
         _ => EventKind::ReplicaSet { replicas: needed_count(table, "replicas", REPLICAS) },
--- a/crates/testbed/src/script/parse.rs
+++ b/crates/testbed/src/script/parse.rs
@@ -130,9 +130,9 @@
 
 fn idempotency(t: &Table) -> Idempotency {
     let scopes = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell];
-    let scope = t.word("scope", &["all", "zone", "cell"]).map_or(DeduplicationScope::All, |i| scopes[i]);
+    let scope = t.one_of("scope", &["all", "zone", "cell"]).map_or(DeduplicationScope::All, |i| scopes[i]);
     let window = t.time("window", POSITIVE_TIME).unwrap_or(Duration::from_secs(5));
-    match t.word("effect", &["safe", "keyed", "unsafe"]).unwrap_or(0) {
+    match t.one_of("effect", &["safe", "keyed", "unsafe"]).unwrap_or(0) {
         0 => Idempotency::Idempotent,
         1 => Idempotency::WithKey { scope, window },
         _ => Idempotency::NotIdempotent,
@@ -271,10 +271,10 @@
         }
         latest = latest.max(at);
         let duration = t.need("over", t.time("over", Duration::ZERO..=length));
-        let kind = t.word("kind", &FAULT_KINDS);
+        let kind = t.one_of("kind", &FAULT_KINDS);
         t.need("kind", kind.map(|_| ()));
         let kind = FAULT_KINDS[kind?];
-        let zone = if has_zone(kind) { t.word("zone", &zones) } else { None };
+        let zone = if has_zone(kind) { t.one_of("zone", &zones) } else { None };
         Some(Incident { at, duration, zone, fault: fault(t, kind) })
     });
     read.into_iter().flatten().collect()
