--- a/crates/checked-toml/src/lib.rs
+++ b/crates/checked-toml/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads TOML and reports all faults of a file at once, each with file, line, field and what was expected.
+//! Reads TOML files and reports all faults of a file at once, each with the file, line, field and expected value.
 //!
-//! [`Document::read`] parses a text and passes the top [`Table`] to a function, which reads the fields. A getter that finds a
-//! fault records it and returns `None`, so that the function continues and the other faults are found, too. Keys that no getter
-//! has asked for are faults.
+//! [`Document::read`] parses the text and passes the top-level [`Table`] to a closure that reads the fields. A getter
+//! that finds a fault records it and returns `None`, so the closure continues and finds the other faults too. A key that
+//! no getter reads is also a fault.
 
 mod time;
 
@@ -18,21 +18,21 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// A fault of a file, and its place.
+/// A syntax error or invalid field in a file, with its location.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{file}:{line}: {field}: {problem}")]
 pub struct Fault {
-    /// The name of the file.
+    /// The file name.
     pub file: String,
-    /// The line, from 1.
+    /// The line number, starting at 1.
     pub line: usize,
     /// The path of the field, such as `box[0].name`.
     pub field: String,
-    /// What was expected, and what was found.
+    /// The problem, usually as the expected and the found value.
     pub problem: String,
 }
 
-/// A document that is being read.
+/// A TOML file that is being read, with the faults found so far.
 #[derive(Debug)]
 pub struct Document<'a> {
     file: &'a str,
@@ -41,26 +41,31 @@
 }
 
 impl<'a> Document<'a> {
-    /// Parses `text` and reads it with `reading`, which gets the top table. `file` is the name that faults give it.
+    /// Parses `text` and passes the top-level table to `read_fields`. Faults show `file` as the file name.
     ///
     /// # Errors
-    /// All faults, in the order of their lines.
-    pub fn read<T>(file: &'a str, text: &'a str, reading: impl FnOnce(&Table) -> T) -> Result<T, Vec<Fault>> {
+    ///
+    /// Returns all faults, ordered by line.
+    pub fn read<T>(
+        file: &'a str,
+        text: &'a str,
+        read_fields: impl FnOnce(&Table) -> T,
+    ) -> Result<T, Vec<Fault>> {
         let document = Document { file, text, faults: RefCell::default() };
         let parsed = DeTable::parse(text).map_err(|error| {
-            let at = error.span().map_or(0, |span| span.start);
-            document.fault(at, "TOML", error.message().replace('\n', ", "));
+            let offset = error.span().map_or(0, |span| span.start);
+            document.record_fault(offset, "TOML", error.message().replace('\n', ", "));
             document.faults.take()
         })?;
         let top = Table {
             document: &document,
             path: String::new(),
-            at: 0,
+            offset: 0,
             table: parsed.get_ref(),
             known: RefCell::default(),
         };
-        let value = reading(&top);
-        top.finish();
+        let value = read_fields(&top);
+        top.record_unknown_keys();
         let mut faults = document.faults.take();
         faults.sort_by_key(|fault| fault.line);
         if faults.is_empty() {
@@ -70,25 +75,31 @@
         }
     }
 
-    fn fault(&self, at: usize, field: &str, problem: String) {
-        let line = 1 + self.text[..at.min(self.text.len())].matches('\n').count();
+    /// Records a fault at a byte offset of the text.
+    fn record_fault(&self, offset: usize, field: &str, problem: String) {
+        let line = 1 + self.text[..offset.min(self.text.len())].matches('\n').count();
         self.faults.borrow_mut().push(Fault { file: self.file.into(), line, field: field.into(), problem });
     }
 }
 
-/// A table of a document. Fields that a getter asks for are known; all others are faults at the end of the reading.
+/// A table of a document.
+///
+/// The getters mark the fields that they read as known. Any other key of the table is reported as a fault once the table
+/// has been read.
 #[derive(Debug)]
 pub struct Table<'d> {
     document: &'d Document<'d>,
+    /// Path of the table, such as `box[0]`; empty for the top-level table.
     path: String,
-    /// The offset of the table in the text.
-    at: usize,
+    /// Byte offset of the table in the text.
+    offset: usize,
     table: &'d DeTable<'d>,
+    /// Names of the fields that a getter has read, present in the file or not.
     known: RefCell<BTreeSet<&'static str>>,
 }
 
 impl<'d> Table<'d> {
-    fn path_of(&self, name: &str) -> String {
+    fn field_path(&self, name: &str) -> String {
         if self.path.is_empty() {
             name.to_owned()
         } else {
@@ -96,8 +107,8 @@
         }
     }
 
-    fn path_of_item(&self, name: &str, index: usize) -> String {
-        format!("{}[{index}]", self.path_of(name))
+    fn item_path(&self, name: &str, index: usize) -> String {
+        format!("{}[{index}]", self.field_path(name))
     }
 
     fn get(&self, name: &'static str) -> Option<&'d Spanned<DeValue<'d>>> {
@@ -107,11 +118,12 @@
 
     /// Records a fault of a field of this table.
     pub fn fault(&self, name: &str, problem: impl Into<String>) {
-        let at = self.table.get(name).map_or(self.at, |value| value.span().start);
-        self.document.fault(at, &self.path_of(name), problem.into());
+        let offset = self.table.get(name).map_or(self.offset, |value| value.span().start);
+        self.document.record_fault(offset, &self.field_path(name), problem.into());
     }
 
-    /// Parses the value of a field. Returns `None` if the field is missing, or if `parse` does: the latter is a fault.
+    /// Parses the value of a field. Returns `None` if the field is missing. If `parse` returns `None`, records a fault and
+    /// returns `None`.
     fn parsed<T>(
         &self,
         name: &'static str,
@@ -121,33 +133,33 @@
         let value = self.get(name)?.get_ref();
         let parsed = parse(value);
         if parsed.is_none() {
-            self.fault(name, format!("expected {expected}, found {}", shown(value)));
+            self.fault(name, format!("expected {expected}, found {}", describe(value)));
         }
         parsed
     }
 
-    /// Reads a text that satisfies `accept`. `expected` describes it in faults.
+    /// Reads a string that satisfies `accept`. `expected` describes valid strings in faults.
     pub fn text(&self, name: &'static str, expected: &str, accept: impl Fn(&str) -> bool) -> Option<String> {
         self.parsed(name, &expected, |value| value.as_str().filter(|text| accept(text)).map(str::to_owned))
     }
 
-    /// Reads a text and parses it. `expected` describes it in faults.
+    /// Reads a string and parses it. `expected` describes valid strings in faults.
     pub fn parse<T: FromStr>(&self, name: &'static str, expected: &str) -> Option<T> {
         self.parsed(name, &expected, |value| value.as_str()?.parse().ok())
     }
 
-    /// Whether there is a field of this name, valid or not.
+    /// Returns whether the table has a field of this name, valid or not.
     pub fn has(&self, name: &str) -> bool {
         self.table.contains_key(name)
     }
 
-    /// Reads one of these words and returns its index.
-    pub fn one_of(&self, name: &'static str, words: &[&str]) -> Option<usize> {
-        let expected = format!("one of {}", words.join(", "));
-        self.parsed(name, &expected, |value| words.iter().position(|word| value.as_str() == Some(word)))
+    /// Reads a string that must be one of `choices`, and returns its index.
+    pub fn one_of(&self, name: &'static str, choices: &[&str]) -> Option<usize> {
+        let expected = format!("one of {}", choices.join(", "));
+        self.parsed(name, &expected, |value| choices.iter().position(|choice| value.as_str() == Some(choice)))
     }
 
-    /// Reads `true` or `false`.
+    /// Reads a boolean.
     pub fn flag(&self, name: &'static str) -> Option<bool> {
         self.parsed(name, &"true or false", |value| value.as_bool())
     }
@@ -161,10 +173,10 @@
     /// Reads a whole number in this range.
     pub fn count(&self, name: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
         let expected = format!("a whole number from {} to {}", range.start(), range.end());
-        self.parsed(name, &expected, |value| whole(value).filter(|count| range.contains(count)))
+        self.parsed(name, &expected, |value| unsigned_integer(value).filter(|count| range.contains(count)))
     }
 
-    /// Reads a time in this range, such as `"1.5s"`.
+    /// Reads a duration in this range, such as `"1.5s"`.
     pub fn time(&self, name: &'static str, range: RangeInclusive<Duration>) -> Option<Duration> {
         let expected =
             format!("a time from \"{}\" to \"{}\"", time_text(*range.start()), time_text(*range.end()));
@@ -173,7 +185,7 @@
         })
     }
 
-    /// Reads a list of texts that satisfy `accept`. `expected` describes it in faults.
+    /// Reads an array of strings that all satisfy `accept`. `expected` describes the array in faults.
     pub fn texts(
         &self,
         name: &'static str,
@@ -186,26 +198,27 @@
         })
     }
 
-    /// Reads a text, or a list of 1 to `most` different texts, and parses each. `expected` describes a text in faults.
+    /// Reads one string, or an array of 1 to `max_items` strings, and parses each. The parsed values must be distinct.
+    /// `expected` describes a single valid string in faults.
     pub fn parse_set<T: FromStr + Ord>(
         &self,
         name: &'static str,
         expected: &str,
-        most: usize,
+        max_items: usize,
     ) -> Option<Vec<T>> {
         let value = self.get(name)?.get_ref();
-        let one_or_more = format!("{expected}, or a list of 1 to {most}");
+        let one_or_more = format!("{expected}, or a list of 1 to {max_items}");
         let Some(items) = value.as_array() else {
             return self.parse(name, &one_or_more).map(|only| vec![only]);
         };
-        if !(1..=most).contains(&items.len()) {
+        if !(1..=max_items).contains(&items.len()) {
             self.fault(name, format!("expected {one_or_more}, found a list of {}", items.len()));
             return None;
         }
         self.distinct_items(name, expected, items)
     }
 
-    /// Parses the texts of a list, which must all be different.
+    /// Parses the strings of an array. The parsed values must be distinct.
     fn distinct_items<T: FromStr + Ord>(
         &self,
         name: &'static str,
@@ -216,18 +229,18 @@
         for (index, item) in items.iter().enumerate() {
             let parsed = item.get_ref().as_str().and_then(|text| text.parse::<T>().ok());
             let problem = match parsed.map(|value| first_indices.entry(value)) {
-                None => format!("expected {expected}, found {}", shown(item.get_ref())),
+                None => format!("expected {expected}, found {}", describe(item.get_ref())),
                 Some(Entry::Vacant(entry)) => {
                     entry.insert(index);
                     continue;
                 }
                 Some(Entry::Occupied(first)) => {
-                    let first = self.path_of_item(name, *first.get());
-                    let again = shown(item.get_ref());
-                    format!("expected each once, found {again} again, which stands at {first}")
+                    let first = self.item_path(name, *first.get());
+                    let repeated = describe(item.get_ref());
+                    format!("expected each once, found {repeated} again, which stands at {first}")
                 }
             };
-            self.document.fault(item.span().start, &self.path_of_item(name, index), problem);
+            self.document.record_fault(item.span().start, &self.item_path(name, index), problem);
         }
         if first_indices.len() < items.len() {
             return None;
@@ -237,57 +250,69 @@
         Some(values.into_iter().map(|(value, _)| value).collect())
     }
 
-    /// Returns the value of a required field, which a getter has read. A missing field is a fault.
+    /// Returns the value that a getter returned for a required field, or the default value of `T` if it returned `None`.
+    /// Records a fault if the field is missing.
     pub fn need<T: Default>(&self, name: &'static str, value: Option<T>) -> T {
-        // The getter has recorded the fault of an invalid value.
+        // If the field is present but invalid, the getter has already recorded a fault.
         if value.is_none() && !self.table.contains_key(name) {
-            self.document.fault(self.at, &self.path_of(name), "is missing".into());
+            self.document.record_fault(self.offset, &self.field_path(name), "is missing".into());
         }
         value.unwrap_or_default()
     }
 
-    /// Reads a table within this one. Returns `None` if it is missing.
-    pub fn table<T>(&self, name: &'static str, reading: impl FnOnce(&Table) -> T) -> Option<T> {
+    /// Reads a nested table. Returns `None` if it is missing, and records a fault if the field is not a table.
+    pub fn table<T>(&self, name: &'static str, read_fields: impl FnOnce(&Table) -> T) -> Option<T> {
         let value = self.get(name)?;
         match value.get_ref() {
-            DeValue::Table(table) => Some(self.below(self.path_of(name), value.span().start, table, reading)),
+            DeValue::Table(table) => {
+                Some(self.read_nested(self.field_path(name), value.span().start, table, read_fields))
+            }
             other => {
-                self.fault(name, format!("expected a table, found {}", shown(other)));
+                self.fault(name, format!("expected a table, found {}", describe(other)));
                 None
             }
         }
     }
 
-    /// Reads each table of an array within this one.
-    pub fn tables<T>(&self, name: &'static str, mut reading: impl FnMut(&Table) -> T) -> Vec<T> {
+    /// Reads each table of an array of tables. Returns an empty list if it is missing, and records a fault for each item
+    /// that is not a table.
+    pub fn tables<T>(&self, name: &'static str, mut read_fields: impl FnMut(&Table) -> T) -> Vec<T> {
         let Some(value) = self.get(name) else { return Vec::new() };
         let Some(items) = value.get_ref().as_array() else {
-            self.fault(name, format!("expected [[{name}]] tables, found {}", shown(value.get_ref())));
+            self.fault(name, format!("expected [[{name}]] tables, found {}", describe(value.get_ref())));
             return Vec::new();
         };
         let mut read = Vec::new();
-        for (i, item) in items.iter().enumerate() {
-            let path = self.path_of_item(name, i);
+        for (index, item) in items.iter().enumerate() {
+            let path = self.item_path(name, index);
             match item.get_ref() {
-                DeValue::Table(table) => read.push(self.below(path, item.span().start, table, &mut reading)),
+                DeValue::Table(table) => {
+                    read.push(self.read_nested(path, item.span().start, table, &mut read_fields))
+                }
                 other => {
-                    let problem = format!("expected a table, found {}", shown(other));
-                    self.document.fault(item.span().start, &path, problem);
+                    let problem = format!("expected a table, found {}", describe(other));
+                    self.document.record_fault(item.span().start, &path, problem);
                 }
             }
         }
         read
     }
 
-    fn below<T>(&self, path: String, at: usize, table: &DeTable, reading: impl FnOnce(&Table) -> T) -> T {
-        let below = Table { document: self.document, path, at, table, known: RefCell::default() };
-        let value = reading(&below);
-        below.finish();
+    fn read_nested<T>(
+        &self,
+        path: String,
+        offset: usize,
+        table: &DeTable,
+        read_fields: impl FnOnce(&Table) -> T,
+    ) -> T {
+        let nested = Table { document: self.document, path, offset, table, known: RefCell::default() };
+        let value = read_fields(&nested);
+        nested.record_unknown_keys();
         value
     }
 
-    /// Records the unknown keys.
-    fn finish(&self) {
+    /// Records a fault for each key that no getter has read.
+    fn record_unknown_keys(&self) {
         let known = self.known.borrow();
         for name in self.table.keys() {
             if !known.contains(name.get_ref().as_ref()) {
@@ -295,18 +320,18 @@
                     "unknown key; known here: {}",
                     known.iter().copied().collect::<Vec<_>>().join(", ")
                 );
-                self.document.fault(name.span().start, &self.path_of(name.get_ref()), problem);
+                self.document.record_fault(name.span().start, &self.field_path(name.get_ref()), problem);
             }
         }
     }
 }
 
-/// A value as faults show it.
-fn shown(value: &DeValue) -> String {
+/// Describes a value for the text of a fault. Strings are cut to 40 characters.
+fn describe(value: &DeValue) -> String {
     match value {
         DeValue::String(text) => {
-            let short: String = text.chars().take(40).collect();
-            format!("{short:?}")
+            let start: String = text.chars().take(40).collect();
+            format!("{start:?}")
         }
         DeValue::Integer(integer) => integer.as_str().to_owned(),
         DeValue::Float(float) => float.as_str().to_owned(),
@@ -317,14 +342,15 @@
     }
 }
 
-fn whole(value: &DeValue) -> Option<u64> {
+fn unsigned_integer(value: &DeValue) -> Option<u64> {
     let integer = value.as_integer()?;
     u64::from_str_radix(integer.as_str(), integer.radix()).ok()
 }
 
+/// Returns the value of an unsigned integer or a finite float.
 fn number(value: &DeValue) -> Option<f64> {
     match value {
-        DeValue::Integer(_) => whole(value).map(|whole| whole as f64),
+        DeValue::Integer(_) => unsigned_integer(value).map(|integer| integer as f64),
         DeValue::Float(float) => float.as_str().parse().ok().filter(|number: &f64| number.is_finite()),
         _ => None,
     }
--- a/crates/checked-toml/src/time.rs
+++ b/crates/checked-toml/src/time.rs
@@ -1,15 +1,15 @@
-//! Times as texts, such as `"1.5s"`.
+//! Parses and formats durations such as `"1.5s"`.
 
 use std::time::Duration;
 
-/// The units of a time, in microseconds.
+/// Units of a duration, with their lengths in microseconds.
 const UNITS: [(&str, f64); 4] = [("us", 1.0), ("ms", 1e3), ("s", 1e6), ("min", 60e6)];
 
-/// The longest time, in microseconds: a year.
+/// Exclusive upper limit of a duration, in microseconds: one year.
 const MAX_MICROS: f64 = 365.0 * 86_400e6;
 
-/// Reads a time such as `"150us"`, `"20ms"`, `"1.5s"` or `"2min"`. Returns `None` for any other text, and for a year or
-/// more.
+/// Parses a duration such as `"150us"`, `"20ms"`, `"1.5s"` or `"2min"`. Returns `None` for any other text, and for
+/// durations of a year or more.
 pub fn parse_time(text: &str) -> Option<Duration> {
     let split = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let (count, unit) = text.split_at(split);
@@ -17,7 +17,8 @@
     (micros < MAX_MICROS).then(|| Duration::from_micros(micros.round() as u64))
 }
 
-/// The shortest text that [`parse_time`] reads as this time. Fractions of a microsecond are dropped.
+/// Formats a duration as a whole number of the largest possible unit, in a form that [`parse_time`] reads. Fractions of a
+/// microsecond are dropped.
 pub fn time_text(time: Duration) -> String {
     let micros = time.as_micros();
     match micros {
