--- a/crates/simulator-adapter/examples/compare_builds/adapter.rs
+++ b/crates/simulator-adapter/examples/compare_builds/adapter.rs
@@ -1,11 +1,11 @@
-//! An adapter process: batches of event lines in, action lines out.
+//! Runs an adapter process and exchanges batches of events and actions with it.
 
 use std::error::Error;
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// A running adapter. It ends with its standard input, when this is dropped.
+/// A running adapter process. Dropping it closes its standard input, which ends the process.
 pub struct Adapter {
     child: Child,
     input: Option<ChildStdin>,
@@ -13,7 +13,7 @@
 }
 
 impl Adapter {
-    /// Starts the program.
+    /// Starts the adapter program.
     pub fn start(program: &Path) -> Result<Self, Box<dyn Error>> {
         let mut command = Command::new(program);
         let spawned = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn();
@@ -22,9 +22,9 @@
         Ok(Self { input: child.stdin.take(), output: BufReader::new(output), child })
     }
 
-    /// Sends the events of one moment and returns the actions that answer them.
-    pub fn handle(&mut self, now: u64, events: &[String]) -> Result<Vec<String>, Box<dyn Error>> {
-        let mut batch = format!("tick t_us={now}\n");
+    /// Sends a batch of events at time `now_us` and returns the actions of the reply.
+    pub fn handle(&mut self, now_us: u64, events: &[String]) -> Result<Vec<String>, Box<dyn Error>> {
+        let mut batch = format!("tick t_us={now_us}\n");
         for event in events {
             batch.push_str(event);
             batch.push('\n');
@@ -35,7 +35,7 @@
         loop {
             let mut line = String::new();
             if self.output.read_line(&mut line)? == 0 {
-                return Err(format!("the adapter ended at t_us={now}").into());
+                return Err(format!("the adapter ended at t_us={now_us}").into());
             }
             match line.trim_end() {
                 "ack" => return Ok(actions),
@@ -48,7 +48,7 @@
 impl Drop for Adapter {
     fn drop(&mut self) {
         drop(self.input.take());
-        // Its exit code says nothing that the replies have not said.
+        // The exit code adds nothing to the replies, which `handle` has checked.
         let _ = self.child.wait();
     }
 }
--- a/crates/simulator-adapter/examples/compare_builds/main.rs
+++ b/crates/simulator-adapter/examples/compare_builds/main.rs
@@ -1,4 +1,4 @@
-//! Compares the decisions of two builds: the same events must give the same actions, byte for byte.
+//! Compares the decisions of two builds: the same events must give byte-identical actions.
 //!
 //! ```text
 //! cargo run --release -p simulator-adapter --example compare_builds -- actions OLD-ADAPTER NEW-ADAPTER
@@ -7,8 +7,8 @@
 //!
 //! `actions` drives both adapters with generated events over the simulator's line protocol, for each site file in
 //! `deploy/sites`, 1 to 300 nodes and several seeds. `scenarios` runs each script in `scenarios/` in virtual time, which
-//! also covers restarts, upgrades, reloads and polls of discovery. What is compared are lines of the protocol and of the
-//! JSON reports, so that a rename in the code doesn't change them.
+//! also covers restarts, upgrades, reloads and discovery polls. Both compare only output that a rename in the code does
+//! not change: lines of the protocol and JSON reports.
 
 mod adapter;
 mod scenarios;
@@ -19,9 +19,9 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Sizes of the fleet that each site is played with.
+/// Numbers of nodes to run each site with.
 const NODE_COUNTS: [u32; 5] = [1, 4, 20, 100, 300];
-/// Seeds for each site and size.
+/// Number of seeds for each site and number of nodes.
 const SEEDS: u64 = 6;
 
 fn main() -> ExitCode {
@@ -41,20 +41,20 @@
     }
 }
 
-/// Whether both adapters answer every generated workload alike.
+/// Returns whether both adapters reply with the same actions to all generated workloads.
 fn compare_actions(old: &Path, new: &Path) -> Result<bool, Box<dyn Error>> {
     let (mut events, mut actions) = (0, 0);
     for site in site::all()? {
         for nodes in NODE_COUNTS {
             for seed in 0..SEEDS {
-                let recorded = workload::record(old, &site, nodes, seed)?;
-                let repeated = workload::record(new, &site, nodes, seed)?;
-                if let Some(difference) = first_difference(&recorded.lines, &repeated.lines) {
+                let old_transcript = workload::record(old, &site, nodes, seed)?;
+                let new_transcript = workload::record(new, &site, nodes, seed)?;
+                if let Some(difference) = first_difference(&old_transcript.lines, &new_transcript.lines) {
                     println!("{} with {nodes} nodes, seed {seed}: {difference}", site.name);
                     return Ok(false);
                 }
-                events += recorded.events;
-                actions += recorded.actions;
+                events += old_transcript.events;
+                actions += old_transcript.actions;
             }
         }
     }
@@ -62,11 +62,11 @@
     Ok(true)
 }
 
-/// Where two transcripts differ first, with the lines before.
+/// Describes the first difference between two transcripts, with the lines before it.
 fn first_difference(old: &[String], new: &[String]) -> Option<String> {
-    const LINES_BEFORE: usize = 5;
-    let place = (0..old.len().max(new.len())).find(|&line| old.get(line) != new.get(line))?;
-    let before = old[place.saturating_sub(LINES_BEFORE)..place].join("\n  ");
-    let shown = |lines: &[String]| lines.get(place).map_or("(nothing)".to_owned(), String::clone);
-    Some(format!("line {place}\n  {before}\nold: {}\nnew: {}", shown(old), shown(new)))
+    const CONTEXT_LINES: usize = 5;
+    let index = (0..old.len().max(new.len())).find(|&index| old.get(index) != new.get(index))?;
+    let context = old[index.saturating_sub(CONTEXT_LINES)..index].join("\n  ");
+    let line = |lines: &[String]| lines.get(index).map_or("(end of transcript)".to_owned(), String::clone);
+    Some(format!("line {index}\n  {context}\nold: {}\nnew: {}", line(old), line(new)))
 }
--- a/crates/simulator-adapter/examples/compare_builds/scenarios.rs
+++ b/crates/simulator-adapter/examples/compare_builds/scenarios.rs
@@ -1,13 +1,13 @@
-//! Runs the scenarios that ship with both daemons, in virtual time, and compares their reports.
+//! Runs the scenario scripts of this repository with both daemons, in virtual time, and compares the reports.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Numbers of nodes besides the script's own.
+/// Numbers of nodes to run each script with. `None` keeps the number in the script.
 const NODE_COUNTS: [Option<u32>; 3] = [None, Some(1), Some(100)];
 
-/// Whether both daemons report the same of every scenario.
+/// Returns whether both daemons write the same report for each scenario.
 pub fn compare(old: &Path, new: &Path) -> Result<bool, Box<dyn Error>> {
     let mut compared = 0;
     for script in scripts()? {
@@ -23,6 +23,7 @@
     Ok(true)
 }
 
+/// Returns the paths of the scenario scripts, sorted.
 fn scripts() -> Result<Vec<PathBuf>, Box<dyn Error>> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
     let mut scripts = Vec::new();
@@ -36,9 +37,10 @@
     Ok(scripts)
 }
 
-/// The JSON report of a run. Its exit code tells whether expectations held, which the report tells as well.
+/// Runs a script and returns its JSON report. The exit code is ignored: it says whether the expectations held, and so
+/// does the report.
 fn report(daemon: &Path, script: &Path, nodes: Option<u32>) -> Result<Vec<u8>, Box<dyn Error>> {
-    // Builds from before version 0.3 know this name only.
+    // `rehearse` is the former name of `scenario`, and the only one that builds before version 0.3 know.
     let mut command = Command::new(daemon);
     command.arg("rehearse").arg(script).args(["--json", "--player", "virtual"]);
     if let Some(nodes) = nodes {
--- a/crates/simulator-adapter/examples/compare_builds/site.rs
+++ b/crates/simulator-adapter/examples/compare_builds/site.rs
@@ -1,12 +1,12 @@
-//! The settings of the site files in `deploy/sites`, worded as the simulator words them.
+//! Reads the site files in `deploy/sites` and formats their settings as the simulator sends them.
 
 use std::error::Error;
 use std::path::Path;
 use toml::{Table, Value};
 
-/// A site, as far as decisions depend on it.
+/// The part of a site file that balancing decisions depend on.
 pub struct Site {
-    /// Its name.
+    /// Name of the site.
     pub name: String,
     /// Names of its zones.
     pub zones: Vec<String>,
@@ -17,17 +17,18 @@
     file: Table,
 }
 
-/// All sites, each as it is and with the origin as an endpoint of its own.
+/// Returns all sites, each in two variants: as in its file, and with the origin as an endpoint (cache-aside).
 pub fn all() -> Result<Vec<Site>, Box<dyn Error>> {
     let mut sites = Vec::new();
     for name in ["harbour-permits", "hill-archive"] {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/sites");
         let text = std::fs::read_to_string(folder.join(format!("{name}.toml")))?;
         sites.push(Site::new(name, text.parse()?));
-        let mut aside: Table = text.parse()?;
-        let family = aside.get_mut("fam").and_then(Value::as_table_mut).ok_or("a site without a family")?;
+        let mut cache_aside: Table = text.parse()?;
+        let family =
+            cache_aside.get_mut("fam").and_then(Value::as_table_mut).ok_or("a site without a family")?;
         family.insert("mode".into(), "aside".into());
-        sites.push(Site::new(&format!("{name}, aside"), aside));
+        sites.push(Site::new(&format!("{name}, aside"), cache_aside));
     }
     Ok(sites)
 }
@@ -49,33 +50,34 @@
         }
     }
 
-    /// Whether the origin is an endpoint.
+    /// Returns whether the origin is an endpoint.
     pub fn is_aside(&self) -> bool {
         self.text("fam", "mode") == Some("aside")
     }
 
-    /// Whether the servers tell hits from misses.
-    pub fn tells_hits(&self) -> bool {
+    /// Returns whether the cache servers report hits and misses.
+    pub fn reports_hits(&self) -> bool {
         self.flag("fam", "tells_hit")
     }
 
-    /// A line that starts an instance in this zone.
-    pub fn power_on(
+    /// Returns the line that starts an instance in this zone. `rng` picks the value of each setting that the site file
+    /// gives as a range.
+    pub fn start_line(
         &self,
-        who: usize,
+        instance: usize,
         seed: u64,
         zone: &str,
         nodes: u32,
-        random: &mut fastrand::Rng,
+        rng: &mut fastrand::Rng,
     ) -> String {
-        let mut line = format!("power_on who={who} prng={seed} az={zone} balancers={nodes}");
+        let mut line = format!("power_on who={instance} prng={seed} az={zone} balancers={nodes}");
         let mut add = |name: &str, value: String| line.push_str(&format!(" {name}={value}"));
         self.add_classes(&mut add);
         let tenants = self.tables("tenant");
         add("orgs.count", tenants.len().to_string());
         for (index, tenant) in tenants.iter().enumerate() {
             add(&format!("orgs.{index}.name"), text(tenant, "name").unwrap_or("t").to_owned());
-            add(&format!("orgs.{index}.quota_per_s"), (number(tenant, "share", random) * 400.0).to_string());
+            add(&format!("orgs.{index}.quota_per_s"), (number(tenant, "share", rng) * 400.0).to_string());
         }
         let polled = self.text("discovery", "mode") == Some("ask");
         add("membership_mode", if polled { "subscribe" } else { "automatic" }.to_owned());
@@ -88,26 +90,27 @@
             add(&format!("limits.{setting}"), self.flag("allow", key).to_string());
         }
         add("limits.retry_after", self.flag("allow", "retry_after").to_string());
-        add("limits.max_retry_after_us", self.micros("clients", "max_retry_after_ms", random));
-        add("limits.most_tries", self.whole("allow", "max_attempts", random));
+        add("limits.max_retry_after_us", self.micros("clients", "max_retry_after_ms", rng));
+        add("limits.most_tries", self.positive_integer("allow", "max_attempts", rng));
         let tier = self.tables("tier").first().cloned().unwrap_or_default();
         let connections = tier.get("conn").and_then(Value::as_table).cloned().unwrap_or_default();
-        add("limits.connect_timeout_us", micros(number(&connections, "connect_timeout_ms", random)));
-        add("limits.keepalive_us", micros(number(&connections, "idle_s", random) * 1000.0));
+        add("limits.connect_timeout_us", micros(number(&connections, "connect_timeout_ms", rng)));
+        add("limits.keepalive_us", micros(number(&connections, "idle_s", rng) * 1000.0));
         add("weights", text(&tier, "weights").unwrap_or("nominal").to_owned());
         let kinds = tier.get("kind").and_then(Value::as_array);
         let kind = kinds.and_then(|kinds| kinds.first()?.as_table().cloned()).unwrap_or_default();
-        add("safety.cold_share", number(&kind, "cold_from", random).to_string());
-        add("safety.warm_within_us", micros(number(&kind, "cold_s", random) * 1000.0));
-        add("safety.fall_multiple", self.number("rules", "fall_multiple", random).to_string());
-        add("safety.fall_us", self.micros("rules", "fall_ms", random));
-        add("safety.stop_sending_within_us", self.micros("rules", "drain_grace_ms", random));
+        add("safety.cold_share", number(&kind, "cold_from", rng).to_string());
+        add("safety.warm_within_us", micros(number(&kind, "cold_s", rng) * 1000.0));
+        add("safety.fall_multiple", self.number("rules", "fall_multiple", rng).to_string());
+        add("safety.fall_us", self.micros("rules", "fall_ms", rng));
+        add("safety.stop_sending_within_us", self.micros("rules", "drain_grace_ms", rng));
         add("safety.ask_within_us", "10000000".to_owned());
         line
     }
 
     fn add_classes(&self, add: &mut impl FnMut(&str, String)) {
-        let mut exact = fastrand::Rng::with_seed(0);
+        // The site files give class settings as plain numbers, so this generator is not used.
+        let mut rng = fastrand::Rng::with_seed(0);
         let classes = self.tables("class");
         add("lanes.count", classes.len().to_string());
         for (index, class) in classes.iter().enumerate() {
@@ -115,11 +118,11 @@
             set("name", text(class, "name").unwrap_or("c").to_owned());
             set("effect", text(class, "effect").unwrap_or("unsafe").to_owned());
             set("dedup_scope", text(class, "group").unwrap_or("all").to_owned());
-            set("promise_us", micros(number(class, "aim_ms", &mut exact)));
-            set("hard_limit_us", micros(number(class, "deadline_ms", &mut exact)));
-            set("repeat_window_us", micros(number(class, "window_ms", &mut exact)));
-            set("worth", number(class, "worth", &mut exact).to_string());
-            set("late_value", number(class, "late_worth", &mut exact).to_string());
+            set("promise_us", micros(number(class, "aim_ms", &mut rng)));
+            set("hard_limit_us", micros(number(class, "deadline_ms", &mut rng)));
+            set("repeat_window_us", micros(number(class, "window_ms", &mut rng)));
+            set("worth", number(class, "worth", &mut rng).to_string());
+            set("late_value", number(class, "late_worth", &mut rng).to_string());
         }
     }
 
@@ -140,16 +143,16 @@
         self.section(section).and_then(|table| table.get(key)).and_then(Value::as_bool).unwrap_or(false)
     }
 
-    fn number(&self, section: &str, key: &str, random: &mut fastrand::Rng) -> f64 {
-        self.section(section).map_or(0.0, |table| number(table, key, random))
+    fn number(&self, section: &str, key: &str, rng: &mut fastrand::Rng) -> f64 {
+        self.section(section).map_or(0.0, |table| number(table, key, rng))
     }
 
-    fn micros(&self, section: &str, key: &str, random: &mut fastrand::Rng) -> String {
-        micros(self.number(section, key, random))
+    fn micros(&self, section: &str, key: &str, rng: &mut fastrand::Rng) -> String {
+        micros(self.number(section, key, rng))
     }
 
-    fn whole(&self, section: &str, key: &str, random: &mut fastrand::Rng) -> String {
-        (self.number(section, key, random) as u64).max(1).to_string()
+    fn positive_integer(&self, section: &str, key: &str, rng: &mut fastrand::Rng) -> String {
+        (self.number(section, key, rng) as u64).max(1).to_string()
     }
 }
 
@@ -157,21 +160,22 @@
     table.get(key).and_then(Value::as_str)
 }
 
-/// A number, or one from a range of two; 0 where there is none.
-fn number(table: &Table, key: &str, random: &mut fastrand::Rng) -> f64 {
-    let single = |value: &Value| value.as_float().or_else(|| value.as_integer().map(|whole| whole as f64));
+/// Returns a number, or a random one from a range given as two numbers. Returns 0 if the key is missing.
+fn number(table: &Table, key: &str, rng: &mut fastrand::Rng) -> f64 {
+    let parse = |value: &Value| value.as_float().or_else(|| value.as_integer().map(|integer| integer as f64));
     let range: Vec<f64> = match table.get(key) {
-        Some(Value::Array(values)) => values.iter().filter_map(single).collect(),
-        Some(value) => single(value).into_iter().collect(),
+        Some(Value::Array(values)) => values.iter().filter_map(parse).collect(),
+        Some(value) => parse(value).into_iter().collect(),
         None => Vec::new(),
     };
     match range[..] {
-        [low, high] => low + (high - low) * random.f64(),
+        [low, high] => low + (high - low) * rng.f64(),
         [value, ..] => value,
         [] => 0.0,
     }
 }
 
+/// Formats a time given in milliseconds as whole microseconds.
 fn micros(milliseconds: f64) -> String {
     ((milliseconds * 1000.0) as u64).to_string()
 }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,7 @@
-//! Runs balancers on the simulator's wire: text lines in, text lines out.
+//! Connects the balancer to the simulator's line protocol.
 //!
-//! [`wire::Parser`] turns lines into [`wire::Message`]s, whose events go to the [`Balancer`](balancer_core::Balancer) of
-//! an instance; [`wire::write_action`] turns its actions into lines. The names on the wire are mapped here and nowhere
-//! else, those of settings and load reports in [`balancer_core::platform`].
+//! [`wire::Parser`] parses lines into [`wire::Message`]s, whose events go to the [`Balancer`](balancer_core::Balancer) of
+//! an instance. [`wire::write_action`] formats the resulting actions as lines. Only this crate maps the names of the
+//! protocol, except for those of settings and load reports, which [`balancer_core::platform`] maps.
 
 pub mod wire;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,17 +1,17 @@
-//! Runs balancers on the simulator's wire: one isolated [`Balancer`] for each instance, lines in, lines out.
+//! Runs one isolated [`Balancer`] for each instance of the simulator, over its line protocol on standard input and output.
 
 use balancer_core::{Action, Balancer, Event, Timestamp};
-use simulator_adapter::wire::{end_reply, write_action, write_fault, InstanceId, Message, Parser, WireError};
+use simulator_adapter::wire::{end_reply, write_action, write_panic, InstanceId, Message, Parser, WireError};
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Bytes of the input that are buffered.
+/// Size of the input buffer, in bytes.
 const INPUT_BUFFER_BYTES: usize = 1 << 18;
 
-/// Why the adapter ends before its input.
+/// An error that ends the adapter before the end of its input.
 #[derive(Debug, Error)]
 enum AdapterError {
     #[error(transparent)]
@@ -31,34 +31,36 @@
     }
 }
 
-/// Serves batches until the input ends. A batch with a malformed line gets no reply.
+/// Replies to batches until the input ends. On a malformed line, returns the error without a reply to its batch.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut parser = Parser::default();
-    let mut host = Host::default();
+    let mut adapter = Adapter::default();
     let mut line = String::new();
     loop {
         line.clear();
         if input.read_line(&mut line)? == 0 {
             return Ok(());
         }
-        if let Some(message) = parser.line(&line)? {
-            host.handle(message, &mut output)?;
+        if let Some(message) = parser.parse_line(&line)? {
+            adapter.handle_message(message, &mut output)?;
         }
     }
 }
 
-/// The instances, and the reply to the present batch.
+/// The running instances, and the reply to the current batch.
 #[derive(Default)]
-struct Host {
+struct Adapter {
     instances: HashMap<InstanceId, Balancer>,
+    /// Time of the current batch.
     now: Timestamp,
     reply: String,
+    /// Buffer for the actions of one event, kept for reuse.
     actions: Vec<Action>,
 }
 
-impl Host {
-    /// Takes in a message, and writes the reply where it ends a batch.
-    fn handle(&mut self, message: Message, output: &mut impl Write) -> io::Result<()> {
+impl Adapter {
+    /// Handles a message. Writes the reply to `output` if the message ends a batch.
+    fn handle_message(&mut self, message: Message, output: &mut impl Write) -> io::Result<()> {
         match message {
             Message::BatchStarted(now) => self.now = now,
             Message::InstanceStarted { instance, seed, settings } => {
@@ -78,19 +80,20 @@
         Ok(())
     }
 
-    /// Hands an event to its instance, if that is running. A panic of one instance is reported, and the others go on.
+    /// Passes an event to its instance, if it is running. A panic in one instance is reported in the reply, and the other
+    /// instances continue.
     fn handle_event(&mut self, instance: InstanceId, event: Event) {
         let Self { instances, now, reply, actions } = self;
         let Some(balancer) = instances.get_mut(&instance) else { return };
         actions.clear();
-        let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(*now, event, actions)));
+        let result = catch_unwind(AssertUnwindSafe(|| balancer.handle(*now, event, actions)));
         for action in actions.iter() {
             write_action(reply, instance, action);
         }
-        if let Err(panic) = handled {
+        if let Err(panic) = result {
             let message = panic.downcast_ref::<String>().map(String::as_str);
             let message = message.or_else(|| panic.downcast_ref::<&str>().copied());
-            write_fault(reply, instance, message.unwrap_or("panic"));
+            write_panic(reply, instance, message.unwrap_or("panic"));
         }
     }
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: text lines in, text lines out. It parses and formats, and decides nothing.
+//! The simulator's line protocol: parses messages and formats replies. It makes no balancing decisions.
 
 mod error;
 mod message;
@@ -8,4 +8,4 @@
 pub use error::WireError;
 pub use message::{InstanceId, Message};
 pub use parser::Parser;
-pub use reply::{end_reply, write_action, write_fault};
+pub use reply::{end_reply, write_action, write_panic};
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,30 +1,30 @@
-//! Errors in the lines of the wire.
+//! Errors in the lines of the protocol.
 
 use balancer_core::platform::PlatformError;
 use thiserror::Error;
 
-/// A line that cannot be read.
+/// A line that cannot be parsed.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// A field or a setting of the line.
+    /// A field or setting of the line is missing or invalid.
     #[error(transparent)]
     Field(#[from] PlatformError),
-    /// A line that refers to an endpoint list which was never sent.
+    /// The line refers to an endpoint list (`bank` in the protocol) that was never sent.
     #[error("malformed line, unknown bank: {line}")]
-    UnknownBank {
+    UnknownEndpointList {
         /// The line.
         line: String,
     },
-    /// An entry of an endpoint list outside one.
+    /// An endpoint list entry (`m`) outside an endpoint list (`roster`).
     #[error("malformed line, an entry outside a roster: {line}")]
-    EntryOutsideRoster {
+    EntryOutsideList {
         /// The line.
         line: String,
     },
-    /// Another message before the last entry of an endpoint list.
+    /// Another message arrived before the last entry of an endpoint list.
     #[error("malformed line, {missing} roster entries missing before: {message}")]
     MissingEntries {
-        /// Number of entries that are missing.
+        /// Number of missing entries.
         missing: usize,
         /// Name of the other message.
         message: String,
--- a/crates/simulator-adapter/src/wire/message.rs
+++ b/crates/simulator-adapter/src/wire/message.rs
@@ -1,10 +1,10 @@
-//! What the lines of the wire say.
+//! Messages from the simulator.
 
 use balancer_core::{Event, Settings, Timestamp};
 use std::fmt;
 use std::str::FromStr;
 
-/// The number of an instance of the balancer: `who` on the wire.
+/// Number of a balancer instance: `who` in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct InstanceId(pub u32);
 
@@ -22,25 +22,25 @@
     }
 }
 
-/// A message of the simulator.
+/// A message from the simulator.
 #[derive(Debug)]
 pub enum Message {
-    /// A batch begins at this time.
+    /// A batch of messages starts at this time.
     BatchStarted(Timestamp),
-    /// A batch ends, and a reply is due.
+    /// The batch ends. The simulator now waits for the reply.
     BatchEnded,
     /// An instance starts.
     InstanceStarted {
         /// The instance.
         instance: InstanceId,
-        /// Seed of its random numbers.
+        /// Seed of its random number generator.
         seed: u64,
         /// Its settings.
         settings: Box<Settings>,
     },
     /// An instance was killed.
     InstanceStopped(InstanceId),
-    /// An instance has an event.
+    /// An event for an instance.
     Event {
         /// The instance.
         instance: InstanceId,
--- a/crates/simulator-adapter/src/wire/parser.rs
+++ b/crates/simulator-adapter/src/wire/parser.rs
@@ -1,4 +1,4 @@
-//! Parses the lines of the wire.
+//! Parses the lines of the protocol.
 
 use super::error::WireError;
 use super::message::{InstanceId, Message};
@@ -10,34 +10,39 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Bits of `options` of a request.
+/// Bits of the field `options` of a request.
 const OPTION_EXPECTED_WORK: u32 = 1;
 const OPTION_CLIENT_RETRY: u32 = 2;
 const OPTION_WRITE: u32 = 4;
-/// Messages that are an event of an instance.
+/// Names of the messages that carry an event for an instance.
 const EVENT_MESSAGES: [&str; 7] =
     ["peers_known", "submit", "timer", "abandoned", "first_byte", "returned", "sampled"];
 
-/// Turns lines into [`Message`]s. It holds what earlier lines defined: numbered endpoint lists, and the names of classes and
-/// tenants.
+/// Parses lines into [`Message`]s.
+///
+/// Later lines refer to what earlier lines defined, so the parser keeps the endpoint lists, and the class and tenant names
+/// of each instance.
 #[derive(Debug, Default)]
 pub struct Parser {
-    /// Endpoint lists by their number: `bank` on the wire.
+    /// Endpoint lists by number: `bank` in the protocol.
     endpoint_lists: HashMap<u32, Arc<[Endpoint]>>,
-    open_list: Option<OpenList>,
+    incomplete_list: Option<IncompleteList>,
     server_ids: HashMap<String, ServerId>,
     names: HashMap<InstanceId, InstanceNames>,
 }
 
-/// An endpoint list of which entries are still to come.
+/// An endpoint list with entries yet to arrive.
 #[derive(Debug)]
-struct OpenList {
-    bank: u32,
+struct IncompleteList {
+    /// Number of the list.
+    number: u32,
+    /// Number of entries yet to arrive.
     missing: usize,
     endpoints: Vec<Endpoint>,
 }
 
-/// Names that an instance's settings define.
+/// Class and tenant names of an instance, in the order of its settings. The protocol refers to classes and tenants by
+/// name, a [`Request`] by index.
 #[derive(Debug, Default)]
 struct InstanceNames {
     classes: Vec<Name>,
@@ -45,19 +50,21 @@
 }
 
 impl Parser {
-    /// Reads one line. `None` for one that concerns no instance, and for a message that is not known.
+    /// Parses one line. Returns `None` for lines that define an endpoint list and for unknown messages, which are
+    /// skipped.
     ///
     /// # Errors
     ///
-    /// Where a known message lacks a field, a field is unreadable, or an endpoint list is incomplete or unknown.
-    pub fn line(&mut self, line: &str) -> Result<Option<Message>, WireError> {
+    /// [`WireError`] if a known message lacks a required field, a field is invalid, an endpoint list is incomplete or
+    /// unknown, or a list entry is outside a list.
+    pub fn parse_line(&mut self, line: &str) -> Result<Option<Message>, WireError> {
         let line = line.trim_end_matches(['\r', '\n']);
         let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
         if name == "m" {
-            self.list_entry(&Fields::of_line(line, rest))?;
+            self.parse_list_entry(&Fields::of_line(line, rest))?;
             return Ok(None);
         }
-        if let Some(OpenList { missing, .. }) = self.open_list.take() {
+        if let Some(IncompleteList { missing, .. }) = self.incomplete_list.take() {
             return Err(WireError::MissingEntries { missing, message: name.to_owned() });
         }
         let fields = Fields::of_line(line, rest);
@@ -71,37 +78,37 @@
                 self.begin_list(&fields)?;
                 Ok(None)
             }
-            "power_on" => self.instance_started(&fields).map(Some),
-            "retire" => Ok(Some(Message::InstanceStopped(instance(&fields)?))),
-            name if EVENT_MESSAGES.contains(&name) => self.event(name, &fields),
+            "power_on" => self.parse_instance_start(&fields).map(Some),
+            "retire" => Ok(Some(Message::InstanceStopped(instance_id(&fields)?))),
+            name if EVENT_MESSAGES.contains(&name) => self.parse_event(name, &fields),
             _ => Ok(None),
         }
     }
 
-    fn instance_started(&mut self, fields: &Fields) -> Result<Message, WireError> {
-        let instance = instance(fields)?;
+    fn parse_instance_start(&mut self, fields: &Fields) -> Result<Message, WireError> {
+        let instance = instance_id(fields)?;
         let settings = Box::new(read_wire_settings(fields)?);
-        self.names.insert(instance, InstanceNames::of(&settings));
+        self.names.insert(instance, InstanceNames::from_settings(&settings));
         Ok(Message::InstanceStarted { instance, seed: fields.required("prng")?, settings })
     }
 
-    /// The event of one of the [`EVENT_MESSAGES`]; `None` where its kind is not known.
-    fn event(&mut self, name: &str, fields: &Fields) -> Result<Option<Message>, WireError> {
-        let instance = instance(fields)?;
+    /// Parses one of the [`EVENT_MESSAGES`]. Returns `None` if it is an endpoint update of an unknown kind.
+    fn parse_event(&mut self, name: &str, fields: &Fields) -> Result<Option<Message>, WireError> {
+        let instance = instance_id(fields)?;
         let event = match name {
-            "peers_known" => self.endpoints_event(fields)?,
-            "submit" => Some(self.request(instance, fields)?),
+            "peers_known" => self.parse_endpoints_event(fields)?,
+            "submit" => Some(self.parse_request(instance, fields)?),
             "timer" => Some(Event::TimerExpired),
             "abandoned" => Some(Event::RequestCancelled(request_id(fields)?)),
             "first_byte" => Some(Event::ResponseStarted { id: request_id(fields)? }),
-            "returned" => Some(Event::AttemptEnded(self.attempt_outcome(fields)?)),
-            "sampled" => Some(self.health_check(fields)?),
+            "returned" => Some(Event::AttemptEnded(self.parse_attempt_outcome(fields)?)),
+            "sampled" => Some(self.parse_health_check(fields)?),
             _ => return Ok(None),
         };
         Ok(event.map(|event| Message::Event { instance, event }))
     }
 
-    fn endpoints_event(&self, fields: &Fields) -> Result<Option<Event>, WireError> {
+    fn parse_endpoints_event(&self, fields: &Fields) -> Result<Option<Event>, WireError> {
         let event = match fields.required_text("how")? {
             "unavailable" => Event::EndpointsUpdated(EndpointUpdate::Unavailable),
             "update" => Event::EndpointsUpdated(EndpointUpdate::Delta(self.endpoint_list(fields)?)),
@@ -114,12 +121,12 @@
 
     fn endpoint_list(&self, fields: &Fields) -> Result<Arc<[Endpoint]>, WireError> {
         let list = self.endpoint_lists.get(&fields.required("bank")?);
-        list.cloned().ok_or_else(|| WireError::UnknownBank { line: fields.shown_line() })
+        list.cloned().ok_or_else(|| WireError::UnknownEndpointList { line: fields.shown_line() })
     }
 
-    fn request(&self, instance: InstanceId, fields: &Fields) -> Result<Event, WireError> {
+    fn parse_request(&self, instance: InstanceId, fields: &Fields) -> Result<Event, WireError> {
         let options: u32 = fields.optional("options")?.unwrap_or(0);
-        let is_set = |option: u32| options & option != 0;
+        let has_option = |option: u32| options & option != 0;
         let names = self.names.get(&instance);
         let index = |names: Option<&Vec<Name>>, field: &str| {
             let text = fields.text(field)?;
@@ -131,13 +138,13 @@
             tenant: index(names.map(|names| &names.tenants), "party").map(TenantId),
             key: fields.optional("object")?,
             deadline: Timestamp::from_micros(fields.required("valid_until_us")?),
-            expected_work: fields.micros("expected_us")?.filter(|_| is_set(OPTION_EXPECTED_WORK)),
-            write: is_set(OPTION_WRITE),
-            client_retry: is_set(OPTION_CLIENT_RETRY),
+            expected_work: fields.micros("expected_us")?.filter(|_| has_option(OPTION_EXPECTED_WORK)),
+            write: has_option(OPTION_WRITE),
+            client_retry: has_option(OPTION_CLIENT_RETRY),
         }))
     }
 
-    fn attempt_outcome(&mut self, fields: &Fields) -> Result<AttemptOutcome, WireError> {
+    fn parse_attempt_outcome(&mut self, fields: &Fields) -> Result<AttemptOutcome, WireError> {
         let status = attempt_status(fields)?;
         Ok(AttemptOutcome {
             id: request_id(fields)?,
@@ -151,7 +158,7 @@
         })
     }
 
-    fn health_check(&mut self, fields: &Fields) -> Result<Event, WireError> {
+    fn parse_health_check(&mut self, fields: &Fields) -> Result<Event, WireError> {
         let status = attempt_status(fields)?;
         let elapsed = fields.micros("spent_us")?.unwrap_or_default();
         Ok(Event::HealthCheckEnded {
@@ -162,7 +169,7 @@
         })
     }
 
-    /// The id of a server, shared by all lines that name it.
+    /// Returns the id of the server that the line names. Lines that name the same server share one id.
     fn server_id(&mut self, fields: &Fields) -> Result<ServerId, WireError> {
         let name = fields.required_text("server")?;
         if let Some(id) = self.server_ids.get(name) {
@@ -173,29 +180,31 @@
         Ok(id)
     }
 
+    /// Starts an endpoint list, which replaces an earlier list of the same number.
     fn begin_list(&mut self, fields: &Fields) -> Result<(), WireError> {
-        let bank = fields.required("bank")?;
+        let number = fields.required("bank")?;
         let missing = fields.required("hosts")?;
-        self.open_list = (missing > 0).then(|| OpenList { bank, missing, endpoints: Vec::new() });
-        self.endpoint_lists.insert(bank, Vec::new().into());
+        self.incomplete_list =
+            (missing > 0).then(|| IncompleteList { number, missing, endpoints: Vec::new() });
+        self.endpoint_lists.insert(number, Vec::new().into());
         Ok(())
     }
 
-    fn list_entry(&mut self, fields: &Fields) -> Result<(), WireError> {
-        let endpoint = self.endpoint(fields)?;
-        let Some(list) = &mut self.open_list else {
-            return Err(WireError::EntryOutsideRoster { line: fields.shown_line() });
+    fn parse_list_entry(&mut self, fields: &Fields) -> Result<(), WireError> {
+        let endpoint = self.parse_endpoint(fields)?;
+        let Some(list) = &mut self.incomplete_list else {
+            return Err(WireError::EntryOutsideList { line: fields.shown_line() });
         };
         list.endpoints.push(endpoint);
         list.missing -= 1;
         if list.missing == 0 {
-            self.endpoint_lists.insert(list.bank, std::mem::take(&mut list.endpoints).into());
-            self.open_list = None;
+            self.endpoint_lists.insert(list.number, std::mem::take(&mut list.endpoints).into());
+            self.incomplete_list = None;
         }
         Ok(())
     }
 
-    fn endpoint(&mut self, fields: &Fields) -> Result<Endpoint, WireError> {
+    fn parse_endpoint(&mut self, fields: &Fields) -> Result<Endpoint, WireError> {
         Ok(Endpoint {
             id: self.server_id(fields)?,
             zone: fields.text("region_part").map(Name::from),
@@ -209,7 +218,7 @@
 }
 
 impl InstanceNames {
-    fn of(settings: &Settings) -> Self {
+    fn from_settings(settings: &Settings) -> Self {
         Self {
             classes: settings.classes.iter().map(|class| class.name.clone()).collect(),
             tenants: settings.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
@@ -217,7 +226,7 @@
     }
 }
 
-fn instance(fields: &Fields) -> Result<InstanceId, PlatformError> {
+fn instance_id(fields: &Fields) -> Result<InstanceId, PlatformError> {
     fields.required("who")
 }
 
@@ -229,7 +238,7 @@
     Ok(match fields.required_text("availability")? {
         "U" => EndpointState::Ready,
         "D" => EndpointState::Removed,
-        // A state that this version does not know: nothing new is sent to that server.
+        // With a state unknown to this version, the server gets no new requests.
         _ => EndpointState::Draining,
     })
 }
@@ -244,7 +253,8 @@
         "Canceled" => AttemptStatus::Canceled,
         "Ignored" => AttemptStatus::NotSent,
         "Miss" => AttemptStatus::Miss,
-        // A result that this version does not know still ends its attempt. The careful reading is that it may have run.
+        // A result unknown to this version still ends the attempt. The safe assumption is that the server may have
+        // executed the request.
         _ => AttemptStatus::Failed,
     })
 }
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -1,14 +1,14 @@
-//! Formats replies: the actions of instances, as lines.
+//! Formats the actions of instances as the lines of a reply.
 
 use super::message::InstanceId;
 use balancer_core::Action;
 use std::fmt::Write;
 
-/// Appends an action of an instance to a reply.
+/// Appends an action of an instance to the reply.
 pub fn write_action(reply: &mut String, instance: InstanceId, action: &Action) {
     let written = match action {
         Action::StartAttempt { id, server, timeout, .. } => {
-            // On the wire, 0 stands for no time-out at all.
+            // In the protocol, 0 means no time-out.
             let timeout_us = timeout.as_micros().max(1);
             writeln!(reply, "send who={instance} request_id={id} server={server} allow_for_us={timeout_us}")
         }
@@ -26,22 +26,24 @@
         Action::CheckHealth { server } => writeln!(reply, "health_check who={instance} server={server}"),
         Action::CloseIdleConnections { server } => writeln!(reply, "close who={instance} server={server}"),
         Action::SubscribeToEndpoints => writeln!(reply, "follow who={instance} on=1"),
-        Action::Log(text) => writeln!(reply, "write_log who={instance} body_text={}", one_line(text)),
+        Action::Log(text) => {
+            writeln!(reply, "write_log who={instance} body_text={}", replace_line_breaks(text))
+        }
     };
     written.expect("writing to a String cannot fail");
 }
 
-/// Appends that the decisions of an instance have failed with this message.
-pub fn write_fault(reply: &mut String, instance: InstanceId, message: &str) {
-    writeln!(reply, "bail_out who={instance} body_text={}", one_line(message))
+/// Appends the message of a panic in an instance to the reply.
+pub fn write_panic(reply: &mut String, instance: InstanceId, message: &str) {
+    writeln!(reply, "bail_out who={instance} body_text={}", replace_line_breaks(message))
         .expect("writing to a String cannot fail");
 }
 
-/// Ends a reply.
+/// Appends the line that ends a reply.
 pub fn end_reply(reply: &mut String) {
     reply.push_str("ack\n");
 }
 
-fn one_line(text: &str) -> String {
+fn replace_line_breaks(text: &str) -> String {
     text.replace(['\n', '\r'], " ")
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,11 +1,12 @@
-//! The wire: lines in and out, and the adapter that serves them.
+//! Tests of the simulator's line protocol: parsing, formatting, and the adapter process.
 
 use balancer_core::*;
-use simulator_adapter::wire::{write_action, write_fault, InstanceId, Message, Parser};
+use simulator_adapter::wire::{write_action, write_panic, InstanceId, Message, Parser};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
 
+/// Starts instance 3 with two classes and one tenant.
 const START: &str = "power_on who=3 prng=5 az=x lanes.count=2 lanes.0.name=read lanes.0.effect=safe lanes.0.promise_us=150000 \
     lanes.0.hard_limit_us=400000 lanes.1.name=log lanes.1.effect=keyed lanes.1.dedup_scope=zone lanes.1.repeat_window_us=600000 \
     orgs.count=1 orgs.0.name=t1 orgs.0.quota_per_s=12.5 family_info.mode=aside family_info.origin_kind=1 shapes=std,origin \
@@ -14,11 +15,11 @@
 
 fn parse(lines: &[&str]) -> Vec<Message> {
     let mut parser = Parser::default();
-    lines.iter().filter_map(|line| parser.line(line).expect("well-formed")).collect()
+    lines.iter().filter_map(|line| parser.parse_line(line).expect("well-formed")).collect()
 }
 
 #[test]
-fn settings_are_read_and_unknown_ones_are_skipped() {
+fn settings_are_parsed_and_unknown_settings_are_ignored() {
     let Message::InstanceStarted { instance: InstanceId(3), seed: 5, settings } = parse(&[START]).remove(0)
     else {
         panic!("a start")
@@ -33,12 +34,12 @@
     assert_eq!(
         settings.slow_start_overload_factor,
         Settings::default().slow_start_overload_factor,
-        "what is missing keeps its default"
+        "a missing setting keeps its default"
     );
 }
 
 #[test]
-fn every_field_of_a_request_is_read() {
+fn all_fields_of_a_request_are_parsed() {
     let line = "submit who=3 request_id=c:x cls=log party=t1 object=17 valid_until_us=900 expected_us=12 options=7 odd=1";
     let Message::Event { instance: InstanceId(3), event: Event::Request(request) } =
         parse(&[START, line]).remove(1)
@@ -53,10 +54,10 @@
 }
 
 #[test]
-fn every_field_of_a_result_is_read_and_an_unknown_status_is_failed() {
+fn all_fields_of_an_attempt_result_are_parsed_and_an_unknown_result_is_a_failure() {
     let line = "returned who=1 request_id=r result=Miss info=3 hop=2 server=s:1 spent_us=70 finished=1 server_stats=avg_ms:1.5,cpu:0.25,waiting:2,new:1";
-    let odd = "returned who=1 request_id=r result=Exploded hop=0 server=s:1";
-    let messages = parse(&[line, odd]);
+    let unknown = "returned who=1 request_id=r result=Exploded hop=0 server=s:1";
+    let messages = parse(&[line, unknown]);
     let Message::Event { event: Event::AttemptEnded(outcome), .. } = &messages[0] else {
         panic!("an outcome")
     };
@@ -74,32 +75,32 @@
         }
     );
     assert!(
-        matches!(&messages[1], Message::Event { event: Event::AttemptEnded(o), .. } if o.status == AttemptStatus::Failed)
+        matches!(&messages[1], Message::Event { event: Event::AttemptEnded(outcome), .. } if outcome.status == AttemptStatus::Failed)
     );
 }
 
 #[test]
-fn endpoint_lists_are_resolved_by_number_in_the_order_of_lines() {
+fn updates_use_the_latest_endpoint_list_of_a_number() {
     let entry = |id: &str| {
         format!("m server={id} region_part=x machine=std group=2 availability=U capacity_hint=1.5 born_us=0")
     };
     let (a, b) = (entry("a:1"), entry("b:1"));
-    let known = "peers_known who=3 how=replace bank=0 revision=1";
+    let update = "peers_known who=3 how=replace bank=0 revision=1";
     let messages = parse(&[
         "roster bank=0 hosts=1",
         &a,
-        known,
+        update,
         "roster bank=0 hosts=1",
         &b,
-        known,
+        update,
         "roster bank=0 hosts=0",
-        known,
+        update,
     ]);
     let ids: Vec<Vec<&str>> = messages
         .iter()
         .map(|message| match message {
             Message::Event { event: Event::EndpointsUpdated(EndpointUpdate::Snapshot(list)), .. } => {
-                list.iter().map(|e| e.id.as_str()).collect()
+                list.iter().map(|endpoint| endpoint.id.as_str()).collect()
             }
             other => panic!("{other:?}"),
         })
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn unknown_messages_are_skipped() {
+fn unknown_messages_are_ignored() {
     assert!(parse(&[
         "inbox who=1 from=2 octets=aGk=",
         "weather who=1 sky=blue",
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn errors_of_malformed_lines_name_the_field() {
+fn errors_name_the_malformed_field_or_list() {
     for (lines, word) in [
         (vec!["tick"], "tick"),
         (vec!["tick t_us=soon"], "t_us"),
@@ -137,15 +138,18 @@
         (vec!["power_on who=1 prng=1 safety.cold_share=much"], "cold_share"),
     ] {
         let mut parser = Parser::default();
-        let errors: Vec<String> =
-            lines.iter().filter_map(|line| parser.line(line).err()).map(|e| e.to_string()).collect();
+        let errors: Vec<String> = lines
+            .iter()
+            .filter_map(|line| parser.parse_line(line).err())
+            .map(|error| error.to_string())
+            .collect();
         assert_eq!(errors.len(), 1, "{lines:?}");
         assert!(errors[0].contains(word) && !errors[0].contains('\n'), "{errors:?}");
     }
 }
 
 #[test]
-fn actions_are_written_as_lines() {
+fn actions_are_formatted_as_lines() {
     let (id, server) = (RequestId::from("c:x"), ServerId::from("s:1"));
     let time = Duration::from_micros(250);
     for (action, line) in [
@@ -181,7 +185,7 @@
     }
 }
 
-/// Runs the adapter on this input to its end.
+/// Runs the adapter process on this input until it exits.
 fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -189,40 +193,40 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // An adapter that ends early closes its input: that is no failure of the test.
+    // The write fails if the adapter exits early, which is not a failure of the test.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
 
 #[test]
-fn the_adapter_answers_batches_and_ends_with_its_input() {
-    let batch = format!(
+fn adapter_replies_to_each_batch_and_exits_at_end_of_input() {
+    let input = format!(
         "tick t_us=1\nyour_turn\ntick t_us=10\nretire who=3\n{START}\nroster bank=0 hosts=1\nm server=s:1 machine=std availability=U\n\
          peers_known who=3 how=restored bank=0 revision=1\n\
          submit who=3 request_id=c:x cls=read object=4 valid_until_us=400010\nsubmit who=9 request_id=c:y valid_until_us=9\nyour_turn\n"
     );
-    let done = run_adapter(&batch);
-    assert!(done.status.success());
-    let text = String::from_utf8(done.stdout).expect("UTF-8");
+    let output = run_adapter(&input);
+    assert!(output.status.success());
+    let text = String::from_utf8(output.stdout).expect("UTF-8");
     assert!(text.starts_with("ack\n") && text.ends_with("ack\n"), "{text}");
     assert!(text.contains("send who=3 request_id=c:x server=s:1 "), "{text}");
-    assert!(!text.contains("who=9"), "an instance that was never started: {text}");
+    assert!(!text.contains("who=9"), "instance 9 was never started: {text}");
 }
 
 #[test]
-fn the_adapter_ends_on_a_malformed_line_without_a_reply_to_its_batch() {
-    let done = run_adapter("tick t_us=1\nyour_turn\ntick t_us=2\nsubmit who=1 request_id=r\nyour_turn\n");
-    assert!(!done.status.success());
-    assert_eq!(String::from_utf8_lossy(&done.stdout), "ack\n");
-    let errors = String::from_utf8_lossy(&done.stderr);
+fn adapter_exits_on_a_malformed_line_without_replying_to_its_batch() {
+    let output = run_adapter("tick t_us=1\nyour_turn\ntick t_us=2\nsubmit who=1 request_id=r\nyour_turn\n");
+    assert!(!output.status.success());
+    assert_eq!(String::from_utf8_lossy(&output.stdout), "ack\n");
+    let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(errors.lines().count(), 1, "{errors}");
     assert!(errors.contains("valid_until_us") && errors.contains("submit who=1"), "{errors}");
 }
 
-/// A number out of range that reached the decisions could make a server's capacity negative or infinite, and an adapter
-/// that ended for one would end all instances.
+/// An out-of-range number that reached the balancer could make the capacity of a server negative or infinite. Rejecting it
+/// would end the adapter with all instances.
 #[test]
-fn defaults_take_the_place_of_numbers_out_of_range() {
+fn out_of_range_numbers_are_replaced_by_defaults() {
     for bad in ["NaN", "inf", "-inf", "-0.5"] {
         let start = format!(
             "power_on who=1 prng=1 lanes.count=1 lanes.0.name=a lanes.0.worth={bad} lanes.0.late_value={bad} \
@@ -238,12 +242,12 @@
         };
         assert_eq!(list[0].weight, 1.0);
         let Message::InstanceStarted { settings, .. } = messages.remove(0) else { panic!("a start") };
-        let other = Settings::default();
+        let defaults = Settings::default();
         assert_eq!(
             (settings.slow_start_min_fraction, settings.slow_start_overload_factor),
-            (other.slow_start_min_fraction, other.slow_start_overload_factor)
+            (defaults.slow_start_min_fraction, defaults.slow_start_overload_factor)
         );
-        assert_eq!(settings.over_quota_weight_fraction, other.over_quota_weight_fraction);
+        assert_eq!(settings.over_quota_weight_fraction, defaults.over_quota_weight_fraction);
         assert_eq!(
             (settings.classes[0].priority_weight, settings.classes[0].late_weight_fraction),
             (1.0, 0.0)
@@ -262,7 +266,7 @@
 }
 
 #[test]
-fn events_of_an_instance_that_is_not_running_do_nothing() {
+fn events_for_an_instance_that_is_not_running_are_ignored() {
     let output = run_adapter(
         "tick t_us=1\ntimer who=9 nonce=w\nabandoned who=9 request_id=c:x\nretire who=9\nyour_turn\n",
     );
@@ -271,8 +275,8 @@
 }
 
 #[test]
-fn a_panic_in_a_decision_is_reported_on_one_line_with_its_text() {
+fn panic_message_is_reported_on_one_line() {
     let mut reply = String::new();
-    write_fault(&mut reply, InstanceId(3), "index\nout of range");
+    write_panic(&mut reply, InstanceId(3), "index\nout of range");
     assert_eq!(reply, "bail_out who=3 body_text=index out of range\n");
 }
