--- a/crates/checked-toml/src/lib.rs
+++ b/crates/checked-toml/src/lib.rs
@@ -274,8 +274,8 @@
         }
     }
 
-    /// Reads each table of an array of tables. Returns an empty list if it is missing, and records a fault for each item
-    /// that is not a table.
+    /// Reads each table of an array of tables. Returns an empty list if the field is missing, and records a fault if the
+    /// field or one of its items has another type.
     pub fn tables<T>(&self, name: &'static str, mut read_fields: impl FnMut(&Table) -> T) -> Vec<T> {
         let Some(value) = self.get(name) else { return Vec::new() };
         let Some(items) = value.get_ref().as_array() else {
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -15,14 +15,14 @@
 
 fn parse(lines: &[&str]) -> Vec<Message> {
     let mut parser = Parser::default();
-    lines.iter().filter_map(|line| parser.parse_line(line).expect("well-formed")).collect()
+    lines.iter().filter_map(|line| parser.parse_line(line).expect("the line is well-formed")).collect()
 }
 
 #[test]
 fn settings_are_parsed_and_unknown_settings_are_ignored() {
     let Message::InstanceStarted { instance: InstanceId(3), seed: 5, settings } = parse(&[START]).remove(0)
     else {
-        panic!("a start")
+        panic!("expected a start of an instance")
     };
     assert_eq!(settings.classes.len(), 2);
     let keyed = Idempotency::WithKey { scope: DeduplicationScope::Zone, window: Duration::from_millis(600) };
@@ -44,7 +44,7 @@
     let Message::Event { instance: InstanceId(3), event: Event::Request(request) } =
         parse(&[START, line]).remove(1)
     else {
-        panic!("a request")
+        panic!("expected a request of instance 3")
     };
     assert_eq!(request.class, Some(ClassId(1)));
     assert_eq!(request.tenant, Some(TenantId(0)));
@@ -59,7 +59,7 @@
     let unknown = "returned who=1 request_id=r result=Exploded hop=0 server=s:1";
     let messages = parse(&[line, unknown]);
     let Message::Event { event: Event::AttemptEnded(outcome), .. } = &messages[0] else {
-        panic!("an outcome")
+        panic!("expected the end of an attempt")
     };
     assert_eq!(
         (outcome.attempt, outcome.status, outcome.cache_result),
@@ -102,7 +102,7 @@
             Message::Event { event: Event::EndpointsUpdated(EndpointUpdate::Snapshot(list)), .. } => {
                 list.iter().map(|endpoint| endpoint.id.as_str()).collect()
             }
-            other => panic!("{other:?}"),
+            other => panic!("expected an endpoint snapshot, got {other:?}"),
         })
         .collect();
     assert_eq!(ids, [vec!["a:1"], vec!["b:1"], vec![]]);
@@ -194,7 +194,7 @@
         .spawn()
         .expect("the adapter starts");
     // The write fails if the adapter exits early, which is not a failure of the test.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
+    let _ = child.stdin.take().expect("standard input is piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
 
@@ -207,7 +207,7 @@
     );
     let output = run_adapter(&input);
     assert!(output.status.success());
-    let text = String::from_utf8(output.stdout).expect("UTF-8");
+    let text = String::from_utf8(output.stdout).expect("the reply is UTF-8");
     assert!(text.starts_with("ack\n") && text.ends_with("ack\n"), "{text}");
     assert!(text.contains("send who=3 request_id=c:x server=s:1 "), "{text}");
     assert!(!text.contains("who=9"), "instance 9 was never started: {text}");
@@ -238,10 +238,12 @@
         let Message::Event { event: Event::EndpointsUpdated(EndpointUpdate::Snapshot(list)), .. } =
             messages.remove(1)
         else {
-            panic!("a list")
+            panic!("expected an endpoint snapshot")
         };
         assert_eq!(list[0].weight, 1.0);
-        let Message::InstanceStarted { settings, .. } = messages.remove(0) else { panic!("a start") };
+        let Message::InstanceStarted { settings, .. } = messages.remove(0) else {
+            panic!("expected a start of an instance")
+        };
         let defaults = Settings::default();
         assert_eq!(
             (settings.slow_start_min_fraction, settings.slow_start_overload_factor),
@@ -256,7 +258,7 @@
     let Message::InstanceStarted { settings, .. } =
         parse(&["power_on who=1 prng=1 safety.cold_share=2"]).remove(0)
     else {
-        panic!("a start")
+        panic!("expected a start of an instance")
     };
     assert_eq!(
         settings.slow_start_min_fraction,
