--- a/crates/cache-balancer/benches/aggregate.rs
+++ b/crates/cache-balancer/benches/aggregate.rs
@@ -38,7 +38,7 @@
 }
 
 /// Writes the logs of all nodes. Returns their paths and the mean length of a line in bytes.
-fn write_logs(folder: &Path, nodes: u32, servers: u32) -> Result<(Vec<PathBuf>, f64), Box<dyn Error>> {
+fn write_logs(directory: &Path, nodes: u32, servers: u32) -> Result<(Vec<PathBuf>, f64), Box<dyn Error>> {
     let mut random = fastrand::Rng::with_seed(1);
     let mut paths = Vec::new();
     let mut bytes = 0;
@@ -48,7 +48,7 @@
             writeln!(text, "{}", tally_line(&mut random, node, FIRST_SECOND + second, servers))?;
         }
         bytes += text.len();
-        let path = folder.join(format!("{node}.log"));
+        let path = directory.join(format!("{node}.log"));
         fs::write(&path, text)?;
         paths.push(path);
     }
@@ -70,15 +70,15 @@
     println!("| nodes | servers | bytes per line | bytes per second of the fleet | aggregate: processor time per second of the fleet |");
     println!("| --- | --- | --- | --- | --- |");
     for (nodes, servers) in SIZES {
-        let folder = std::env::temp_dir()
+        let directory = std::env::temp_dir()
             .join(format!("cache-balancer-bench-aggregate-{}-{nodes}", std::process::id()));
-        fs::create_dir_all(&folder)?;
-        let (paths, bytes) = write_logs(&folder, nodes, servers)?;
+        fs::create_dir_all(&directory)?;
+        let (paths, bytes) = write_logs(&directory, nodes, servers)?;
         let before = children_seconds()?;
         let mut command = Command::new(env!("CARGO_BIN_EXE_cache-balancer"));
         let status = command.arg("aggregate").args(&paths).stdout(Stdio::null()).status()?;
         let processor_s = (children_seconds()? - before) / SECONDS as f64;
-        fs::remove_dir_all(&folder)?;
+        fs::remove_dir_all(&directory)?;
         if !status.success() {
             return Err(format!("cache-balancer aggregate: {status}").into());
         }
--- a/crates/cache-balancer/benches/fleet.rs
+++ b/crates/cache-balancer/benches/fleet.rs
@@ -7,7 +7,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{command, read_request, wait_for, CacheServer, Client, Message, Node, TempDir};
+use common::{command, read_request, wait_for, CacheServer, Client, Message, Node, TempDir, READ_CLASS};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Stdio};
@@ -15,7 +15,6 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const CLASS: &str = "[[class]]\nname = \"read\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n";
 const STARTS: usize = 15;
 const RELOADS: usize = 1_000;
 const INSTANCES: usize = 20;
@@ -25,7 +24,7 @@
 const MAX_CRASH_DELAY: Duration = Duration::from_secs(3);
 /// Number of crashes that are tested in parallel.
 const CRASH_WORKERS: usize = 8;
-/// Time for which clients go on after a crash.
+/// Time for which clients keep sending requests after a crash.
 const TIME_AFTER_CRASH: Duration = Duration::from_millis(600);
 /// Time after a crash from which refused connections are counted separately as well.
 const RECOVERY_TIME: Duration = Duration::from_millis(100);
@@ -65,7 +64,7 @@
 }
 
 fn write_config(
-    folder: &TempDir,
+    directory: &TempDir,
     name: &str,
     address: &str,
     server: &CacheServer,
@@ -73,10 +72,10 @@
 ) -> std::path::PathBuf {
     let text = format!(
         "version = 1\n[hand_over]\nsocket = \"{name}.sock\"\nprobation = \"100ms\"\n[[listener]]\nname = \"clients\"\naddress = \"{address}\"\n\
-         [[pool]]\nname = \"p\"\n[[pool.server]]\nname = \"box\"\naddress = \"{}\"\n{CLASS}{extra}",
+         [[pool]]\nname = \"p\"\n[[pool.server]]\nname = \"box\"\naddress = \"{}\"\n{READ_CLASS}{extra}",
         server.address
     );
-    folder.write(&format!("{name}.toml"), &text)
+    directory.write(&format!("{name}.toml"), &text)
 }
 
 fn start_node(path: &std::path::Path) -> Node {
@@ -96,17 +95,17 @@
         stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n")?;
         Message::read(&mut BufReader::new(stream))
     };
-    request().is_ok_and(|answer| answer.is_some_and(|answer| answer.status() == 200))
+    request().is_ok_and(|response| response.is_some_and(|response| response.status() == 200))
 }
 
 fn measure_start_up(server: &CacheServer) {
     let (mut node_times, mut bare_times) = (Vec::new(), Vec::new());
     for _ in 0..STARTS {
-        let folder = TempDir::new();
-        let path = write_config(&folder, "n", "127.0.0.1:0", server, "");
+        let directory = TempDir::new();
+        let path = write_config(&directory, "n", "127.0.0.1:0", server, "");
         let start = Instant::now();
         let started = start_node(&path);
-        wait_for("readiness", || is_healthy(started.address));
+        wait_for("the node's readiness", || is_healthy(started.address));
         node_times.push(start.elapsed());
         let start = Instant::now();
         let mut child = Command::new(std::env::current_exe().unwrap())
@@ -136,13 +135,13 @@
 }
 
 fn measure_memory(server: &CacheServer) {
-    let folder = TempDir::new();
-    let path = write_config(&folder, "n", "127.0.0.1:0", server, "");
+    let directory = TempDir::new();
+    let path = write_config(&directory, "n", "127.0.0.1:0", server, "");
     let node = start_node(&path);
-    wait_for("readiness", || is_healthy(node.address));
+    wait_for("the node's readiness", || is_healthy(node.address));
     let idle = resident_kib(node.child.id());
     let texts = ["", "[[class]]\nname = \"new\"\n"].map(|extra| {
-        std::fs::read_to_string(write_config(&folder, "n", "127.0.0.1:0", server, extra)).unwrap()
+        std::fs::read_to_string(write_config(&directory, "n", "127.0.0.1:0", server, extra)).unwrap()
     });
     let reload_repeatedly = || (0..RELOADS).for_each(|turn| node.reconfigure(&texts[(turn + 1) % 2]));
     reload_repeatedly();
@@ -160,7 +159,7 @@
 /// Replaces every instance while clients keep sending requests on new connections. Returns the numbers of
 /// served and lost requests.
 fn replace_under_load(server: &CacheServer, replace: impl Fn(&TempDir, usize, Node) -> Node) -> (u64, u64) {
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let addresses: Vec<_> = (0..INSTANCES)
         .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
         .collect::<Vec<_>>()
@@ -169,9 +168,9 @@
         .collect();
     let start = |instance: usize| {
         let path =
-            write_config(&folder, &format!("{instance}"), &addresses[instance].to_string(), server, "");
+            write_config(&directory, &format!("{instance}"), &addresses[instance].to_string(), server, "");
         let node = start_node(&path);
-        wait_for("readiness", || is_healthy(node.address));
+        wait_for("the node's readiness", || is_healthy(node.address));
         node
     };
     let mut nodes: Vec<_> = (0..INSTANCES).map(start).collect();
@@ -188,15 +187,15 @@
                         stream.write_all(read_request("read", key, 5_000).as_bytes())?;
                         Message::read(&mut BufReader::new(stream))
                     };
-                    let is_served =
-                        request().is_ok_and(|answer| answer.is_some_and(|answer| answer.status() == 200));
+                    let is_served = request()
+                        .is_ok_and(|response| response.is_some_and(|response| response.status() == 200));
                     if is_served { served } else { lost }.fetch_add(1, Ordering::SeqCst);
                     std::thread::sleep(Duration::from_millis(5));
                 }
             });
         }
         for instance in 0..INSTANCES {
-            let node = replace(&folder, instance, nodes.remove(0));
+            let node = replace(&directory, instance, nodes.remove(0));
             nodes.push(node);
         }
         stop.store(true, Ordering::SeqCst);
@@ -205,22 +204,23 @@
 }
 
 fn measure_upgrades(server: &CacheServer) {
-    let write_new_config = |folder: &TempDir, instance: usize, old: &Node| {
-        write_config(folder, &format!("{instance}"), &old.address.to_string(), server, "")
+    let write_new_config = |directory: &TempDir, instance: usize, old: &Node| {
+        write_config(directory, &format!("{instance}"), &old.address.to_string(), server, "")
     };
-    let (served, lost) = replace_under_load(server, |folder, instance, old| {
-        let new = start_node(&write_new_config(folder, instance, &old));
+    let (served, lost) = replace_under_load(server, |directory, instance, old| {
+        let new = start_node(&write_new_config(directory, instance, &old));
         assert!(old.exit_status().success());
-        write_config(folder, &format!("{instance}"), &new.address.to_string(), server, "");
+        write_config(directory, &format!("{instance}"), &new.address.to_string(), server, "");
         new
     });
     println!("| {INSTANCES} instances upgraded by hand-over | {lost} of {} lost or refused |", served + lost);
-    let (served, lost) = replace_under_load(server, |folder, instance, old| {
+    let (served, lost) = replace_under_load(server, |directory, instance, old| {
         let address = old.address;
         old.terminate();
         assert!(old.exit_status().success());
-        let new = start_node(&write_config(folder, &format!("{instance}"), &address.to_string(), server, ""));
-        wait_for("readiness", || is_healthy(new.address));
+        let new =
+            start_node(&write_config(directory, &format!("{instance}"), &address.to_string(), server, ""));
+        wait_for("the node's readiness", || is_healthy(new.address));
         new
     });
     println!("| the same by stop and start | {lost} of {} lost or refused |", served + lost);
@@ -230,7 +230,7 @@
 #[derive(Default)]
 struct CrashOutcomes {
     requests: AtomicU64,
-    /// Requests without an answer on an established connection.
+    /// Requests without a response on an established connection.
     lost: AtomicU64,
     /// The part of `lost` that was sent after the crash.
     lost_later: AtomicU64,
@@ -241,19 +241,19 @@
     refused_later: AtomicU64,
 }
 
-/// Kills a successor this time after it has taken over, while four clients send requests on new connections.
-fn crash_successor(server: &CacheServer, probation: &str, after: Duration, outcomes: &CrashOutcomes) {
-    let folder = TempDir::new();
+/// Kills a successor `delay` after it has taken over, while four clients send requests on new connections.
+fn crash_successor(server: &CacheServer, probation: &str, delay: Duration, outcomes: &CrashOutcomes) {
+    let directory = TempDir::new();
     let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let start = || {
-        let path = write_config(&folder, "n", &address.to_string(), server, "");
+        let path = write_config(&directory, "n", &address.to_string(), server, "");
         let text = std::fs::read_to_string(&path).unwrap();
         std::fs::write(&path, text.replace("probation = \"100ms\"", &format!("probation = \"{probation}\"")))
             .unwrap();
         start_node(&path)
     };
     let old = start();
-    wait_for("readiness", || is_healthy(address));
+    wait_for("the node's readiness", || is_healthy(address));
     let (stop, crashed_at) = (AtomicBool::new(false), std::sync::OnceLock::<Instant>::new());
     std::thread::scope(|scope| {
         for number in 0..4_u64 {
@@ -276,9 +276,10 @@
                         }
                         Ok(mut stream) => {
                             let sent = stream.write_all(read_request("read", key, 5_000).as_bytes());
-                            let answer = sent.and_then(|()| Message::read(&mut BufReader::new(stream)));
-                            if !answer.is_ok_and(|answer| answer.is_some_and(|answer| answer.status() == 200))
-                            {
+                            let response = sent.and_then(|()| Message::read(&mut BufReader::new(stream)));
+                            if !response.is_ok_and(|response| {
+                                response.is_some_and(|response| response.status() == 200)
+                            }) {
                                 outcomes.lost.fetch_add(1, Ordering::SeqCst);
                                 outcomes
                                     .lost_later
@@ -292,9 +293,10 @@
         }
         let mut new = start();
         wait_for("the hand-over", || old.logged("stands by") == 1);
-        std::thread::sleep(after);
+        std::thread::sleep(delay);
         new.child.kill().unwrap();
-        // Times count from its exit, not from the signal, since until then it still accepts requests.
+        // Times count from the exit of the successor, not from the signal, since it accepts requests until it
+        // exits.
         new.child.wait().unwrap();
         crashed_at.set(Instant::now()).unwrap();
         std::thread::sleep(TIME_AFTER_CRASH);
@@ -302,7 +304,8 @@
     });
 }
 
-/// Kills successors while their predecessors stand by, and with predecessors that exit as soon as they can.
+/// Kills successors in two cases: with a long probation, during which the predecessor stands by, and with a
+/// probation so short that the predecessor exits at once.
 fn measure_crashes(server: &CacheServer) {
     for (what, probation) in [("the old process stands by", "10s"), ("the old process exits at once", "1ms")]
     {
@@ -332,12 +335,12 @@
 
 fn measure_throughput(server: &CacheServer) {
     let served_requests = |instances: usize| {
-        let folders: Vec<_> = (0..instances).map(|_| TempDir::new()).collect();
-        let nodes: Vec<_> = folders
+        let directories: Vec<_> = (0..instances).map(|_| TempDir::new()).collect();
+        let nodes: Vec<_> = directories
             .iter()
-            .map(|folder| start_node(&write_config(folder, "n", "127.0.0.1:0", server, "")))
+            .map(|directory| start_node(&write_config(directory, "n", "127.0.0.1:0", server, "")))
             .collect();
-        nodes.iter().for_each(|node| wait_for("readiness", || is_healthy(node.address)));
+        nodes.iter().for_each(|node| wait_for("the node's readiness", || is_healthy(node.address)));
         let (stop, count) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
         let clients: Vec<_> = (0..16)
             .map(|number| {
@@ -359,7 +362,7 @@
         clients.into_iter().for_each(|client| client.join().unwrap());
         count.load(Ordering::SeqCst) as f64
     };
-    // Measured alternately, with the median of the ratios, since the machine's speed drifts.
+    // Both are measured alternately, and the median of the ratios is used, since the machine's speed drifts.
     let mut ratios: Vec<_> = (0..3).map(|_| served_requests(8) / served_requests(1)).collect();
     ratios.sort_by(f64::total_cmp);
     println!(
--- a/crates/cache-balancer/tests/aggregate.rs
+++ b/crates/cache-balancer/tests/aggregate.rs
@@ -8,11 +8,11 @@
 
 /// Aggregates logs into one row. Returns the row, the exit code and standard error.
 fn aggregate(logs: &[&str]) -> (Value, i32, String) {
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let mut command = command();
     command.args(["aggregate", "--json", "--every", "86400"]);
     for (i, log) in logs.iter().enumerate() {
-        command.arg(folder.write(&format!("{i}.log"), log));
+        command.arg(directory.write(&format!("{i}.log"), log));
     }
     let output = output_before_timeout(command);
     let rows = String::from_utf8(output.stdout).unwrap();
@@ -26,7 +26,8 @@
 fn requests_and_attempts_of_three_nodes_are_summed() {
     let good = CacheServer::serving("value");
     let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let discovery = Discovery::start(&[good.entry("s-1", "ready"), endpoint("s-2", unused_address, "ready")]);
+    let discovery =
+        Discovery::start(&[good.endpoint("s-1", "ready"), endpoint("s-2", unused_address, "ready")]);
     let nodes: Vec<Node> = (0..3)
         .map(|i| {
             let mut config = config(discovery.address);
@@ -39,7 +40,7 @@
             assert_eq!(node.read("read", key).status(), 200);
         }
     }
-    discovery.notify(false, &[endpoint("s-2", unused_address, "gone")]);
+    discovery.publish(false, &[endpoint("s-2", unused_address, "gone")]);
     wait_for("all nodes to be notified", || {
         discovery.received.lock().unwrap().iter().filter(|path| path.contains("after=2&")).count() == 3
     });
@@ -84,17 +85,17 @@
 #[test]
 fn a_reload_of_the_operators_file_enables_the_tally() {
     let server = CacheServer::serving("value");
-    let folder = TempDir::new();
-    let file = |log: &str| {
+    let directory = TempDir::new();
+    let operator_file = |log: &str| {
         format!(
             "version = 1\nseed = 1\n{log}[[listener]]\nname = \"l\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"p\"\n\
              [[pool.server]]\nname = \"s-1\"\naddress = \"{}\"\n[[class]]\nname = \"read\"\neffect = \"safe\"\n",
             server.address
         )
     };
-    let node = start_with_operator_file(&folder, &file(""));
+    let node = start_with_operator_file(&directory, &operator_file(""));
     assert_eq!(node.read("read", 1).status(), 200);
-    node.reconfigure(&file("[log]\ntally = true\n"));
+    node.reconfigure(&operator_file("[log]\ntally = true\n"));
     assert_eq!(node.logged("tally on"), 1);
     wait_for("a tally line", || {
         assert_eq!(node.read("read", 1).status(), 200);
--- a/crates/cache-balancer/tests/answers.rs
+++ b/crates/cache-balancer/tests/answers.rs
@@ -65,9 +65,9 @@
     let [one, two] = servers.each_ref().map(|(address, ..)| *address);
     let discovery = Discovery::start(&[endpoint("s-1", one, "ready"), endpoint("s-2", two, "ready")]);
     let node = Node::start_ready(&config(discovery.address));
-    let answer = node.read(class, 1);
+    let response = node.read(class, 1);
     let attempts = servers.iter().map(|(_, received, _)| received.lock().unwrap().len()).sum();
-    (answer.status(), String::from_utf8(answer.body).unwrap(), attempts)
+    (response.status(), String::from_utf8(response.body).unwrap(), attempts)
 }
 
 /// A response without a length is complete when its connection closes. Guards against a reset that counts as
@@ -145,8 +145,8 @@
             disconnected.wait()
         }
         for key in 2..5 {
-            let answer = node.read("once", key);
-            assert_eq!((answer.status(), &answer.body[..]), (200, &b"value"[..]), "{case}, {key}");
+            let response = node.read("once", key);
+            assert_eq!((response.status(), &response.body[..]), (200, &b"value"[..]), "{case}, {key}");
         }
         assert_eq!(received.lock().unwrap()[..], ["1", "2", "3", "4"], "{case}");
     }
--- a/crates/cache-balancer/tests/clients.rs
+++ b/crates/cache-balancer/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Tests of the node's behaviour towards its clients, on loopback sockets.
+//! Tests of a node's behavior towards its clients, on loopback sockets.
 
 mod common;
 
@@ -12,7 +12,7 @@
     let server = CacheServer::start(|_| {
         ServerBehavior::Respond(response("200 OK", "Srv-Load: queue=2\r\n", "the\r\n\r\nvalue"))
     });
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let body = "v".repeat(64 << 10);
     let put = format!(
@@ -36,7 +36,7 @@
 #[test]
 fn an_invalid_request_is_rejected_with_its_status_and_not_forwarded() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let id = "Req-Id: 1\r\n";
     let kind = "Req-Kind: read\r\n";
@@ -76,27 +76,28 @@
 #[test]
 fn a_node_is_ready_once_it_knows_a_ready_server() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "draining")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "draining")]);
     let node = Node::start(&config(discovery.address));
-    discovery.wait_until_notified(1);
+    discovery.wait_until_applied(1);
     assert_eq!(node.get("/healthz").status(), 503);
-    discovery.notify(false, &[server.entry("s-1", "ready")]);
-    wait_for("readiness", || node.get("/healthz").status() == 200);
+    discovery.publish(false, &[server.endpoint("s-1", "ready")]);
+    wait_for("the node's readiness", || node.get("/healthz").status() == 200);
 
     let mut known = config(discovery.address);
-    known["known"] = json!({"seq": 2, "whole": true, "hosts": [server.entry("s-1", "ready")]});
+    known["known"] = json!({"seq": 2, "whole": true, "hosts": [server.endpoint("s-1", "ready")]});
     let node = Node::start_ready(&known);
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-/// Clients retry at a bad time if a rejection is delayed until the deadline or does not say when to retry.
+/// Clients would retry too late if a rejection were delayed until the deadline, and at a wrong time if it did
+/// not say when to retry.
 #[test]
 fn a_rejection_is_immediate_and_has_a_retry_after() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
-    discovery.notify(false, &[server.entry("s-1", "draining")]);
-    discovery.wait_until_notified(2);
+    discovery.publish(false, &[server.endpoint("s-1", "draining")]);
+    discovery.wait_until_applied(2);
     let mut client = node.client();
     // The deadline is an hour away, so a response that arrives was not delayed until it.
     let refused = client.request(&read_request("read", 1, 3_600_000));
@@ -114,7 +115,7 @@
         Some("1") => ServerBehavior::NoResponse,
         _ => ServerBehavior::Respond(response("200 OK", "", "value")),
     });
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let mut client = node.client();
     let failed = client.request(&read_request("read", 1, 300));
@@ -125,7 +126,7 @@
     wait_for("the cancelled attempt's connection to close", || server.closed.load(Ordering::SeqCst) == 1);
 }
 
-/// Clients with idle connections must not shut out others when the table is full.
+/// Clients with idle connections must not shut out others when the connection table is full.
 #[test]
 fn idle_connections_are_evicted_when_the_table_is_full() {
     let (server, _discovery, node) = node_with_descriptor_limit(40);
@@ -133,22 +134,22 @@
     for (i, client) in clients.iter_mut().enumerate() {
         let text = read_request("read", i as u64, 20_000);
         // The connection may have been evicted before its first use. The client then opens another.
-        let mut answer = client.try_request(&text);
-        if answer.is_none() {
+        let mut response = client.try_request(&text);
+        if response.is_none() {
             *client = node.client();
-            answer = client.try_request(&text);
+            response = client.try_request(&text);
         }
-        assert_eq!(answer.expect("a response").status(), 200, "client {i}");
+        assert_eq!(response.expect("a response").status(), 200, "client {i}");
     }
     assert_eq!(server.request_count(), 30);
 }
 
-/// An attempt fails after its client has disconnected. A retry would be wasted work.
+/// An attempt that fails after its client has disconnected must not be retried: the work would be wasted.
 #[test]
 fn no_retry_is_made_for_a_client_that_disconnected() {
     let gate = Gate::default();
     let [one, two] = [(); 2].map(|()| CacheServer::disconnecting_first_request(&gate));
-    let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
+    let discovery = Discovery::start(&[one.endpoint("s-1", "ready"), two.endpoint("s-2", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let mut client = node.client();
     client.send(&read_request("read", 1, 60_000));
@@ -173,7 +174,7 @@
 #[test]
 fn a_request_with_ambiguous_framing_is_rejected_and_its_connection_closed() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let hidden = read_request("read", 99, 20_000);
     let length = format!("Content-Length: {}\r\n", hidden.len() + 5);
@@ -192,25 +193,25 @@
     ];
     for text in cases {
         let mut client = node.client();
-        let answer = client.request(&text);
-        assert!((400..500).contains(&answer.status()), "{} to {text}", answer.status());
+        let response = client.request(&text);
+        assert!((400..500).contains(&response.status()), "{} to {text}", response.status());
         assert_eq!(client.receive(), None, "still open after {text}");
     }
     assert_eq!(server.request_count(), 0);
 }
 
-/// A cache server takes a second request with the same id for a copy of the first, and answers it with the
-/// same response.
+/// A cache server treats a second request with the same id as a copy of the first and sends the same response
+/// to both. The node must therefore not forward two requests with one id at the same time.
 #[test]
 fn an_id_in_flight_is_rejected_and_can_be_used_again_afterwards() {
     let (server, gate) = CacheServer::gated("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let mut first = node.client();
     first.send(&read_request("read", 1, 20_000));
     wait_for("the attempt", || server.request_count() == 1);
-    let answer = node.read("read", 1);
-    assert!((400..500).contains(&answer.status()), "{}", answer.status());
+    let response = node.read("read", 1);
+    assert!((400..500).contains(&response.status()), "{}", response.status());
     gate.open();
     assert_eq!(first.receive().expect("a response").status(), 200);
     assert_eq!(node.read("read", 1).status(), 200);
@@ -221,7 +222,7 @@
 #[test]
 fn an_incomplete_request_times_out() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let start = std::time::Instant::now();
     let texts = ["", "GET /api/1 HTTP/1.1\r\nHost:", &read_with(1, "Content-Length: 10\r\n", "half")];
@@ -237,8 +238,8 @@
     assert_eq!(server.request_count(), 0);
 }
 
-/// A flood of connections that send nothing fills the table. Ordinary clients must keep their connections,
-/// and a new client must be accepted and not be evicted before its first request.
+/// A flood of connections that send nothing fills the connection table. Ordinary clients must keep their
+/// connections, and a new client must be accepted and not be evicted before its first request.
 #[test]
 fn silent_connections_are_evicted_before_those_of_ordinary_clients() {
     let (server, _discovery, node) = node_with_descriptor_limit(40);
@@ -257,9 +258,9 @@
     let (mut open, mut most) = (Vec::new(), 0);
     for key in 0..clients {
         let mut client = node.client();
-        let answer = client.request(&read_request("read", key, 20_000));
-        assert_eq!(answer.status(), 200, "client {key}");
-        if answer.header("connection") != Some("close") {
+        let response = client.request(&read_request("read", key, 20_000));
+        assert_eq!(response.status(), 200, "client {key}");
+        if response.header("connection") != Some("close") {
             open.push(client);
         }
         open.retain(Client::is_open);
@@ -274,17 +275,17 @@
 fn connections_that_clients_never_close_do_not_shut_out_new_clients() {
     let (server, _discovery, node) = node_with_descriptor_limit(96);
     let most = max_open_connections(&node, 200);
-    assert!((8..=16).contains(&most), "{most} of 32 connections taken by clients that don't use them");
+    assert!((8..=16).contains(&most), "{most} of 32 connections held by clients that do not use them");
     assert_eq!(server.request_count(), 200);
 }
 
-/// Same as above, while a flood of connections that send nothing fills the rest of the table.
+/// Same as above, while a flood of connections that send nothing fills the rest of the connection table.
 #[test]
 fn unclosed_and_silent_connections_together_do_not_shut_out_new_clients() {
     let (server, _discovery, node) = node_with_descriptor_limit(96);
     let _flood: Vec<_> = (0..100).map(|_| node.client()).collect();
     let most = max_open_connections(&node, 100);
-    assert!(most <= 16, "{most} of 32 connections taken by clients that don't use them");
+    assert!(most <= 16, "{most} of 32 connections held by clients that do not use them");
     assert_eq!(server.request_count(), 100);
 }
 
@@ -295,8 +296,8 @@
     let mut clients: Vec<_> = (0..8).map(|_| node.client()).collect();
     for round in 0..20 {
         for (i, client) in clients.iter_mut().enumerate() {
-            let answer = client.request(&read_request("read", round * 8 + i as u64, 20_000));
-            assert_eq!((answer.status(), answer.header("connection")), (200, None));
+            let response = client.request(&read_request("read", round * 8 + i as u64, 20_000));
+            assert_eq!((response.status(), response.header("connection")), (200, None));
         }
     }
     assert_eq!(server.request_count(), 160);
@@ -313,9 +314,9 @@
     let mut client = node.client();
     client
         .send(&(write_request(10, 20_000) + &read_request("read", 11, 20_000) + &write_request(12, 20_000)));
-    let answers: Vec<_> = (0..3).map(|_| client.receive().expect("a response")).collect();
-    assert_eq!(answers.iter().map(Message::status).collect::<Vec<_>>(), [200; 3]);
-    let closes: Vec<_> = answers.iter().map(|answer| answer.header("connection")).collect();
+    let responses: Vec<_> = (0..3).map(|_| client.receive().expect("a response")).collect();
+    assert_eq!(responses.iter().map(Message::status).collect::<Vec<_>>(), [200; 3]);
+    let closes: Vec<_> = responses.iter().map(|response| response.header("connection")).collect();
     assert_eq!(closes, [None, None, Some("close")]);
     assert_eq!(client.receive(), None);
     assert_eq!(server.request_count(), 7);
@@ -338,16 +339,16 @@
     assert_eq!(server.request_count(), 0);
 }
 
-/// Guards against unused connections that used up the limit of idle ones, so that those of later clients were
-/// closed.
+/// Guards against shutting out later clients: connections that are never used again took up the limit of idle
+/// connections, and the node closed the newer ones.
 #[test]
 fn the_longest_idle_connection_is_closed_in_favour_of_one_just_used() {
     let (_server, _discovery, node) = node_with_descriptor_limit(42);
     // Clients can hold nine connections, of which four may be idle, with or without one request in flight.
     let mut keys = 0..;
     let mut request_keeps_open = |client: &mut Client| {
-        let answer = client.request(&read_request("read", keys.next().unwrap(), 20_000));
-        answer.header("connection") != Some("close")
+        let response = client.request(&read_request("read", keys.next().unwrap(), 20_000));
+        response.header("connection") != Some("close")
     };
     let mut idle: Vec<_> = (0..4).map(|_| node.client()).collect();
     assert!(idle.iter_mut().all(&mut request_keeps_open));
--- a/crates/cache-balancer/tests/common/cache_server.rs
+++ b/crates/cache-balancer/tests/common/cache_server.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns the endpoint list entry of this server with this state (`health` on the wire).
-    pub fn entry(&self, name: &str, health: &str) -> Value {
+    pub fn endpoint(&self, name: &str, health: &str) -> Value {
         endpoint(name, self.address, health)
     }
 }
--- a/crates/cache-balancer/tests/common/discovery.rs
+++ b/crates/cache-balancer/tests/common/discovery.rs
@@ -58,15 +58,15 @@
         Self { address, received, current }
     }
 
-    /// Sends a snapshot or a delta with the next version to all watches.
-    pub fn notify(&self, is_snapshot: bool, endpoints: &[Value]) {
+    /// Sends a snapshot or a delta (a list of the changed endpoints) with the next version to all watches.
+    pub fn publish(&self, is_snapshot: bool, endpoints: &[Value]) {
         let version = self.current.0.lock().unwrap().version + 1;
-        self.notify_text(json!({"seq": version, "whole": is_snapshot, "hosts": endpoints}).to_string());
+        self.publish_text(json!({"seq": version, "whole": is_snapshot, "hosts": endpoints}).to_string());
     }
 
     /// Sends this text as the response of the next version to pending polls, and to later polls until the
     /// next update.
-    pub fn notify_text(&self, body: String) {
+    pub fn publish_text(&self, body: String) {
         let mut current = self.current.0.lock().unwrap();
         *current = CurrentResponse { version: current.version + 1, body };
         self.current.1.notify_all();
@@ -79,7 +79,7 @@
 
     /// Waits until a node has applied the list of this version, which is the case when it polls for the next
     /// version.
-    pub fn wait_until_notified(&self, version: u64) {
+    pub fn wait_until_applied(&self, version: u64) {
         let next = format!("after={version}&");
         wait_for("the next watch", || self.received.lock().unwrap().iter().any(|path| path.contains(&next)));
     }
--- a/crates/cache-balancer/tests/common/files.rs
+++ b/crates/cache-balancer/tests/common/files.rs
@@ -42,9 +42,9 @@
 
 /// Returns a loopback address that no other test uses, with a port on which nothing listens.
 ///
-/// Binding a free port and releasing it again is not safe: a process that another test is just starting may still
-/// hold the port, because file descriptors are inherited and closed only when the program begins. On 127.0.0.1,
-/// a connection of another test may also use the port meanwhile.
+/// Binding a free port and releasing it again is not safe: a process that another test is just starting may
+/// still hold the port, because file descriptors are inherited and closed only when the program begins. On
+/// 127.0.0.1, a connection of another test may also use the port meanwhile.
 pub fn unique_address() -> SocketAddr {
     let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst) % 250;
     let [.., high, low] = std::process::id().to_be_bytes();
--- a/crates/cache-balancer/tests/common/mod.rs
+++ b/crates/cache-balancer/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! Test fixtures on loopback: node processes, and stand-ins for cache servers, discovery, clients and the service
-//! manager.
+//! Test fixtures on loopback: node processes, and stand-ins for cache servers, discovery, clients and the
+//! service manager.
 
 #![allow(
     dead_code,
     unused_imports,
-    reason = "each test file compiles this module for itself and uses a part of it"
+    reason = "each test file compiles this module separately and uses a part of it"
 )]
 
 mod cache_server;
--- a/crates/cache-balancer/tests/common/node.rs
+++ b/crates/cache-balancer/tests/common/node.rs
@@ -38,8 +38,8 @@
         Self::spawn(command, path)
     }
 
-    /// Starts a node with this command and waits until it listens. `config` is the configuration file that the command
-    /// names; it is removed when the `Node` is dropped.
+    /// Starts a node with this command and waits until it listens. `config` is the configuration file that
+    /// the command names; it is removed when the `Node` is dropped.
     pub fn spawn(mut command: Command, config: std::path::PathBuf) -> Self {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
@@ -71,7 +71,7 @@
         node
     }
 
-    /// The path of the configuration file.
+    /// Returns the path of the configuration file.
     pub fn config(&self) -> &std::path::Path {
         &self.config
     }
@@ -109,7 +109,7 @@
         self.signal("-HUP");
     }
 
-    /// The number of log lines that contain this text.
+    /// Returns the number of log lines that contain this text.
     pub fn logged(&self, text: &str) -> usize {
         self.log.lock().unwrap().iter().filter(|line| line.contains(text)).count()
     }
@@ -119,7 +119,7 @@
         let reloads = || self.logged("configuration read again: ") + self.logged("configuration not taken: ");
         let before = reloads();
         self.reload(text);
-        wait_for("the reload's log line", || reloads() > before);
+        wait_for("the log line of the reload", || reloads() > before);
     }
 
     /// Waits until the process has exited and returns its exit status.
@@ -158,8 +158,8 @@
 }
 
 /// Starts a node with an operator's file of this text and waits until it is ready.
-pub fn start_with_operator_file(folder: &TempDir, text: &str) -> Node {
-    let path = folder.write("cache-balancer.toml", text);
+pub fn start_with_operator_file(directory: &TempDir, text: &str) -> Node {
+    let path = directory.write("cache-balancer.toml", text);
     let mut command = command();
     command.arg("run").arg("--config").arg(&path);
     let node = Node::spawn(command, path);
@@ -170,7 +170,7 @@
 /// Starts a node with this limit on file descriptors, and one server that responds to every request.
 pub fn node_with_descriptor_limit(descriptors: usize) -> (CacheServer, Discovery, Node) {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let mut small = config(discovery.address);
     small["limits"]["sockets"] = json!(descriptors);
     let node = Node::start_ready(&small);
--- a/crates/cache-balancer/tests/departures.rs
+++ b/crates/cache-balancer/tests/departures.rs
@@ -1,5 +1,5 @@
-//! Tests that no attempt starts for a client that has disconnected, for each way in which the node detects
-//! the disconnection and each state of the request.
+//! Tests that no attempt starts for a client that has disconnected, in each state of the request and for each
+//! way in which the node detects the disconnection.
 
 mod common;
 mod unreachable;
@@ -53,7 +53,7 @@
     let unreachable = Unreachable::start();
     let broken = CacheServer::start(|_| ServerBehavior::RespondAndClose(String::new()));
     let discovery =
-        Discovery::start(&[broken.entry("s-1", "ready"), endpoint("s-2", unreachable.address, "ready")]);
+        Discovery::start(&[broken.endpoint("s-1", "ready"), endpoint("s-2", unreachable.address, "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     // The first attempt for some keys goes to the unreachable server. Their clients disconnect too, up to the
     // first key whose attempt fails at the broken server and whose retry is connecting.
@@ -78,7 +78,7 @@
 #[test]
 fn a_disconnection_is_detected_behind_pipelined_bytes() {
     let (server, gate) = CacheServer::gated("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let next = |count: u64| (0..count).map(|key| read_request("read", 100 + key, 60_000)).collect::<String>();
     let ahead = ["G".to_owned(), next(1), next(1) + "GET /a", next(30), next(2_000)];
@@ -101,7 +101,7 @@
 #[test]
 fn a_client_that_pipelines_too_much_is_disconnected_before_its_response() {
     let (server, gate) = CacheServer::gated("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let mut client = node.client();
     client.send(&read_request("read", 1, 60_000));
@@ -119,12 +119,12 @@
 #[test]
 fn a_request_is_not_forwarded_if_the_client_disconnects_within_its_body() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let mut client = node.client();
     client.send(&write_request(1, 60_000).replace("Content-Length: 3\r\n", "Content-Length: 30\r\n"));
     client.close_sending_side();
-    assert_eq!(client.receive().map(|answer| answer.status()), Some(400));
+    assert_eq!(client.receive().map(|response| response.status()), Some(400));
     assert_eq!(client.receive(), None);
     assert_eq!(node.read("read", 2).status(), 200);
     assert_eq!(server.request_count(), 1);
@@ -135,7 +135,7 @@
 fn no_retry_is_made_for_a_client_that_reset_its_connection() {
     let gate = Gate::default();
     let [one, two] = [(); 2].map(|()| CacheServer::disconnecting_first_request(&gate));
-    let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
+    let discovery = Discovery::start(&[one.endpoint("s-1", "ready"), two.endpoint("s-2", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let stream = TcpStream::connect(node.address).unwrap();
     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
@@ -155,7 +155,7 @@
 #[test]
 fn a_request_is_not_forwarded_if_the_client_disconnects_before_the_accept() {
     let (server, gate) = CacheServer::gated("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let mut small = config(discovery.address);
     small["limits"]["sockets"] = serde_json::json!(40);
     let node = Node::start_ready(&small);
--- a/crates/cache-balancer/tests/descriptors.rs
+++ b/crates/cache-balancer/tests/descriptors.rs
@@ -17,7 +17,8 @@
 /// `servers`, and discovery is not available yet.
 fn start_with_ulimit(discovery: SocketAddr, servers: &[CacheServer]) -> Node {
     let endpoints = servers.iter().enumerate();
-    let endpoints: Vec<_> = endpoints.map(|(i, server)| server.entry(&format!("s-1{i}"), "ready")).collect();
+    let endpoints: Vec<_> =
+        endpoints.map(|(i, server)| server.endpoint(&format!("s-1{i}"), "ready")).collect();
     let mut config = config(discovery);
     config["limits"]["sockets"] = json!(DESCRIPTORS);
     config["known"] = json!({"seq": 0, "whole": true, "hosts": endpoints});
@@ -37,20 +38,20 @@
     std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count()
 }
 
-/// Waits until the node has the list of `discovery`, moves it by a reload to a discovery with the server
-/// `second`, and checks that this server gets the next request. `before` is the number of requests that it
-/// has received.
+/// Waits until the node has applied the list of `discovery`, and reloads the node with another discovery
+/// service whose only server is `second`. Checks that `second`, which has received `before` requests so far,
+/// gets the next request.
 fn move_discovery(node: &Node, discovery: Discovery, second: &CacheServer, before: usize) {
-    discovery.wait_until_notified(1);
+    discovery.wait_until_applied(1);
     assert!(open_descriptors(node) <= DESCRIPTORS);
     // Reading the new configuration needs a descriptor, too.
-    let moved = Discovery::start(&[second.entry("s-2", "ready")]);
+    let new_discovery = Discovery::start(&[second.endpoint("s-2", "ready")]);
     let text = std::fs::read_to_string(node.config()).unwrap();
     let mut config: serde_json::Value = serde_json::from_str(&text).unwrap();
-    config["discovery"] = json!(moved.address.to_string());
+    config["discovery"] = json!(new_discovery.address.to_string());
     node.reconfigure(&config.to_string());
     assert_eq!(node.logged("configuration not taken: "), 0);
-    moved.wait_until_notified(1);
+    new_discovery.wait_until_applied(1);
     assert_eq!(node.get("/healthz").status(), 200);
     assert_eq!(node.read("read", 0xffff).status(), 200);
     assert_eq!(second.request_count(), before + 1);
@@ -58,7 +59,7 @@
     assert_eq!(failed, 0, "the node ran out of descriptors (EMFILE)");
 }
 
-/// Guards against clients that leave no descriptor for the call to discovery, a new configuration or a new
+/// Guards against idle clients that leave no descriptor for a poll of discovery, a new configuration or a new
 /// client.
 #[test]
 fn idle_clients_leave_enough_descriptors_for_the_node() {
@@ -75,7 +76,7 @@
         clients.push(node.client());
         clients.push(node.client());
     }
-    let endpoints = [second.entry("s-2", "ready")];
+    let endpoints = [second.endpoint("s-2", "ready")];
     move_discovery(&node, Discovery::start_at(discovery_address, &endpoints), &second, 0);
     drop(clients);
 }
@@ -103,19 +104,19 @@
     }
     let received = || servers.iter().map(CacheServer::request_count).sum::<usize>();
     wait_for("an attempt for every connection", || received() >= CONNECTIONS);
-    let discovery = Discovery::start_at(discovery_address, &[second.entry("s-2", "ready")]);
-    discovery.wait_until_notified(1);
+    let discovery = Discovery::start_at(discovery_address, &[second.endpoint("s-2", "ready")]);
+    discovery.wait_until_applied(1);
     assert!(open_descriptors(&node) <= DESCRIPTORS);
     assert_eq!(received(), CONNECTIONS, "the other requests wait in the accept queue");
     gate.open();
     // Requests that waited in the accept queue may be rejected, because all of them go to the one remaining
     // server at the same time.
-    let answers: Vec<_> =
+    let responses: Vec<_> =
         waiting.iter_mut().map(|client| client.receive().expect("a response").status()).collect();
-    assert_eq!(answers[..CONNECTIONS], [200; CONNECTIONS]);
-    assert!(answers[CONNECTIONS..].iter().all(|status| [200, 503].contains(status)), "{answers:?}");
+    assert_eq!(responses[..CONNECTIONS], [200; CONNECTIONS]);
+    assert!(responses[CONNECTIONS..].iter().all(|status| [200, 503].contains(status)), "{responses:?}");
     drop(waiting);
-    // The requests after the new list went to its server.
+    // `second` has received the requests that were sent after the new list was applied.
     let before = second.request_count();
     move_discovery(&node, discovery, &second, before);
 }
--- a/crates/cache-balancer/tests/fleet.rs
+++ b/crates/cache-balancer/tests/fleet.rs
@@ -12,14 +12,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// A running fleet. It is killed on drop.
+/// A running fleet, killed when this is dropped.
 struct Fleet {
     child: Child,
     commands: ChildStdin,
     stdout: Arc<Mutex<Vec<String>>>,
     stderr: Arc<Mutex<Vec<String>>>,
     first_address: SocketAddr,
-    folder: TempDir,
+    directory: TempDir,
     config: String,
 }
 
@@ -37,19 +37,19 @@
 
 impl Fleet {
     fn start(server: &CacheServer, instances: u16) -> Self {
-        let (folder, first_address) = (TempDir::new(), unique_address());
+        let (directory, first_address) = (TempDir::new(), unique_address());
         let config = format!(
             "version = 1\nname = \"n\"\n[hand_over]\nsocket = \"any\"\nprobation = \"100ms\"\n[[listener]]\nname = \"clients\"\naddress = \"{first_address}\"\n[[pool]]\nname = \"p\"\n\
              [[pool.server]]\nname = \"box\"\naddress = \"{}\"\n{READ_CLASS}",
             server.address
         );
-        let config_path = folder.write("cache-balancer.toml", &config);
-        let fleet_folder = folder.0.join("fleet");
+        let config_path = directory.write("cache-balancer.toml", &config);
+        let fleet_directory = directory.0.join("fleet");
         let mut command = command();
         command.arg("fleet").arg("--instances").arg(instances.to_string()).arg("--config").arg(config_path);
         command
             .arg("--folder")
-            .arg(fleet_folder)
+            .arg(fleet_directory)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(Stdio::piped());
@@ -57,7 +57,7 @@
         let commands = child.stdin.take().unwrap();
         let stdout = collect_lines(child.stdout.take().unwrap());
         let stderr = collect_lines(child.stderr.take().unwrap());
-        let fleet = Self { child, commands, stdout, stderr, first_address, folder, config };
+        let fleet = Self { child, commands, stdout, stderr, first_address, directory, config };
         wait_for("all instances to serve", || fleet.logged(" serves") == usize::from(instances));
         fleet
     }
@@ -152,20 +152,20 @@
         .map(|instance| {
             let (stop, address) = (stop.clone(), fleet.address(instance));
             std::thread::spawn(move || {
-                let mut answers = 0;
+                let mut responses = 0;
                 while !stop.load(Ordering::SeqCst) {
-                    let answer = Client::connect(address).request(&read_request(
+                    let response = Client::connect(address).request(&read_request(
                         "read",
-                        (u64::from(instance) << 32) + answers,
+                        (u64::from(instance) << 32) + responses,
                         20_000,
                     ));
-                    assert_eq!(answer.status(), 200);
-                    answers += 1;
+                    assert_eq!(response.status(), 200);
+                    responses += 1;
                     // Limits the number of ports in use, since a closed connection keeps its port for a
                     // while.
                     std::thread::sleep(std::time::Duration::from_millis(2));
                 }
-                answers
+                responses
             })
         })
         .collect();
@@ -174,8 +174,8 @@
         wait_for("the upgrade", || fleet.logged("has taken over") == 3 * rolls);
     }
     stop.store(true, Ordering::SeqCst);
-    let answers: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    assert_eq!(server.request_count() as u64, answers);
+    let responses: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
+    assert_eq!(server.request_count() as u64, responses);
     let upgrades: Vec<_> =
         fleet.rows().into_iter().map(|[.., failures, upgrades]| (failures, upgrades)).collect();
     assert_eq!(upgrades, vec![("0".to_owned(), "2".to_owned()); 3]);
@@ -192,17 +192,19 @@
     fleet.send("start 1");
     wait_for("the new process", || fleet.logged("instance 1: process 3 serves") == 1);
     assert_eq!(fleet.read(1, "read"), 200);
-    fleet.folder.write("cache-balancer.toml", &fleet.config.replace("safe", "odd"));
+    fleet.directory.write("cache-balancer.toml", &fleet.config.replace("safe", "odd"));
     fleet.send("reload");
-    wait_for("the fault in the log", || fleet.logged("configuration not taken: ") == 1);
+    wait_for("the log line of the fault", || fleet.logged("configuration not taken: ") == 1);
     assert_eq!(fleet.read(0, "read"), 200);
     let more = format!("{}[[class]]\nname = \"new\"\neffect = \"safe\"\n", fleet.config);
-    fleet.folder.write("cache-balancer.toml", &more);
+    fleet.directory.write("cache-balancer.toml", &more);
     fleet.send("reload");
     wait_for("all instances to reload it", || fleet.logged("configuration read again: class new added") == 3);
     assert_eq!([0, 1, 2].map(|instance| fleet.read(instance, "new")), [200; 3]);
     fleet.send("sing");
-    wait_for("the unknown command in the log", || fleet.logged("expected one of state, roll, reload") == 1);
+    wait_for("the log line of the unknown command", || {
+        fleet.logged("expected one of state, roll, reload") == 1
+    });
 }
 
 #[test]
@@ -212,13 +214,13 @@
     fleet.child.kill().unwrap();
     fleet.child.wait().unwrap();
     for instance in 0..3 {
-        wait_for("an instance's exit", || TcpStream::connect(fleet.address(instance)).is_err());
+        wait_for("the exit of the instances", || TcpStream::connect(fleet.address(instance)).is_err());
     }
 }
 
 #[test]
 fn an_unusable_file_is_reported_and_starts_no_process() {
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let rest = format!("[[pool]]\nname = \"p\"\ndiscovery = \"127.0.0.1:1\"\n{READ_CLASS}");
     let listener =
         |name: &str, port: u16| format!("[[listener]]\nname = \"{name}\"\naddress = \"127.0.0.1:{port}\"\n");
@@ -230,7 +232,7 @@
         ),
         (listener("a", 7_000).replace("address", "adress"), "adress: unknown key"),
     ] {
-        let config = folder.write("cache-balancer.toml", &format!("version = 1\n{listeners}{rest}"));
+        let config = directory.write("cache-balancer.toml", &format!("version = 1\n{listeners}{rest}"));
         let mut command = command();
         command.args(["fleet", "--instances", "3", "--config"]).arg(config).stdin(Stdio::null());
         let output = common::output_before_timeout(command);
--- a/crates/cache-balancer/tests/handover.rs
+++ b/crates/cache-balancer/tests/handover.rs
@@ -40,7 +40,7 @@
         common::ServerBehavior::Respond(common::response("200 OK", "", "good"))
     });
     let broken = CacheServer::start(|_| common::ServerBehavior::RespondAndClose(String::new()));
-    let discovery = Discovery::start(&[good.entry("good", "ready"), broken.entry("broken", "ready")]);
+    let discovery = Discovery::start(&[good.endpoint("good", "ready"), broken.endpoint("broken", "ready")]);
     let fixture = Fixture::new(&format!("discovery = \"{}\"\n", discovery.address), "20s");
     let predecessor = fixture.start_ready();
     for key in 0..60 {
@@ -48,8 +48,8 @@
     }
     let broken_requests = broken.request_count();
     assert_eq!(predecessor.logged("breaker of broken tripped"), 1);
-    discovery.notify(false, &[]);
-    discovery.wait_until_notified(2);
+    discovery.publish(false, &[]);
+    discovery.wait_until_applied(2);
     // Request 0xff is in flight while another client is idle.
     let (mut in_flight, mut idle) = (predecessor.client(), predecessor.client());
     assert_eq!(idle.request(&read_request("read", 0x100, 20_000)).body, b"good");
@@ -64,7 +64,7 @@
     }
     assert_eq!(broken.request_count(), broken_requests, "the breaker is open at the successor too");
     // The watch continues from the version that was handed over, without a request for a snapshot.
-    discovery.wait_until_notified(2);
+    discovery.wait_until_applied(2);
     let snapshots = discovery.received.lock().unwrap().iter().filter(|path| *path == "/v1/servers").count();
     assert_eq!(snapshots, 1);
     // The predecessor still responds on its own connections, but tells the clients to use another one.
@@ -79,8 +79,8 @@
     drop(successor);
 }
 
-/// If the predecessor stopped accepting before its successor was ready, clients would be turned away until the
-/// successor has a first server.
+/// If the predecessor stopped accepting before its successor was ready, clients would be turned away until
+/// the successor has a first server.
 #[test]
 fn a_successor_that_is_not_ready_leaves_the_predecessor_serving() {
     let server = CacheServer::serving("a");
@@ -95,12 +95,12 @@
     let mut successor = command();
     successor.arg("run").arg("--config").arg(fixture.directory.0.join("next.toml")).stderr(Stdio::null());
     let mut successor = successor.spawn().unwrap();
-    discovery.wait_until_notified(1);
+    discovery.wait_until_applied(1);
     for key in 0..20 {
         assert_eq!(fixture.read(key), b"a");
     }
     assert_eq!(predecessor.logged("has handed over"), 0);
-    discovery.notify(true, &[server.entry("box", "ready")]);
+    discovery.publish(true, &[server.endpoint("box", "ready")]);
     assert!(predecessor.exit_status().success());
     assert_eq!(fixture.read(99), b"a");
     successor.kill().unwrap();
@@ -142,14 +142,14 @@
 fn sigusr2_starts_a_successor_that_becomes_the_main_process() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&static_pool(&server), "20s");
-    let socket = UnixDatagram::bind(fixture.directory.0.join("notify")).unwrap();
-    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
-    let notification = || common::receive_notification(&socket);
+    let manager = UnixDatagram::bind(fixture.directory.0.join("notify")).unwrap();
+    manager.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let notification = || common::receive_notification(&manager);
     let mut command = fixture.command();
     command.env("NOTIFY_SOCKET", fixture.directory.0.join("notify")).env("WATCHDOG_USEC", "60000000");
     let predecessor = fixture.spawn(command);
     while notification() != "READY=1" {}
-    wait_for("the socket", || fixture.socket().exists());
+    wait_for("the hand-over socket", || fixture.socket().exists());
     predecessor.signal("-USR2");
     // The successor is ready first and becomes the main process once its probation is over.
     while notification() != "READY=1" {}
@@ -179,9 +179,7 @@
     assert_eq!(predecessor.logged("configuration read again: hand-over changed"), 1);
     wait_for("the removal of the socket", || UnixStream::connect(fixture.socket()).is_err());
     predecessor.signal("-USR2");
-    wait_for("a line in the log", || {
-        predecessor.logged("hand-over: the configuration has no [hand_over]") == 1
-    });
+    wait_for("the log line", || predecessor.logged("hand-over: the configuration has no [hand_over]") == 1);
     predecessor.reconfigure(&config.replace("n.sock", "m.sock"));
     assert!(UnixStream::connect(fixture.directory.0.join("m.sock")).is_ok());
     let long_path = fixture.directory.write("long.toml", &config.replace("n.sock", &"n".repeat(90)));
--- a/crates/cache-balancer/tests/handover_predecessor.rs
+++ b/crates/cache-balancer/tests/handover_predecessor.rs
@@ -25,10 +25,11 @@
             peer.expect(OFFER);
         }
         drop(peer);
-        wait_for("the death in the log", || predecessor.logged("has died") == deaths + 1);
+        wait_for("the log line of the death", || predecessor.logged("has died") == deaths + 1);
         assert_eq!(fixture.read(2), b"a");
     }
-    // The successor dies while neither process accepts. The predecessor serves the clients that connected meanwhile.
+    // The successor dies while neither process accepts. The predecessor serves the clients that connected
+    // meanwhile.
     let mut peer = fixture.request_hand_over();
     peer.expect(OFFER);
     peer.send(READY);
@@ -43,8 +44,8 @@
     drop(successor);
 }
 
-/// If the predecessor still accepted after it told the successor to proceed, it would compete with the successor, and
-/// some clients would connect to a process that is about to depart.
+/// If the predecessor still accepted after it told the successor to proceed, it would compete with the
+/// successor, and some clients would connect to a process that is about to depart.
 #[test]
 fn clients_that_connect_after_the_pause_are_accepted_by_the_successor() {
     let server = CacheServer::serving("a");
--- a/crates/cache-balancer/tests/handover_probation.rs
+++ b/crates/cache-balancer/tests/handover_probation.rs
@@ -13,8 +13,8 @@
 /// Name of the test that a [`SuccessorProcess`] runs.
 const SCRIPTED_SUCCESSOR: &str = "a_scripted_successor_requests_a_hand_over_and_keeps_running";
 
-/// A scripted successor in a separate process, so that it can die while the test runs. It executes its script and then
-/// keeps running until a signal ends it.
+/// A scripted successor in a separate process, so that it can die while the test runs. It executes its script
+/// and then keeps running until a signal ends it.
 struct SuccessorProcess {
     process: std::process::Child,
     /// Created by the process once it has executed its script.
@@ -22,8 +22,8 @@
 }
 
 impl SuccessorProcess {
-    /// Starts the process. The steps of the script are separated by spaces: `request`, `ready` and `accepting` send a
-    /// message, `offer`, `proceed` and `commit` expect one, and `close` closes the link.
+    /// Starts the process. The steps of the script are separated by spaces: `request`, `ready` and
+    /// `accepting` send a message, `offer`, `proceed` and `commit` expect one, and `close` closes the link.
     fn start(directory: &TempDir, socket: &Path, script: &str) -> Self {
         let done_file = directory.0.join(format!("done-{}", script.replace(' ', "-")));
         let mut command = Command::new(std::env::current_exe().unwrap());
@@ -46,7 +46,7 @@
     fn exit_signal(&mut self) -> Option<i32> {
         use std::os::unix::process::ExitStatusExt;
         let mut status = None;
-        wait_for("the successor's exit", || {
+        wait_for("the exit of the successor", || {
             status = self.process.try_wait().unwrap();
             status.is_some()
         });
@@ -61,8 +61,9 @@
     }
 }
 
-/// The probation tests rely on a successor that executes exactly its script. If the environment has a script, this test
-/// acts as that successor. Otherwise it starts itself as one and checks it from the predecessor's side.
+/// The probation tests rely on a successor that executes exactly its script. If the environment has a script,
+/// this test acts as that successor. Otherwise it starts itself as one and checks it from the predecessor's
+/// side.
 #[test]
 fn a_scripted_successor_requests_a_hand_over_and_keeps_running() {
     if let Some(script) = std::env::var_os("SUCCESSOR_SCRIPT") {
@@ -100,7 +101,7 @@
     std::thread::sleep(TIMEOUT);
 }
 
-/// A successor that a node has started and that outlives the node. It is killed on drop.
+/// A successor that was started by a node and outlives it; killed when this is dropped.
 struct SpawnedSuccessor(rustix::process::Pid);
 
 impl SpawnedSuccessor {
@@ -120,18 +121,18 @@
     }
 }
 
-/// The usual failed upgrade: the new program starts normally and dies on its first real requests. Without a rollback, the
-/// service would be down until an operator intervened.
+/// Guards against an outage after a failed upgrade. Usually the new program starts normally and dies on its
+/// first real requests. Without a rollback, the service would be down until an operator intervened.
 #[test]
 fn a_successor_that_dies_on_probation_is_rolled_back() {
     let (server, gate) = CacheServer::gated("a");
     let fixture = Fixture::with_long_probation(&server);
-    let notify = UnixDatagram::bind(fixture.directory.0.join("notify")).unwrap();
-    notify.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let manager = UnixDatagram::bind(fixture.directory.0.join("notify")).unwrap();
+    manager.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut command = fixture.command();
     command.env("NOTIFY_SOCKET", fixture.directory.0.join("notify"));
     let predecessor = fixture.spawn(command);
-    wait_for("the socket", || fixture.socket().exists());
+    wait_for("the hand-over socket", || fixture.socket().exists());
     let mut accepted_by_predecessor = predecessor.client();
     accepted_by_predecessor.send(&read_request("read", 1, 20_000));
     wait_for("the first request", || server.request_count() == 1);
@@ -166,7 +167,7 @@
     let mut notifications = Vec::new();
     let main_pid = format!("MAINPID={}", predecessor.child.id());
     while !notifications.ends_with(&["READY=1".to_owned()]) || !notifications.contains(&main_pid) {
-        notifications.push(common::receive_notification(&notify));
+        notifications.push(common::receive_notification(&manager));
     }
     let status = "STATUS=serving: the successor has died, and its clients were taken back";
     assert!(notifications.iter().any(|notification| notification == status), "{notifications:?}");
@@ -189,7 +190,7 @@
     }
     assert_eq!(predecessor.logged("further ones are rejected for 1s"), 1);
     predecessor.signal("-USR2");
-    wait_for("a line in the log", || {
+    wait_for("the log line", || {
         predecessor.logged("no successor is started: two died while they served") == 1
     });
     let output = output_before_timeout(fixture.command());
@@ -280,7 +281,7 @@
     let mut command = fixture.command();
     command.env("NOTIFY_SOCKET", fixture.directory.0.join("nobody"));
     let predecessor = fixture.spawn(command);
-    wait_for("the socket", || fixture.socket().exists());
+    wait_for("the hand-over socket", || fixture.socket().exists());
     let successor = fixture.take_over(&predecessor);
     // The predecessor cannot bind its socket again.
     fixture.block_socket();
--- a/crates/cache-balancer/tests/handover_replicas.rs
+++ b/crates/cache-balancer/tests/handover_replicas.rs
@@ -12,16 +12,16 @@
     format!("discovery = [{}]\n", addresses.join(", "))
 }
 
-/// Creates a fixture whose nodes poll these replicas. With several replicas, the configuration must set the node's
-/// name.
+/// Creates a fixture whose nodes poll these replicas. With several replicas, the configuration must set the
+/// node's name.
 fn fixture(replicas: &[&Discovery]) -> Fixture {
     let mut fixture = Fixture::new(&discovery_setting(replicas), "30s");
     fixture.config = fixture.config.replacen("version = 1\n", "version = 1\nname = \"n0\"\n", 1);
     fixture
 }
 
-/// Starts a successor whose configuration has the replicas `after` instead of `before`. Returns once the predecessor
-/// stands by.
+/// Starts a successor whose configuration has the replicas `after` instead of `before`. Returns once the
+/// predecessor stands by.
 fn take_over(
     mut fixture: Fixture,
     predecessor: &Node,
@@ -42,31 +42,31 @@
     replicas.iter().map(polls).sum()
 }
 
-fn snapshot_count(replicas: &[&Discovery]) -> usize {
+fn count_snapshots(replicas: &[&Discovery]) -> usize {
     count_polls(replicas, |path| path == "/v1/servers")
 }
 
-fn watch_count(replicas: &[&Discovery]) -> usize {
+fn count_watches(replicas: &[&Discovery]) -> usize {
     count_polls(replicas, |path| path.starts_with("/v1/servers?after=1&"))
 }
 
 /// Starts two replicas of one discovery service.
 fn start_replicas(server: &CacheServer) -> [Discovery; 2] {
-    [(); 2].map(|()| Discovery::start(&[server.entry("a", "ready")]))
+    [(); 2].map(|()| Discovery::start(&[server.endpoint("a", "ready")]))
 }
 
-/// Guards against an overload of discovery while a fleet is upgraded and replicas are added: it would last as long as
-/// the upgrade if each new process requested a snapshot.
+/// Guards against an overload of discovery while a fleet is upgraded and replicas are added: it would last as
+/// long as the upgrade if each new process requested a snapshot.
 #[test]
 fn the_watch_continues_from_the_known_version_if_one_replica_remains() {
     let server = CacheServer::serving("a");
     let [one, other] = start_replicas(&server);
     let fixture = fixture(&[&one]);
     let predecessor = fixture.start_ready();
-    one.wait_until_notified(1);
+    one.wait_until_applied(1);
     let (_fixture, successor) = take_over(fixture, &predecessor, &[&one], &[&one, &other]);
-    wait_for("the successor's watch", || watch_count(&[&one, &other]) == 2);
-    assert_eq!(snapshot_count(&[&one, &other]), 1);
+    wait_for("the successor's watch", || count_watches(&[&one, &other]) == 2);
+    assert_eq!(count_snapshots(&[&one, &other]), 1);
     assert_eq!(successor.read("read", 1).body, b"a");
 }
 
@@ -76,10 +76,10 @@
     let ([one, other], [new_one, new_other]) = (start_replicas(&server), start_replicas(&server));
     let fixture = fixture(&[&one, &other]);
     let predecessor = fixture.start_ready();
-    wait_for("the predecessor's watch", || watch_count(&[&one, &other]) == 1);
+    wait_for("the predecessor's watch", || count_watches(&[&one, &other]) == 1);
     let (_fixture, successor) = take_over(fixture, &predecessor, &[&one, &other], &[&new_one, &new_other]);
-    wait_for("the successor's watch", || watch_count(&[&new_one, &new_other]) == 1);
-    assert_eq!(snapshot_count(&[&new_one, &new_other]), 1);
-    assert_eq!(snapshot_count(&[&one, &other]), 1);
+    wait_for("the successor's watch", || count_watches(&[&new_one, &new_other]) == 1);
+    assert_eq!(count_snapshots(&[&new_one, &new_other]), 1);
+    assert_eq!(count_snapshots(&[&one, &other]), 1);
     assert_eq!(successor.read("read", 1).body, b"a");
 }
--- a/crates/cache-balancer/tests/handover_successor.rs
+++ b/crates/cache-balancer/tests/handover_successor.rs
@@ -100,8 +100,8 @@
     }
 }
 
-/// Guards against a successor that hangs right after it began to accept, is cancelled by the predecessor, and then
-/// accepts connections at the same time as the predecessor.
+/// Guards against a successor that hangs right after it began to accept, is cancelled by the predecessor, and
+/// then accepts connections at the same time as the predecessor.
 #[test]
 fn a_successor_cancelled_while_it_accepts_finishes_its_requests() {
     let (server, gate) = CacheServer::gated("a");
@@ -141,8 +141,8 @@
     let discovery = Discovery::start(&[]);
     let fixture = Fixture::new(&format!("discovery = \"{}\"\n", discovery.address), "20s");
     let mut predecessor = fixture.start();
-    wait_for("the socket", || fixture.socket().exists());
-    discovery.wait_until_notified(1);
+    wait_for("the hand-over socket", || fixture.socket().exists());
+    discovery.wait_until_applied(1);
     // Neither process has had a server yet, so the successor cannot become ready.
     let node = std::thread::scope(|scope| {
         let node = scope.spawn(|| fixture.start());
@@ -154,20 +154,20 @@
         predecessor.child.kill().unwrap();
         node.join().unwrap()
     });
-    discovery.notify(true, &[server.entry("box", "ready")]);
+    discovery.publish(true, &[server.endpoint("box", "ready")]);
     wait_for("the node's readiness", || node.get("/healthz").status() == 200);
     assert_eq!(fixture.read(1), b"a");
 }
 
-/// Guards against two faults: a process with clients exits because it cannot bind its hand-over socket, and the service
-/// manager takes the stop of a successor that never served for a stop of the service.
+/// Guards against two faults: a process with clients exits because it cannot bind its hand-over socket, and
+/// the service manager takes the stop of a successor that never served for a stop of the service.
 #[test]
 fn a_successor_without_a_socket_serves_and_one_stopped_early_sends_no_notification() {
     let server = CacheServer::serving("a");
     let fixture = Fixture::new(&static_pool(&server), "20s");
     let predecessor = ScriptedPredecessor::listen(&fixture);
-    let notify = UnixDatagram::bind(fixture.directory.0.join("notify")).unwrap();
-    notify.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let manager = UnixDatagram::bind(fixture.directory.0.join("notify")).unwrap();
+    manager.set_read_timeout(Some(TIMEOUT)).unwrap();
     let node_command = || {
         let mut command = fixture.command();
         command.env("NOTIFY_SOCKET", fixture.directory.0.join("notify")).stderr(Stdio::piped());
@@ -179,8 +179,8 @@
     peer.expect(READY.0);
     assert!(Command::new("kill").args(["-TERM", &stopped.id().to_string()]).status().unwrap().success());
     assert!(peer.receive().is_none() && stopped.wait().unwrap().success());
-    notify.set_nonblocking(true).unwrap();
-    assert!(notify.recv(&mut [0; 64]).is_err(), "the successor notified the service manager");
+    manager.set_nonblocking(true).unwrap();
+    assert!(manager.recv(&mut [0; 64]).is_err(), "the successor notified the service manager");
     let node = std::thread::scope(|scope| {
         let node =
             scope.spawn(|| Node::spawn(node_command(), fixture.directory.0.join("cache-balancer.toml")));
@@ -192,7 +192,7 @@
         drop(peer);
         node.join().unwrap()
     });
-    wait_for("the failure in the log", || node.logged("hand-over: no successor can connect: ") == 1);
+    wait_for("the log line of the failure", || node.logged("hand-over: no successor can connect: ") == 1);
     drop(predecessor);
     assert_eq!(fixture.read(1), b"a");
 }
--- a/crates/cache-balancer/tests/handover_support/mod.rs
+++ b/crates/cache-balancer/tests/handover_support/mod.rs
@@ -1,4 +1,5 @@
-//! Fixtures of the hand-over tests: nodes with a hand-over socket, load-generating clients, and scripted peers.
+//! Fixtures of the hand-over tests: nodes with a hand-over socket, load-generating clients, and scripted
+//! peers.
 #![allow(dead_code, reason = "each test file compiles this module separately and uses a part of it")]
 
 pub mod recorded;
@@ -31,8 +32,8 @@
 }
 
 impl Fixture {
-    /// Creates a fixture. `pool` is the part of the operator's file that defines the source of the pool's endpoint
-    /// list, and `step_timeout` the time limit of each step, for example `20s`.
+    /// Creates a fixture. `pool` is the part of the operator's file that defines the source of the pool's
+    /// endpoint list, and `step_timeout` the time limit of each step, for example `20s`.
     pub fn new(pool: &str, step_timeout: &str) -> Self {
         let address = unique_address();
         let directory = TempDir::new();
@@ -59,7 +60,8 @@
         command
     }
 
-    /// Starts a node, which binds the address or takes it over from a predecessor. Returns once the node listens.
+    /// Starts a node, which binds the address or takes it over from a predecessor. Returns once the node
+    /// listens.
     pub fn start(&self) -> Node {
         self.spawn(self.command())
     }
@@ -73,7 +75,7 @@
     pub fn start_ready(&self) -> Node {
         let node = self.start();
         wait_for("the node's readiness", || node.get("/healthz").status() == 200);
-        wait_for("the socket", || self.socket().exists());
+        wait_for("the hand-over socket", || self.socket().exists());
         node
     }
 
@@ -121,22 +123,22 @@
     server_table("box", server)
 }
 
-/// Clients that send requests one after the other until they are stopped. Half of them reuse a connection until the
-/// node closes it. A status other than 200 fails the test.
+/// Clients that send requests one after the other until they are stopped. Half of them reuse a connection
+/// until the node closes it. A status other than 200 fails the test.
 pub struct Clients {
-    stopping: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<u64>>,
 }
 
 impl Clients {
     /// Starts `count` clients, each in its own thread.
     pub fn start(fixture: &Fixture, count: u64) -> Self {
-        let stopping = Arc::new(AtomicBool::new(false));
+        let stop = Arc::new(AtomicBool::new(false));
         let start = |client_number| {
-            let (stopping, address) = (stopping.clone(), fixture.address);
+            let (stop, address) = (stop.clone(), fixture.address);
             std::thread::spawn(move || {
                 let (mut client, mut responses) = (Client::connect(address), 0);
-                while !stopping.load(Ordering::SeqCst) {
+                while !stop.load(Ordering::SeqCst) {
                     let response =
                         client.request(&read_request("read", (client_number << 32) + responses, 20_000));
                     assert_eq!(response.status(), 200);
@@ -150,12 +152,12 @@
             })
         };
         let threads = (1..=count).map(start).collect();
-        Self { stopping, threads }
+        Self { stop, threads }
     }
 
     /// Stops the clients and returns the number of responses that they received.
     pub fn stop(self) -> u64 {
-        self.stopping.store(true, Ordering::SeqCst);
+        self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().map(|thread| thread.join().unwrap()).sum()
     }
 }
--- a/crates/cache-balancer/tests/handover_support/recorded.rs
+++ b/crates/cache-balancer/tests/handover_support/recorded.rs
@@ -1,4 +1,5 @@
-//! Recorded frames of the previous version. `tests/data/handover_before.txt` describes how they were recorded.
+//! Recorded frames of the previous version. `tests/data/handover_before.txt` describes how they were
+//! recorded.
 
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -14,7 +15,8 @@
 pub struct Recording(Vec<(String, SocketAddr)>);
 
 impl Recording {
-    /// Loads the recording. `addresses` maps names in the recording to the addresses that replace the recorded ones.
+    /// Loads the recording. `addresses` maps names in the recording to the addresses that replace the
+    /// recorded ones.
     pub fn with_addresses(addresses: &[(&str, SocketAddr)]) -> Self {
         let replace = |(name, address): &(&str, SocketAddr)| (recorded_address(name).to_owned(), *address);
         Self(addresses.iter().map(replace).collect())
@@ -34,8 +36,8 @@
         frames.into_iter().next().unwrap()
     }
 
-    /// Parses a line `HEADER PAYLOAD` and replaces the addresses. The header stays as recorded, except for the length
-    /// if the new addresses change it.
+    /// Parses a line `HEADER PAYLOAD` and replaces the addresses. The header stays as recorded, except for
+    /// the length if the new addresses change it.
     fn parse_frame(&self, line: &str) -> Vec<u8> {
         let (header, payload) = line.split_once(' ').unwrap();
         let mut frame: Vec<u8> =
@@ -67,8 +69,8 @@
     serde_json::from_slice(&frame[HEADER_BYTES..]).unwrap()
 }
 
-/// Returns the schema of a payload: the path of each value with its JSON type. Elements of an array share a path.
-/// `null` has a type of its own, `optional`.
+/// Returns the schema of a payload: the path of each value with its JSON type. Elements of an array share a
+/// path. `null` has a type of its own, `optional`.
 pub fn schema(payload: &Value) -> Vec<String> {
     let mut schema = Vec::new();
     collect_schema(String::new(), payload, &mut schema);
--- a/crates/cache-balancer/tests/handover_support/scripted.rs
+++ b/crates/cache-balancer/tests/handover_support/scripted.rs
@@ -86,8 +86,8 @@
         payload
     }
 
-    /// Receives the next frame and the listening socket that is passed with its first byte. Returns the frame's bytes
-    /// and the socket.
+    /// Receives the next frame and the listening socket that is passed with its first byte. Returns the
+    /// frame's bytes and the socket.
     pub fn receive_with_socket(&mut self) -> (Vec<u8>, TcpListener) {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut ancillary = RecvAncillaryBuffer::new(&mut space);
--- a/crates/cache-balancer/tests/handover_versions.rs
+++ b/crates/cache-balancer/tests/handover_versions.rs
@@ -1,5 +1,5 @@
-//! Hand-overs between the previous version and this one, in both directions. The previous version is played by its
-//! recorded frames.
+//! Hand-overs between the previous version and this one, in both directions. The previous version is
+//! simulated by its recorded frames.
 
 mod common;
 mod handover_support;
@@ -31,7 +31,8 @@
     fn new() -> Self {
         let good = CacheServer::serving("good");
         let broken = CacheServer::start(|_| ServerBehavior::RespondAndClose(String::new()));
-        let discovery = Discovery::start(&[good.entry("good", "ready"), broken.entry("broken", "ready")]);
+        let discovery =
+            Discovery::start(&[good.endpoint("good", "ready"), broken.endpoint("broken", "ready")]);
         let fixture = Fixture::new(&format!("discovery = \"{}\"\n", discovery.address), "20s");
         Self { good, broken, discovery, fixture }
     }
@@ -59,12 +60,12 @@
     payload
 }
 
-/// An upgrade would lose the endpoint list, the breakers or the cache marks if this version could not read the state
-/// that the previous version sends, and would lose requests if the versions disagreed on a message.
+/// An upgrade would lose the endpoint list, the breakers or the cache marks if this version could not read
+/// the state that the previous version sends, and would lose requests if the versions disagreed on a message.
 #[test]
 fn this_version_takes_over_from_the_previous_version_with_its_state() {
     let deployment = Deployment::new();
-    deployment.discovery.notify(false, &[]);
+    deployment.discovery.publish(false, &[]);
     let Deployment { good, fixture, discovery, .. } = &deployment;
     let recording = deployment.recording();
     let sent = recording.frames("handover", PREDECESSOR);
@@ -97,7 +98,7 @@
         "each request is sent to `good` once and gets a response"
     );
     // The watch continues from the version that was handed over, without a request for a snapshot.
-    discovery.wait_until_notified(2);
+    discovery.wait_until_applied(2);
     assert!(!discovery.received.lock().unwrap().iter().any(|path| path == "/v1/servers"));
     peer.0.write_all(departed).unwrap();
     drop(peer);
@@ -108,7 +109,7 @@
 
 /// Asserts that the state that the node offers next contains the recorded state.
 fn assert_state_was_restored(fixture: &Fixture, recorded: &Value) {
-    wait_for("the socket", || std::os::unix::net::UnixStream::connect(fixture.socket()).is_ok());
+    wait_for("the hand-over socket", || std::os::unix::net::UnixStream::connect(fixture.socket()).is_ok());
     let mut peer = fixture.request_hand_over();
     let state = peer.expect(OFFER)["state"].clone();
     assert_eq!(state["pools"][0]["listing"]["hosts"], recorded["pools"][0]["listing"]["hosts"]);
@@ -125,8 +126,8 @@
     assert!(recorded.len() > 50 && recorded.iter().all(|mark| restored.contains(mark)));
 }
 
-/// A rollback to the previous version uses the same hand-over. The previous version would start without the state, or
-/// not at all, if this version sent messages of another schema.
+/// A rollback to the previous version uses the same hand-over. The previous version would start without the
+/// state, or not at all, if this version sent messages of another schema.
 #[test]
 fn this_version_hands_over_to_the_previous_version_with_its_state() {
     let deployment = Deployment::new();
@@ -137,12 +138,12 @@
     let sent = recording.frames("handover", SUCCESSOR);
     let [request, ready, accepting] = &sent[..] else { panic!("{} frames", sent.len()) };
     let node = fixture.start_ready();
-    discovery.wait_until_notified(1);
+    discovery.wait_until_applied(1);
     let clients = Clients::start(fixture, 4);
     wait_for("an open breaker", || node.logged("breaker of broken tripped") > 0);
     wait_for("requests", || good.request_count() > 60);
-    discovery.notify(false, &[]);
-    discovery.wait_until_notified(2);
+    discovery.publish(false, &[]);
+    discovery.wait_until_applied(2);
     let mut peer = fixture.connect();
     peer.0.write_all(request).unwrap();
     let (found, socket) = peer.receive_with_socket();
@@ -176,7 +177,8 @@
     assert_eq!(schema(&frame_payload(found)), schema(&frame_payload(recorded)));
 }
 
-/// Responds to the requests on all connections in place of the successor. Returns the counter of the requests.
+/// Responds to the requests on all connections in place of the successor. Returns the counter of the
+/// requests.
 fn serve_as_successor(socket: TcpListener) -> Arc<AtomicU64> {
     socket.set_nonblocking(false).unwrap();
     let served: Arc<AtomicU64> = Arc::default();
@@ -241,7 +243,9 @@
         peer.0.write_all(&sent[2]).unwrap();
         (node.join().unwrap(), peer)
     });
-    wait_for("the successor's socket", || std::os::unix::net::UnixStream::connect(fixture.socket()).is_ok());
+    wait_for("the hand-over socket of the successor", || {
+        std::os::unix::net::UnixStream::connect(fixture.socket()).is_ok()
+    });
     node.terminate();
     assert_eq!(peer.receive_bytes().unwrap(), recording.only_frame("release", SUCCESSOR));
     assert!(node.exit_status().success());
--- a/crates/cache-balancer/tests/held_up.rs
+++ b/crates/cache-balancer/tests/held_up.rs
@@ -1,5 +1,5 @@
-//! Tests that the time limits of requests keep running while the node process does not run, as during its
-//! start or without processor time. The tests suspend the process with SIGSTOP.
+//! Tests that the time limits of requests keep running while the node process does not run, for example
+//! during its start or for lack of processor time. The tests suspend the process with SIGSTOP.
 
 mod common;
 
@@ -20,12 +20,12 @@
     client
 }
 
-/// Guards against a time limit that counts from the read of a request. The response was late by the time for
-/// which the request had waited unread.
+/// Guards against a time limit that counts from the read of a request: the response would be late by the time
+/// for which the request had waited unread.
 #[test]
 fn the_time_limit_of_the_cache_server_excludes_the_time_before_the_read() {
     let (server, gate) = CacheServer::gated("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let deadline_ms = 20_000;
     let mut open = node.client();
@@ -52,7 +52,7 @@
 #[test]
 fn a_request_that_expired_before_the_read_is_answered_and_not_forwarded() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let mut client = send_while_suspended(&node, || node.client(), &read_request("read", 1, 300));
     assert_ne!(client.receive().expect("a response").status(), 200);
--- a/crates/cache-balancer/tests/hollow.rs
+++ b/crates/cache-balancer/tests/hollow.rs
@@ -1,5 +1,5 @@
-//! Tests a process of hollow nodes with replicas of the simulated discovery service, started and controlled
-//! as in a scale run.
+//! Tests a process of hollow nodes (the real discovery client and balancing decisions, without clients) with
+//! replicas of the simulated discovery service. Both are started and controlled as in a scale run.
 
 mod common;
 
@@ -129,7 +129,7 @@
     }
 }
 
-/// A process of hollow nodes, and everything it has reported so far.
+/// A process of hollow nodes, with the sum of its reports so far.
 struct Hollow {
     process: RefCell<Process<HollowCommand, HollowEvent>>,
     report: RefCell<HollowReport>,
@@ -147,8 +147,8 @@
         self.process.borrow_mut().send(command);
     }
 
-    /// Returns everything reported so far. The process executes commands in order, so all earlier ones are
-    /// done.
+    /// Requests a report and returns the sum of all reports. The process executes commands in order, so all
+    /// earlier commands have been executed.
     fn report(&self) -> HollowReport {
         self.send(&HollowCommand::Report);
         let HollowEvent::Report(new) = self.process.borrow().next_event() else {
--- a/crates/cache-balancer/tests/lifecycle.rs
+++ b/crates/cache-balancer/tests/lifecycle.rs
@@ -18,7 +18,7 @@
         }
         ServerBehavior::Respond(response("200 OK", "", "value"))
     });
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let (mut waiting, mut idle) = (node.client(), node.client());
     waiting.send(&read_request("read", 1, 60_000));
@@ -40,7 +40,7 @@
 #[test]
 fn a_terminated_node_does_not_wait_for_idle_clients() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let (mut used, mut fresh) = (node.client(), node.client());
     assert_eq!(used.request(&read_request("read", 1, 20_000)).status(), 200);
@@ -50,7 +50,8 @@
     assert!(node.exit_status().success());
 }
 
-/// Guards against a start with an incomplete configuration, and against a panic message in place of a one-line error.
+/// Guards against a start with an incomplete configuration, and against a panic message in place of a
+/// one-line error.
 #[test]
 fn an_unusable_configuration_fails_the_start_with_a_one_line_error() {
     let good = config("127.0.0.1:1".parse().unwrap());
@@ -84,7 +85,8 @@
     }
 }
 
-/// Guards against a start with defaults in place of invalid settings, and against an error that does not name the setting.
+/// Guards against a start with defaults in place of invalid settings, and against an error that does not name
+/// the setting.
 #[test]
 fn an_invalid_setting_fails_the_start_with_its_name_and_expectation() {
     let good = config("127.0.0.1:1".parse().unwrap());
@@ -119,7 +121,7 @@
     }
     // A reload logs the same error and changes nothing.
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let good = config(discovery.address);
     let node = Node::start_ready(&good);
     node.reconfigure(&good.to_string().replace("\"effect\":\"keyed\"", "\"effect\":\"harmless\""));
@@ -128,39 +130,39 @@
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-/// Guards against a reload that ends the node, keeps the old discovery service, or polls the new one for changes since a
-/// version of the old one.
+/// Guards against a reload that ends the node, keeps the old discovery service, or polls the new one for
+/// changes since a version of the old one.
 #[test]
 fn a_reload_requests_a_snapshot_from_the_new_discovery_service_and_watches_it() {
     let servers = [CacheServer::serving("0"), CacheServer::serving("1"), CacheServer::serving("2")];
-    let services = servers.each_ref().map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
+    let services = servers.each_ref().map(|server| Discovery::start(&[server.endpoint("s-1", "ready")]));
     let node = Node::start_ready(&config(services[0].address));
-    services[0].wait_until_notified(1);
+    services[0].wait_until_applied(1);
     let mut client = node.client();
     for (i, discovery) in services.iter().enumerate().skip(1) {
         assert_eq!(client.request(&read_request("read", 1, 20_000)).body, (i - 1).to_string().as_bytes());
         node.reload(&config(discovery.address).to_string());
-        discovery.wait_until_notified(1);
+        discovery.wait_until_applied(1);
         assert_eq!(discovery.received.lock().unwrap()[0], "/v1/servers");
         assert_eq!(client.request(&read_request("read", 1, 20_000)).body, i.to_string().as_bytes());
     }
     // The previous discovery services have no effect any more.
-    services[0].notify(true, &[servers[0].entry("s-1", "ready")]);
-    services[2].notify(false, &[]);
-    services[2].wait_until_notified(2);
+    services[0].publish(true, &[servers[0].endpoint("s-1", "ready")]);
+    services[2].publish(false, &[]);
+    services[2].wait_until_applied(2);
     assert_eq!(client.request(&read_request("read", 1, 20_000)).body, b"2");
     assert_eq!(services.each_ref().map(|discovery| discovery.request_count()), [2, 2, 3]);
 }
 
-/// Guards against a reload that ends the node or leaves it without a list. While the new discovery service does not
-/// respond, the node serves with the old list.
+/// Guards against a reload that ends the node or leaves it without a list. While the new discovery service
+/// does not respond, the node serves with the old list.
 #[test]
 fn a_rejected_reload_logs_one_line_and_a_silent_discovery_service_keeps_the_old_list() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let good = config(discovery.address);
     let node = Node::start_ready(&good);
-    discovery.wait_until_notified(1);
+    discovery.wait_until_applied(1);
     for (i, text) in
         ["", "{\"name\":", "{}", &good.to_string().replace("8c1f30d27a5be964", "-")].iter().enumerate()
     {
@@ -169,12 +171,12 @@
             let log = node.log.lock().unwrap();
             log.iter().filter(|line| line.starts_with("configuration not taken: ")).count()
         };
-        wait_for("a line in the log", || rejections() == i + 1);
+        wait_for("the log line", || rejections() == i + 1);
         assert_eq!(node.read("read", 1).status(), 200);
     }
     // The watch of the current discovery service continues.
-    discovery.notify(false, &[]);
-    discovery.wait_until_notified(2);
+    discovery.publish(false, &[]);
+    discovery.wait_until_applied(2);
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     node.reload(&config(silent.local_addr().unwrap()).to_string());
     let _poll = silent.accept().unwrap();
@@ -197,7 +199,7 @@
         drop(opened.1.wait_timeout_while(open, TIMEOUT, |open| !*open).unwrap());
         ServerBehavior::Respond(response("200 OK", "", "value"))
     });
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let mut small = config(discovery.address);
     small["limits"]["sockets"] = json!(40);
     let node = Node::start_ready(&small);
@@ -212,8 +214,9 @@
         client.send(&read_request("read", 8 + key as u64, 60_000));
     }
     node.terminate();
-    let closing = || node.log.lock().unwrap().iter().any(|line| line == "no further clients are accepted");
-    wait_for("the end of accepting", closing);
+    let stopped_accepting =
+        || node.log.lock().unwrap().iter().any(|line| line == "no further clients are accepted");
+    wait_for("the end of accepting", stopped_accepting);
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
     for client in clients.iter_mut().chain(&mut waiting) {
--- a/crates/cache-balancer/tests/lists.rs
+++ b/crates/cache-balancer/tests/lists.rs
@@ -9,20 +9,20 @@
 use std::time::{Duration, Instant};
 
 /// Checks that a node with a list of one server rejects `text`, logs `message` and keeps its list, and that
-/// it then accepts a valid list of version `seq` with another server.
-fn assert_rejected(text: &str, message: &str, seq: u64) {
+/// it then accepts a valid list of version `version` with another server.
+fn assert_rejected(text: &str, message: &str, version: u64) {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
-    let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[old.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
-    discovery.wait_until_notified(1);
-    discovery.notify_text(text.replace("OLD", &old.entry("s-1", "ready").to_string()));
+    discovery.wait_until_applied(1);
+    discovery.publish_text(text.replace("OLD", &old.endpoint("s-1", "ready").to_string()));
     wait_for(&format!("{message}, of {text}"), || node.logged(message) >= 1);
     for key in 0..5 {
         assert_eq!(node.read("read", key).body, b"old", "{text}");
     }
-    let valid = snapshot(seq, &[new.entry("s-2", "ready")]);
-    discovery.notify_text(valid.to_string());
-    discovery.wait_until_notified(seq);
+    let valid = snapshot(version, &[new.endpoint("s-2", "ready")]);
+    discovery.publish_text(valid.to_string());
+    discovery.wait_until_applied(version);
     for key in 0..5 {
         assert_eq!(node.read("read", key).body, b"new", "{text}");
     }
@@ -49,10 +49,10 @@
 #[test]
 fn older_version_is_rejected_and_a_snapshot_requested() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
-    discovery.wait_until_notified(1);
-    discovery.notify_text(r#"{"seq":0,"whole":false,"hosts":[]}"#.into());
+    discovery.wait_until_applied(1);
+    discovery.publish_text(r#"{"seq":0,"whole":false,"hosts":[]}"#.into());
     wait_for("the rejection", || node.logged("seq: 0 is older than 1, the version of the current list") >= 1);
     let before = discovery.received.lock().unwrap().iter().filter(|path| !path.contains("after")).count();
     wait_for("a request for a snapshot", || {
@@ -66,15 +66,15 @@
 #[test]
 fn discovery_with_restarted_versions_is_accepted_after_three_lists() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
-    let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[old.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
-    discovery.wait_until_notified(1);
-    discovery.notify_text(snapshot(0, &[new.entry("s-2", "ready")]));
-    wait_for("its list to be accepted", || {
+    discovery.wait_until_applied(1);
+    discovery.publish_text(snapshot(0, &[new.endpoint("s-2", "ready")]));
+    wait_for("the list to be accepted", || {
         node.logged("accepted, since it was received 3 times in a row") == 1
     });
     assert_eq!(node.logged("list rejected: seq: 0 is older than 1"), 2);
-    wait_for("its server to be used", || node.read("read", 1).body == b"new");
+    wait_for("the new server to be used", || node.read("read", 1).body == b"new");
 }
 
 /// Starts a discovery service that responds to the first request with a snapshot of these two endpoints.
@@ -84,10 +84,10 @@
     then: impl Fn(usize) -> ServerBehavior + Send + Sync + 'static,
 ) -> CacheServer {
     let first = response("200 OK", "", &snapshot(1, &endpoints));
-    let calls = AtomicUsize::new(0);
-    CacheServer::start(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
+    let polls = AtomicUsize::new(0);
+    CacheServer::start(move |_| match polls.fetch_add(1, Ordering::SeqCst) {
         0 => ServerBehavior::Respond(first.clone()),
-        call => then(call),
+        poll => then(poll),
     })
 }
 
@@ -97,13 +97,13 @@
 /// leaving server.
 fn assert_leaving_avoided(text: &str, respond: fn(String) -> ServerBehavior, message: &str) -> Node {
     let (leaving, staying) = (CacheServer::serving("leaving"), CacheServer::serving("staying"));
-    let text = text.replace("LEAVING", &leaving.entry("s-1", "draining").to_string());
+    let text = text.replace("LEAVING", &leaving.endpoint("s-1", "draining").to_string());
     let shown = text.clone();
-    let endpoints = [leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")];
+    let endpoints = [leaving.endpoint("s-1", "ready"), staying.endpoint("s-2", "ready")];
     let both_used = std::sync::Arc::new(AtomicUsize::new(0));
     let may_respond = both_used.clone();
-    let discovery = scripted_discovery(endpoints, move |call| {
-        if call > 1 {
+    let discovery = scripted_discovery(endpoints, move |poll| {
+        if poll > 1 {
             return ServerBehavior::NoResponse;
         }
         // The response is delayed until both servers have received requests.
@@ -145,9 +145,9 @@
     ServerBehavior::Respond(format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{text}"))
 }
 
-/// A node counts as notified of what discovery has written. If the node waited for the rest of a truncated or
-/// stalled response, it would send requests to a server that is shutting down. Entries must be read as they
-/// arrive.
+/// A node counts as notified of all entries that discovery has written. If the node waited for the rest of a
+/// truncated or stalled response, it would send requests to a server that is shutting down. Entries must be
+/// read as they arrive.
 #[test]
 fn drain_in_a_truncated_or_stalled_response_is_applied() {
     assert_leaving_avoided(r#"{"seq":2,"whole":false,"hosts":[LEAVING,{"host":"s-"#, truncated, AVOIDED);
@@ -170,8 +170,8 @@
 #[test]
 fn stalled_response_times_out_before_the_wait_of_its_watch() {
     let (one, two) = (CacheServer::serving("one"), CacheServer::serving("two"));
-    let endpoints = [one.entry("s-1", "ready"), two.entry("s-2", "ready")];
-    let discovery = scripted_discovery(endpoints, |call| match call {
+    let endpoints = [one.endpoint("s-1", "ready"), two.endpoint("s-2", "ready")];
+    let discovery = scripted_discovery(endpoints, |poll| match poll {
         1 => stalled(r#"{"seq":2,"#.into()),
         _ => ServerBehavior::NoResponse,
     });
@@ -199,10 +199,10 @@
 #[test]
 fn drain_from_a_truncated_response_lasts_until_a_snapshot_differs() {
     let (one, two) = (CacheServer::serving("one"), CacheServer::serving("two"));
-    let endpoints = [one.entry("s-1", "ready"), two.entry("s-2", "ready")];
-    let truncated_list = format!(r#"{{"seq":2,"whole":false,"hosts":[{},"#, one.entry("s-1", "draining"));
+    let endpoints = [one.endpoint("s-1", "ready"), two.endpoint("s-2", "ready")];
+    let truncated_list = format!(r#"{{"seq":2,"whole":false,"hosts":[{},"#, one.endpoint("s-1", "draining"));
     let second_snapshot = snapshot(2, &endpoints);
-    let discovery = scripted_discovery(endpoints.clone(), move |call| match call {
+    let discovery = scripted_discovery(endpoints.clone(), move |poll| match poll {
         1 => truncated(truncated_list.clone()),
         2 => ServerBehavior::Respond(response("200 OK", "", &second_snapshot)),
         _ => ServerBehavior::NoResponse,
@@ -222,9 +222,10 @@
 #[test]
 fn agent_is_polled_repeatedly_even_after_polls_without_a_response() {
     let (leaving, staying) = (CacheServer::serving("leaving"), CacheServer::serving("staying"));
-    let endpoints = [leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")];
-    let drained = json!({"seq": 2, "whole": false, "hosts": [leaving.entry("s-1", "draining")]}).to_string();
-    let agent = scripted_discovery(endpoints, move |call| match call {
+    let endpoints = [leaving.endpoint("s-1", "ready"), staying.endpoint("s-2", "ready")];
+    let drained =
+        json!({"seq": 2, "whole": false, "hosts": [leaving.endpoint("s-1", "draining")]}).to_string();
+    let agent = scripted_discovery(endpoints, move |poll| match poll {
         // The agent sends no response on any connection while discovery is down.
         1..=5 => ServerBehavior::NoResponse,
         6 => ServerBehavior::Respond(response("200 OK", "", &drained)),
@@ -244,7 +245,7 @@
 #[test]
 fn discovery_that_ignores_the_wait_is_not_polled_in_a_busy_loop() {
     let server = CacheServer::serving("value");
-    let endpoints = [server.entry("s-1", "ready"), server.entry("s-2", "ready")];
+    let endpoints = [server.endpoint("s-1", "ready"), server.endpoint("s-2", "ready")];
     let nothing = json!({"seq": 1, "whole": false, "hosts": []}).to_string();
     let discovery =
         scripted_discovery(endpoints, move |_| ServerBehavior::Respond(response("200 OK", "", &nothing)));
@@ -255,6 +256,6 @@
         assert_eq!(client.request(&read_request("read", key, 20_000)).body, b"value");
     }
     // Without a pause, there would be as many polls as discovery can respond to.
-    let calls = discovery.request_count() - before;
-    assert!(calls < 200, "{calls} polls during 1000 reads");
+    let polls = discovery.request_count() - before;
+    assert!(polls < 200, "{polls} polls during 1000 reads");
 }
--- a/crates/cache-balancer/tests/manager.rs
+++ b/crates/cache-balancer/tests/manager.rs
@@ -1,5 +1,5 @@
-//! A node with an operator's file under a service manager. A stand-in for the service manager receives notifications as in
-//! sd_notify(3) and passes sockets as in sd_listen_fds(3).
+//! A node with an operator's file under a service manager. A stand-in for the service manager receives
+//! notifications as in sd_notify(3) and passes sockets as in sd_listen_fds(3).
 
 mod common;
 
@@ -15,16 +15,16 @@
 
 /// A stand-in for the service manager, with the directory of its socket and of the node's configuration file.
 struct Manager {
-    folder: TempDir,
+    directory: TempDir,
     socket: UnixDatagram,
 }
 
 impl Manager {
     fn start() -> Self {
-        let folder = TempDir::new();
-        let socket = UnixDatagram::bind(folder.0.join("notify")).unwrap();
+        let directory = TempDir::new();
+        let socket = UnixDatagram::bind(directory.0.join("notify")).unwrap();
         socket.set_read_timeout(Some(TIMEOUT)).unwrap();
-        Self { folder, socket }
+        Self { directory, socket }
     }
 
     /// Receives the next notification of the node.
@@ -38,16 +38,17 @@
         notifications.take_while(|notification| notification != wanted).collect()
     }
 
-    /// Returns the command that starts a node with a configuration file of this text, and the path of the file.
+    /// Returns the command that starts a node with a configuration file of this text, and the path of the
+    /// file.
     fn command(&self, text: &str) -> (Command, PathBuf) {
-        let path = self.folder.write("cache-balancer.toml", text);
+        let path = self.directory.write("cache-balancer.toml", text);
         let mut command = command();
-        command.arg("run").arg("--config").arg(&path).env("NOTIFY_SOCKET", self.folder.0.join("notify"));
+        command.arg("run").arg("--config").arg(&path).env("NOTIFY_SOCKET", self.directory.0.join("notify"));
         (command, path)
     }
 }
 
-/// An operator's file whose pool uses this discovery service.
+/// Returns an operator's file whose pool uses this discovery service.
 fn file_with_discovery(discovery: &Discovery) -> String {
     format!(
         "version = 1\n{CLIENT_LISTENER}[[pool]]\nname = \"records\"\ndiscovery = \"{}\"\n{READ_CLASS}",
@@ -55,7 +56,7 @@
     )
 }
 
-/// An operator's file whose pool has this server.
+/// Returns an operator's file with these listeners, whose pool has this server.
 fn file_with_server(server: &CacheServer, listeners: &str) -> String {
     let table = server_table("box", server);
     format!("version = 1\n{listeners}[[pool]]\nname = \"records\"\n{table}{READ_CLASS}")
@@ -67,10 +68,10 @@
     let (command, path) = manager.command(&file_with_discovery(&discovery));
     let node = Node::spawn(command, path);
     // The list has arrived and is empty: the node listens but cannot serve.
-    discovery.wait_until_notified(1);
+    discovery.wait_until_applied(1);
     assert_eq!(manager.notification(), "STATUS=waiting for cache servers of pool records");
     assert_eq!(node.get("/healthz").status(), 503);
-    discovery.notify(true, &[server.entry("box", "ready")]);
+    discovery.publish(true, &[server.endpoint("box", "ready")]);
     assert_eq!(manager.notifications_until("READY=1"), ["STATUS=serving"]);
     assert_eq!(node.read("read", 1).body, b"a");
     node.terminate();
@@ -99,17 +100,17 @@
     let server = CacheServer::serving("a");
     let unreachable = Manager::start();
     let (mut command, path) = unreachable.command(&file_with_server(&server, CLIENT_LISTENER));
-    command.env("NOTIFY_SOCKET", unreachable.folder.0.join("nobody"));
+    command.env("NOTIFY_SOCKET", unreachable.directory.0.join("nobody"));
     let node = Node::spawn(command, path);
     let warnings = || node.logged("cannot notify the service manager");
-    wait_for("the failure in the log", || warnings() > 0);
+    wait_for("the log line of the failure", || warnings() > 0);
     assert_eq!(node.read("read", 1).body, b"a");
     assert_eq!(warnings(), 1, "one line, regardless of the number of lost notifications");
     // The queue of this manager's socket is full, so that a write to it blocks.
     let blocked = Manager::start();
     let filler = UnixDatagram::unbound().unwrap();
     filler.set_nonblocking(true).unwrap();
-    while filler.send_to(b"X=1", blocked.folder.0.join("notify")).is_ok() {}
+    while filler.send_to(b"X=1", blocked.directory.0.join("notify")).is_ok() {}
     let (mut command, path) = blocked.command(&file_with_server(&server, CLIENT_LISTENER));
     command.env("WATCHDOG_USEC", "2000");
     let node = Node::spawn(command, path);
@@ -119,21 +120,21 @@
     assert!(node.exit_status().success());
 }
 
-/// Guards against a readiness notification that is dropped because the queue is full: the manager would wait for the start
-/// forever.
+/// Guards against a readiness notification that is dropped because the queue is full: the manager would wait
+/// for the start forever.
 #[test]
 fn a_manager_that_was_blocked_is_notified_of_readiness_afterwards() {
     let (manager, server, discovery) = (Manager::start(), CacheServer::serving("a"), Discovery::start(&[]));
     let filler = UnixDatagram::unbound().unwrap();
     filler.set_nonblocking(true).unwrap();
-    while filler.send_to(b"X=1", manager.folder.0.join("notify")).is_ok() {}
+    while filler.send_to(b"X=1", manager.directory.0.join("notify")).is_ok() {}
     let (mut command, path) = manager.command(&file_with_discovery(&discovery));
     // The watchdog is fed so often that its notifications would fill any queue.
     command.env("WATCHDOG_USEC", "200");
     let node = Node::spawn(command, path);
-    discovery.wait_until_notified(1);
+    discovery.wait_until_applied(1);
     (0..200).for_each(|_| assert_eq!(node.get("/healthz").status(), 503));
-    discovery.notify(true, &[server.entry("box", "ready")]);
+    discovery.publish(true, &[server.endpoint("box", "ready")]);
     wait_for("the node's readiness", || node.get("/healthz").status() == 200);
     let before = manager.notifications_until("READY=1");
     assert!(
@@ -142,8 +143,8 @@
     );
 }
 
-/// Returns the command that starts a node with this socket as descriptor 3. If `names` has two names, separated by a colon,
-/// the socket is passed as descriptor 4 as well.
+/// Returns the command that starts a node with this socket as descriptor 3. If `names` has two names,
+/// separated by a colon, the socket is passed as descriptor 4 as well.
 fn command_with_socket(
     manager: &Manager,
     text: &str,
--- a/crates/cache-balancer/tests/operator.rs
+++ b/crates/cache-balancer/tests/operator.rs
@@ -36,36 +36,36 @@
         assert!(effective.lines().any(|other| other == line), "{line}\n{effective}");
     }
     // The effective configuration is a valid file, and its own effective configuration is the same.
-    let folder = TempDir::new();
-    let again = check(&folder.write("effective.toml", effective));
+    let directory = TempDir::new();
+    let again = check(&directory.write("effective.toml", effective));
     assert_eq!(utf8(&again.stdout), effective, "{}", utf8(&again.stderr));
 }
 
-/// Guards against defaults that apply only if their table is in the file, and against relative paths in the effective
-/// configuration, which would name another file once it is written to another directory.
+/// Guards against defaults that apply only if their table is in the file, and against relative paths in the
+/// effective configuration, which would name another file once it is written to another directory.
 #[test]
 fn a_minimal_file_gets_the_defaults_and_absolute_paths() {
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let pool = "[[pool]]\nname = \"p\"\nfile = \"boxes.toml\"\n";
-    folder.write("short.toml", &format!("version = 1\n{pool}{CLASS}"));
-    let checked = command().current_dir(&folder.0).args(["check", "short.toml"]).output().unwrap();
+    directory.write("short.toml", &format!("version = 1\n{pool}{CLASS}"));
+    let checked = command().current_dir(&directory.0).args(["check", "short.toml"]).output().unwrap();
     let effective = utf8(&checked.stdout);
-    let boxes = format!("file = {:?}", folder.0.join("boxes.toml").display().to_string());
+    let boxes = format!("file = {:?}", directory.0.join("boxes.toml").display().to_string());
     for line in ["max_retry_after = \"2s\"", "second_copies = true", "address = \"127.0.0.1:7070\"", &boxes] {
         assert!(effective.lines().any(|other| other == line), "{line}\n{effective}");
     }
-    let empty = folder.write("tables.toml", &format!("version = 1\n[limits]\n[servers]\n{pool}{CLASS}"));
+    let empty = directory.write("tables.toml", &format!("version = 1\n[limits]\n[servers]\n{pool}{CLASS}"));
     assert_eq!(utf8(&check(&empty).stdout), effective);
 }
 
 #[test]
 fn descriptors_are_limited_by_the_system_and_too_few_fail_the_start() {
     let server = CacheServer::serving("a");
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let pool = format!("[[pool]]\nname = \"p\"\n{}", server_table("box", &server));
     let listeners: String = (0..12).map(|number| listener(&format!("l{number}"))).collect();
     let few = format!("version = 1\n[limits]\ndescriptors = 40\n{listeners}{pool}{CLASS}");
-    let path = folder.write("few.toml", &few);
+    let path = directory.write("few.toml", &few);
     let mut few = command();
     few.arg("run").arg("--config").arg(&path);
     let output = output_before_timeout(few);
@@ -76,7 +76,7 @@
         "{stderr}"
     );
     let many = format!("version = 1\n[limits]\ndescriptors = 65536\n{}{pool}{CLASS}", listener("l"));
-    let path = folder.write("many.toml", &many);
+    let path = directory.write("many.toml", &many);
     let script = "ulimit -n 256; exec \"$0\" run --config \"$1\"";
     let mut limited = std::process::Command::new("sh");
     limited.args(["-c", script, env!("CARGO_BIN_EXE_cache-balancer")]).arg(&path);
@@ -117,12 +117,12 @@
 
 /// Checks a file with these lines after the version, and returns its faults.
 fn faults(lines: &str) -> Vec<String> {
-    let folder = TempDir::new();
-    let path = folder.write("bad.toml", &format!("version = 1\n{lines}"));
+    let directory = TempDir::new();
+    let path = directory.write("bad.toml", &format!("version = 1\n{lines}"));
     let checked = check(&path);
     assert_eq!(checked.status.code(), Some(2), "{lines}");
     assert!(checked.stdout.is_empty());
-    let place = format!("{}/", folder.0.display());
+    let place = format!("{}/", directory.0.display());
     utf8(&checked.stderr).lines().map(|line| line.replacen(&place, "", 1)).collect()
 }
 
@@ -188,14 +188,14 @@
     let expected =
         ["pool", "class", "nodes", "odd", "limits.max_attempts", "listener[0].name", "listener[0].address"];
     assert_eq!(fields, expected);
-    let folder = TempDir::new();
-    let path = folder.write("bad.toml", &format!("version = 1\n{bad}"));
+    let directory = TempDir::new();
+    let path = directory.write("bad.toml", &format!("version = 1\n{bad}"));
     let mut run = command();
     run.arg("run").arg("--config").arg(&path);
     let run = output_before_timeout(run);
     assert_eq!(run.status.code(), Some(1));
     assert!(utf8(&run.stderr).contains("bad.toml:3: odd: unknown key"), "{}", utf8(&run.stderr));
-    let missing = check(&folder.0.join("none.toml"));
+    let missing = check(&directory.0.join("none.toml"));
     assert_eq!(missing.status.code(), Some(2));
     assert!(utf8(&missing.stderr).contains("none.toml: No such file"), "{}", utf8(&missing.stderr));
 }
@@ -206,7 +206,7 @@
     let class = |name: &str, pool: &str| {
         format!("[[class]]\nname = \"{name}\"\npool = \"{pool}\"\neffect = \"safe\"\naim = \"5s\"\ndeadline = \"20s\"\n")
     };
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let pools = format!(
         "[[pool]]\nname = \"p\"\n{}[[pool]]\nname = \"q\"\n{}",
         server_table("box", &one),
@@ -214,7 +214,7 @@
     );
     let listeners = format!("{}{}", listener("here"), listener("there"));
     let node = start_with_operator_file(
-        &folder,
+        &directory,
         &format!("version = 1\n{listeners}{pools}{}{}", class("a", "p"), class("b", "q")),
     );
     let second = || node.log.lock().unwrap().iter().find_map(|line| line.rsplit(' ').next()?.parse().ok());
@@ -232,16 +232,16 @@
 fn a_pool_with_discovery_is_not_ready_before_its_list_arrives() {
     let server = CacheServer::serving("a");
     let discovery = Discovery::start(&[]);
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let pool = format!("[[pool]]\nname = \"p\"\ndiscovery = \"{}\"\n", discovery.address);
     let path =
-        folder.write("cache-balancer.toml", &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
+        directory.write("cache-balancer.toml", &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
     let mut command = command();
     command.arg("run").arg("--config").arg(&path);
     let node = Node::spawn(command, path);
-    discovery.wait_until_notified(1);
+    discovery.wait_until_applied(1);
     assert_eq!(node.get("/healthz").status(), 503);
-    discovery.notify(true, &[server.entry("box", "ready")]);
+    discovery.publish(true, &[server.endpoint("box", "ready")]);
     wait_for("the node's readiness", || node.get("/healthz").status() == 200);
     assert_eq!(node.read("read", 1).body, b"a");
 }
@@ -259,31 +259,31 @@
         });
         format!("version = 1\n{}", tables.collect::<String>())
     };
-    let folder = TempDir::new();
-    folder.write("boxes.toml", &list(&[("one", &one, "ready")]));
+    let directory = TempDir::new();
+    directory.write("boxes.toml", &list(&[("one", &one, "ready")]));
     // Slow start is disabled, so that an added server gets requests at once.
     let pool = "[servers]\ncold_share = 1.0\n[[pool]]\nname = \"p\"\nfile = \"boxes.toml\"\n";
     let node =
-        start_with_operator_file(&folder, &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
+        start_with_operator_file(&directory, &format!("version = 1\n{}{pool}{CLASS}", listener("clients")));
     assert_eq!(node.read("read", 1).body, b"one");
     let logged = |text: &str| node.logged(text) > 0;
-    folder.write("boxes.toml", "version = 1\n[[server]]\nname = \"oth");
-    wait_for("the fault in the log", || logged("boxes.toml:3: TOML: "));
+    directory.write("boxes.toml", "version = 1\n[[server]]\nname = \"oth");
+    wait_for("the log line of the fault", || logged("boxes.toml:3: TOML: "));
     assert!(logged("list rejected; the one before stays in use"));
     assert_eq!(node.read("read", 2).body, b"one");
-    std::fs::remove_file(folder.0.join("boxes.toml")).unwrap();
-    wait_for("the missing file in the log", || logged("boxes.toml: No such file"));
+    std::fs::remove_file(directory.0.join("boxes.toml")).unwrap();
+    wait_for("the log line of the missing file", || logged("boxes.toml: No such file"));
     assert_eq!(node.read("read", 3).body, b"one");
-    folder.write("boxes.toml", &"#".repeat((8 << 20) + 1));
-    wait_for("the file that is too long in the log", || logged("expected a list of at most 8388608 bytes"));
+    directory.write("boxes.toml", &"#".repeat((8 << 20) + 1));
+    wait_for("the log line of the oversized file", || logged("expected a list of at most 8388608 bytes"));
     assert_eq!(node.read("read", 7).body, b"one");
     let before = one.request_count();
-    folder.write("boxes.toml", &list(&[("one", &one, "draining"), ("other", &other, "ready")]));
+    directory.write("boxes.toml", &list(&[("one", &one, "draining"), ("other", &other, "ready")]));
     wait_for("the new list", || node.read("read", 4).body == b"other");
     assert_eq!(node.read("read", 5).body, b"other");
     // The old list was in use until the new one was read, so `one` may have got requests.
     let requests_before_new_list = one.request_count() - before;
-    folder.write("boxes.toml", &list(&[("other", &other, "ready")]));
+    directory.write("boxes.toml", &list(&[("other", &other, "ready")]));
     assert_eq!(node.read("read", 6).body, b"other");
     assert_eq!(one.request_count() - before, requests_before_new_list);
 }
@@ -296,21 +296,21 @@
         let _ = receiver.lock().unwrap().recv();
         ServerBehavior::Respond(response("200 OK", "", "late"))
     });
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let pool = format!("[[pool]]\nname = \"p\"\n{}", server_table("box", &slow));
     let listeners = format!("{}{}", listener("here"), listener("there"));
-    let node = start_with_operator_file(&folder, &format!("version = 1\n{listeners}{pool}{CLASS}"));
+    let node = start_with_operator_file(&directory, &format!("version = 1\n{listeners}{pool}{CLASS}"));
     let second = || node.log.lock().unwrap().iter().find_map(|line| line.rsplit(' ').next()?.parse().ok());
     wait_for("the second listener", || second().is_some());
     let mut client = Client::connect(second().unwrap());
     let request = std::thread::spawn(move || client.request(&read_request("read", 1, 20_000)));
     wait_for("the request", || slow.request_count() == 1);
     node.terminate();
-    let closing =
+    let stopped_accepting =
         || node.log.lock().unwrap().iter().filter(|line| line.contains("no further clients")).count();
-    wait_for("both listeners to close", || closing() == 2);
+    wait_for("the end of accepting on both listeners", || stopped_accepting() == 2);
     sender.send(()).unwrap();
-    let answered = request.join().unwrap();
-    assert_eq!((answered.status(), answered.body.as_slice()), (200, &b"late"[..]));
+    let response = request.join().unwrap();
+    assert_eq!((response.status(), response.body.as_slice()), (200, &b"late"[..]));
     assert!(node.exit_status().success());
 }
--- a/crates/cache-balancer/tests/operator_replicas.rs
+++ b/crates/cache-balancer/tests/operator_replicas.rs
@@ -16,7 +16,7 @@
 }
 
 /// Returns a `discovery` setting with these addresses, each on a separate line.
-fn discovery_list(addresses: &[impl std::fmt::Display]) -> String {
+fn discovery_setting(addresses: &[impl std::fmt::Display]) -> String {
     let addresses: Vec<_> = addresses.iter().map(|address| format!("\"{address}\"")).collect();
     format!("discovery = [\n{}]\n", addresses.join(",\n"))
 }
@@ -31,14 +31,14 @@
 }
 
 fn check_text(text: &str) -> Result<String, Vec<String>> {
-    let folder = TempDir::new();
-    let path = folder.write("bad.toml", text);
+    let directory = TempDir::new();
+    let path = directory.write("bad.toml", text);
     let checked = command().arg("check").arg(&path).output().unwrap();
     if checked.status.success() {
         return Ok(String::from_utf8(checked.stdout).unwrap());
     }
     assert_eq!((checked.status.code(), checked.stdout.len()), (Some(2), 0), "{text}");
-    let place = format!("{}/", folder.0.display());
+    let place = format!("{}/", directory.0.display());
     let faults = String::from_utf8(checked.stderr).unwrap();
     Err(faults.lines().map(|line| line.replacen(&place, "", 1)).collect())
 }
@@ -49,9 +49,12 @@
     for lines in [
         "discovery = \"127.0.0.1:1\"\n".to_owned(),
         format!("discovery = \"127.0.0.1:1\"\n{CAPACITY}"),
-        discovery_list(&["127.0.0.1:2", "[::1]:1"]),
-        format!("{}{CAPACITY}", discovery_list(&["127.0.0.1:2", "127.0.0.1:1"])),
-        format!("{}discovery_lines_per_second = 1.5e3\ndiscovery_call_lines = 0.25\n", discovery_list(&many)),
+        discovery_setting(&["127.0.0.1:2", "[::1]:1"]),
+        format!("{}{CAPACITY}", discovery_setting(&["127.0.0.1:2", "127.0.0.1:1"])),
+        format!(
+            "{}discovery_lines_per_second = 1.5e3\ndiscovery_call_lines = 0.25\n",
+            discovery_setting(&many)
+        ),
     ] {
         let effective = check(&lines).expect("a valid file");
         assert_eq!(check_text(&effective).as_ref(), Ok(&effective), "{lines}");
@@ -60,7 +63,8 @@
 
 #[test]
 fn the_effective_configuration_has_every_replica_and_the_capacity() {
-    let effective = check(&format!("{}{CAPACITY}", discovery_list(&["127.0.0.1:2", "127.0.0.1:1"]))).unwrap();
+    let effective =
+        check(&format!("{}{CAPACITY}", discovery_setting(&["127.0.0.1:2", "127.0.0.1:1"]))).unwrap();
     let expected = "discovery = [\n    \"127.0.0.1:1\",\n    \"127.0.0.1:2\",\n]\n\
                     discovery_lines_per_second = 200.0\ndiscovery_call_lines = 10.0\n";
     assert!(effective.contains(expected), "{effective}");
@@ -86,7 +90,7 @@
     let one = check("discovery = \"127.0.0.1:1\"\n").unwrap();
     assert!(one.contains("\ndiscovery = \"127.0.0.1:1\"\n"), "{one}");
     assert!(!one.contains("discovery_"), "{one}");
-    assert_eq!(check(&discovery_list(&["127.0.0.1:1"])), Ok(one));
+    assert_eq!(check(&discovery_setting(&["127.0.0.1:1"])), Ok(one));
 }
 
 #[test]
@@ -103,18 +107,18 @@
     let mut cases = vec![
         ("discovery = []\n".to_owned(), format!("5: pool[0].discovery: {or_list} a list of 0")),
         (
-            discovery_list(&loopback(1..=MAX_REPLICAS + 1)),
+            discovery_setting(&loopback(1..=MAX_REPLICAS + 1)),
             format!("5: pool[0].discovery: {or_list} a list of 65"),
         ),
         ("discovery = 7100\n".to_owned(), format!("5: pool[0].discovery: {or_list} 7100")),
         ("discovery = \"localhost\"\n".to_owned(), format!("5: pool[0].discovery: {or_list} \"localhost\"")),
         (
-            discovery_list(&["127.0.0.1:1", "127.0.0.1"]),
+            discovery_setting(&["127.0.0.1:1", "127.0.0.1"]),
             format!("7: pool[0].discovery[1]: {entry} \"127.0.0.1\""),
         ),
         ("discovery = [\"127.0.0.1:1\",\n7]\n".to_owned(), format!("6: pool[0].discovery[1]: {entry} 7")),
         (
-            discovery_list(&["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:1"]),
+            discovery_setting(&["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:1"]),
             "8: pool[0].discovery[2]: expected each once, found \"127.0.0.1:1\" again, which stands at \
              pool[0].discovery[0]"
                 .to_owned(),
@@ -173,12 +177,13 @@
     assert_eq!(fields, expected, "{found:#?}");
 }
 
-/// Each node selects a replica by its name. If all nodes had the default name, all would poll the same replica.
+/// Each node selects a replica by its name. If all nodes had the default name, all would poll the same
+/// replica.
 #[test]
 fn a_node_with_several_replicas_needs_a_name() {
     let check_unnamed = |lines: &str| check_text(&operator_file(lines).replace("name = \"n0\"\n", ""));
     let fault = "bad.toml:1: name: is missing: each node selects a discovery replica by its name";
-    assert_eq!(check_unnamed(&discovery_list(&loopback([1, 2]))), Err(vec![fault.to_owned()]));
-    assert!(check_unnamed(&discovery_list(&loopback([1]))).is_ok());
+    assert_eq!(check_unnamed(&discovery_setting(&loopback([1, 2]))), Err(vec![fault.to_owned()]));
+    assert!(check_unnamed(&discovery_setting(&loopback([1]))).is_ok());
     assert!(check_unnamed("discovery = \"127.0.0.1:1\"\n").is_ok());
 }
--- a/crates/cache-balancer/tests/outage.rs
+++ b/crates/cache-balancer/tests/outage.rs
@@ -18,8 +18,8 @@
 /// Enough failures for a backoff that grows with the number of nodes to reach its longest step.
 const FAILURES: usize = 6;
 
-/// A discovery service that closes every connection until `back` is set. Then it reports that a server is
-/// draining, and nothing after that.
+/// A discovery service that closes every connection until `available` is set. It then reports that a server
+/// is draining, and reports no further changes.
 struct InterruptedDiscovery {
     address: SocketAddr,
     failures: Arc<AtomicUsize>,
@@ -30,7 +30,7 @@
 }
 
 impl InterruptedDiscovery {
-    fn start(changes: String, back: Arc<AtomicBool>) -> Self {
+    fn start(changes: String, available: Arc<AtomicBool>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let discovery =
@@ -39,7 +39,7 @@
             (discovery.failures.clone(), discovery.notified.clone(), discovery.applied.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
-                if !back.load(Ordering::SeqCst) {
+                if !available.load(Ordering::SeqCst) {
                     failures.fetch_add(1, Ordering::SeqCst);
                     continue;
                 }
@@ -62,17 +62,18 @@
     }
 }
 
-/// If the backoff grew with the number of nodes, it would have reached half a minute when discovery is back.
-/// The nodes would learn of a drain long after the deadline and send requests to the draining server until
-/// then.
+/// If the backoff grew with the number of nodes, it would have reached half a minute when discovery is
+/// available again. The nodes would learn of a drain long after the deadline and send requests to the
+/// draining server until then.
 #[test]
 fn every_process_is_notified_in_time_after_an_outage() {
-    let (stays, leaves) = (CacheServer::serving("value"), CacheServer::serving("value"));
-    let list = [stays.entry("s-1", "ready"), leaves.entry("s-2", "ready")];
-    let changes = json!({"seq": 2, "whole": false, "hosts": [leaves.entry("s-2", "draining")]}).to_string();
-    let back: Arc<AtomicBool> = Arc::default();
+    let (staying, leaving) = (CacheServer::serving("value"), CacheServer::serving("value"));
+    let list = [staying.endpoint("s-1", "ready"), leaving.endpoint("s-2", "ready")];
+    let changes =
+        json!({"seq": 2, "whole": false, "hosts": [leaving.endpoint("s-2", "draining")]}).to_string();
+    let available: Arc<AtomicBool> = Arc::default();
     let discoveries: Vec<_> =
-        (0..NODES).map(|_| InterruptedDiscovery::start(changes.clone(), back.clone())).collect();
+        (0..NODES).map(|_| InterruptedDiscovery::start(changes.clone(), available.clone())).collect();
     let nodes: Vec<_> = (0_u64..)
         .zip(&discoveries)
         .map(|(number, discovery)| {
@@ -87,25 +88,25 @@
     wait_for("failed polls", || {
         discoveries.iter().all(|discovery| discovery.failures.load(Ordering::SeqCst) >= FAILURES)
     });
-    let back_at = Instant::now();
-    back.store(true, Ordering::SeqCst);
+    let available_at = Instant::now();
+    available.store(true, Ordering::SeqCst);
     wait_for("the change", || {
         discoveries.iter().all(|discovery| discovery.notified.lock().unwrap().is_some())
     });
     let took: Vec<_> = discoveries
         .iter()
-        .map(|discovery| discovery.notified.lock().unwrap().unwrap().duration_since(back_at))
+        .map(|discovery| discovery.notified.lock().unwrap().unwrap().duration_since(available_at))
         .collect();
     assert!(took.iter().all(|took| *took <= NOTIFICATION_DEADLINE), "{took:?}");
     wait_for("the change to be applied", || {
         discoveries.iter().all(|discovery| discovery.applied.load(Ordering::SeqCst))
     });
     // No request goes to the draining server.
-    let before = leaves.request_count();
+    let before = leaving.request_count();
     for (key, node) in (1..).zip(&nodes) {
         for offset in 0..8 {
             assert_eq!(node.read("read", key * 100 + offset).status(), 200);
         }
     }
-    assert_eq!(leaves.request_count(), before);
+    assert_eq!(leaving.request_count(), before);
 }
--- a/crates/cache-balancer/tests/reload.rs
+++ b/crates/cache-balancer/tests/reload.rs
@@ -1,4 +1,5 @@
-//! Reloads of an operator's file: requests in flight keep the old configuration, and later requests use the new one.
+//! Reloads of an operator's file: requests in flight keep the old configuration, and later requests use the
+//! new one.
 
 mod common;
 
@@ -15,7 +16,7 @@
     format!("[[class]]\nname = \"{name}\"\naim = \"5s\"\ndeadline = \"20s\"\n{rest}")
 }
 
-fn safe(name: &str) -> String {
+fn safe_class(name: &str) -> String {
     class(name, "effect = \"safe\"\n")
 }
 
@@ -26,12 +27,12 @@
     format!("[[pool]]\nname = \"{name}\"\n{servers}")
 }
 
-fn file(parts: &[&str]) -> String {
+fn operator_file(parts: &[&str]) -> String {
     format!("version = 1\n{CLIENT_LISTENER}{}", parts.concat())
 }
 
 /// Returns an address on which no process listens.
-fn free_address() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
@@ -47,13 +48,16 @@
 #[test]
 fn a_request_in_flight_keeps_its_class_and_later_ones_get_the_new_one() {
     let (server, gate) = CacheServer::gated("a");
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let pool = pool("p", &[&server]);
-    let node = start_with_operator_file(&folder, &file(&[&pool, &safe("read"), &safe("gone")]));
+    let node = start_with_operator_file(
+        &directory,
+        &operator_file(&[&pool, &safe_class("read"), &safe_class("gone")]),
+    );
     let in_flight = [spawn_request(&node, "read", 1), spawn_request(&node, "gone", 2)];
     wait_for("both requests", || server.request_count() == 2);
     // The new class gets the index of the removed one.
-    node.reconfigure(&file(&[&pool, &class("read", ""), &safe("new")]));
+    node.reconfigure(&operator_file(&[&pool, &class("read", ""), &safe_class("new")]));
     assert_eq!(node.logged("class read changed, class new added, class gone removed"), 1);
     assert_eq!(node.read("gone", 3).status(), 400);
     gate.open();
@@ -63,27 +67,27 @@
     assert_eq!(node.read("new", 4).status(), 200);
 }
 
-/// A request is accepted when its last byte arrives. Guards against using the old configuration because the header arrived
-/// before the reload.
+/// A request is accepted when its last byte arrives. Guards against using the old configuration because the
+/// header arrived before the reload.
 #[test]
 fn a_request_whose_body_arrives_after_a_reload_uses_the_new_configuration() {
     let (one, other) = (CacheServer::serving("one"), CacheServer::serving("other"));
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let pools = format!("{}{}", pool("p", &[&one]), pool("q", &[&other]));
     let to = |pool: &str| class("write", &format!("effect = \"safe\"\npool = \"{pool}\"\n"));
-    let node = start_with_operator_file(&folder, &file(&[&pools, &to("p")]));
+    let node = start_with_operator_file(&directory, &operator_file(&[&pools, &to("p")]));
     let header = "PUT /api/1 HTTP/1.1\r\nHost: s\r\nReq-Id: 1\r\nReq-Kind: write\r\nReq-Deadline-Ms: 20000\r\nContent-Length: 4\r\n\r\n";
     let (mut moved, mut removed) = (node.client(), node.client());
     moved.send(&format!("{header}bo"));
     // The header has been read once a later request on another connection has got its response.
     assert_eq!(node.read("write", 9).body, b"one");
-    node.reconfigure(&file(&[&pools, &to("q")]));
+    node.reconfigure(&operator_file(&[&pools, &to("q")]));
     moved.send("dy");
     assert_eq!(moved.receive().unwrap().body, b"other");
     assert_eq!((one.request_count(), other.request_count()), (1, 1));
     removed.send(&format!("{header}bo"));
     assert_eq!(node.read("write", 8).body, b"other");
-    node.reconfigure(&file(&[&pools, &class("else", "pool = \"p\"\n")]));
+    node.reconfigure(&operator_file(&[&pools, &class("else", "pool = \"p\"\n")]));
     removed.send("dy");
     assert_eq!(removed.receive().unwrap().status(), 400);
     assert_eq!((one.request_count(), other.request_count()), (1, 2));
@@ -92,13 +96,16 @@
 #[test]
 fn a_removed_pool_finishes_its_requests_and_an_added_one_serves() {
     let ((old, gate), new) = (CacheServer::gated("old"), CacheServer::serving("new"));
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     // The idle timeout is so long that no connection is closed for being idle.
     let idle = "[servers]\nidle = \"60min\"\n";
-    let node = start_with_operator_file(&folder, &file(&[idle, &pool("p", &[&old]), &safe("read")]));
+    let node = start_with_operator_file(
+        &directory,
+        &operator_file(&[idle, &pool("p", &[&old]), &safe_class("read")]),
+    );
     let in_flight = [1, 2].map(|key| spawn_request(&node, "read", key));
     wait_for("both requests", || old.request_count() == 2);
-    node.reconfigure(&file(&[idle, &pool("q", &[&new]), &safe("read")]));
+    node.reconfigure(&operator_file(&[idle, &pool("q", &[&new]), &safe_class("read")]));
     assert_eq!(node.read("read", 3).body, b"new");
     gate.open();
     for request in in_flight {
@@ -108,7 +115,8 @@
     assert_eq!((old.request_count(), node.get("/healthz").status()), (2, 200));
 }
 
-/// Guards against restarting a pool when the source of its list changes: its requests in flight would be lost.
+/// Guards against restarting a pool when the source of its list changes: its requests in flight would be
+/// lost.
 #[test]
 fn a_pool_may_change_the_source_of_its_list_with_requests_in_flight() {
     let (gate, other) = (Gate::default(), CacheServer::serving("other"));
@@ -119,44 +127,47 @@
         }
         ServerBehavior::Respond(response("200 OK", "", "slow"))
     });
-    let folder = TempDir::new();
-    let from = |source: &str| file(&[&format!("[[pool]]\nname = \"p\"\n{source}"), &safe("read")]);
-    let node = start_with_operator_file(&folder, &file(&[&pool("p", &[&slow]), &safe("read")]));
+    let directory = TempDir::new();
+    let from =
+        |source: &str| operator_file(&[&format!("[[pool]]\nname = \"p\"\n{source}"), &safe_class("read")]);
+    let node =
+        start_with_operator_file(&directory, &operator_file(&[&pool("p", &[&slow]), &safe_class("read")]));
     let in_flight = spawn_request(&node, "read", 1);
     wait_for("the request", || slow.request_count() == 1);
     // The old list stays in use until the file exists.
     node.reconfigure(&from("file = \"boxes.toml\"\n"));
     let list = format!("version = 1\n[[server]]\nname = \"box\"\naddress = \"{}\"\n", other.address);
-    folder.write("boxes.toml", &list);
+    directory.write("boxes.toml", &list);
     wait_for("the file's list", || node.read("read", 2).body == b"other");
-    let discovery = Discovery::start(&[slow.entry("s", "draining"), other.entry("t", "ready")]);
+    let discovery = Discovery::start(&[slow.endpoint("s", "draining"), other.endpoint("t", "ready")]);
     node.reconfigure(&from(&format!("discovery = \"{}\"\n", discovery.address)));
-    discovery.wait_until_notified(1);
+    discovery.wait_until_applied(1);
     assert_eq!(node.read("read", 3).body, b"other");
-    // Changes of the file have no effect any more. Once the configuration itself has the list, neither have changes of
-    // discovery.
-    folder.write("boxes.toml", &list.replace("box", "tub"));
-    node.reconfigure(&file(&[&pool("p", &[&other]), &safe("read")]));
-    discovery.notify(true, &[]);
+    // Changes of the file have no effect any more. Once the configuration itself has the list, neither have
+    // changes of discovery.
+    directory.write("boxes.toml", &list.replace("box", "tub"));
+    node.reconfigure(&operator_file(&[&pool("p", &[&other]), &safe_class("read")]));
+    discovery.publish(true, &[]);
     assert_eq!(node.read("read", 4).body, b"other");
     gate.open();
     assert_eq!(in_flight.join().unwrap(), (200, b"slow".to_vec()));
 }
 
-/// Guards against a reload that loses the learned state: breakers would close, and a broken server would get requests.
+/// Guards against a reload that loses the learned state: breakers would close, and a broken server would get
+/// requests.
 #[test]
 fn a_reload_keeps_the_state_of_breakers() {
     let broken = CacheServer::start(|_| ServerBehavior::RespondAndClose(String::new()));
     let good = CacheServer::serving("good");
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let text = |nodes: u32| {
         format!(
             "version = 1\nnodes = {nodes}\n{CLIENT_LISTENER}{}{}",
             pool("p", &[&broken, &good]),
-            safe("read")
+            safe_class("read")
         )
     };
-    let node = start_with_operator_file(&folder, &text(1));
+    let node = start_with_operator_file(&directory, &text(1));
     for key in 0..60 {
         node.read("read", key);
     }
@@ -174,12 +185,12 @@
 #[test]
 fn a_removed_listener_finishes_its_requests_and_can_be_added_again() {
     let (server, gate) = CacheServer::gated("a");
-    let folder = TempDir::new();
-    let second = free_address();
+    let directory = TempDir::new();
+    let second = unused_address();
     let listener = format!("[[listener]]\nname = \"second\"\naddress = \"{second}\"\n");
-    let rest = format!("{}{}", pool("p", &[&server]), safe("read"));
-    let (without, with) = (file(&[&rest]), file(&[&listener, &rest]));
-    let node = start_with_operator_file(&folder, &without);
+    let rest = format!("{}{}", pool("p", &[&server]), safe_class("read"));
+    let (without, with) = (operator_file(&[&rest]), operator_file(&[&listener, &rest]));
+    let node = start_with_operator_file(&directory, &without);
     node.reconfigure(&with);
     let mut in_flight = Client::connect(second);
     let mut idle = Client::connect(second);
@@ -201,26 +212,26 @@
     assert_eq!(node.logged("configuration not taken"), 0);
 }
 
-/// Guards against a partially applied file.
+/// Guards against applying a part of an invalid file.
 #[test]
 fn an_invalid_file_changes_nothing_and_its_fault_is_logged() {
     let (server, other_listener) = (CacheServer::serving("a"), TcpListener::bind("127.0.0.1:0").unwrap());
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let pool = pool("p", &[&server]);
-    let good = file(&[&pool, &safe("read")]);
-    let node = start_with_operator_file(&folder, &good);
+    let good = operator_file(&[&pool, &safe_class("read")]);
+    let node = start_with_operator_file(&directory, &good);
     let occupied = other_listener.local_addr().unwrap();
     let listener = format!("[[listener]]\nname = \"second\"\naddress = \"{occupied}\"\n");
     let cases = [
         (good.replace("version = 1", "version = 2"), "cache-balancer.toml:1: version: expected "),
         (good[..good.len() - 20].to_owned(), "cache-balancer.toml:1"),
-        (file(&[&pool, &class("new", "effect = \"odd\"\n")]), "effect: expected "),
-        (file(&[&listener, &pool, &safe("new")]), &format!("cannot listen on {occupied}: ")),
+        (operator_file(&[&pool, &class("new", "effect = \"odd\"\n")]), "effect: expected "),
+        (operator_file(&[&listener, &pool, &safe_class("new")]), &format!("cannot listen on {occupied}: ")),
         (
             format!(
                 "version = 1\n[limits]\ndescriptors = 32\n{CLIENT_LISTENER}{}{pool}{}",
                 CLIENT_LISTENER.replace("clients", "more"),
-                safe("new")
+                safe_class("new")
             ),
             "32 descriptors are too few: ",
         ),
@@ -231,9 +242,9 @@
         assert!(node.logged(message) >= 1, "{message}: {:?}", node.log.lock().unwrap());
         assert_eq!((node.read("read", 1).status(), node.read("new", 2).status()), (200, 400));
     }
-    std::fs::remove_file(folder.0.join("cache-balancer.toml")).unwrap();
+    std::fs::remove_file(directory.0.join("cache-balancer.toml")).unwrap();
     node.signal("-HUP");
-    wait_for("the missing file in the log", || node.logged("cache-balancer.toml: No such file") == 1);
+    wait_for("the log line of the missing file", || node.logged("cache-balancer.toml: No such file") == 1);
     assert_eq!(node.read("read", 1).status(), 200);
     assert_eq!(node.logged("configuration read again"), 0);
 }
@@ -241,11 +252,11 @@
 #[test]
 fn a_higher_descriptor_limit_applies_at_once_and_a_lower_one_ends_no_request() {
     let (server, gate) = CacheServer::gated("a");
-    let folder = TempDir::new();
-    let rest = format!("{CLIENT_LISTENER}{}{}", pool("p", &[&server]), safe("read"));
+    let directory = TempDir::new();
+    let rest = format!("{CLIENT_LISTENER}{}{}", pool("p", &[&server]), safe_class("read"));
     let with = |descriptors: u32| format!("version = 1\n[limits]\ndescriptors = {descriptors}\n{rest}");
     // The node has capacity for four requests.
-    let node = start_with_operator_file(&folder, &with(32));
+    let node = start_with_operator_file(&directory, &with(32));
     let in_flight: Vec<_> = (0..6).map(|key| spawn_request(&node, "read", key)).collect();
     wait_for("as many requests as the node has capacity for", || server.request_count() == 4);
     node.reconfigure(&with(200));
@@ -262,19 +273,19 @@
 #[test]
 fn a_hundred_reloads_in_a_row_with_truncated_files_lose_no_response() {
     let server = CacheServer::serving("a");
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let file_of_turn = |turn: u32| {
         let limits = format!("[limits]\nmax_attempts = {}\n", 1 + turn % 9);
-        format!("version = 1\n{CLIENT_LISTENER}{limits}{}{}", pool("p", &[&server]), safe("read"))
+        format!("version = 1\n{CLIENT_LISTENER}{limits}{}{}", pool("p", &[&server]), safe_class("read"))
     };
-    let node = Arc::new(start_with_operator_file(&folder, &file_of_turn(1)));
-    let stopping = Arc::new(AtomicBool::new(false));
+    let node = Arc::new(start_with_operator_file(&directory, &file_of_turn(1)));
+    let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..4_u64)
         .map(|number| {
-            let (node, stopping) = (node.clone(), stopping.clone());
+            let (node, stop) = (node.clone(), stop.clone());
             std::thread::spawn(move || {
                 let (mut client, mut key) = (node.client(), number << 32);
-                while !stopping.load(Ordering::SeqCst) {
+                while !stop.load(Ordering::SeqCst) {
                     key += 1;
                     assert_eq!(client.request(&read_request("read", key, 20_000)).status(), 200);
                 }
@@ -289,10 +300,10 @@
         node.reload(&text[..length]);
     }
     // The last file is applied, regardless of how many signals were merged.
-    let last = format!("{}{}", file_of_turn(7), safe("last"));
+    let last = format!("{}{}", file_of_turn(7), safe_class("last"));
     node.reload(&last);
     wait_for("the last file", || node.read("last", u64::MAX).status() == 200);
-    stopping.store(true, Ordering::SeqCst);
+    stop.store(true, Ordering::SeqCst);
     let responses: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
     // Each request was forwarded exactly once. The request of the class `last` adds one.
     let keys: std::collections::BTreeSet<_> = server
@@ -310,9 +321,10 @@
 #[test]
 fn a_blocked_file_read_delays_neither_requests_nor_a_stop() {
     let server = CacheServer::serving("a");
-    let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &file(&[&pool("p", &[&server]), &safe("read")]));
-    let path = folder.0.join("cache-balancer.toml");
+    let directory = TempDir::new();
+    let node =
+        start_with_operator_file(&directory, &operator_file(&[&pool("p", &[&server]), &safe_class("read")]));
+    let path = directory.0.join("cache-balancer.toml");
     std::fs::remove_file(&path).unwrap();
     // Opening the named pipe blocks until there is a writer.
     assert!(std::process::Command::new("mkfifo").arg(&path).status().unwrap().success());
@@ -324,7 +336,7 @@
     assert!(node.exit_status().success());
 }
 
-/// Whether a thread of this process is blocked in the system call that opens a file.
+/// Returns whether a thread of this process is blocked in the system call that opens a file.
 fn blocks_on_open(process: u32) -> bool {
     /// The number of openat(2) on Linux.
     const OPENAT: &str = if cfg!(target_arch = "x86_64") { "257 " } else { "56 " };
@@ -336,20 +348,20 @@
 
 #[test]
 fn the_manager_is_notified_of_the_start_end_and_failure_of_a_reload() {
-    let (server, folder) = (CacheServer::serving("a"), TempDir::new());
-    let socket = UnixDatagram::bind(folder.0.join("notify")).unwrap();
-    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
-    let notification = || common::receive_notification(&socket);
-    let good = file(&[&pool("p", &[&server]), &safe("read")]);
-    let path = folder.write("cache-balancer.toml", &good);
+    let (server, directory) = (CacheServer::serving("a"), TempDir::new());
+    let manager = UnixDatagram::bind(directory.0.join("notify")).unwrap();
+    manager.set_read_timeout(Some(TIMEOUT)).unwrap();
+    let notification = || common::receive_notification(&manager);
+    let good = operator_file(&[&pool("p", &[&server]), &safe_class("read")]);
+    let path = directory.write("cache-balancer.toml", &good);
     let mut command = command();
-    command.arg("run").arg("--config").arg(&path).env("NOTIFY_SOCKET", folder.0.join("notify"));
+    command.arg("run").arg("--config").arg(&path).env("NOTIFY_SOCKET", directory.0.join("notify"));
     let node = Node::spawn(command, path);
     assert_eq!([notification(), notification()], ["STATUS=serving", "READY=1"]);
     let now = || rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     let mut since = now();
     for (text, status) in [
-        (format!("{good}{}", safe("new")), "STATUS=serving".to_owned()),
+        (format!("{good}{}", safe_class("new")), "STATUS=serving".to_owned()),
         (good.replace("safe", "odd"), "STATUS=serving with the previous configuration: ".to_owned()),
     ] {
         node.reload(&text);
--- a/crates/cache-balancer/tests/repeats.rs
+++ b/crates/cache-balancer/tests/repeats.rs
@@ -19,7 +19,8 @@
 fn retry_is_not_sent_if_its_connection_is_established_after_the_deduplication_window() {
     let late = Unreachable::start();
     let broken = CacheServer::start(|_| ServerBehavior::RespondAndClose(String::new()));
-    let discovery = Discovery::start(&[broken.entry("s-1", "ready"), endpoint("s-2", late.address, "ready")]);
+    let discovery =
+        Discovery::start(&[broken.endpoint("s-1", "ready"), endpoint("s-2", late.address, "ready")]);
     let mut config = config(discovery.address);
     let keyed =
         config["settings"]["lanes"].as_array_mut().unwrap().iter_mut().find(|lane| lane["name"] == "keyed");
--- a/crates/cache-balancer/tests/replicas.rs
+++ b/crates/cache-balancer/tests/replicas.rs
@@ -35,7 +35,7 @@
 }
 
 /// The polls of all replicas in a test, in order: the rank of the replica and the path.
-type Calls = Arc<Mutex<Vec<(usize, String)>>>;
+type Polls = Arc<Mutex<Vec<(usize, String)>>>;
 
 struct Replica {
     address: SocketAddr,
@@ -59,7 +59,7 @@
 /// replica is its index in this order.
 struct Service {
     replicas: Vec<Replica>,
-    calls: Calls,
+    polls: Polls,
 }
 
 impl Service {
@@ -69,12 +69,12 @@
         let addresses: Vec<_> = listeners.iter().map(|listener| listener.local_addr().unwrap()).collect();
         let order = ReplicaSelection::new(node, addresses.iter().map(ToString::to_string).collect());
         let rank = |index: usize| order.order().iter().position(|&preferred| preferred == index).unwrap();
-        let calls = Calls::default();
+        let polls = Polls::default();
         let mut replicas: Vec<_> = (listeners.into_iter().enumerate())
-            .map(|(index, listener)| (rank(index), serve(listener, rank(index), behavior.clone(), &calls)))
+            .map(|(index, listener)| (rank(index), serve(listener, rank(index), behavior.clone(), &polls)))
             .collect();
         replicas.sort_by_key(|(rank, _)| *rank);
-        Self { replicas: replicas.into_iter().map(|(_, replica)| replica).collect(), calls }
+        Self { replicas: replicas.into_iter().map(|(_, replica)| replica).collect(), polls }
     }
 
     /// Returns the configuration of this node with all replicas.
@@ -90,29 +90,29 @@
         format!("version = 1\nname = \"{node}\"\n[servers]\ncold_share = 1.0\n{CLIENT_LISTENER}{pool}{READ_CLASS}")
     }
 
-    fn calls(&self) -> Vec<(usize, String)> {
-        self.calls.lock().unwrap().clone()
+    fn polls(&self) -> Vec<(usize, String)> {
+        self.polls.lock().unwrap().clone()
     }
 
     /// Returns the paths of the polls of the replica of this rank.
-    fn calls_to(&self, replica: usize) -> Vec<String> {
-        self.calls().into_iter().filter(|(rank, _)| *rank == replica).map(|(_, path)| path).collect()
+    fn polls_to(&self, replica: usize) -> Vec<String> {
+        self.polls().into_iter().filter(|(rank, _)| *rank == replica).map(|(_, path)| path).collect()
     }
 
     /// Waits until the replica of this rank is polled for changes after this version.
     fn wait_for_watch(&self, replica: usize, version: u64) {
         let watch = format!("after={version}&");
-        wait_for("a watch", || self.calls_to(replica).iter().any(|path| path.contains(&watch)));
+        wait_for("a watch", || self.polls_to(replica).iter().any(|path| path.contains(&watch)));
     }
 }
 
-fn serve(listener: TcpListener, rank: usize, behavior: ReplicaBehavior, calls: &Calls) -> Replica {
+fn serve(listener: TcpListener, rank: usize, behavior: ReplicaBehavior, polls: &Polls) -> Replica {
     let behavior = Arc::new((Mutex::new((0, behavior)), Condvar::new()));
     let replica = Replica { address: listener.local_addr().unwrap(), behavior: behavior.clone() };
-    let calls = calls.clone();
+    let polls = polls.clone();
     serve_requests(listener, move |request, stream| {
         let path = request.start_line.split(' ').nth(1).unwrap().to_owned();
-        calls.lock().unwrap().push((rank, path.clone()));
+        polls.lock().unwrap().push((rank, path.clone()));
         respond_to_poll(stream, &path, &behavior)
     });
     replica
@@ -184,15 +184,15 @@
     }
 
     fn both(&self) -> Vec<Value> {
-        vec![self.staying.entry("s-1", "ready"), self.leaving.entry("s-2", "ready")]
+        vec![self.staying.endpoint("s-1", "ready"), self.leaving.endpoint("s-2", "ready")]
     }
 
     fn one_drains(&self) -> Vec<Value> {
-        vec![self.staying.entry("s-1", "ready"), self.leaving.entry("s-2", "draining")]
+        vec![self.staying.endpoint("s-1", "ready"), self.leaving.endpoint("s-2", "draining")]
     }
 
     /// Sends 40 requests and returns how many of them the leaving server received.
-    fn sent_to_leaving(&self, node: &Node, first_key: u64) -> usize {
+    fn count_sent_to_leaving(&self, node: &Node, first_key: u64) -> usize {
         let before = self.leaving.request_count();
         for key in first_key..first_key + 40 {
             assert_eq!(node.read("read", key).status(), 200);
@@ -210,34 +210,34 @@
     let servers = Servers::start();
     let service = Service::start(3, "n0", &lists(1, &servers.both()));
     service.replicas[0].set(ReplicaBehavior::Hangs);
-    let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.config("n0"));
+    let directory = TempDir::new();
+    let node = start_with_operator_file(&directory, &service.config("n0"));
     service.wait_for_watch(1, 1);
-    let ranks: Vec<_> = service.calls().into_iter().map(|(rank, _)| rank).collect();
+    let ranks: Vec<_> = service.polls().into_iter().map(|(rank, _)| rank).collect();
     assert_eq!(ranks, [0, 1, 1], "the list, then the watch");
     // The watch at the second replica is lost too, and the third replica reports the change that it missed.
-    assert!(servers.sent_to_leaving(&node, 1_000) > 0);
+    assert!(servers.count_sent_to_leaving(&node, 1_000) > 0);
     service.replicas[1].set(ReplicaBehavior::Hangs);
     service.replicas[2].lists(2, &servers.one_drains());
     service.wait_for_watch(2, 2);
-    assert_eq!(servers.sent_to_leaving(&node, 2_000), 0);
+    assert_eq!(servers.count_sent_to_leaving(&node, 2_000), 0);
 }
 
 #[test]
 fn older_version_is_rejected_and_the_next_replica_polled_for_changes() {
     let servers = Servers::start();
     let service = Service::start(3, "n0", &lists(5, &servers.one_drains()));
-    let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.config("n0"));
+    let directory = TempDir::new();
+    let node = start_with_operator_file(&directory, &service.config("n0"));
     service.wait_for_watch(0, 5);
     // A lagging replica would send the same list again, so it is polled only once.
     service.replicas[0].lists(3, &servers.both());
     service.wait_for_watch(1, 5);
-    assert_eq!(servers.sent_to_leaving(&node, 1_000), 0);
-    let calls = service.calls();
-    let lists = calls.iter().filter(|(_, path)| path == "/v1/servers").count();
-    assert_eq!(lists, 1, "the current list stays valid: {calls:?}");
-    assert_eq!(service.calls_to(2).len(), 0);
+    assert_eq!(servers.count_sent_to_leaving(&node, 1_000), 0);
+    let polls = service.polls();
+    let lists = polls.iter().filter(|(_, path)| path == "/v1/servers").count();
+    assert_eq!(lists, 1, "the current list stays valid: {polls:?}");
+    assert_eq!(service.polls_to(2).len(), 0);
     assert_eq!(node.logged(&format!("discovery at {}: list rejected", service.replicas[0].address)), 1);
 }
 
@@ -245,22 +245,22 @@
 fn empty_list_is_accepted_only_from_three_replicas() {
     let servers = Servers::start();
     let service = Service::start(4, "n0", &lists(5, &servers.both()));
-    let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.config("n0"));
+    let directory = TempDir::new();
+    let node = start_with_operator_file(&directory, &service.config("n0"));
     service.wait_for_watch(0, 5);
     service.replicas[0].lists(6, &[]);
     service.wait_for_watch(1, 5);
-    assert!(servers.sent_to_leaving(&node, 1_000) > 0);
+    assert!(servers.count_sent_to_leaving(&node, 1_000) > 0);
     for (rank, next) in [(1, 2), (2, 3)] {
         service.replicas[rank].lists(6, &[]);
         if next == 2 {
             service.wait_for_watch(2, 5);
-            assert!(servers.sent_to_leaving(&node, 2_000) > 0, "two are not enough");
+            assert!(servers.count_sent_to_leaving(&node, 2_000) > 0, "two are not enough");
         }
     }
     wait_for("the third to be accepted", || node.logged("3 replicas sent it") == 1);
     service.wait_for_watch(2, 6);
-    let mut ranks: Vec<_> = service.calls().into_iter().map(|(rank, _)| rank).collect();
+    let mut ranks: Vec<_> = service.polls().into_iter().map(|(rank, _)| rank).collect();
     ranks.dedup();
     assert_eq!(ranks, [0, 1, 2], "each replica in turn");
     wait_for("no server to be left", || node.read("read", 9_000).status() != 200);
@@ -270,23 +270,23 @@
 fn restarted_versions_are_accepted_from_all_replicas() {
     let servers = Servers::start();
     let service = Service::start(3, "n0", &lists(41, &servers.both()));
-    let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.config("n0"));
+    let directory = TempDir::new();
+    let node = start_with_operator_file(&directory, &service.config("n0"));
     service.wait_for_watch(0, 41);
-    let restarted = [servers.staying.entry("s-1", "ready")];
+    let restarted = [servers.staying.endpoint("s-1", "ready")];
     for rank in [0, 1] {
         service.replicas[rank].lists(1, &restarted);
         service.wait_for_watch(rank + 1, 41);
-        assert!(servers.sent_to_leaving(&node, 1_000 * (rank as u64 + 1)) > 0, "{rank}");
+        assert!(servers.count_sent_to_leaving(&node, 1_000 * (rank as u64 + 1)) > 0, "{rank}");
     }
     service.replicas[2].lists(1, &restarted);
     wait_for("the last to be accepted", || node.logged("3 replicas sent it") == 1);
     service.wait_for_watch(2, 1);
-    assert_eq!(servers.sent_to_leaving(&node, 5_000), 0);
+    assert_eq!(servers.count_sent_to_leaving(&node, 5_000), 0);
     // Later changes with the restarted versions are applied.
     service.replicas[2].lists(2, &servers.both());
     service.wait_for_watch(2, 2);
-    assert!(servers.sent_to_leaving(&node, 6_000) > 0);
+    assert!(servers.count_sent_to_leaving(&node, 6_000) > 0);
 }
 
 /// The node has no list yet. One replica reports a drain and is lost in the middle of its response, and the
@@ -297,75 +297,76 @@
     let servers = Servers::start();
     let service = Service::start(2, "n0", &lists(41, &servers.both()));
     service.replicas[0].set(ReplicaBehavior::Truncates(truncated_snapshot(43, &servers.one_drains())));
-    let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.config("n0"));
+    let directory = TempDir::new();
+    let node = start_with_operator_file(&directory, &service.config("n0"));
     service.wait_for_watch(1, 41);
-    let calls = service.calls();
-    assert_eq!(calls[..2], [(0, "/v1/servers".into()), (1, "/v1/servers".into())]);
-    assert_eq!(servers.sent_to_leaving(&node, 1_000), 0, "the first replica reported the drain");
+    let polls = service.polls();
+    assert_eq!(polls[..2], [(0, "/v1/servers".into()), (1, "/v1/servers".into())]);
+    assert_eq!(servers.count_sent_to_leaving(&node, 1_000), 0, "the first replica reported the drain");
     // The server stays draining with a version that is still older than the drain.
     service.replicas[1].lists(42, &servers.both());
     service.wait_for_watch(1, 42);
-    assert_eq!(servers.sent_to_leaving(&node, 2_000), 0);
+    assert_eq!(servers.count_sent_to_leaving(&node, 2_000), 0);
     // The second replica has caught up and reports the server as ready again.
     service.replicas[1].lists(44, &servers.both());
     service.wait_for_watch(1, 44);
-    assert!(servers.sent_to_leaving(&node, 3_000) > 0);
+    assert!(servers.count_sent_to_leaving(&node, 3_000) > 0);
 }
 
-/// The same during a watch: the replica reports the drain and is lost before its response is complete.
+/// Same as above during a watch: the replica reports the drain and is lost before its response is complete.
 #[test]
 fn drain_from_a_broken_watch_holds_until_another_replica_has_caught_up() {
     let servers = Servers::start();
     let service = Service::start(2, "n0", &lists(41, &servers.both()));
-    let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.config("n0"));
+    let directory = TempDir::new();
+    let node = start_with_operator_file(&directory, &service.config("n0"));
     service.wait_for_watch(0, 41);
-    assert!(servers.sent_to_leaving(&node, 1_000) > 0);
-    let drain = truncated_snapshot(43, &[servers.leaving.entry("s-2", "draining")]).replace("true", "false");
+    assert!(servers.count_sent_to_leaving(&node, 1_000) > 0);
+    let drain =
+        truncated_snapshot(43, &[servers.leaving.endpoint("s-2", "draining")]).replace("true", "false");
     service.replicas[0].set(ReplicaBehavior::Truncates(drain));
     service.wait_for_watch(1, 41);
-    assert_eq!(servers.sent_to_leaving(&node, 2_000), 0);
+    assert_eq!(servers.count_sent_to_leaving(&node, 2_000), 0);
     service.replicas[1].lists(42, &servers.both());
     service.wait_for_watch(1, 42);
-    assert_eq!(servers.sent_to_leaving(&node, 3_000), 0);
+    assert_eq!(servers.count_sent_to_leaving(&node, 3_000), 0);
     service.replicas[1].lists(43, &servers.one_drains());
     service.wait_for_watch(1, 43);
-    assert_eq!(servers.sent_to_leaving(&node, 4_000), 0);
+    assert_eq!(servers.count_sent_to_leaving(&node, 4_000), 0);
     service.replicas[1].lists(44, &servers.both());
     service.wait_for_watch(1, 44);
-    assert!(servers.sent_to_leaving(&node, 5_000) > 0);
+    assert!(servers.count_sent_to_leaving(&node, 5_000) > 0);
 }
 
-/// The half of the replicas that have a drain are lost, and the other half lags. If nodes accepted the older
-/// version, the whole fleet would send requests to the draining server again.
+/// Two of four replicas have received a drain and are lost; the other two lag. If nodes accepted the older
+/// version of the lagging replicas, the whole fleet would send requests to the draining server again.
 #[test]
 fn lagging_replicas_in_a_partition_do_not_undo_a_drain() {
     let servers = Servers::start();
     let service = Service::start(4, "n0", &lists(1, &servers.both()));
-    let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.config("n0"));
+    let directory = TempDir::new();
+    let node = start_with_operator_file(&directory, &service.config("n0"));
     service.wait_for_watch(0, 1);
     for rank in [0, 1] {
         service.replicas[rank].lists(2, &servers.one_drains());
     }
     service.wait_for_watch(0, 2);
-    assert_eq!(servers.sent_to_leaving(&node, 1_000), 0);
+    assert_eq!(servers.count_sent_to_leaving(&node, 1_000), 0);
     for rank in [0, 1] {
         service.replicas[rank].set(ReplicaBehavior::Closes);
     }
     // The two lagging replicas send their older list in every round.
-    wait_for("two rounds", || service.calls_to(3).len() >= 3);
-    assert_eq!(servers.sent_to_leaving(&node, 2_000), 0);
+    wait_for("two rounds", || service.polls_to(3).len() >= 3);
+    assert_eq!(servers.count_sent_to_leaving(&node, 2_000), 0);
     for rank in [2, 3] {
-        assert!(service.calls_to(rank).iter().all(|path| path.contains("after=2&")), "no snapshot");
+        assert!(service.polls_to(rank).iter().all(|path| path.contains("after=2&")), "no snapshot");
     }
     // The first replica gets the request for the list and two watches; then each replica is polled in turn.
-    let ranks: Vec<_> = service.calls().into_iter().map(|(rank, _)| rank).take(8).collect();
+    let ranks: Vec<_> = service.polls().into_iter().map(|(rank, _)| rank).take(8).collect();
     assert_eq!(ranks, [0, 0, 0, 1, 2, 3, 0, 1]);
     service.replicas[2].lists(3, &servers.both());
     service.wait_for_watch(2, 3);
-    assert!(servers.sent_to_leaving(&node, 3_000) > 0);
+    assert!(servers.count_sent_to_leaving(&node, 3_000) > 0);
 }
 
 #[test]
@@ -375,15 +376,15 @@
     // The error quotes the text, which contains a control character and is too long for a log line.
     let malformed = format!("{{\"seq\":\"\\u001b[2J{}\"", "x".repeat(100_000));
     service.replicas[0].set(ReplicaBehavior::Sends(malformed));
-    let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.config("n0"));
+    let directory = TempDir::new();
+    let node = start_with_operator_file(&directory, &service.config("n0"));
     service.wait_for_watch(1, 1);
     let message = format!("discovery at {}: invalid endpoint list: ", service.replicas[0].address);
     let log = node.log.lock().unwrap().clone();
     let logged: Vec<_> = log.iter().filter(|line| line.contains(&message)).collect();
     assert_eq!(logged.len(), 1, "{log:?}");
     assert!(logged[0].len() < 500 && !logged[0].contains('\u{1b}'), "{}", logged[0]);
-    assert_eq!(service.calls_to(0).len(), 1);
+    assert_eq!(service.polls_to(0).len(), 1);
 }
 
 /// A node without a list does not know how long sending one takes. If the capacity of discovery is
@@ -396,22 +397,22 @@
     let slow =
         ReplicaBehavior::SendsSlowly { list: snapshot(1, &servers.both()), delay: Duration::from_secs(5) };
     service.replicas[0].set(slow);
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let capacity = "discovery_lines_per_second = 200\ndiscovery_call_lines = 10\n";
     let file = service.config("n0").replace("[[class]]", &format!("{capacity}[[class]]"));
-    let _node = start_with_operator_file(&folder, &file);
+    let _node = start_with_operator_file(&directory, &file);
     service.wait_for_watch(0, 1);
-    let ranks: Vec<_> = service.calls().into_iter().map(|(rank, _)| rank).collect();
+    let ranks: Vec<_> = service.polls().into_iter().map(|(rank, _)| rank).collect();
     assert_eq!(ranks, [0, 0]);
     let service_without_capacity = Service::start(2, "n0", &lists(1, &servers.both()));
     service_without_capacity.replicas[0].set(ReplicaBehavior::SendsSlowly {
         list: snapshot(1, &servers.both()),
         delay: Duration::from_secs(5),
     });
-    let folder = TempDir::new();
-    let _node = start_with_operator_file(&folder, &service_without_capacity.config("n0"));
+    let directory = TempDir::new();
+    let _node = start_with_operator_file(&directory, &service_without_capacity.config("n0"));
     service_without_capacity.wait_for_watch(1, 1);
-    let ranks: Vec<_> = service_without_capacity.calls().into_iter().map(|(rank, _)| rank).collect();
+    let ranks: Vec<_> = service_without_capacity.polls().into_iter().map(|(rank, _)| rank).collect();
     assert_eq!(ranks, [0, 1, 1]);
 }
 
@@ -420,10 +421,10 @@
     let servers = Servers::start();
     let service = Service::start(2, "n0", &lists(1, &servers.both()));
     service.replicas[0].set(ReplicaBehavior::Overloaded);
-    let folder = TempDir::new();
-    let _node = start_with_operator_file(&folder, &service.config("n0"));
+    let directory = TempDir::new();
+    let _node = start_with_operator_file(&directory, &service.config("n0"));
     service.wait_for_watch(1, 1);
-    let ranks: Vec<_> = service.calls().into_iter().map(|(rank, _)| rank).collect();
+    let ranks: Vec<_> = service.polls().into_iter().map(|(rank, _)| rank).collect();
     assert_eq!(ranks, [0, 0, 1, 1]);
 }
 
@@ -431,16 +432,16 @@
 fn reload_keeps_the_watch_if_its_replica_remains_and_else_the_version() {
     let servers = Servers::start();
     let service = Service::start(4, "n0", &lists(7, &servers.both()));
-    let folder = TempDir::new();
-    let node = start_with_operator_file(&folder, &service.config_with_replicas("n0", &[0, 1]));
+    let directory = TempDir::new();
+    let node = start_with_operator_file(&directory, &service.config_with_replicas("n0", &[0, 1]));
     service.wait_for_watch(0, 7);
     // The current replica remains, so its watch continues and reports the change.
     node.reconfigure(&service.config_with_replicas("n0", &[0, 2]));
-    let before = service.calls();
+    let before = service.polls();
     service.replicas[0].lists(8, &servers.one_drains());
     service.wait_for_watch(0, 8);
-    assert_eq!(service.calls().len(), before.len() + 1, "the same watch continues, followed by the next one");
-    assert_eq!(servers.sent_to_leaving(&node, 1_000), 0);
+    assert_eq!(service.polls().len(), before.len() + 1, "the same watch continues, followed by the next one");
+    assert_eq!(servers.count_sent_to_leaving(&node, 1_000), 0);
     // Only another replica remains. It is polled for changes after the current version.
     service.replicas[2].lists(8, &servers.one_drains());
     service.replicas[3].lists(8, &servers.one_drains());
@@ -450,8 +451,8 @@
     service.replicas[1].lists(3, &servers.both());
     node.reconfigure(&service.config_with_replicas("n0", &[1]));
     service.wait_for_watch(1, 3);
-    assert_eq!(service.calls_to(1)[0], "/v1/servers");
-    assert!(servers.sent_to_leaving(&node, 2_000) > 0);
-    let snapshots = service.calls().iter().filter(|(_, path)| path == "/v1/servers").count();
+    assert_eq!(service.polls_to(1)[0], "/v1/servers");
+    assert!(servers.count_sent_to_leaving(&node, 2_000) > 0);
+    let snapshots = service.polls().iter().filter(|(_, path)| path == "/v1/servers").count();
     assert_eq!(snapshots, 2, "one at the start, one when no replica remained");
 }
--- a/crates/cache-balancer/tests/scale.rs
+++ b/crates/cache-balancer/tests/scale.rs
@@ -58,30 +58,30 @@
     SCRIPT.replace("MECHANISM", &mechanism.to_string()).replace("CATCH_UP", catch_up)
 }
 
-/// A run with its own folder, which holds the script and any temporary files.
+/// A run with its own directory, which holds the script and any temporary files.
 struct Run {
-    folder: tempfile::TempDir,
+    directory: tempfile::TempDir,
     mark: String,
     child: Child,
 }
 
 impl Run {
     fn start(name: &str, script: &str) -> Self {
-        let folder = tempfile::tempdir().unwrap();
-        let file = folder.path().join("script.toml");
+        let directory = tempfile::tempdir().unwrap();
+        let file = directory.path().join("script.toml");
         std::fs::write(&file, script).unwrap();
         let mark = format!("{name}-{}", std::process::id());
         let child = Command::new(env!("CARGO_BIN_EXE_cache-balancer"))
             .args(["scale", "--json"])
             .arg(&file)
             .env(MARK_VARIABLE, &mark)
-            .env("TMPDIR", folder.path())
+            .env("TMPDIR", directory.path())
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        Self { folder, mark, child }
+        Self { directory, mark, child }
     }
 
     /// Waits until the run exits. Returns its result and exit status.
@@ -111,15 +111,17 @@
     }
 
     /// Waits until all processes of the run have exited, then checks that only the script is left in the
-    /// folder.
+    /// directory.
     fn assert_nothing_left(&self) {
         let deadline = Instant::now() + TIMEOUT;
         while !processes_with(&self.mark).is_empty() {
             assert!(Instant::now() < deadline, "processes are left: {:?}", processes_with(&self.mark));
             std::thread::sleep(Duration::from_millis(50));
         }
-        let files: Vec<_> =
-            std::fs::read_dir(self.folder.path()).unwrap().map(|entry| entry.unwrap().file_name()).collect();
+        let files: Vec<_> = std::fs::read_dir(self.directory.path())
+            .unwrap()
+            .map(|entry| entry.unwrap().file_name())
+            .collect();
         assert_eq!(files, ["script.toml"]);
     }
 }
@@ -127,13 +129,13 @@
 /// Returns the running processes with this mark.
 fn processes_with(mark: &str) -> Vec<String> {
     let wanted = format!("{MARK_VARIABLE}={mark}");
-    let has_mark = |folder: &Path| {
-        let environment = std::fs::read(folder.join("environ")).unwrap_or_default();
+    let has_mark = |directory: &Path| {
+        let environment = std::fs::read(directory.join("environ")).unwrap_or_default();
         environment.split(|byte| *byte == 0).any(|variable| variable == wanted.as_bytes())
     };
     let entries = std::fs::read_dir("/proc").unwrap().filter_map(Result::ok).map(|entry| entry.path());
-    let marked = entries.filter(|folder| has_mark(folder));
-    marked.map(|folder| folder.display().to_string()).collect()
+    let marked = entries.filter(|directory| has_mark(directory));
+    marked.map(|directory| directory.display().to_string()).collect()
 }
 
 /// Returns the number of changes in the script after the replica is lost.
@@ -145,7 +147,8 @@
     steps[loss..].iter().filter(|planned| matches!(planned.step, Step::Change { .. })).count() as u64
 }
 
-/// Nodes that know all replicas switch to another one and miss no change.
+/// Guards against nodes that miss changes after a replica is lost. Nodes that know all replicas switch to
+/// another one.
 #[test]
 fn every_node_acts_on_every_change_despite_a_lost_replica() {
     let text = script(true, "60s");
@@ -183,7 +186,7 @@
     assert_eq!(status.code(), Some(1), "{shown}");
 }
 
-/// Processes that outlived their run used to take processor time from the next run.
+/// Guards against processes that outlive their run and take processor time from the next run.
 #[test]
 fn a_run_that_is_interrupted_or_killed_leaves_no_process_and_no_file() {
     for signal in [Signal::INT, Signal::TERM, Signal::KILL] {
--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -79,7 +79,7 @@
 
     /// Makes discovery send the list to the nodes.
     fn send_list(&self) {
-        self.discovery.notify(true, &entries(&self.servers));
+        self.discovery.publish(true, &entries(&self.servers));
     }
 }
 
@@ -89,8 +89,8 @@
 
 /// Checks that each request has exactly one outcome.
 fn assert_accounted(report: &RealReport, sent: u64) {
-    let answers = report.served + report.rejected + report.failed + report.unanswered;
-    assert_eq!(report.requests, answers, "{report:#?}");
+    let outcomes = report.served + report.rejected + report.failed + report.unanswered;
+    assert_eq!(report.requests, outcomes, "{report:#?}");
     // Requests that no node accepted are not in the report.
     assert!(report.requests <= sent, "{report:#?}");
     assert!(report.attempts >= report.served, "{report:#?}");
@@ -133,7 +133,7 @@
     let report = run.nodes.finish().await;
     assert_accounted(&report, sent + MAX_IN_FLIGHT * u64::from(NODES));
     assert_eq!(report.rules_broken, RulesBroken::default(), "{report:#?}");
-    // Only the killed node may leave requests without an answer.
+    // Only the killed node may leave requests without a response.
     assert!(report.unanswered <= MAX_IN_FLIGHT, "{report:#?}");
     assert!(report.served > 0 && report.latency.p50_us > 0, "{report:#?}");
     assert!(report.latency.p50_us <= report.latency.p99_us);
@@ -199,7 +199,7 @@
     let discovery = Discovery::start(&entries(&servers.servers()));
     let idle = RealSettings { rate: 0.0, ..settings(&discovery) };
     let nodes = RealNodes::start(&servers, idle).await.unwrap();
-    discovery.wait_until_notified(1);
+    discovery.wait_until_applied(1);
     let report = nodes.finish().await;
     assert_accounted(&report, 0);
     assert_eq!((report.attempts, report.not_sent, report.rules_broken), (0, 0, RulesBroken::default()));
@@ -209,15 +209,15 @@
 #[tokio::test]
 async fn files_are_removed_and_processes_exit_with_the_nodes() {
     let run = Run::start().await;
-    let folder = run.nodes.folder().to_owned();
-    let files = std::fs::read_dir(&folder).unwrap().count();
+    let directory = run.nodes.folder().to_owned();
+    let files = std::fs::read_dir(&directory).unwrap().count();
     assert_eq!(files, NODES as usize);
     let processes = run.nodes.process_ids();
     assert_eq!(processes.len(), NODES as usize);
     // Each process has its own process group, so that Ctrl-C at a terminal reaches only the run.
     assert!(processes.iter().all(|id| process_group(*id) == Some(*id)));
     drop(run);
-    assert!(!folder.exists());
+    assert!(!directory.exists());
     // The processes are killed but not waited for; they disappear once the runtime has reaped them.
     let start = Instant::now();
     while processes.iter().any(|id| is_running(*id)) {
--- a/crates/cache-balancer/tests/scale_virtual.rs
+++ b/crates/cache-balancer/tests/scale_virtual.rs
@@ -10,12 +10,12 @@
 }
 
 #[test]
-fn equal_scenes_print_equal_bytes_and_another_seed_prints_others() {
-    let scene = ["changes-tenfold", "--player", "virtual", "--nodes", "50", "--servers", "20", "--json"];
-    let (first, second) = (scale(&scene), scale(&scene));
+fn equal_runs_print_equal_bytes_and_another_seed_prints_others() {
+    let arguments = ["changes-tenfold", "--player", "virtual", "--nodes", "50", "--servers", "20", "--json"];
+    let (first, second) = (scale(&arguments), scale(&arguments));
     assert!(first.status.success(), "{}", utf8(&first.stderr));
     assert_eq!(utf8(&first.stdout), utf8(&second.stdout));
-    let other = scale(&[scene.as_slice(), &["--seed", "77"]].concat());
+    let other = scale(&[arguments.as_slice(), &["--seed", "77"]].concat());
     assert_ne!(utf8(&first.stdout), utf8(&other.stdout));
     let outcome: serde_json::Value = serde_json::from_slice(&first.stdout).expect("JSON");
     assert_eq!((&outcome["nodes"], &outcome["never"]), (&50.into(), &0.into()));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn capacity_can_be_overridden_and_scenes_of_virtual_time_are_listed() {
+fn capacity_can_be_overridden_and_scenarios_of_virtual_time_are_listed() {
     let start =
         ["all-start", "--player", "virtual", "--nodes", "20", "--servers", "30", "--replicas", "1", "--json"];
     let run = |lines: &str, call: &str| {
--- a/crates/cache-balancer/tests/scenario.rs
+++ b/crates/cache-balancer/tests/scenario.rs
@@ -16,18 +16,18 @@
     run_program(&[arguments, &["--player=virtual"]].concat())
 }
 
-/// Writes a script into a folder and returns its path.
-fn script_file(folder: &TempDir, name: &str, text: &str) -> String {
-    folder.write(name, text).to_str().unwrap().to_owned()
+/// Writes a script into a directory and returns its path.
+fn script_file(directory: &TempDir, name: &str, text: &str) -> String {
+    directory.write(name, text).to_str().unwrap().to_owned()
 }
 
 const SHORT: &str = "version = 1\nname = \"short\"\nlength = \"4s\"\nnodes = 2\n";
 
 #[test]
 fn without_a_script_the_default_is_run_and_shown_as_a_table_and_charts() {
-    let played = cache_balancer(&["scenario"]);
-    let shown = utf8(&played.stdout);
-    assert!(played.status.success(), "{shown}");
+    let output = cache_balancer(&["scenario"]);
+    let shown = utf8(&output.stdout);
+    assert!(output.status.success(), "{shown}");
     assert!(shown.contains("rules broken, 1 to 4") && shown.contains("  service  █"), "{shown}");
     assert!(shown.contains("held: service "), "{shown}");
 }
@@ -51,8 +51,8 @@
 /// Results must be reproducible from a script and its seed.
 #[test]
 fn two_runs_of_a_script_file_print_the_same_line_of_json() {
-    let folder = TempDir::new();
-    let file = script_file(&folder, "short.toml", SHORT);
+    let directory = TempDir::new();
+    let file = script_file(&directory, "short.toml", SHORT);
     let first = cache_balancer(&["scenario", &file, "--json"]);
     assert!(first.status.success());
     assert_eq!(utf8(&first.stdout).lines().count(), 1);
@@ -64,8 +64,8 @@
 
 #[test]
 fn an_unusable_script_is_reported_in_one_line_with_exit_code_2_and_not_run() {
-    let folder = TempDir::new();
-    let bad = script_file(&folder, "bad.toml", &format!("{SHORT}speed = 3\n"));
+    let directory = TempDir::new();
+    let bad = script_file(&directory, "bad.toml", &format!("{SHORT}speed = 3\n"));
     let fault = format!("{bad}:5: speed: unknown key; ");
     for arguments in [&["scenario", &bad][..], &["scenario", "check", &bad]] {
         let output = cache_balancer(arguments);
@@ -80,10 +80,10 @@
 
 #[test]
 fn check_describes_a_script_and_a_missed_expectation_exits_with_code_1() {
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let incident =
         "[[incident]]\nkind = \"pause\"\nat = \"1s\"\nover = \"2s\"\nshare = 1.0\n[expect]\nservice = 1.0\n";
-    let file = script_file(&folder, "missed.toml", &format!("{SHORT}{incident}"));
+    let file = script_file(&directory, "missed.toml", &format!("{SHORT}{incident}"));
     let checked = cache_balancer(&["scenario", "check", &file]);
     assert!(checked.status.success());
     assert!(
@@ -98,8 +98,9 @@
 
 #[test]
 fn the_html_page_is_self_contained_and_shows_every_timeline() {
-    let folder = TempDir::new();
-    let (file, page) = (script_file(&folder, "page.toml", SHORT), script_file(&folder, "page.html", ""));
+    let directory = TempDir::new();
+    let (file, page) =
+        (script_file(&directory, "page.toml", SHORT), script_file(&directory, "page.html", ""));
     assert!(cache_balancer(&["scenario", &file, "--html", &page]).status.success());
     let html = std::fs::read_to_string(&page).unwrap();
     assert_eq!(html.matches("<svg").count(), 5);
@@ -109,17 +110,17 @@
 
 #[test]
 fn spread_prints_a_table_row_for_several_runs_of_a_script() {
-    let folder = TempDir::new();
-    let file = script_file(&folder, "spread.toml", SHORT);
+    let directory = TempDir::new();
+    let file = script_file(&directory, "spread.toml", SHORT);
     let spread = ["scenario", "spread", &file, "--plays", "3", "--seeds", "4"];
-    let played = cache_balancer(&spread);
-    let shown = utf8(&played.stdout);
-    assert!(played.status.success(), "{shown}");
+    let output = cache_balancer(&spread);
+    let shown = utf8(&output.stdout);
+    assert!(output.status.success(), "{shown}");
     let row: Vec<_> = shown.lines().last().unwrap().split('|').map(str::trim).collect();
     assert_eq!(row[1..4], ["short", "3", "3 of 3"], "{shown}");
     assert_eq!((row[5], row[6], row[9], row[10]), ("0.00%", "4", "0", "0"), "{shown}");
     // A missed expectation exits with code 1; an unusable script is reported before any script is run.
-    let missed = script_file(&folder, "spread-missed.toml", &format!("{SHORT}[expect]\nservice = 1.0\n"));
+    let missed = script_file(&directory, "spread-missed.toml", &format!("{SHORT}[expect]\nservice = 1.0\n"));
     assert_eq!(cache_balancer(&["scenario", "spread", &missed, "--plays", "1"]).status.code(), Some(1));
     let unknown = cache_balancer(&["scenario", "spread", &file, "no-such-scenario"]);
     assert_eq!(unknown.status.code(), Some(2));
@@ -163,22 +164,22 @@
 }
 
 fn assert_rules_kept(name: &str, script: &str) {
-    let folder = TempDir::new();
-    let file = script_file(&folder, name, script);
+    let directory = TempDir::new();
+    let file = script_file(&directory, name, script);
     let arguments = ["scenario", &file, "--player=sockets", "--json"];
     let run = || run_program(&arguments);
-    let is_void = |played: &Output| played.status.code() == Some(3);
+    let is_void = |output: &Output| output.status.code() == Some(3);
     // A run on a busy machine is void and prints only the reason. It is repeated in case the load is
     // temporary.
-    let played = (1..MAX_RUNS).fold(run(), |played, _| if is_void(&played) { run() } else { played });
-    let stderr = utf8(&played.stderr);
-    if is_void(&played) {
-        assert!(stderr.contains("VOID: this machine was too busy") && played.stdout.is_empty(), "{stderr}");
+    let output = (1..MAX_RUNS).fold(run(), |output, _| if is_void(&output) { run() } else { output });
+    let stderr = utf8(&output.stderr);
+    if is_void(&output) {
+        assert!(stderr.contains("VOID: this machine was too busy") && output.stdout.is_empty(), "{stderr}");
         eprintln!("not judged: void in {MAX_RUNS} of {MAX_RUNS} runs");
         return;
     }
     let json: serde_json::Value =
-        serde_json::from_slice(&played.stdout).unwrap_or_else(|_| panic!("{stderr}"));
+        serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{stderr}"));
     let verdict = &json["verdict"];
     assert_eq!(verdict["broken"], serde_json::json!([0, 0, 0, 0]), "{}", verdict["breaches"]);
     assert!(verdict["asked"].as_u64() > Some(300) && verdict["answers"][0].as_u64() > Some(300), "{verdict}");
@@ -190,12 +191,12 @@
 /// Number of pauses, one per second.
 const PAUSES: u32 = 3;
 
-/// If the player got no processor time, answers that it had not read yet used to be reported as late or
-/// missing.
+/// Guards against responses that are reported as late or missing although they arrived in time: the player
+/// got no processor time and had not read them yet.
 #[test]
 fn pauses_of_the_player_are_not_counted_against_nodes() {
-    let folder = TempDir::new();
-    let file = script_file(&folder, "held-up.toml", &format!("{SHORT}[load]\nrate = 200\n"));
+    let directory = TempDir::new();
+    let file = script_file(&directory, "held-up.toml", &format!("{SHORT}[load]\nrate = 200\n"));
     let mut command = command();
     command.args(["scenario", &file, "--player=sockets", "--json"]);
     let player = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
@@ -207,24 +208,24 @@
         thread::sleep(PAUSE_DURATION);
         signal("-CONT");
     }
-    let played = player.wait_with_output().unwrap();
-    if played.status.code() == Some(3) {
+    let output = player.wait_with_output().unwrap();
+    if output.status.code() == Some(3) {
         eprintln!("not judged: void");
         return;
     }
-    let json: serde_json::Value = serde_json::from_slice(&played.stdout).unwrap();
+    let json: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     let verdict = &json["verdict"];
     assert_eq!(verdict["broken"], serde_json::json!([0, 0, 0, 0]), "{}", verdict["breaches"]);
     assert!(verdict["answers"][0].as_u64() > Some(300), "{verdict}");
 }
 
-/// Processes used to outlive the run that started them, and the report of an interrupted run looked like a
-/// complete one.
+/// Guards against two faults: processes outlive the run that started them, and the report of an interrupted
+/// run looks like a complete one.
 #[test]
 fn an_interrupted_run_is_reported_as_partial_and_leaves_no_process() {
-    let folder = TempDir::new();
+    let directory = TempDir::new();
     let file = script_file(
-        &folder,
+        &directory,
         "long.toml",
         "version = 1\nname = \"long\"\nlength = \"10min\"\nnodes = 2\n[load]\nrate = 50\n",
     );
--- a/crates/cache-balancer/tests/servers.rs
+++ b/crates/cache-balancer/tests/servers.rs
@@ -11,11 +11,11 @@
 #[test]
 fn draining_server_gets_no_requests_and_its_idle_connections_close() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
-    let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[old.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     assert_eq!(node.read("read", 1).body, b"old");
-    discovery.notify(false, &[old.entry("s-1", "draining"), new.entry("s-2", "ready")]);
-    discovery.wait_until_notified(2);
+    discovery.publish(false, &[old.endpoint("s-1", "draining"), new.endpoint("s-2", "ready")]);
+    discovery.wait_until_applied(2);
     wait_for("the idle connection to close", || old.closed.load(Ordering::SeqCst) == 1);
     for key in 0..20 {
         assert_eq!(node.read("read", key).body, b"new");
@@ -27,11 +27,11 @@
 #[test]
 fn server_missing_from_a_snapshot_gets_no_requests() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
-    let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[old.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     assert_eq!(node.read("read", 1).body, b"old");
-    discovery.notify(true, &[new.entry("s-2", "ready")]);
-    discovery.wait_until_notified(2);
+    discovery.publish(true, &[new.endpoint("s-2", "ready")]);
+    discovery.wait_until_applied(2);
     wait_for("the idle connection to close", || old.closed.load(Ordering::SeqCst) == 1);
     assert_eq!(node.read("read", 1).body, b"new");
     assert_eq!(old.request_count(), 1);
@@ -41,7 +41,7 @@
 #[test]
 fn connection_closed_by_the_server_is_not_reused() {
     let server = CacheServer::start(|_| ServerBehavior::RespondAndClose(response("200 OK", "", "value")));
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     for key in 0..10 {
         // A reset would fail a request of class `once`, because its effect is unsafe and it may not be
@@ -52,11 +52,11 @@
     assert_eq!((server.request_count(), server.connections.load(Ordering::SeqCst)), (10, 10));
 }
 
-/// Guards against a new connection, and so a handshake, for each request.
+/// Guards against opening a new connection for each request, which would cost a handshake each time.
 #[test]
 fn connection_is_reused_for_the_next_request() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     for key in 0..10 {
         assert_eq!(node.read("read", key).status(), 200);
@@ -76,7 +76,7 @@
         })
     };
     let (one, two) = (server(), server());
-    let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
+    let discovery = Discovery::start(&[one.endpoint("s-1", "ready"), two.endpoint("s-2", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let status = node.read(class, 1).status();
     (status, one.request_count() + two.request_count())
@@ -117,9 +117,10 @@
 /// A refused connection proves that the request never ran.
 #[test]
 fn unsafe_request_is_retried_after_a_refused_connection() {
-    let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let unused_address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[endpoint("s-1", closed, "ready"), server.entry("s-2", "ready")]);
+    let discovery =
+        Discovery::start(&[endpoint("s-1", unused_address, "ready"), server.endpoint("s-2", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     for key in 0..6 {
         assert_eq!(node.read("once", key).status(), 200);
@@ -131,23 +132,23 @@
 #[test]
 fn malformed_list_is_a_failed_poll_and_the_watch_continues() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
-    discovery.wait_until_notified(1);
-    let calls = discovery.request_count();
-    discovery.notify_text("{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":".to_owned());
-    wait_for("another call", || discovery.request_count() > calls);
+    discovery.wait_until_applied(1);
+    let polls = discovery.request_count();
+    discovery.publish_text("{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":".to_owned());
+    wait_for("another poll", || discovery.request_count() > polls);
     assert_eq!(node.read("read", 1).status(), 200);
     // The node still requests changes after the version of its current list.
-    assert!(discovery.received.lock().unwrap()[calls..].iter().all(|path| path.contains("after=1&")));
+    assert!(discovery.received.lock().unwrap()[polls..].iter().all(|path| path.contains("after=1&")));
     let new = CacheServer::serving("new");
-    discovery.notify(true, &[new.entry("s-2", "ready")]);
-    discovery.wait_until_notified(3);
+    discovery.publish(true, &[new.endpoint("s-2", "ready")]);
+    discovery.wait_until_applied(3);
     assert_eq!(node.read("read", 1).body, b"new");
 }
 
-/// Guards against a server that sends a second response right after the first: the next client got the second
-/// one.
+/// Guards against forwarding the wrong response: a server sent a second response right after the first, and
+/// the next client got the second one.
 #[test]
 fn bytes_after_a_response_are_never_used_for_the_next_request() {
     let server = CacheServer::start(|request| {
@@ -155,7 +156,7 @@
         let extra = response("200 OK", "", "a copy");
         ServerBehavior::Respond(own + &extra)
     });
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let mut client = node.client();
     for key in 1..200_u64 {
@@ -188,9 +189,9 @@
     assert_eq!(send_with_first_behavior(interim, "read"), (200, 1));
 }
 
-/// A server can reject a single class, for example in a release that does not know it. The failure guarded
-/// against: the server then lost the keys of all classes, the keys were misses on other servers, and the
-/// misses of a whole fleet overload the origin.
+/// Guards against an overload of the origin. A server can reject a single class, for example because its
+/// release does not know the class. The node then moved the keys of all classes to other servers, which did
+/// not have them cached, and the misses of a whole fleet overload the origin.
 #[test]
 fn server_that_rejects_one_class_keeps_the_keys_of_other_classes() {
     let rejecting = CacheServer::start(|request| match request.header("idempotency-key") {
@@ -204,7 +205,7 @@
     let other = CacheServer::start(|_| {
         ServerBehavior::Respond(response("200 OK", "Srv-Load: waiting=0\r\n", "other"))
     });
-    let discovery = Discovery::start(&[rejecting.entry("s-1", "ready"), other.entry("s-2", "ready")]);
+    let discovery = Discovery::start(&[rejecting.endpoint("s-1", "ready"), other.endpoint("s-2", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let own_keys: Vec<u64> = (0..60).filter(|&key| node.read("read", key).body == b"rejecting").collect();
     assert!(own_keys.len() >= 10, "{} of 60 keys", own_keys.len());
@@ -272,8 +273,8 @@
     }
 }
 
-/// Guards against an overload that does not end: an overloaded origin failed the misses, clients and the node
-/// retried them, and the servers never cached the requested keys.
+/// Guards against an overload that does not end: an overloaded origin failed the fetches for misses, clients
+/// and the node retried the requests, and the servers never cached the requested keys.
 #[test]
 fn probable_misses_are_limited_while_fetches_fail_and_hits_are_served() {
     let gate = Arc::new(HoldingGate::default());
@@ -296,7 +297,7 @@
     let servers = [server(), server(), server()];
     let names = ["s-1", "s-2", "s-3"];
     let endpoints: Vec<_> =
-        servers.iter().zip(names).map(|(server, name)| server.entry(name, "ready")).collect();
+        servers.iter().zip(names).map(|(server, name)| server.endpoint(name, "ready")).collect();
     let node = Node::start_ready(&config(Discovery::start(&endpoints).address));
     (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"cached"));
     let mut keys = (1..).map(|round| round * 1000..round * 1000 + 20);
