--- a/crates/cache-balancer/tests/shutdown.rs
+++ b/crates/cache-balancer/tests/shutdown.rs
@@ -10,7 +10,7 @@
 use std::net::{TcpListener, TcpStream};
 
 /// Log line of a node that has stopped accepting connections.
-const CLOSING: &str = "no further clients are accepted";
+const STOPPED_ACCEPTING: &str = "no further clients are accepted";
 
 /// Returns a read request in two parts, the second of `second_len` bytes.
 fn split_request(key: u64, second_len: usize) -> (String, String) {
@@ -23,7 +23,7 @@
 #[test]
 fn a_request_half_read_when_the_node_closes_is_answered() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let (mut used, mut fresh) = (node.client(), node.client());
     assert_eq!(used.request(&read_request("read", 1, 20_000)).status(), 200);
@@ -31,12 +31,12 @@
     used.send(&parts[0].0);
     fresh.send(&parts[1].0);
     node.terminate();
-    wait_for("the log line that accepting has stopped", || node.logged(CLOSING) == 1);
+    wait_for("the end of accepting", || node.logged(STOPPED_ACCEPTING) == 1);
     used.send(&parts[0].1);
     fresh.send(&parts[1].1);
     for client in [&mut used, &mut fresh] {
-        let answer = client.receive().expect("the response to an accepted request");
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        let response = client.receive().expect("the response to an accepted request");
+        assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
         assert_eq!(client.receive(), None);
     }
     assert!(node.exit_status().success());
@@ -47,7 +47,7 @@
 #[test]
 fn half_a_request_does_not_delay_the_exit() {
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     let mut half = node.client();
     half.send(&split_request(1, 30).0);
@@ -61,7 +61,7 @@
 #[test]
 fn a_request_after_the_close_is_not_forwarded() {
     let (server, gate) = CacheServer::gated("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     // This request keeps the node running meanwhile.
     let mut waiting = node.client();
@@ -84,7 +84,7 @@
 #[test]
 fn repeated_termination_signals_and_a_reload_do_not_abort_requests() {
     let (server, gate) = CacheServer::gated("value");
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let good = config(discovery.address);
     let node = Node::start_ready(&good);
     let mut waiting = node.client();
@@ -93,22 +93,22 @@
     for signal in ["-HUP", "-TERM", "-HUP", "-TERM"] {
         node.signal(signal);
     }
-    wait_for("the log line that accepting has stopped", || node.logged(CLOSING) == 1);
+    wait_for("the end of accepting", || node.logged(STOPPED_ACCEPTING) == 1);
     node.signal("-TERM");
     gate.open();
-    let answer = waiting.receive().expect("the response to an accepted request");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    let response = waiting.receive().expect("the response to an accepted request");
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(node.exit_status().success());
     assert_eq!(server.request_count(), 1);
 }
 
 /// Guards against a node that ignores a termination signal while it has no list and discovery does not
-/// answer.
+/// response.
 #[test]
 fn a_node_without_a_server_exits_with_success() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start(&config(silent.local_addr().unwrap()));
-    let (_call, _) = silent.accept().unwrap();
+    let (_poll, _) = silent.accept().unwrap();
     assert_eq!(node.get("/healthz").status(), 503);
     node.terminate();
     assert!(node.exit_status().success());
@@ -121,7 +121,7 @@
     let body = "v".repeat(60 << 10);
     let text = response("200 OK", "", &body);
     let server = CacheServer::start(move |_| ServerBehavior::Respond(text.clone()));
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let node = Node::start_ready(&config(discovery.address));
     // A small receive buffer, so that only a little of the response is in transit.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -131,9 +131,9 @@
     client.send(&read_request("read", 1, 60_000));
     wait_for("the attempt", || server.request_count() == 1);
     node.terminate();
-    wait_for("the log line that accepting has stopped", || node.logged(CLOSING) == 1);
-    let answer = client.receive().expect("the response to an accepted request");
-    assert_eq!((answer.status(), answer.body.len()), (200, body.len()));
+    wait_for("the end of accepting", || node.logged(STOPPED_ACCEPTING) == 1);
+    let response = client.receive().expect("the response to an accepted request");
+    assert_eq!((response.status(), response.body.len()), (200, body.len()));
     assert!(node.exit_status().success());
 }
 
@@ -153,15 +153,17 @@
     disconnecting.send(&read_request("read", 2, 60_000));
     wait_for("the second connection", || slow_to_connect.connecting_count() == 2);
     node.terminate();
-    wait_for("the log line that accepting has stopped", || node.logged(CLOSING) == 1);
+    wait_for("the end of accepting", || node.logged(STOPPED_ACCEPTING) == 1);
     disconnecting.close_sending_side();
     assert_eq!(disconnecting.receive(), None);
-    discovery
-        .notify(false, &[endpoint("s-1", slow_to_connect.address, "draining"), other.entry("s-2", "ready")]);
-    discovery.wait_until_notified(2);
+    discovery.publish(
+        false,
+        &[endpoint("s-1", slow_to_connect.address, "draining"), other.endpoint("s-2", "ready")],
+    );
+    discovery.wait_until_applied(2);
     slow_to_connect.serve("unexpected");
-    let answer = rerouted.receive().expect("the response to an accepted request");
-    assert_eq!((answer.status(), &answer.body[..]), (200, &b"value"[..]));
+    let response = rerouted.receive().expect("the response to an accepted request");
+    assert_eq!((response.status(), &response.body[..]), (200, &b"value"[..]));
     assert!(node.exit_status().success());
     assert_eq!(other.request_count(), 1);
 }
--- a/crates/cache-balancer/tests/silence.rs
+++ b/crates/cache-balancer/tests/silence.rs
@@ -105,8 +105,8 @@
     let list = |version: u64, is_snapshot: bool, endpoints: &[serde_json::Value]| {
         json!({"seq": version, "whole": is_snapshot, "hosts": endpoints}).to_string()
     };
-    let ready = list(1, true, &[leaving.entry("s-1", "ready"), staying.entry("s-2", "ready")]);
-    let draining = list(2, false, &[leaving.entry("s-1", "draining")]);
+    let ready = list(1, true, &[leaving.endpoint("s-1", "ready"), staying.endpoint("s-2", "ready")]);
+    let draining = list(2, false, &[leaving.endpoint("s-1", "draining")]);
     let discoveries = LossyDiscovery::start_all(&ready, &draining, NODES);
     let nodes: Vec<_> = discoveries
         .iter()
--- a/crates/cache-balancer/tests/sizes.rs
+++ b/crates/cache-balancer/tests/sizes.rs
@@ -23,8 +23,8 @@
     (Ipv4Addr::new(127, 1, high, low), port).into()
 }
 
-/// Starts all servers on one listener. Returns its port, and the addresses of the servers that received a
-/// request. Tests clear this set.
+/// Starts all servers on one listener. Returns its port, and the set of addresses of the servers that
+/// received a request since a test last cleared the set.
 fn start_servers() -> (u16, Arc<Mutex<BTreeSet<SocketAddr>>>) {
     let listener = TcpListener::bind("0.0.0.0:0").unwrap();
     let port = listener.local_addr().unwrap().port();
@@ -91,7 +91,8 @@
     reached.lock().unwrap().difference(expected).copied().collect()
 }
 
-/// Each server of a large fleet must be selected for some key, and a server that has left the list for none.
+/// Each server of a large fleet must be selected for some keys, and a server that has left the list for no
+/// key.
 #[test]
 fn one_of_1024_nodes_selects_each_of_1024_servers_of_a_snapshot_and_a_delta() {
     let (port, reached) = start_servers();
--- a/crates/cache-balancer/tests/soak.rs
+++ b/crates/cache-balancer/tests/soak.rs
@@ -104,7 +104,7 @@
     });
     let mut random = fastrand::Rng::with_seed(seed);
     let (with_operator_file, with_idle_connections) = (random.bool(), random.u32(..3) == 0);
-    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let discovery = Discovery::start(&[server.endpoint("s-1", "ready")]);
     let fixture = Fixture::new(&static_pool(&server), "2s");
     let node = if with_operator_file {
         fixture.start_ready()
--- a/crates/cache-balancer/tests/soak_support/clients.rs
+++ b/crates/cache-balancer/tests/soak_support/clients.rs
@@ -10,7 +10,7 @@
 
 /// Deadline of the clients' requests.
 pub const DEADLINE: Duration = Duration::from_millis(500);
-/// Time after the deadline after which an answer counts as lost, according to the operators' acceptance
+/// Time after the deadline after which a response counts as lost, according to the operators' acceptance
 /// criteria.
 const LOST_AFTER: Duration = Duration::from_millis(500);
 /// Time between two requests of a client.
@@ -138,7 +138,7 @@
                 self.closed_unread.lock().expect("no panic").insert(request);
             }
             Outcome::Closed => {
-                self.record_failure(request, sent_at, "was closed without an answer on a new connection")
+                self.record_failure(request, sent_at, "was closed without a response on a new connection")
             }
             Outcome::TimedOut => self.record_failure(request, sent_at, "was never answered"),
         }
--- a/crates/cache-balancer/tests/stored_data.rs
+++ b/crates/cache-balancer/tests/stored_data.rs
@@ -1,5 +1,5 @@
-//! Checks that logs, results and scripts of version 0.2.0 are read as that version read them, so that an
-//! upgrade does not make operators' files unreadable. `data/version-0.2.0` holds samples and the output of
+//! Checks that logs, results and scripts of version 0.2.0 are still read as that version read them. Otherwise
+//! an upgrade could make operators' files unreadable. `data/version-0.2.0` holds samples and the output of
 //! version 0.2.0 for them.
 
 mod common;
--- a/crates/cache-balancer/tests/unreachable/mod.rs
+++ b/crates/cache-balancer/tests/unreachable/mod.rs
@@ -1,5 +1,5 @@
 //! A stand-in cache server to which no connection is established until the test allows it.
-#![allow(dead_code, reason = "each test file compiles this module for itself and uses a part of it")]
+#![allow(dead_code, reason = "each test file compiles this module separately and uses a part of it")]
 
 use crate::common::*;
 use socket2::{Domain, SockAddr, Socket, Type};
@@ -50,8 +50,8 @@
         table.lines().filter(is_connecting).count()
     }
 
-    /// Accepts connections up to the first one that is not a filler, and returns that one. Later connections are
-    /// not accepted.
+    /// Accepts connections up to the first one that is not a filler, and returns that one. Later connections
+    /// are not accepted.
     pub fn accept_first(self) -> TcpStream {
         let fillers = self.filler_addresses();
         loop {
