--- a/crates/cache-balancer/benches/fleet.rs
+++ b/crates/cache-balancer/benches/fleet.rs
@@ -128,8 +128,8 @@
     );
 }
 
-fn resident_kib(process: u32) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
+fn resident_kib(pid: u32) -> u64 {
+    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
--- a/crates/cache-balancer/tests/aggregate.rs
+++ b/crates/cache-balancer/tests/aggregate.rs
@@ -41,7 +41,7 @@
         }
     }
     discovery.publish(false, &[endpoint("s-2", unused_address, "gone")]);
-    wait_for("all nodes to be notified", || {
+    wait_for("all nodes to apply the change", || {
         discovery.received.lock().unwrap().iter().filter(|path| path.contains("after=2&")).count() == 3
     });
     assert!(nodes.iter().all(|node| node.read("read", 1).status() == 200));
@@ -53,7 +53,7 @@
     let text = |log: &std::sync::Mutex<Vec<String>>| log.lock().unwrap().join("\n") + "\n";
     // A node writes the line of its last second when it exits.
     let served = |log: &std::sync::Mutex<Vec<String>>| aggregate(&[&text(log)]).0["served"].as_u64();
-    logs.iter().for_each(|log| wait_for("a node's last line", || served(log) == Some(21)));
+    logs.iter().for_each(|log| wait_for("the last tally line of the node", || served(log) == Some(21)));
     let texts: Vec<_> = logs.iter().map(|log| text(log)).collect();
     let (row, code, errors) = aggregate(&texts.iter().map(String::as_str).collect::<Vec<_>>());
     assert_eq!((code, errors.as_str()), (0, ""));
--- a/crates/cache-balancer/tests/clients.rs
+++ b/crates/cache-balancer/tests/clients.rs
@@ -255,7 +255,7 @@
 /// Connects clients one after the other. Each sends one request, which must be served, and keeps its
 /// connection until the node closes it. Returns the largest number of connections that were open at once.
 fn max_open_connections(node: &Node, clients: u64) -> usize {
-    let (mut open, mut most) = (Vec::new(), 0);
+    let (mut open, mut max_open) = (Vec::new(), 0);
     for key in 0..clients {
         let mut client = node.client();
         let response = client.request(&read_request("read", key, 20_000));
@@ -264,9 +264,9 @@
             open.push(client);
         }
         open.retain(Client::is_open);
-        most = most.max(open.len());
+        max_open = max_open.max(open.len());
     }
-    most
+    max_open
 }
 
 /// The platform gives clients a third of a node's descriptors. Clients that send one request and never close
@@ -274,8 +274,11 @@
 #[test]
 fn connections_that_clients_never_close_do_not_shut_out_new_clients() {
     let (server, _discovery, node) = node_with_descriptor_limit(96);
-    let most = max_open_connections(&node, 200);
-    assert!((8..=16).contains(&most), "{most} of 32 connections held by clients that do not use them");
+    let max_open = max_open_connections(&node, 200);
+    assert!(
+        (8..=16).contains(&max_open),
+        "{max_open} of 32 connections held by clients that do not use them"
+    );
     assert_eq!(server.request_count(), 200);
 }
 
@@ -284,8 +287,8 @@
 fn unclosed_and_silent_connections_together_do_not_shut_out_new_clients() {
     let (server, _discovery, node) = node_with_descriptor_limit(96);
     let _flood: Vec<_> = (0..100).map(|_| node.client()).collect();
-    let most = max_open_connections(&node, 100);
-    assert!(most <= 16, "{most} of 32 connections held by clients that do not use them");
+    let max_open = max_open_connections(&node, 100);
+    assert!(max_open <= 16, "{max_open} of 32 connections held by clients that do not use them");
     assert_eq!(server.request_count(), 100);
 }
 
--- a/crates/cache-balancer/tests/handover.rs
+++ b/crates/cache-balancer/tests/handover.rs
@@ -177,7 +177,7 @@
     let without_handover: String = config.replace(&format!("{HANDOVER_SETTINGS}within = \"20s\"\n"), "");
     predecessor.reconfigure(&without_handover);
     assert_eq!(predecessor.logged("configuration read again: hand-over changed"), 1);
-    wait_for("the removal of the socket", || UnixStream::connect(fixture.socket()).is_err());
+    wait_for("the removal of the hand-over socket", || UnixStream::connect(fixture.socket()).is_err());
     predecessor.signal("-USR2");
     wait_for("the log line", || predecessor.logged("hand-over: the configuration has no [hand_over]") == 1);
     predecessor.reconfigure(&config.replace("n.sock", "m.sock"));
--- a/crates/cache-balancer/tests/handover_versions.rs
+++ b/crates/cache-balancer/tests/handover_versions.rs
@@ -239,7 +239,7 @@
     let predecessor = ScriptedPredecessor::listen(fixture);
     let (node, mut peer) = std::thread::scope(|scope| {
         let node = scope.spawn(|| fixture.start());
-        let mut peer = play_predecessor(&predecessor, &sent);
+        let mut peer = replay_until_accepting(&predecessor, &sent);
         peer.0.write_all(&sent[2]).unwrap();
         (node.join().unwrap(), peer)
     });
@@ -259,7 +259,7 @@
     let predecessor = ScriptedPredecessor::listen(fixture);
     let output = std::thread::scope(|scope| {
         let node = scope.spawn(|| output_before_timeout(fixture.command()));
-        let mut peer = play_offer(&predecessor, offer);
+        let mut peer = replay_until_ready(&predecessor, offer);
         peer.0.write_all(&recording.only_frame("cancel", PREDECESSOR)).unwrap();
         node.join().unwrap()
     });
@@ -275,7 +275,7 @@
     let offer = &recording.frames("handover", PREDECESSOR)[0];
     let predecessor = ScriptedPredecessor::listen(fixture);
     let mut node = fixture.command().stderr(std::process::Stdio::null()).spawn().unwrap();
-    let mut peer = play_offer(&predecessor, offer);
+    let mut peer = replay_until_ready(&predecessor, offer);
     let pid = rustix::process::Pid::from_child(&node);
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).unwrap();
     assert_eq!(peer.receive_bytes().unwrap(), recording.only_frame("decline", SUCCESSOR));
@@ -283,7 +283,7 @@
 }
 
 /// Acts as the recorded predecessor until the successor is ready.
-fn play_offer(predecessor: &ScriptedPredecessor, offer: &[u8]) -> Peer {
+fn replay_until_ready(predecessor: &ScriptedPredecessor, offer: &[u8]) -> Peer {
     let mut peer = predecessor.accept();
     peer.receive_bytes().unwrap();
     peer.send_with_socket(offer, &predecessor.clients);
@@ -292,8 +292,8 @@
 }
 
 /// Acts as the recorded predecessor until the successor accepts connections.
-fn play_predecessor(predecessor: &ScriptedPredecessor, frames: &[Vec<u8>]) -> Peer {
-    let mut peer = play_offer(predecessor, &frames[0]);
+fn replay_until_accepting(predecessor: &ScriptedPredecessor, frames: &[Vec<u8>]) -> Peer {
+    let mut peer = replay_until_ready(predecessor, &frames[0]);
     peer.0.write_all(&frames[1]).unwrap();
     peer.receive_bytes().unwrap();
     peer
--- a/crates/cache-balancer/tests/hollow.rs
+++ b/crates/cache-balancer/tests/hollow.rs
@@ -125,7 +125,7 @@
     }
 
     fn wait_for_calls(&self, calls: u64) {
-        wait_for("calls", || self.report().calls >= calls);
+        wait_for("polls", || self.report().calls >= calls);
     }
 }
 
@@ -162,7 +162,7 @@
 
     /// Waits until the nodes have applied this many lists in total.
     fn wait_for_lists(&self, count: usize) -> Vec<Applied> {
-        wait_for("lists", || self.report().applied.len() >= count);
+        wait_for("the lists to be applied", || self.report().applied.len() >= count);
         let applied = self.report.borrow().applied.clone();
         assert_eq!(applied.len(), count, "{applied:?}");
         applied
@@ -170,7 +170,7 @@
 
     /// Waits until each of these nodes has applied this version.
     fn wait_for_version(&self, nodes: impl Iterator<Item = u32> + Clone, version: u64) {
-        wait_for("a version", || {
+        wait_for("the version at every node", || {
             let applied = self.report().applied;
             nodes.clone().all(|node| applied.iter().any(|list| (list.node, list.version) == (node, version)))
         });
@@ -322,7 +322,7 @@
     let addresses = replicas.iter().map(|replica| replica.address).collect();
     let hollow = Hollow::start(addresses, Some(FIRST_VERSION), 10);
     let calls = || replicas.iter().map(|replica| replica.report().calls).sum::<u64>();
-    wait_for("calls", || calls() >= u64::from(NODES));
+    wait_for("polls", || calls() >= u64::from(NODES));
     // Each replica is unavailable once, so that every node has to fail over, whichever one it prefers.
     for (version, away, up) in [(FIRST_VERSION + 1, 0, 1), (FIRST_VERSION + 21, 1, 0)] {
         for replica in &replicas {
--- a/crates/cache-balancer/tests/outage.rs
+++ b/crates/cache-balancer/tests/outage.rs
@@ -90,7 +90,7 @@
     });
     let available_at = Instant::now();
     available.store(true, Ordering::SeqCst);
-    wait_for("the change", || {
+    wait_for("the change to be sent", || {
         discoveries.iter().all(|discovery| discovery.notified.lock().unwrap().is_some())
     });
     let took: Vec<_> = discoveries
--- a/crates/cache-balancer/tests/reload.rs
+++ b/crates/cache-balancer/tests/reload.rs
@@ -198,8 +198,8 @@
     in_flight.send(&read_request("read", 1, 20_000));
     wait_for("the request", || server.request_count() == 1);
     node.reconfigure(&without);
-    wait_for("the listener's end", || std::net::TcpStream::connect(second).is_err());
-    wait_for("the idle connection's end", || !idle.is_open());
+    wait_for("the listener to close", || std::net::TcpStream::connect(second).is_err());
+    wait_for("the idle connection to close", || !idle.is_open());
     assert_eq!(node.get("/healthz").status(), 200);
     gate.open();
     let response = in_flight.receive().unwrap();
@@ -302,7 +302,7 @@
     // The last file is applied, regardless of how many signals were merged.
     let last = format!("{}{}", file_of_turn(7), safe_class("last"));
     node.reload(&last);
-    wait_for("the last file", || node.read("last", u64::MAX).status() == 200);
+    wait_for("the last file to be applied", || node.read("last", u64::MAX).status() == 200);
     stop.store(true, Ordering::SeqCst);
     let responses: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
     // Each request was forwarded exactly once. The request of the class `last` adds one.
@@ -330,17 +330,17 @@
     assert!(std::process::Command::new("mkfifo").arg(&path).status().unwrap().success());
     node.signal("-HUP");
     // The file is read on a separate thread.
-    wait_for("the reader", || blocks_on_open(node.child.id()));
+    wait_for("the file to be opened", || blocks_on_open(node.child.id()));
     assert_eq!(node.read("read", 1).status(), 200);
     node.terminate();
     assert!(node.exit_status().success());
 }
 
 /// Returns whether a thread of this process is blocked in the system call that opens a file.
-fn blocks_on_open(process: u32) -> bool {
+fn blocks_on_open(pid: u32) -> bool {
     /// The number of openat(2) on Linux.
     const OPENAT: &str = if cfg!(target_arch = "x86_64") { "257 " } else { "56 " };
-    let tasks = std::fs::read_dir(format!("/proc/{process}/task")).unwrap();
+    let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).unwrap();
     tasks.flatten().any(|task| {
         std::fs::read_to_string(task.path().join("syscall")).is_ok_and(|call| call.starts_with(OPENAT))
     })
--- a/crates/cache-balancer/tests/replicas.rs
+++ b/crates/cache-balancer/tests/replicas.rs
@@ -258,7 +258,7 @@
             assert!(servers.count_sent_to_leaving(&node, 2_000) > 0, "two are not enough");
         }
     }
-    wait_for("the third to be accepted", || node.logged("3 replicas sent it") == 1);
+    wait_for("the third list to be accepted", || node.logged("3 replicas sent it") == 1);
     service.wait_for_watch(2, 6);
     let mut ranks: Vec<_> = service.polls().into_iter().map(|(rank, _)| rank).collect();
     ranks.dedup();
@@ -280,7 +280,7 @@
         assert!(servers.count_sent_to_leaving(&node, 1_000 * (rank as u64 + 1)) > 0, "{rank}");
     }
     service.replicas[2].lists(1, &restarted);
-    wait_for("the last to be accepted", || node.logged("3 replicas sent it") == 1);
+    wait_for("the last list to be accepted", || node.logged("3 replicas sent it") == 1);
     service.wait_for_watch(2, 1);
     assert_eq!(servers.count_sent_to_leaving(&node, 5_000), 0);
     // Later changes with the restarted versions are applied.
--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -227,14 +227,14 @@
 }
 
 /// Returns the process group of a process, the third field after its name in `/proc/PID/stat`.
-fn process_group(process: u32) -> Option<u32> {
-    let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
+fn process_group(pid: u32) -> Option<u32> {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     stat.rsplit_once(") ")?.1.split(' ').nth(2)?.parse().ok()
 }
 
 /// Returns whether a process exists and is not a zombie.
-fn is_running(process: u32) -> bool {
-    let stat = std::fs::read_to_string(format!("/proc/{process}/stat"));
+fn is_running(pid: u32) -> bool {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"));
     stat.is_ok_and(|stat| !stat.rsplit_once(") ").is_some_and(|(_, rest)| rest.starts_with('Z')))
 }
 
--- a/crates/cache-balancer/tests/stored_data.rs
+++ b/crates/cache-balancer/tests/stored_data.rs
@@ -64,10 +64,10 @@
 fn scenario_files_of_version_0_2_0_are_read_the_same() {
     let checked = run(&["scenario", "check"], &["scenario.toml"]);
     assert_eq!(checked.lines().count(), 5, "{checked}");
-    let played = json_lines(&run(&["scenario", "--player", "virtual", "--json"], &["scenario.toml"]));
-    assert_eq!(played[0]["name"], "mass-replacement");
+    let reports = json_lines(&run(&["scenario", "--player", "virtual", "--json"], &["scenario.toml"]));
+    assert_eq!(reports[0]["name"], "mass-replacement");
     let numbers = |section: &str, name: &str| -> Vec<f64> {
-        played[0][section].as_array().unwrap().iter().map(|entry| entry[name].as_f64().unwrap()).collect()
+        reports[0][section].as_array().unwrap().iter().map(|entry| entry[name].as_f64().unwrap()).collect()
     };
     assert_eq!(numbers("incidents", "from_s"), [0.0, 8.0, 12.0, 12.0]);
     assert_eq!(numbers("incidents", "to_s"), [50.0, 38.0, 19.0, 19.0]);
