--- a/crates/cache-balancer/tests/reload.rs
+++ b/crates/cache-balancer/tests/reload.rs
@@ -330,7 +330,7 @@
     assert!(std::process::Command::new("mkfifo").arg(&path).status().unwrap().success());
     node.signal("-HUP");
     // The file is read on a separate thread.
-    wait_for("the file to be opened", || blocks_on_open(node.child.id()));
+    wait_for("the node to block on opening the file", || blocks_on_open(node.child.id()));
     assert_eq!(node.read("read", 1).status(), 200);
     node.terminate();
     assert!(node.exit_status().success());
