--- a/crates/cache-balancer/src/config/mod.rs
+++ b/crates/cache-balancer/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration of a node. It comes from the platform's environment or from an operator's file; both are read into a
-//! [`Config`].
+//! The configuration of a node. It comes from the platform's environment or from an operator's file; both are
+//! read into a [`Config`].
 
 pub mod operator;
 pub mod platform;
@@ -11,12 +11,14 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The number of descriptors reserved for the runtime, one listener, the endpoint list of one pool and the standard streams.
+/// The number of descriptors reserved for the runtime, one listener, the endpoint list of one pool and the
+/// standard streams.
 pub const RESERVED_DESCRIPTORS: usize = 24;
-/// The minimum number of client connections, and of connections to cache servers. A node that cannot serve a handful of
-/// clients is of no use.
+/// The minimum number of client connections, and of connections to cache servers. A node that cannot serve a
+/// handful of clients is of no use.
 pub const MIN_CONNECTIONS: usize = 4;
-/// The minimum number of descriptors: the reserved ones, and [`MIN_CONNECTIONS`] each for clients and cache servers.
+/// The minimum number of descriptors: the reserved ones, and [`MIN_CONNECTIONS`] each for clients and cache
+/// servers.
 pub const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + 2 * MIN_CONNECTIONS;
 
 /// The configuration of a node, read at its start and at each reload.
@@ -45,7 +47,8 @@
     pub socket: PathBuf,
     /// The time limit of each step of a hand-over. If it is exceeded, the serving process continues to serve.
     pub step_timeout: Duration,
-    /// The minimum time for which the predecessor stands by. If its successor dies meanwhile, it accepts connections again.
+    /// The minimum time for which the predecessor stands by. If its successor dies meanwhile, it accepts
+    /// connections again.
     pub probation: Duration,
     /// The time for which successors are rejected after two have died while they served.
     pub backoff: Duration,
@@ -75,8 +78,8 @@
 }
 
 impl Listener {
-    /// Whether both configure the same socket: their addresses are equal. Names are ignored, since an address can be bound
-    /// only once. If the system picks the port, the names must be equal as well.
+    /// Whether both configure the same socket: their addresses are equal. Names are ignored, since an address
+    /// can be bound only once. If the system picks the port, the names must be equal as well.
     pub fn is_same_socket(&self, other: &Self) -> bool {
         self.address == other.address && (self.address.port() != 0 || self.name == other.name)
     }
@@ -111,11 +114,12 @@
     }
 }
 
-/// The replicas of one discovery service. They share one sequence of list versions, and may lag behind each other.
+/// The replicas of one discovery service. They share one sequence of list versions, and may lag behind each
+/// other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryReplicas {
-    /// 1 to [`DiscoveryReplicas::MAX`] distinct addresses. They are sorted, so that two lists of the same addresses compare
-    /// equal.
+    /// 1 to [`DiscoveryReplicas::MAX`] distinct addresses. They are sorted, so that two lists of the same
+    /// addresses compare equal.
     pub addresses: Vec<SocketAddr>,
     /// The capacity of each replica; `None` if it is not stated.
     pub capacity: Option<ReplicaCapacity>,
--- a/crates/cache-balancer/src/config/operator.rs
+++ b/crates/cache-balancer/src/config/operator.rs
@@ -1,6 +1,7 @@
 //! Reads an operator's file (TOML) into a [`Config`], and an endpoint list from a separate file.
 //!
-//! All faults of a file are reported at once, each with its line and what was expected. Serde would stop at the first fault.
+//! All faults of a file are reported at once, each with its line and what was expected. Serde would stop at
+//! the first fault.
 
 mod discovery;
 mod effective;
@@ -22,19 +23,20 @@
 
 /// The version of the format.
 const VERSION: u64 = 1;
-/// The maximum number of descriptors. One thread cannot make use of more. Each client connection uses two descriptors, and
-/// may hold a header of 16 KiB and a body of 64 KiB: at this maximum, all connections together hold 2.5 GiB.
+/// The maximum number of descriptors. One thread cannot make use of more. Each client connection uses two
+/// descriptors, and may hold a header of 16 KiB and a body of 64 KiB: at this maximum, all connections
+/// together hold 2.5 GiB.
 const MAX_DESCRIPTORS: u64 = 1 << 16;
 /// The maximum size of a file with an endpoint list.
 const MAX_LIST_BYTES: u64 = 8 << 20;
-/// The maximum length of the absolute path of a Unix socket. unix(7) allows 108 bytes, and a process id is appended to the
-/// path.
+/// The maximum length of the absolute path of a Unix socket. unix(7) allows 108 bytes, and a process id is
+/// appended to the path.
 const MAX_SOCKET_PATH_BYTES: usize = 80;
 const MAX_NODES: u64 = 10_000;
 const TIME_RANGE: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(3_600);
 const FRACTION_RANGE: RangeInclusive<f64> = 0.0..=1.0;
-/// The default late weight fraction of a class. It is above 0, because a response after the latency objective is still of
-/// some use.
+/// The default late weight fraction of a class. It is above 0, because a response after the latency objective
+/// is still of some use.
 const DEFAULT_LATE_WEIGHT_FRACTION: f64 = 0.4;
 /// The default name of a node.
 const DEFAULT_NAME: &str = "cache-balancer";
@@ -55,15 +57,15 @@
 pub fn load(path: &Path) -> Result<Config, FileError> {
     let unreadable = |error| FileError::Unreadable(path.to_owned(), error);
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
-    // Relative paths are resolved against the file's directory and made absolute, so that the effective configuration is
-    // still correct when it is written to another directory.
+    // Relative paths are resolved against the file's directory and made absolute, so that the effective
+    // configuration is still correct when it is written to another directory.
     let absolute = std::path::absolute(path).map_err(unreadable)?;
     let folder = absolute.parent().unwrap_or(Path::new(""));
     read(&path.display().to_string(), &text, folder)
 }
 
-/// Parses the text of an operator's file. `name` is the file's name in faults, and relative paths are resolved against
-/// `folder`.
+/// Parses the text of an operator's file. `name` is the file's name in faults, and relative paths are
+/// resolved against `folder`.
 pub fn read(name: &str, text: &str, folder: &Path) -> Result<Config, FileError> {
     Document::read(name, text, |top| config(top, folder)).map_err(FileError::Faults)
 }
@@ -101,7 +103,8 @@
         && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
 }
 
-/// Reads the name of a table and adds it to `used_names`. A missing name and a name in `used_names` are faults.
+/// Reads the name of a table and adds it to `used_names`. A missing name and a name in `used_names` are
+/// faults.
 fn name(t: &Table, used_names: &mut BTreeSet<String>) -> String {
     let name = t.need("name", t.text("name", NAME_FORMAT, is_name));
     if !name.is_empty() && !used_names.insert(name.clone()) {
--- a/crates/cache-balancer/src/config/operator/discovery.rs
+++ b/crates/cache-balancer/src/config/operator/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery settings of a pool in an operator's file: the address of each replica, and the capacity of a replica.
+//! The discovery settings of a pool in an operator's file: the address of each replica, and the capacity of a
+//! replica.
 
 use crate::config::DiscoveryReplicas;
 use balancer_core::discovery::ReplicaCapacity;
@@ -9,8 +10,8 @@
 const ADDRESSES: &str = "discovery";
 const LINES_PER_SECOND: &str = "discovery_lines_per_second";
 const CALL_LINES: &str = "discovery_call_lines";
-/// A replica that sends fewer lines per second than a list has servers is useless, and no machine sends more than the upper
-/// bound.
+/// A replica that sends fewer lines per second than a list has servers is useless, and no machine sends more
+/// than the upper bound.
 const LINES_PER_SECOND_RANGE: RangeInclusive<f64> = 1.0..=1e8;
 /// The cost of a call is never 0: nodes would assume that a replica can answer any number of calls.
 const CALL_LINES_RANGE: RangeInclusive<f64> = 0.01..=1e6;
--- a/crates/cache-balancer/src/config/operator/effective.rs
+++ b/crates/cache-balancer/src/config/operator/effective.rs
@@ -1,4 +1,5 @@
-//! Writes the effective configuration as an operator's file. Reading that file gives the same effective configuration.
+//! Writes the effective configuration as an operator's file. Reading that file gives the same effective
+//! configuration.
 
 use super::{discovery, VERSION};
 use crate::config::{Config, HandoverConfig, Listener, Pool, Source};
--- a/crates/cache-balancer/src/config/platform.rs
+++ b/crates/cache-balancer/src/config/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's configuration: the file that `LB_CONFIG` names, and environment variables that override its values.
+//! The platform's configuration: the file that `LB_CONFIG` names, and environment variables that override its
+//! values.
 
 use super::{Config, DiscoveryReplicas, Listener, Pool, Source, MIN_DESCRIPTORS};
 use crate::endpoint_list::EndpointList;
@@ -46,8 +47,8 @@
     sockets: usize,
 }
 
-/// The variable that overrides the file's `discovery` at the start. A reload uses the file's value, because a process keeps
-/// the environment that it was started with, and the variable may be out of date.
+/// The variable that overrides the file's `discovery` at the start. A reload uses the file's value, because a
+/// process keeps the environment that it was started with, and the variable may be out of date.
 pub const DISCOVERY: &str = "LB_DISCOVERY";
 
 /// Reads the file that `LB_CONFIG` names. Other variables override its values.
--- a/crates/cache-balancer/src/daemon/change.rs
+++ b/crates/cache-balancer/src/daemon/change.rs
@@ -1,4 +1,5 @@
-//! Compares two configurations: which listeners and pools are kept, and which differences are logged. Performs no I/O.
+//! Compares two configurations: which listeners and pools are kept, and which differences are logged.
+//! Performs no I/O.
 
 use crate::config::{Config, DiscoveryReplicas, Listener, Pool, Source};
 use balancer_core::discovery::ReplicaCapacity;
@@ -17,8 +18,9 @@
 }
 
 impl Change {
-    /// Compares two configurations. Listeners are matched by [`Listener::is_same_socket`]. Pools are matched by name, so that
-    /// a pool keeps the learned state of its servers when the source of its endpoint list changes.
+    /// Compares two configurations. Listeners are matched by [`Listener::is_same_socket`]. Pools are matched
+    /// by name, so that a pool keeps the learned state of its servers when the source of its endpoint list
+    /// changes.
     pub fn between(current: &Config, new: &Config) -> Self {
         let same_listener =
             |listener: &Listener| current.listeners.iter().position(|other| listener.is_same_socket(other));
@@ -149,8 +151,8 @@
     }
 }
 
-/// Returns the differences for the items that were added or removed. `kept` has, for each item of the new configuration, the
-/// index of the current item that it keeps, if any.
+/// Returns the differences for the items that were added or removed. `kept` has, for each item of the new
+/// configuration, the index of the current item that it keeps, if any.
 fn additions_and_removals(
     item: Item,
     kept: &[Option<usize>],
@@ -166,7 +168,8 @@
     added.chain(removed.map(move |(_, name)| Difference::Removed(item, name)))
 }
 
-/// Describes the changes to the source of a pool's endpoint list, and to a list that the configuration itself contains.
+/// Describes the changes to the source of a pool's endpoint list, and to a list that the configuration itself
+/// contains.
 fn list_changes(before: &Pool, after: &Pool) -> Vec<String> {
     match (&before.source, &after.source) {
         (Source::Discovery(before), Source::Discovery(after)) => discovery_changes(before, after),
@@ -215,8 +218,8 @@
     pools.flat_map(|pool| pool.settings.classes.iter().map(|class| (pool.name.as_str(), class))).collect()
 }
 
-/// Returns the settings shared by all pools: the classes, and the settings that follow from the source of the endpoint list,
-/// are reset.
+/// Returns the settings shared by all pools: the classes, and the settings that follow from the source of the
+/// endpoint list, are reset.
 fn general_settings(settings: &Settings) -> Settings {
     Settings {
         classes: Vec::new(),
--- a/crates/cache-balancer/src/daemon/graceful_restart/mod.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/mod.rs
@@ -1,5 +1,5 @@
-//! Performs the actions that [`balancer_core::graceful_restart`] decides on: [`successor`] in the process that takes over,
-//! [`predecessor`] in the process that is replaced.
+//! Performs the actions that [`balancer_core::graceful_restart`] decides on: [`successor`] in the process
+//! that takes over, [`predecessor`] in the process that is replaced.
 
 mod predecessor;
 mod successor;
@@ -37,7 +37,8 @@
     Successor(PredecessorEvent),
 }
 
-/// The other processes of this node: the predecessor, as long as it stands by, and the successor that takes over.
+/// The other processes of this node: the predecessor, as long as it stands by, and the successor that takes
+/// over.
 #[derive(Debug, Default)]
 pub(super) struct GracefulRestart {
     predecessor: Option<StandbyPredecessor>,
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Whether the predecessor stands by in case this process dies. While it stands by, the predecessor is the service's main
-    /// process.
+    /// Whether the predecessor stands by in case this process dies. While it stands by, the predecessor is
+    /// the service's main process.
     pub fn on_probation(&self) -> bool {
         self.predecessor.is_some()
     }
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Applies a new configuration. `endpoint` is the new hand-over endpoint if the path of its socket has changed.
+    /// Applies a new configuration. `endpoint` is the new hand-over endpoint if the path of its socket has
+    /// changed.
     pub fn reconfigure(&mut self, endpoint: Option<PredecessorEndpoint>, config: &Config) {
         match (&config.handover, endpoint, &mut self.outgoing) {
             (None, ..) => self.outgoing = None,
@@ -158,8 +160,8 @@
     }
 }
 
-/// Ends the standby of the predecessor before this process hands over itself. Otherwise, if this process died, both the
-/// predecessor and the successor would accept connections.
+/// Ends the standby of the predecessor before this process hands over itself. Otherwise, if this process
+/// died, both the predecessor and the successor would accept connections.
 async fn release_predecessor(predecessor: &mut Option<StandbyPredecessor>, manager: &ServiceManager) {
     if let Some(mut predecessor) = predecessor.take() {
         predecessor.handle(SuccessorEvent::HandoverStarted).await;
--- a/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
@@ -12,13 +12,14 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// The predecessor's side of a hand-over, created when this process starts to serve or its hand-over socket changes.
+/// The predecessor's side of a hand-over, created when this process starts to serve or its hand-over socket
+/// changes.
 #[derive(Debug)]
 pub(super) struct OutgoingHandover {
     machine: Predecessor,
     endpoint: PredecessorEndpoint,
-    /// The earliest end of the successor's probation. The probation also lasts until every connection that this process
-    /// accepted has ended.
+    /// The earliest end of the successor's probation. The probation also lasts until every connection that
+    /// this process accepted has ended.
     probation_until: Option<Instant>,
 }
 
@@ -142,8 +143,8 @@
     }
 
     async fn depart(&mut self, manager: &ServiceManager) {
-        // The service manager has to know the successor before this process exits. Otherwise it would consider the service
-        // stopped.
+        // The service manager has to know the successor before this process exits. Otherwise it would
+        // consider the service stopped.
         if let Some(process) = self.endpoint.successor_process() {
             manager.notify_main_process(process);
         }
@@ -172,8 +173,8 @@
     }
 }
 
-/// Waits until the probation time has passed and every connection of this process has ended. Without a probation, waits
-/// forever.
+/// Waits until the probation time has passed and every connection of this process has ended. Without a
+/// probation, waits forever.
 async fn probation_over(until: Option<Instant>, node: &Node) {
     match until {
         Some(until) => sleep_until(until).await,
--- a/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
@@ -146,7 +146,8 @@
             SuccessorAction::Decline => self.endpoint.decline().await,
             SuccessorAction::Release => self.endpoint.release().await,
             SuccessorAction::TerminatePredecessor => self.endpoint.terminate_predecessor(),
-            // The service manager is notified only after this action, since until then the takeover may be cancelled.
+            // The service manager is notified only after this action, since until then the takeover may be
+            // cancelled.
             SuccessorAction::TakeOwnership => return ControlFlow::Break(End::Serving),
             SuccessorAction::Drain => return ControlFlow::Break(End::Drain),
             SuccessorAction::Exit => return ControlFlow::Break(End::Exit),
--- a/crates/cache-balancer/src/daemon/listeners.rs
+++ b/crates/cache-balancer/src/daemon/listeners.rs
@@ -1,5 +1,5 @@
-//! The listeners of a node. Each has its own shutdown phase, so that a listener that a reload removes closes in the same way
-//! as all of them do when the node stops.
+//! The listeners of a node. Each has its own shutdown phase, so that a listener that a reload removes closes
+//! in the same way as all of them do when the node stops.
 
 use super::change::Change;
 use super::error::ConfigureError;
@@ -18,8 +18,8 @@
 use tokio::task::{spawn_local, JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-/// How long a closing listener continues to accept connections. Fronts send new connections for up to 0.4 s after SIGTERM,
-/// until they notice.
+/// How long a closing listener continues to accept connections. Fronts send new connections for up to 0.4 s
+/// after SIGTERM, until they notice.
 const DRAIN_DELAY: Duration = Duration::from_millis(500);
 
 /// Listening sockets, each with the index of its listener in the configuration.
@@ -48,8 +48,8 @@
     }
 }
 
-/// Listens for each of `listeners` whose index is in `indices`, on its inherited socket if there is one and else on its
-/// address.
+/// Listens for each of `listeners` whose index is in `indices`, on its inherited socket if there is one and
+/// else on its address.
 pub async fn bind(
     listeners: &[Listener],
     indices: impl Iterator<Item = usize>,
@@ -67,8 +67,8 @@
                 bound.map_err(|error| ConfigureError::Listen { address, error })?
             }
         };
-        // Enabled before the first accept, so that the arrival times of earlier requests are known as well. Where the
-        // system does not support it, the time of the read is used.
+        // Enabled before the first accept, so that the arrival times of earlier requests are known as well.
+        // Where the system does not support it, the time of the read is used.
         enable_arrival_timestamps(&socket);
         bound.push((index, socket));
     }
@@ -111,8 +111,8 @@
         Self { front, running: Vec::new(), removed: JoinSet::new() }
     }
 
-    /// Applies a new configuration. `bound` has a socket for each added listener. A removed listener finishes its requests
-    /// and closes.
+    /// Applies a new configuration. `bound` has a socket for each added listener. A removed listener finishes
+    /// its requests and closes.
     pub fn change(&mut self, name: &str, change: &Change, bound: BoundSockets) {
         while self.removed.try_join_next().is_some() {}
         let mut previous: Vec<_> = std::mem::take(&mut self.running).into_iter().map(Some).collect();
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Duplicates the descriptor of each socket, and returns it with the index of its listener in the configuration.
-    /// Sockets that cannot be duplicated are left out.
+    /// Duplicates the descriptor of each socket, and returns it with the index of its listener in the
+    /// configuration. Sockets that cannot be duplicated are left out.
     pub fn sockets(&self) -> Vec<(usize, OwnedFd)> {
         let all = self.running.iter().enumerate();
         let socket = |running: &RunningListener| running.socket.upgrade()?.as_fd().try_clone_to_owned().ok();
--- a/crates/cache-balancer/src/daemon/mod.rs
+++ b/crates/cache-balancer/src/daemon/mod.rs
@@ -39,7 +39,8 @@
     block_on(config, ConfigSource::Platform)
 }
 
-/// Runs a node with the configuration from an operator's file, until SIGTERM or until another process has taken over.
+/// Runs a node with the configuration from an operator's file, until SIGTERM or until another process has
+/// taken over.
 ///
 /// If `with_parent` is set, this process receives SIGTERM when its parent exits.
 pub fn start_from(path: &Path, with_parent: bool) -> Result<(), StartError> {
--- a/crates/cache-balancer/src/daemon/node.rs
+++ b/crates/cache-balancer/src/daemon/node.rs
@@ -82,12 +82,13 @@
         self.pools.restore(state.pools);
     }
 
-    /// Reads the configuration again and performs every step that can fail, without changing the running node.
+    /// Reads the configuration again and performs every step that can fail, without changing the running
+    /// node.
     pub async fn prepare_reload(&mut self, source: &ConfigSource) -> Result<PreparedReload, ConfigureError> {
         let config = match source.clone() {
             ConfigSource::Platform => self.config_with_new_discovery()?,
-            // Read on another thread than the one that serves requests: a file on an unreachable network share blocks
-            // its reader.
+            // Read on another thread than the one that serves requests: a file on an unreachable network
+            // share blocks its reader.
             ConfigSource::Operator(path) => {
                 let config = spawn_blocking(move || operator::load(&path)).await?;
                 limit_descriptors(config?)
@@ -105,7 +106,8 @@
         Ok(PreparedReload { config, change, max_connections, bound, endpoint })
     }
 
-    /// Listens for a successor if `config` has a hand-over socket at another path than the current configuration.
+    /// Listens for a successor if `config` has a hand-over socket at another path than the current
+    /// configuration.
     fn bind_moved_endpoint(&self, config: &Config) -> Result<Option<PredecessorEndpoint>, ConfigureError> {
         let is_moved = |new: &HandoverConfig| {
             self.config.handover.as_ref().is_none_or(|current| current.socket != new.socket)
@@ -114,8 +116,8 @@
         moved.map(PredecessorEndpoint::bind).transpose().map_err(ConfigureError::HandoverSocket)
     }
 
-    /// Returns the current configuration with the platform's new `discovery`. The platform's other settings are only
-    /// read at the start.
+    /// Returns the current configuration with the platform's new `discovery`. The platform's other settings
+    /// are only read at the start.
     fn config_with_new_discovery(&self) -> Result<Config, ConfigureError> {
         let new = platform::load(|name| std::env::var(name).ok().filter(|_| name != platform::DISCOVERY))?;
         let mut config = self.config.clone();
@@ -125,8 +127,8 @@
         Ok(config)
     }
 
-    /// Applies a new configuration in one step, so that no request sees a mixture of both. Returns the new hand-over
-    /// endpoint, if the path of its socket has changed.
+    /// Applies a new configuration in one step, so that no request sees a mixture of both. Returns the new
+    /// hand-over endpoint, if the path of its socket has changed.
     pub fn apply(&mut self, prepared: PreparedReload) -> Option<PredecessorEndpoint> {
         let PreparedReload { config, change, max_connections, bound, endpoint } = prepared;
         log!("configuration read again: {change}");
--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -1,4 +1,5 @@
-//! The pools of a node. Each has a driver with its own balancer, upstream connections, and a source of its endpoint list.
+//! The pools of a node. Each has a driver with its own balancer, upstream connections, and a source of its
+//! endpoint list.
 
 use super::change::Change;
 use crate::config::{Config, DiscoveryReplicas, Pool, Source};
@@ -61,8 +62,8 @@
 }
 
 impl RunningPool {
-    /// Restores the state of the predecessor's pool. A list that the configuration itself contains takes precedence over the
-    /// predecessor's.
+    /// Restores the state of the predecessor's pool. A list that the configuration itself contains takes
+    /// precedence over the predecessor's.
     fn restore(&self, PoolState { endpoint_list, learned_state, .. }: PoolState) {
         let endpoint_list = match self.pool.source {
             Source::Fixed => self.pool.configured_list.clone(),
@@ -221,7 +222,8 @@
 }
 
 impl ListWatch {
-    /// Starts to watch `source`. `validator` describes the list that the driver holds, and `node` is the name of the node.
+    /// Starts to watch `source`. `validator` describes the list that the driver holds, and `node` is the name
+    /// of the node.
     fn start(
         node: &str,
         source: &Source,
@@ -232,8 +234,8 @@
     ) -> Self {
         match source {
             Source::Discovery(replicas) => {
-                // Each pool has its own random sequence, so that pools that lost discovery at the same time do not retry at
-                // the same time.
+                // Each pool has its own random sequence, so that pools that lost discovery at the same time
+                // do not retry at the same time.
                 let random = fastrand::Rng::with_seed(seed);
                 let (sender, replicas) = watch::channel(replicas.clone());
                 let (poll_settings, driver_inputs) = (poll_settings.clone(), driver_inputs.clone());
@@ -255,8 +257,8 @@
     }
 }
 
-/// Returns the validator for the list that a pool starts with. If the predecessor used the same discovery service, the watch
-/// continues from the predecessor's version.
+/// Returns the validator for the list that a pool starts with. If the predecessor used the same discovery
+/// service, the watch continues from the predecessor's version.
 fn initial_validator(pool: &Pool, learned: Option<&PoolState>) -> ListValidator {
     match learned {
         Some(learned) if learned.shares_versions_with(&pool.source) => {
--- a/crates/cache-balancer/src/daemon/pools/tests.rs
+++ b/crates/cache-balancer/src/daemon/pools/tests.rs
@@ -11,7 +11,8 @@
 const PORTS: std::ops::RangeInclusive<u16> = 1..=6;
 const POOLS: [&str; 2] = ["p", "q"];
 
-/// The discovery settings of one pool in a file: the ports of the replicas in the order of the file, and their capacity.
+/// The discovery settings of one pool in a file: the ports of the replicas in the order of the file, and
+/// their capacity.
 #[derive(Clone, Debug)]
 struct DiscoveryFields {
     ports: Vec<u16>,
@@ -141,8 +142,8 @@
     differences
 }
 
-/// Reloads these files one after the other. Compares what discovery clients receive and what is logged with a model based on
-/// sets of addresses.
+/// Reloads these files one after the other. Compares what discovery clients receive and what is logged with a
+/// model based on sets of addresses.
 async fn reload_each(files: Vec<File>) -> Result<(), TestCaseError> {
     let first = File {
         pools: [(); POOLS.len()].map(|()| DiscoveryFields { ports: vec![1], capacity: None }),
@@ -188,7 +189,8 @@
 }
 
 proptest! {
-    /// A reload without changes could end a watch, or a reload with other replicas could fail to reach the discovery client.
+    /// A reload without changes could end a watch, or a reload with other replicas could fail to reach the
+    /// discovery client.
     #[test]
     fn reloads_report_exactly_the_changes_of_replicas_and_capacity(files in files()) {
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
--- a/crates/cache-balancer/src/daemon/serve.rs
+++ b/crates/cache-balancer/src/daemon/serve.rs
@@ -101,7 +101,8 @@
         if notify_reloading {
             self.manager.notify_reloading();
         }
-        // Reload signals that arrive meanwhile are merged into one: the configuration is read once more afterwards.
+        // Reload signals that arrive meanwhile are merged into one: the configuration is read once more
+        // afterwards.
         let prepared = tokio::select! {
             biased;
             _ = terminate.recv() => return ControlFlow::Break(()),
@@ -164,8 +165,8 @@
     spawn_local(manager.clone().feed_watchdog(node.drivers.subscribe()))
 }
 
-/// Finishes the requests in flight while another process accepts connections. On SIGTERM, idle connections are closed as
-/// well.
+/// Finishes the requests in flight while another process accepts connections. On SIGTERM, idle connections
+/// are closed as well.
 pub(super) async fn finish(mut node: Node, terminate: &mut Signal) {
     node.listeners.hand_over();
     tokio::select! {
--- a/crates/cache-balancer/src/daemon/startup.rs
+++ b/crates/cache-balancer/src/daemon/startup.rs
@@ -64,8 +64,8 @@
     }
 }
 
-/// Requests a hand-over from the predecessor, if one is serving. Returns the connection to it, the inherited sockets and
-/// the learned state of the pools.
+/// Requests a hand-over from the predecessor, if one is serving. Returns the connection to it, the inherited
+/// sockets and the learned state of the pools.
 async fn request_handover(
     config: &Config,
     activation: ActivationSockets,
@@ -83,8 +83,8 @@
     })
 }
 
-/// Serves without a predecessor. Fails if the hand-over socket cannot be bound. No client is lost in that case, since this
-/// process has not accepted any connection yet.
+/// Serves without a predecessor. Fails if the hand-over socket cannot be bound. No client is lost in that
+/// case, since this process has not accepted any connection yet.
 fn serve_alone(node: &mut Node, bound: BoundSockets) -> Result<GracefulRestart, StartError> {
     let endpoint = node.config.handover.clone().map(PredecessorEndpoint::bind).transpose();
     let endpoint = endpoint.map_err(ConfigureError::HandoverSocket)?;
@@ -92,15 +92,15 @@
     Ok(GracefulRestart::new(None, endpoint))
 }
 
-/// Listens for a successor in place of the predecessor. A failure is only logged, because this process already serves
-/// clients.
+/// Listens for a successor in place of the predecessor. A failure is only logged, because this process
+/// already serves clients.
 fn listen_for_successor(node: &Node) -> Option<PredecessorEndpoint> {
     let endpoint = node.config.handover.clone().map(PredecessorEndpoint::bind).transpose();
     endpoint.inspect_err(|error| log!("hand-over: no successor can connect: {error}")).unwrap_or_default()
 }
 
-/// Notifies the service manager once every pool has had a server that accepts requests. Until then, reports the pool that
-/// the node is waiting for.
+/// Notifies the service manager once every pool has had a server that accepts requests. Until then, reports
+/// the pool that the node is waiting for.
 async fn notify_readiness(manager: ServiceManager, readiness: Rc<Readiness>) {
     readiness.wait(|pool| manager.notify_status(format!("waiting for cache servers of pool {pool}"))).await;
     manager.notify_ready();
--- a/crates/cache-balancer/src/handover/frame.rs
+++ b/crates/cache-balancer/src/handover/frame.rs
@@ -16,8 +16,8 @@
 const MAGIC: &[u8; 4] = b"PHHO";
 const VERSION: u16 = 1;
 const HEADER_BYTES: usize = 12;
-/// Maximum length of a payload. It has room for an endpoint list of 8 MiB, the longest that discovery may send, and the
-/// learned state of its servers.
+/// Maximum length of a payload. It has room for an endpoint list of 8 MiB, the longest that discovery may
+/// send, and the learned state of its servers.
 const MAX_PAYLOAD_BYTES: usize = 32 << 20;
 
 /// Type of a message. The values are the numbers in the header.
@@ -83,9 +83,11 @@
         Ok(serde_json::from_slice(&self.payload)?)
     }
 
-    /// Decodes the first frame of `received` and removes it from there. Returns `None` if it is not complete yet.
+    /// Decodes the first frame of `received` and removes it from there. Returns `None` if it is not complete
+    /// yet.
     pub fn decode(received: &mut Vec<u8>) -> Result<Option<Self>, FrameError> {
-        // Checks each part as early as possible, since a peer that does not send frames may never send the rest.
+        // Checks each part as early as possible, since a peer that does not send frames may never send the
+        // rest.
         if let Some(magic) = received.first_chunk::<4>().filter(|magic| *magic != MAGIC) {
             return Err(FrameError::Magic(*magic));
         }
--- a/crates/cache-balancer/src/handover/link.rs
+++ b/crates/cache-balancer/src/handover/link.rs
@@ -65,8 +65,8 @@
         self.outgoing.push_back(OutgoingFrame { bytes: encode(kind, message), sent: 0, descriptors });
     }
 
-    /// Waits for the next frame and sends queued frames meanwhile. Returns `None` if the link has ended between two
-    /// frames. Cancel safe.
+    /// Waits for the next frame and sends queued frames meanwhile. Returns `None` if the link has ended
+    /// between two frames. Cancel safe.
     pub async fn next(&mut self) -> Result<Option<Frame>, LinkError> {
         loop {
             if let Some(frame) = Frame::decode(&mut self.received)? {
--- a/crates/cache-balancer/src/handover/link/tests.rs
+++ b/crates/cache-balancer/src/handover/link/tests.rs
@@ -2,8 +2,8 @@
 use std::io::Write;
 use std::os::fd::AsRawFd;
 
-/// Guards against a deadlock of two ends that each wait to write a frame larger than the socket buffer, and against
-/// descriptors that arrive with the wrong frame.
+/// Guards against a deadlock of two ends that each wait to write a frame larger than the socket buffer, and
+/// against descriptors that arrive with the wrong frame.
 #[tokio::test]
 async fn large_frames_with_descriptors_are_sent_in_both_directions_at_once() {
     let (one, other) = UnixStream::pair().unwrap();
--- a/crates/cache-balancer/src/handover/messages.rs
+++ b/crates/cache-balancer/src/handover/messages.rs
@@ -1,5 +1,5 @@
-//! JSON payloads of the frames. Processes of other versions read and write them, so the serialized names must not
-//! change.
+//! JSON payloads of the frames. Processes of other versions read and write them, so the serialized names must
+//! not change.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -12,13 +12,14 @@
     /// Version of the successor, for the predecessor's log.
     #[serde(rename = "program")]
     pub version: String,
-    /// Whether the successor supports probation. If not, the predecessor departs as soon as the successor accepts
-    /// connections.
+    /// Whether the successor supports probation. If not, the predecessor departs as soon as the successor
+    /// accepts connections.
     #[serde(default)]
     pub probation: bool,
 }
 
-/// Sent by the predecessor with its listening sockets, which are passed as descriptors of this frame, and its state.
+/// Sent by the predecessor with its listening sockets, which are passed as descriptors of this frame, and its
+/// state.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Offer {
     /// Describes each passed socket, in the order of the descriptors.
--- a/crates/cache-balancer/src/handover/mod.rs
+++ b/crates/cache-balancer/src/handover/mod.rs
@@ -1,6 +1,6 @@
-//! Hands over the listening sockets and the learned state to another process of this program, for upgrades. Both are
-//! sent over a Unix socket. [`balancer_core::graceful_restart`] decides which process accepts connections; this module
-//! exchanges its messages.
+//! Hands over the listening sockets and the learned state to another process of this program, for upgrades.
+//! Both are sent over a Unix socket. [`balancer_core::graceful_restart`] decides which process accepts
+//! connections; this module exchanges its messages.
 //!
 //! * [`PredecessorEndpoint`]: the side of the process that serves. It listens for a successor.
 //! * [`SuccessorEndpoint`]: the side of the process that replaces it. It connects to the predecessor.
--- a/crates/cache-balancer/src/handover/peer.rs
+++ b/crates/cache-balancer/src/handover/peer.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Time to wait for the death of a process whose link has ended: a dying process closes its links shortly before the
-/// system reports it as dead.
+/// Time to wait for the death of a process whose link has ended: a dying process closes its links shortly
+/// before the system reports it as dead.
 const DEATH_DELAY: Duration = Duration::from_millis(100);
 /// Interval between checks for the death of a process whose link has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The process at the other end of a link. It is referred to by a pidfd (pidfd_open(2)), so that a later process with
-/// the same PID cannot be mistaken for it.
+/// The process at the other end of a link. It is referred to by a pidfd (pidfd_open(2)), so that a later
+/// process with the same PID cannot be mistaken for it.
 #[derive(Debug)]
 pub(super) struct Peer {
     /// Process ID; `None` if the system does not report it.
@@ -23,8 +23,8 @@
 }
 
 impl Peer {
-    /// Refers to the running process with this PID. If the system does not report the PID, as between containers, the
-    /// process counts as dead once its link has ended.
+    /// Refers to the running process with this PID. If the system does not report the PID, as between
+    /// containers, the process counts as dead once its link has ended.
     pub fn new(pid: Option<u32>) -> Self {
         let open = |pid: u32| pidfd_open(Pid::from_raw(pid as i32)?, PidfdFlags::empty()).ok();
         Self { pid, pidfd: pid.and_then(open) }
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Returns whether the process has died, after waiting up to [`DEATH_DELAY`]. Must be called only after the link
-    /// has ended.
+    /// Returns whether the process has died, after waiting up to [`DEATH_DELAY`]. Must be called only after
+    /// the link has ended.
     pub async fn has_died(&self) -> bool {
         timeout(DEATH_DELAY, self.died()).await.is_ok()
     }
--- a/crates/cache-balancer/src/handover/peer_link.rs
+++ b/crates/cache-balancer/src/handover/peer_link.rs
@@ -11,7 +11,8 @@
 use tokio::net::UnixStream;
 use tokio::time::timeout;
 
-/// Time limit for sending the last message on a link. A peer that does not receive it detects the end of the link.
+/// Time limit for sending the last message on a link. A peer that does not receive it detects the end of the
+/// link.
 const LAST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Meaning of the end of a link.
@@ -34,16 +35,16 @@
 }
 
 impl PeerLink {
-    /// Creates a link on `stream`. The peer is assumed not to support probation until [`Self::set_supports_probation`]
-    /// is called.
+    /// Creates a link on `stream`. The peer is assumed not to support probation until
+    /// [`Self::set_supports_probation`] is called.
     pub fn new(stream: UnixStream) -> Self {
         let link = Link::new(stream);
         let peer = Peer::new(link.peer_pid());
         Self { link: Some(link), peer, supports_probation: false, loss_reported: false }
     }
 
-    /// Returns whether the peer supports probation. A peer that does not treats the end of the link as the departure or
-    /// the death of this process.
+    /// Returns whether the peer supports probation. A peer that does not treats the end of the link as the
+    /// departure or the death of this process.
     pub fn supports_probation(&self) -> bool {
         self.supports_probation
     }
@@ -57,8 +58,8 @@
         self.peer.pid
     }
 
-    /// Waits for the next frame. Returns `None` if the link has ended; [`Self::classify_end`] then determines the
-    /// cause. Ends the link on an error. Cancel safe.
+    /// Waits for the next frame. Returns `None` if the link has ended; [`Self::classify_end`] then determines
+    /// the cause. Ends the link on an error. Cancel safe.
     pub async fn next_frame(&mut self) -> Result<Option<Frame>, LinkError> {
         let Some(link) = &mut self.link else { return Ok(None) };
         let frame = link.next().await;
@@ -68,8 +69,8 @@
         frame
     }
 
-    /// Determines whether the peer has died. Called after the link has ended; once it has returned [`LinkEnd::Lost`],
-    /// the next call waits for the death of the peer. Cancel safe.
+    /// Determines whether the peer has died. Called after the link has ended; once it has returned
+    /// [`LinkEnd::Lost`], the next call waits for the death of the peer. Cancel safe.
     pub async fn classify_end(&mut self) -> LinkEnd {
         if !self.supports_probation {
             return LinkEnd::PeerDied;
--- a/crates/cache-balancer/src/handover/predecessor/mod.rs
+++ b/crates/cache-balancer/src/handover/predecessor/mod.rs
@@ -27,8 +27,8 @@
 
 /// Predecessor side of a hand-over, with at most one successor at a time.
 ///
-/// The successor's probation ends once its duration has passed and every connection that this process accepted has
-/// closed.
+/// The successor's probation ends once its duration has passed and every connection that this process
+/// accepted has closed.
 #[derive(Debug)]
 pub struct PredecessorEndpoint {
     /// `None` while the successor listens at the same path or the path could not be bound.
@@ -59,13 +59,14 @@
         }
     }
 
-    /// Returns the PID of the successor; `None` if there is no successor or the system does not report its PID.
+    /// Returns the PID of the successor; `None` if there is no successor or the system does not report its
+    /// PID.
     pub fn successor_process(&self) -> Option<u32> {
         self.successor.as_ref()?.pid()
     }
 
-    /// Sends the listeners with their sockets, and the learned state. Listeners in excess of [`MAX_DESCRIPTORS`] are
-    /// left out; the successor binds them itself.
+    /// Sends the listeners with their sockets, and the learned state. Listeners in excess of
+    /// [`MAX_DESCRIPTORS`] are left out; the successor binds them itself.
     pub fn send_offer(&mut self, listeners: Vec<(Listener, OwnedFd)>, state: &State) {
         let excess = listeners.len().saturating_sub(MAX_DESCRIPTORS);
         if excess > 0 {
@@ -88,7 +89,8 @@
         self.send(FrameKind::Proceed, &Proceed { state: to_json(state) }, Vec::new());
     }
 
-    /// Tells the successor that it serves, and stops listening: from now on the successor listens at the path.
+    /// Tells the successor that it serves, and stops listening: from now on the successor listens at the
+    /// path.
     pub fn send_commit(&mut self) {
         self.listener = None;
         if let Some(successor) = &mut self.successor {
--- a/crates/cache-balancer/src/handover/spawn.rs
+++ b/crates/cache-balancer/src/handover/spawn.rs
@@ -6,8 +6,8 @@
 use std::path::PathBuf;
 use tokio::process::{Child, Command};
 
-/// Environment variables of the service manager that apply only to the process it started: that process's PID and the
-/// sockets passed to it. Child processes must not inherit them.
+/// Environment variables of the service manager that apply only to the process it started: that process's PID
+/// and the sockets passed to it. Child processes must not inherit them.
 pub const PER_PROCESS_VARIABLES: [&str; 4] = ["WATCHDOG_PID", "LISTEN_PID", "LISTEN_FDS", "LISTEN_FDNAMES"];
 
 /// Suffix that Linux adds to the path of a running executable whose file was replaced.
--- a/crates/cache-balancer/src/handover/state.rs
+++ b/crates/cache-balancer/src/handover/state.rs
@@ -10,8 +10,8 @@
 /// Version of [`State`] that this program writes, and the only one that it reads.
 const STATE_VERSION: u64 = 1;
 
-/// Learned state of a node, by pool. Processes of other versions read and write it, so the serialized names must not
-/// change.
+/// Learned state of a node, by pool. Processes of other versions read and write it, so the serialized names
+/// must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct State {
     version: u64,
@@ -22,8 +22,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PoolState {
     pub name: String,
-    /// Address of the discovery service that sent the endpoint list, if it has a single replica. Versions that don't
-    /// support several replicas write only this field.
+    /// Address of the discovery service that sent the endpoint list, if it has a single replica. Versions
+    /// that don't support several replicas write only this field.
     discovery: Option<SocketAddr>,
     /// Addresses of that discovery service, if it has several replicas.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -53,7 +53,8 @@
     }
 
     /// Returns whether the endpoint list comes from the discovery service of `source`. The list's version is
-    /// meaningless to any other service. Replicas of a service share their versions, so one common replica suffices.
+    /// meaningless to any other service. Replicas of a service share their versions, so one common replica
+    /// suffices.
     pub fn shares_versions_with(&self, source: &Source) -> bool {
         let Source::Discovery(DiscoveryReplicas { addresses, .. }) = source else { return false };
         self.discovery.iter().chain(&self.replicas).any(|address| addresses.contains(address))
--- a/crates/cache-balancer/src/handover/state/tests.rs
+++ b/crates/cache-balancer/src/handover/state/tests.rs
@@ -47,8 +47,8 @@
     assert!(!from_file.shares_versions_with(&Source::Fixed));
 }
 
-/// If the previous version could not read the state, a node would lose its endpoint list and its breakers on a rollback
-/// to that version.
+/// If the previous version could not read the state, a node would lose its endpoint list and its breakers on
+/// a rollback to that version.
 #[test]
 fn a_single_address_is_serialized_as_in_the_previous_version() {
     let one = serialized(&replicas(&[1]));
--- a/crates/cache-balancer/src/handover/successor.rs
+++ b/crates/cache-balancer/src/handover/successor.rs
@@ -1,5 +1,5 @@
-//! Successor side of a hand-over: connects to the predecessor, the process that serves, and exchanges the messages of
-//! [`balancer_core::graceful_restart::Successor`].
+//! Successor side of a hand-over: connects to the predecessor, the process that serves, and exchanges the
+//! messages of [`balancer_core::graceful_restart::Successor`].
 
 use super::frame::{Frame, FrameError, FrameKind};
 use super::link::LinkError;
@@ -83,7 +83,8 @@
 }
 
 impl SuccessorEndpoint {
-    /// Requests a hand-over from the process that serves and waits for its offer. Returns `None` if no process serves.
+    /// Requests a hand-over from the process that serves and waits for its offer. Returns `None` if no
+    /// process serves.
     pub async fn request(config: &HandoverConfig) -> Result<Option<(Self, Offered)>, HandoverError> {
         let Some(stream) = connect(config).await? else { return Ok(None) };
         let mut link = PeerLink::new(stream);
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Sends the last message if the predecessor supports probation, and ends the link in any case. Returns whether the
-    /// message was sent.
+    /// Sends the last message if the predecessor supports probation, and ends the link in any case. Returns
+    /// whether the message was sent.
     async fn send_last(&mut self, kind: FrameKind) -> bool {
         if !self.link.supports_probation() {
             self.link.disconnect();
--- a/crates/cache-balancer/src/log.rs
+++ b/crates/cache-balancer/src/log.rs
@@ -3,8 +3,8 @@
 use std::fmt::Arguments;
 use std::io::Write;
 
-/// Logs a line with a single write, so that lines of processes that share a log do not mix. Unlike `eprintln!`, it does not
-/// panic when standard error is closed.
+/// Logs a line with a single write, so that lines of processes that share a log do not mix. Unlike
+/// `eprintln!`, it does not panic when standard error is closed.
 macro_rules! log {
     ($($text:tt)*) => {
         $crate::log::write_line(format_args!($($text)*))
--- a/crates/cache-balancer/src/readiness.rs
+++ b/crates/cache-balancer/src/readiness.rs
@@ -6,8 +6,8 @@
 /// The name of a pool, and whether it has had a server that accepts requests.
 pub type Pool = (String, watch::Receiver<bool>);
 
-/// Tracks the readiness of the node. Once reached, readiness is kept: a pool that a reload adds must not cause clients of
-/// the other pools to be rejected.
+/// Tracks the readiness of the node. Once reached, readiness is kept: a pool that a reload adds must not
+/// cause clients of the other pools to be rejected.
 #[derive(Debug)]
 pub struct Readiness {
     pools: watch::Sender<Vec<Pool>>,
@@ -33,7 +33,8 @@
         self.reached.get()
     }
 
-    /// Waits until the node can serve. Calls `on_wait` with the name of each pool before it waits for that pool.
+    /// Waits until the node can serve. Calls `on_wait` with the name of each pool before it waits for that
+    /// pool.
     pub async fn wait(&self, on_wait: impl Fn(&str)) {
         let mut changes = self.pools.subscribe();
         while !self.reached() {
--- a/crates/cache-balancer/src/service_manager/activation.rs
+++ b/crates/cache-balancer/src/service_manager/activation.rs
@@ -1,4 +1,5 @@
-//! Socket activation: listening sockets that the service manager opened before the node started (sd_listen_fds(3)).
+//! Socket activation: listening sockets that the service manager opened before the node started
+//! (sd_listen_fds(3)).
 
 use listenfd::ListenFd;
 use std::io;
@@ -24,8 +25,8 @@
 pub struct ActivationSockets(Vec<(String, TcpListener)>);
 
 impl ActivationSockets {
-    /// Takes the sockets that the environment describes, and matches them to the listeners by name. If there is one socket
-    /// and one listener, the name of the socket is ignored.
+    /// Takes the sockets that the environment describes, and matches them to the listeners by name. If there
+    /// is one socket and one listener, the name of the socket is ignored.
     pub fn from_env(listeners: &[&str]) -> Result<Self, ActivationError> {
         // Read before `ListenFd::from_env` removes the other variables.
         let names = std::env::var("LISTEN_FDNAMES").unwrap_or_default();
--- a/crates/cache-balancer/src/service_manager/mod.rs
+++ b/crates/cache-balancer/src/service_manager/mod.rs
@@ -1,5 +1,5 @@
-//! The interface to the service manager: sd_notify(3) reports the node's state, and sd_listen_fds(3) passes listening sockets
-//! to the node. Without a service manager, both do nothing.
+//! The interface to the service manager: sd_notify(3) reports the node's state, and sd_listen_fds(3) passes
+//! listening sockets to the node. Without a service manager, both do nothing.
 
 mod activation;
 mod notifier;
@@ -41,7 +41,8 @@
         self.notify(Notification::Ready);
     }
 
-    /// Reports the start of a reload. [`Self::notify_ready`] or [`Self::notify_reload_failed`] reports its end.
+    /// Reports the start of a reload. [`Self::notify_ready`] or [`Self::notify_reload_failed`] reports its
+    /// end.
     pub fn notify_reloading(&self) {
         self.notify(Notification::Status("reloading".into()));
         self.notify(Notification::Reloading);
@@ -78,8 +79,8 @@
         self.notify(Notification::Status(text.into()));
     }
 
-    /// Waits until all notifications are sent, but no longer than [`FLUSH_TIMEOUT`]: a service manager that does not read its
-    /// socket must not keep the process alive.
+    /// Waits until all notifications are sent, but no longer than [`FLUSH_TIMEOUT`]: a service manager that
+    /// does not read its socket must not keep the process alive.
     pub async fn flush(&self) {
         if self.0.is_none() {
             return;
--- a/crates/cache-balancer/src/service_manager/notifier.rs
+++ b/crates/cache-balancer/src/service_manager/notifier.rs
@@ -1,5 +1,5 @@
-//! Sends notifications from a separate thread. A write blocks if the service manager does not read its socket, and must not
-//! delay requests.
+//! Sends notifications from a separate thread. A write blocks if the service manager does not read its
+//! socket, and must not delay requests.
 
 use crate::log::log;
 use sd_notify::NotifyState;
@@ -22,8 +22,9 @@
     Flush(oneshot::Sender<()>),
 }
 
-/// The queue of the sending thread. The queue is unbounded, because the service manager would wait for the start forever if
-/// `READY=1` were lost. It holds a few notifications per pool at the start, two at the end, and at most one of the watchdog.
+/// The queue of the sending thread. The queue is unbounded, because the service manager would wait for the
+/// start forever if `READY=1` were lost. It holds a few notifications per pool at the start, two at the end,
+/// and at most one of the watchdog.
 #[derive(Clone, Debug)]
 pub(super) struct Notifier {
     queue: Sender<Notification>,
--- a/crates/cache-balancer/src/service_manager/watchdog.rs
+++ b/crates/cache-balancer/src/service_manager/watchdog.rs
@@ -1,5 +1,5 @@
-//! Feeds the service manager's watchdog. It is fed only while the drivers respond: a timer alone would also feed it while the
-//! node is stuck.
+//! Feeds the service manager's watchdog. It is fed only while the drivers respond: a timer alone would also
+//! feed it while the node is stuck.
 
 use crate::input::DriverInput;
 use std::time::Duration;
@@ -27,7 +27,8 @@
 async fn all_respond(drivers: Vec<UnboundedSender<DriverInput>>) -> bool {
     for driver in drivers {
         let (response, responded) = oneshot::channel();
-        // The driver of a removed pool ends when its requests are complete, and may leave a check in its queue.
+        // The driver of a removed pool ends when its requests are complete, and may leave a check in its
+        // queue.
         if driver.send(DriverInput::LivenessCheck(response)).is_ok()
             && responded.await.is_err()
             && !driver.is_closed()
--- a/crates/cache-balancer/src/shutdown_phase.rs
+++ b/crates/cache-balancer/src/shutdown_phase.rs
@@ -1,7 +1,7 @@
 //! The shutdown phase of a listener. The daemon sets it, and the fronts act on it.
 
-/// The shutdown phase of a listener and of all connections accepted on it. The variants are in the order of progress. Only
-/// the first three allow a return to [`ShutdownPhase::Serving`].
+/// The shutdown phase of a listener and of all connections accepted on it. The variants are in the order of
+/// progress. Only the first three allow a return to [`ShutdownPhase::Serving`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
     /// Connections are accepted and served.
@@ -9,11 +9,11 @@
     /// No connection is accepted for now; new connections wait in the kernel's queue. Otherwise the same as
     /// [`Self::Serving`].
     Paused,
-    /// The successor accepts connections, on probation. The same as [`Self::HandedOver`], except that this process may accept
-    /// again.
+    /// The successor accepts connections, on probation. The same as [`Self::HandedOver`], except that this
+    /// process may accept again.
     StandingBy,
-    /// Another process accepts connections. Requests in flight are finished, every response asks the client to use another
-    /// connection, and idle connections end by their timeout.
+    /// Another process accepts connections. Requests in flight are finished, every response asks the client
+    /// to use another connection, and idle connections end by their timeout.
     HandedOver,
     /// Connections are accepted and served, and every response asks the client to use another connection.
     Draining,
