--- a/crates/arrival-time/src/lib.rs
+++ b/crates/arrival-time/src/lib.rs
@@ -49,6 +49,7 @@
     /// Reads the available bytes without blocking.
     ///
     /// # Errors
+    ///
     /// Same as [`TcpStream::try_read`]: [`io::ErrorKind::WouldBlock`] if no bytes are available.
     pub fn try_read(&mut self, socket: &TcpStream, buffer: &mut [u8]) -> io::Result<Received> {
         let Some(control) = &mut self.control else {
--- a/crates/cache-balancer/src/aggregate/logs.rs
+++ b/crates/cache-balancer/src/aggregate/logs.rs
@@ -71,8 +71,8 @@
     }
 }
 
-/// Parses a tally line. Returns `None` for other lines. Log collectors may put text of their own before the
-/// node's.
+/// Parses a tally line. Returns `None` for other lines. Log collectors may insert their own text before that
+/// of the node.
 fn parse(line: &[u8]) -> Result<Option<TallyLine>, LineError> {
     let prefix = LINE_PREFIX.as_bytes();
     let Some(start) = line.windows(prefix.len()).position(|window| window == prefix) else { return Ok(None) };
--- a/crates/cache-balancer/src/cli/mod.rs
+++ b/crates/cache-balancer/src/cli/mod.rs
@@ -16,10 +16,10 @@
 /// The path of this program's executable cannot be determined.
 #[derive(Debug, Error)]
 #[error("cannot determine the path of this program's executable: {0}")]
-pub struct ProgramNotFound(#[from] io::Error);
+pub struct ExecutableNotFound(#[from] io::Error);
 
 /// Returns the path of this program's executable, to start further processes of it.
-pub fn program() -> Result<PathBuf, ProgramNotFound> {
+pub fn current_executable() -> Result<PathBuf, ExecutableNotFound> {
     Ok(std::env::current_exe()?)
 }
 
--- a/crates/cache-balancer/src/config/mod.rs
+++ b/crates/cache-balancer/src/config/mod.rs
@@ -14,10 +14,10 @@
 /// The number of descriptors reserved for the runtime, one listener, the endpoint list of one pool and the
 /// standard streams.
 pub const RESERVED_DESCRIPTORS: usize = 24;
-/// The minimum number of client connections, and of connections to cache servers. A node that cannot serve a
+/// Minimum number of client connections, and of connections to cache servers. A node that cannot serve a
 /// handful of clients is of no use.
 pub const MIN_CONNECTIONS: usize = 4;
-/// The minimum number of descriptors: the reserved ones, and [`MIN_CONNECTIONS`] each for clients and cache
+/// Minimum number of descriptors: the reserved ones, and [`MIN_CONNECTIONS`] each for clients and cache
 /// servers.
 pub const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + 2 * MIN_CONNECTIONS;
 
@@ -78,8 +78,8 @@
 }
 
 impl Listener {
-    /// Whether both configure the same socket: their addresses are equal. Names are ignored, since an address
-    /// can be bound only once. If the system picks the port, the names must be equal as well.
+    /// Returns whether both configure the same socket: their addresses are equal. Names are ignored, since an
+    /// address can be bound only once. If the system picks the port, the names must be equal as well.
     pub fn is_same_socket(&self, other: &Self) -> bool {
         self.address == other.address && (self.address.port() != 0 || self.name == other.name)
     }
@@ -108,7 +108,7 @@
 }
 
 impl Source {
-    /// Whether this is a discovery service with several replicas.
+    /// Returns whether this is a discovery service with several replicas.
     pub fn has_replicas(&self) -> bool {
         matches!(self, Self::Discovery(replicas) if replicas.addresses.len() > 1)
     }
@@ -118,7 +118,7 @@
 /// other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryReplicas {
-    /// 1 to [`DiscoveryReplicas::MAX`] distinct addresses. They are sorted, so that two lists of the same
+    /// Between 1 and [`DiscoveryReplicas::MAX`] distinct addresses, sorted so that two lists of the same
     /// addresses compare equal.
     pub addresses: Vec<SocketAddr>,
     /// The capacity of each replica; `None` if it is not stated.
@@ -126,16 +126,16 @@
 }
 
 impl DiscoveryReplicas {
-    /// The maximum number of replicas.
+    /// Maximum number of replicas.
     pub const MAX: usize = 64;
 
-    /// Creates a service at these addresses, which may be in any order.
+    /// Creates the replicas of a service at these addresses, which may be in any order.
     pub fn new(mut addresses: Vec<SocketAddr>, capacity: Option<ReplicaCapacity>) -> Self {
         addresses.sort_unstable();
         Self { addresses, capacity }
     }
 
-    /// Creates a service at a single address, of unknown capacity.
+    /// Creates a service with a single replica of unknown capacity.
     pub fn single(address: SocketAddr) -> Self {
         Self { addresses: vec![address], capacity: None }
     }
--- a/crates/cache-balancer/src/config/operator.rs
+++ b/crates/cache-balancer/src/config/operator.rs
@@ -23,22 +23,22 @@
 
 /// The version of the format.
 const VERSION: u64 = 1;
-/// The maximum number of descriptors. One thread cannot make use of more. Each client connection uses two
+/// Maximum number of descriptors. A single thread cannot use more. Each client connection uses two
 /// descriptors, and may hold a header of 16 KiB and a body of 64 KiB: at this maximum, all connections
 /// together hold 2.5 GiB.
 const MAX_DESCRIPTORS: u64 = 1 << 16;
-/// The maximum size of a file with an endpoint list.
+/// Maximum size of a file with an endpoint list.
 const MAX_LIST_BYTES: u64 = 8 << 20;
-/// The maximum length of the absolute path of a Unix socket. unix(7) allows 108 bytes, and a process id is
+/// Maximum length of the absolute path of a Unix socket. unix(7) allows 108 bytes, and a PID is
 /// appended to the path.
 const MAX_SOCKET_PATH_BYTES: usize = 80;
 const MAX_NODES: u64 = 10_000;
 const TIME_RANGE: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(3_600);
 const FRACTION_RANGE: RangeInclusive<f64> = 0.0..=1.0;
-/// The default late weight fraction of a class. It is above 0, because a response after the latency objective
+/// Default late weight fraction of a class. It is above 0, because a response after the latency objective
 /// is still of some use.
 const DEFAULT_LATE_WEIGHT_FRACTION: f64 = 0.4;
-/// The default name of a node.
+/// Default name of a node.
 const DEFAULT_NAME: &str = "cache-balancer";
 /// The port of the default listener, which is used if the file has no listener.
 const DEFAULT_PORT: u16 = 7070;
@@ -83,11 +83,11 @@
     Ok(text)
 }
 
-/// Parses an endpoint list, which gets the version `seq`. `path` is the file's name in faults.
-pub fn read_list(path: &Path, text: &str, seq: u64) -> Result<EndpointList, FileError> {
+/// Parses an endpoint list, which gets the version `list_version`. `path` is the file's name in faults.
+pub fn read_list(path: &Path, text: &str, list_version: u64) -> Result<EndpointList, FileError> {
     let read = |top: &Table| {
         version(top);
-        EndpointList { version: seq, is_snapshot: true, endpoints: servers(top) }
+        EndpointList { version: list_version, is_snapshot: true, endpoints: servers(top) }
     };
     Document::read(&path.display().to_string(), text, read).map_err(FileError::Faults)
 }
--- a/crates/cache-balancer/src/config/operator/discovery.rs
+++ b/crates/cache-balancer/src/config/operator/discovery.rs
@@ -38,7 +38,7 @@
     Some(ReplicaCapacity { lines_per_second: lines_per_second?, call_lines: call_lines? })
 }
 
-/// Writes the replicas in the form from which [`read`] reads equal ones.
+/// Writes the replicas so that [`read`] returns equal ones.
 pub(super) fn write(text: &mut String, replicas: &DiscoveryReplicas) -> std::fmt::Result {
     match &replicas.addresses[..] {
         [address] => writeln!(text, "{ADDRESSES} = \"{address}\"")?,
--- a/crates/cache-balancer/src/daemon/graceful_restart/mod.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/mod.rs
@@ -54,18 +54,18 @@
         }
     }
 
-    /// Whether the predecessor stands by in case this process dies. While it stands by, the predecessor is
-    /// the service's main process.
+    /// Returns whether the predecessor stands by in case this process dies. While it stands by, the
+    /// predecessor is the service's main process.
     pub fn on_probation(&self) -> bool {
         self.predecessor.is_some()
     }
 
-    /// Whether a hand-over to a successor is in progress and not committed yet.
+    /// Returns whether a hand-over to a successor is in progress and not committed yet.
     pub fn is_handing_over(&self) -> bool {
         self.outgoing.as_ref().is_some_and(OutgoingHandover::is_handing_over)
     }
 
-    /// Whether the successor serves on probation and this process stands by.
+    /// Returns whether the successor serves on probation and this process stands by.
     pub fn is_standing_by(&self) -> bool {
         self.outgoing.as_ref().is_some_and(OutgoingHandover::is_standing_by)
     }
--- a/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
@@ -145,8 +145,8 @@
     async fn depart(&mut self, manager: &ServiceManager) {
         // The service manager has to know the successor before this process exits. Otherwise it would
         // consider the service stopped.
-        if let Some(process) = self.endpoint.successor_process() {
-            manager.notify_main_process(process);
+        if let Some(pid) = self.endpoint.successor_pid() {
+            manager.notify_main_process(pid);
         }
         self.endpoint.depart().await;
     }
@@ -168,8 +168,8 @@
             PredecessorEvent::Declined => "declines",
             _ => return,
         };
-        let process = self.endpoint.successor_process().unwrap_or_default();
-        log!("hand-over: the successor {process} {description}");
+        let pid = self.endpoint.successor_pid().unwrap_or_default();
+        log!("hand-over: the successor {pid} {description}");
     }
 }
 
--- a/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
@@ -35,6 +35,7 @@
 /// Takes over from the predecessor that `endpoint` is connected to. `bound` has a socket for each listener.
 ///
 /// # Errors
+///
 /// The predecessor continues to serve, and this process has not accepted any connection.
 pub(in crate::daemon) async fn take_over(
     node: &mut Node,
--- a/crates/cache-balancer/src/daemon/listeners.rs
+++ b/crates/cache-balancer/src/daemon/listeners.rs
@@ -1,5 +1,5 @@
 //! The listeners of a node. Each has its own shutdown phase, so that a listener that a reload removes closes
-//! in the same way as all of them do when the node stops.
+//! in the same way as when the node stops.
 
 use super::change::Change;
 use super::error::ConfigureError;
@@ -18,8 +18,8 @@
 use tokio::task::{spawn_local, JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-/// How long a closing listener continues to accept connections. Fronts send new connections for up to 0.4 s
-/// after SIGTERM, until they notice.
+/// How long a closing listener continues to accept connections. The load balancers in front of the
+/// nodes send new connections for up to 0.4 s after SIGTERM, until they detect the shutdown.
 const DRAIN_DELAY: Duration = Duration::from_millis(500);
 
 /// Listening sockets, each with the index of its listener in the configuration.
@@ -48,8 +48,8 @@
     }
 }
 
-/// Listens for each of `listeners` whose index is in `indices`, on its inherited socket if there is one and
-/// else on its address.
+/// Listens for each of `listeners` whose index is in `indices`, on its inherited socket if there is one, and
+/// otherwise on its address.
 pub async fn bind(
     listeners: &[Listener],
     indices: impl Iterator<Item = usize>,
@@ -67,8 +67,8 @@
                 bound.map_err(|error| ConfigureError::Listen { address, error })?
             }
         };
-        // Enabled before the first accept, so that the arrival times of earlier requests are known as well.
-        // Where the system does not support it, the time of the read is used.
+        // Enabled before the first accept, so that the arrival times of requests that are already waiting are
+        // known. Where the system does not support timestamps, the time of the read is used.
         enable_arrival_timestamps(&socket);
         bound.push((index, socket));
     }
@@ -82,7 +82,7 @@
 
 /// The listeners, in the order of the configuration.
 pub struct Listeners {
-    front: Rc<Frontend>,
+    frontend: Rc<Frontend>,
     running: Vec<RunningListener>,
     /// Removed listeners that have not closed yet.
     removed: JoinSet<()>,
@@ -91,24 +91,24 @@
 struct RunningListener {
     /// The socket is held open by the `serving` task.
     socket: Weak<TcpListener>,
-    phase: watch::Sender<ShutdownPhase>,
+    shutdown_phase: watch::Sender<ShutdownPhase>,
     serving: JoinHandle<()>,
 }
 
 impl RunningListener {
     async fn close(self) {
-        self.phase.send_replace(ShutdownPhase::Draining);
+        self.shutdown_phase.send_replace(ShutdownPhase::Draining);
         sleep(DRAIN_DELAY).await;
-        self.phase.send_replace(ShutdownPhase::Closing);
-        // An error means that the task panicked: it has ended in that case, too.
+        self.shutdown_phase.send_replace(ShutdownPhase::Closing);
+        // An error means that the task panicked, so it has ended in that case as well.
         let _ = self.serving.await;
     }
 }
 
 impl Listeners {
     /// Creates an empty set of listeners.
-    pub fn new(front: Rc<Frontend>) -> Self {
-        Self { front, running: Vec::new(), removed: JoinSet::new() }
+    pub fn new(frontend: Rc<Frontend>) -> Self {
+        Self { frontend, running: Vec::new(), removed: JoinSet::new() }
     }
 
     /// Applies a new configuration. `bound` has a socket for each added listener. A removed listener finishes
@@ -138,11 +138,11 @@
         if let Ok(address) = socket.local_addr() {
             log!("node {name} listens on {address}");
         }
-        let (phase, watched_phase) = watch::channel(ShutdownPhase::Serving);
+        let (shutdown_phase, watched_phase) = watch::channel(ShutdownPhase::Serving);
         let socket = Rc::new(socket);
         let weak = Rc::downgrade(&socket);
-        let serving = spawn_local(serve(socket, watched_phase, self.front.clone()));
-        RunningListener { socket: weak, phase, serving }
+        let serving = spawn_local(serve(socket, watched_phase, self.frontend.clone()));
+        RunningListener { socket: weak, shutdown_phase, serving }
     }
 
     /// Stops accepting until [`Listeners::resume`]. The sockets stay open.
@@ -157,7 +157,7 @@
 
     fn enter(&self, phase: ShutdownPhase) {
         for running in &self.running {
-            running.phase.send_replace(phase);
+            running.shutdown_phase.send_replace(phase);
         }
     }
 
@@ -176,7 +176,7 @@
 
     /// Waits until every client connection has ended.
     pub async fn drained(&self) {
-        self.front.table.drained().await;
+        self.frontend.table.drained().await;
     }
 
     /// Stops accepting permanently, because another process has taken over.
@@ -184,10 +184,10 @@
         self.enter(ShutdownPhase::HandedOver);
     }
 
-    /// Waits until every connection has ended, without closing any. Idle connections end by their timeout.
+    /// Waits until every connection has ended, without closing any. Idle connections end when they time out.
     pub async fn ended(&mut self) {
         self.wait_for_removed().await;
-        self.front.table.drained().await;
+        self.frontend.table.drained().await;
     }
 
     /// Closes all listeners, and waits until every connection has ended.
@@ -196,6 +196,6 @@
             self.removed.spawn_local(running.close());
         }
         self.wait_for_removed().await;
-        self.front.table.drained().await;
+        self.frontend.table.drained().await;
     }
 }
--- a/crates/cache-balancer/src/daemon/mod.rs
+++ b/crates/cache-balancer/src/daemon/mod.rs
@@ -61,7 +61,7 @@
     result
 }
 
-/// Lowers the configured number of descriptors to the system's limit.
+/// Lowers the configured number of descriptors to the system's limit if it is higher.
 fn limit_descriptors(mut config: Config) -> Config {
     let limit = operator::descriptor_limit();
     if config.descriptors > limit {
--- a/crates/cache-balancer/src/daemon/node.rs
+++ b/crates/cache-balancer/src/daemon/node.rs
@@ -17,7 +17,8 @@
 use tokio::sync::watch;
 use tokio::task::{spawn_blocking, spawn_local};
 
-/// Returns the largest number of client connections, which is also that of connections to cache servers.
+/// Returns the maximum number of client connections, which is also the maximum number of connections to cache
+/// servers.
 pub fn max_connections(config: &Config) -> Result<usize, ConfigureError> {
     // A hand-over needs a listening socket, a connection, and a second descriptor for each listener.
     let handover = config.handover.as_ref().map_or(0, |_| 2 + config.listeners.len());
@@ -33,11 +34,11 @@
 /// The components of a node.
 pub struct Node {
     pub config: Config,
-    upstream: Rc<ConnectionLimit>,
+    connection_limit: Rc<ConnectionLimit>,
     pools: Pools,
-    pub drivers: watch::Sender<Vec<UnboundedSender<DriverInput>>>,
+    pub driver_inputs: watch::Sender<Vec<UnboundedSender<DriverInput>>>,
     pub readiness: Rc<Readiness>,
-    front: Rc<Frontend>,
+    frontend: Rc<Frontend>,
     pub listeners: Listeners,
 }
 
@@ -54,15 +55,15 @@
 impl Node {
     /// Starts a node that does not accept connections yet. `learned` is the state of the predecessor's pools.
     pub fn start(config: Config, max_connections: usize, learned: Vec<PoolState>) -> Self {
-        let upstream = Rc::new(ConnectionLimit::new(max_connections));
-        let pools = Pools::start(&config, upstream.clone(), learned);
+        let connection_limit = Rc::new(ConnectionLimit::new(max_connections));
+        let pools = Pools::start(&config, connection_limit.clone(), learned);
         let readiness = Rc::new(Readiness::new(pools.ready()));
-        let front =
+        let frontend =
             Rc::new(Frontend::new(pools.routes(), readiness.clone(), config.descriptors, max_connections));
-        spawn_local(front.table.clone().enforce_limits());
-        let listeners = Listeners::new(front.clone());
-        let drivers = watch::Sender::new(pools.drivers());
-        Self { config, upstream, pools, drivers, readiness, front, listeners }
+        spawn_local(frontend.table.clone().enforce_limits());
+        let listeners = Listeners::new(frontend.clone());
+        let driver_inputs = watch::Sender::new(pools.driver_inputs());
+        Self { config, connection_limit, pools, driver_inputs, readiness, frontend, listeners }
     }
 
     /// Starts to accept connections. `bound` has one socket for each configured listener.
@@ -87,8 +88,7 @@
     pub async fn prepare_reload(&mut self, source: &ConfigSource) -> Result<PreparedReload, ConfigureError> {
         let config = match source.clone() {
             ConfigSource::Platform => self.config_with_new_discovery()?,
-            // Read on another thread than the one that serves requests: a file on an unreachable network
-            // share blocks its reader.
+            // Read on a separate thread, because reading a file on an unreachable network share can block.
             ConfigSource::Operator(path) => {
                 let config = spawn_blocking(move || operator::load(&path)).await?;
                 limit_descriptors(config?)
@@ -117,7 +117,7 @@
     }
 
     /// Returns the current configuration with the platform's new `discovery`. The platform's other settings
-    /// are only read at the start.
+    /// are read only at the start.
     fn config_with_new_discovery(&self) -> Result<Config, ConfigureError> {
         let new = platform::load(|name| std::env::var(name).ok().filter(|_| name != platform::DISCOVERY))?;
         let mut config = self.config.clone();
@@ -132,12 +132,12 @@
     pub fn apply(&mut self, prepared: PreparedReload) -> Option<PredecessorEndpoint> {
         let PreparedReload { config, change, max_connections, bound, endpoint } = prepared;
         log!("configuration read again: {change}");
-        self.upstream.set_max(max_connections);
+        self.connection_limit.set_max(max_connections);
         self.pools.change(&change, &config);
-        self.drivers.send_replace(self.pools.drivers());
+        self.driver_inputs.send_replace(self.pools.driver_inputs());
         self.readiness.replace(self.pools.ready());
-        self.front.set_routes(self.pools.routes());
-        self.front.resize(config.descriptors, max_connections);
+        self.frontend.set_routes(self.pools.routes());
+        self.frontend.resize(config.descriptors, max_connections);
         self.listeners.change(&config.name, &change, bound);
         self.config = config;
         endpoint
--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -41,7 +41,7 @@
     driver_inputs: UnboundedSender<DriverInput>,
     ready: watch::Receiver<bool>,
     list: ListWatch,
-    /// The settings of discovery polls, shared with the poller.
+    /// The settings of discovery polls, shared with the discovery client.
     poll_settings: Rc<Cell<PollSettings>>,
 }
 
@@ -105,9 +105,9 @@
     pub async fn learned_state(&self) -> Vec<PoolState> {
         let mut states = Vec::new();
         for RunningPool { pool, driver_inputs, .. } in &self.running {
-            let (response, state) = oneshot::channel();
+            let (reply, state) = oneshot::channel();
             // The driver ends only once its pool is removed.
-            let _ = driver_inputs.send(DriverInput::StateRequested(response));
+            let _ = driver_inputs.send(DriverInput::StateRequested(reply));
             let Ok((endpoint_list, learned_state)) = state.await else { continue };
             states.push(PoolState::new(&pool.name, &pool.source, endpoint_list, learned_state));
         }
@@ -132,7 +132,7 @@
     }
 
     /// Returns the input channel of each pool's driver.
-    pub fn drivers(&self) -> Vec<UnboundedSender<DriverInput>> {
+    pub fn driver_inputs(&self) -> Vec<UnboundedSender<DriverInput>> {
         self.running.iter().map(|running| running.driver_inputs.clone()).collect()
     }
 
@@ -191,7 +191,7 @@
         }
         match (source, &running.list) {
             (Source::Discovery(new), ListWatch::Discovery(current, _)) => {
-                // The poller keeps its watch if the watched replica is still listed.
+                // The discovery client keeps its watch if the watched replica is still listed.
                 current.send_if_modified(|current| std::mem::replace(current, new.clone()) != *new);
             }
             _ if *source == previous.source => {}
--- a/crates/cache-balancer/src/daemon/pools/tests.rs
+++ b/crates/cache-balancer/src/daemon/pools/tests.rs
@@ -25,7 +25,7 @@
         DiscoveryReplicas::new(addresses.collect(), self.capacity)
     }
 
-    /// Whether the file is rejected: the list is empty or contains a replica twice.
+    /// Returns whether the file is rejected: the list is empty or contains a replica twice.
     fn is_invalid(&self) -> bool {
         let distinct: BTreeSet<_> = self.ports.iter().collect();
         distinct.is_empty() || distinct.len() < self.ports.len()
--- a/crates/cache-balancer/src/daemon/serve.rs
+++ b/crates/cache-balancer/src/daemon/serve.rs
@@ -162,7 +162,7 @@
 }
 
 fn start_watchdog(node: &Node, manager: &ServiceManager) -> JoinHandle<()> {
-    spawn_local(manager.clone().feed_watchdog(node.drivers.subscribe()))
+    spawn_local(manager.clone().feed_watchdog(node.driver_inputs.subscribe()))
 }
 
 /// Finishes the requests in flight while another process accepts connections. On SIGTERM, idle connections
--- a/crates/cache-balancer/src/discovery/log_text.rs
+++ b/crates/cache-balancer/src/discovery/log_text.rs
@@ -7,7 +7,7 @@
 /// Maximum length of a logged error, in characters.
 const MAX_ERROR_CHARS: usize = 240;
 /// Maximum number of bytes that are logged of a malformed response.
-const EXCERPT_BYTES: usize = 40;
+const MAX_EXCERPT_BYTES: usize = 40;
 
 /// The prefix of log lines. It has the address of the replica if there are several replicas.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
 
 /// Returns the first bytes of a response, escaped.
 pub(super) fn excerpt(body: &[u8]) -> String {
-    body[..body.len().min(EXCERPT_BYTES)].escape_ascii().to_string()
+    body[..body.len().min(MAX_EXCERPT_BYTES)].escape_ascii().to_string()
 }
 
 /// Escapes the control characters of a message and truncates it to [`MAX_ERROR_CHARS`].
--- a/crates/cache-balancer/src/discovery/mod.rs
+++ b/crates/cache-balancer/src/discovery/mod.rs
@@ -47,7 +47,7 @@
 }
 
 impl DiscoveryPoller {
-    /// Polls until the driver stops. A discovery agent on the local machine is polled too, because agents
+    /// Polls until the driver stops. A discovery agent on the local machine is polled as well, because agents
     /// never push lists. When all replicas are replaced, a snapshot is requested from the new ones at once,
     /// and the node serves from its current list until the snapshot arrives.
     pub async fn run(mut self) {
--- a/crates/cache-balancer/src/driver/endpoints.rs
+++ b/crates/cache-balancer/src/driver/endpoints.rs
@@ -28,7 +28,8 @@
         &self.list
     }
 
-    /// Returns a delta that marks those of these endpoints as draining that are ready in the current list.
+    /// Returns a delta that marks the endpoints with these ids as draining. Endpoints that are not ready in
+    /// the current list are left out.
     pub fn draining_delta(&self, ids: &BTreeSet<String>) -> EndpointList {
         let leaving = self.list.endpoints.iter().filter(|endpoint| ids.contains(&endpoint.id));
         let endpoints = leaving.filter_map(EndpointRecord::to_draining).collect();
--- a/crates/cache-balancer/src/driver/mod.rs
+++ b/crates/cache-balancer/src/driver/mod.rs
@@ -25,7 +25,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// The outcome of a call to discovery, reported after the balancer has handled it.
+/// The outcome of a poll, reported after the balancer has handled it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryEvent {
     /// An endpoint list was applied.
@@ -37,19 +37,19 @@
         /// The number of entries in the list.
         entries: usize,
     },
-    /// The call failed.
-    CallFailed,
+    /// The poll failed.
+    PollFailed,
 }
 
 impl DiscoveryEvent {
-    /// Returns the event for an input, or `None` if the input is not the outcome of a call to discovery.
+    /// Returns the event for an input, or `None` if the input is not the outcome of a poll.
     fn from_input(input: &DriverInput) -> Option<Self> {
         match input {
             DriverInput::EndpointList(list) => {
                 let (version, snapshot, entries) = (list.version, list.is_snapshot, list.endpoints.len());
                 Some(Self::ListApplied { version, snapshot, entries })
             }
-            DriverInput::PollFailed => Some(Self::CallFailed),
+            DriverInput::PollFailed => Some(Self::PollFailed),
             _ => None,
         }
     }
--- a/crates/cache-balancer/src/driver/tests.rs
+++ b/crates/cache-balancer/src/driver/tests.rs
@@ -14,7 +14,7 @@
 /// The tally counts trips by these lines, because the balancer reports them in no other way. A trip that is
 /// not recognized would silently be missing from `aggregate`.
 #[test]
-fn a_breaker_trip_is_recognised_by_its_log_line() {
+fn a_breaker_trip_is_recognized_by_its_log_line() {
     for line in
         ["breaker of the origin tripped", "breaker of s-1 tripped", "breaker of s-1 tripped for class 0"]
     {
--- a/crates/cache-balancer/src/driver/timers.rs
+++ b/crates/cache-balancer/src/driver/timers.rs
@@ -4,12 +4,13 @@
 use std::collections::BTreeSet;
 use tokio::time::Instant;
 
-/// The purpose of a timer. Of timers for the same instant, those of the balancer come before deadlines.
+/// The purpose of a timer. If several timers expire at the same instant, balancer timers come before
+/// deadlines.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// Set by the balancer with `Action::SetTimer`.
     Balancer,
-    /// Fails a request that has no final response when its time is over.
+    /// Fails a request that has no final response at its deadline.
     Deadline(RequestId),
 }
 
--- a/crates/cache-balancer/src/frontend/connections/tests.rs
+++ b/crates/cache-balancer/src/frontend/connections/tests.rs
@@ -74,7 +74,7 @@
     ended: tokio::task::JoinHandle<()>,
 }
 
-/// Maximum duration of a wait. It is far longer than anything here takes.
+/// Maximum duration of a wait. It is far longer than any of these tests takes.
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: s\r\n\r\n";
 
--- a/crates/cache-balancer/src/frontend/http1/forward.rs
+++ b/crates/cache-balancer/src/frontend/http1/forward.rs
@@ -14,7 +14,7 @@
 struct DisconnectGuard {
     number: RequestNumber,
     pending: ResponsePending,
-    driver: UnboundedSender<DriverInput>,
+    driver_inputs: UnboundedSender<DriverInput>,
     responded: bool,
 }
 
@@ -24,7 +24,7 @@
             // Cleared here and not when the driver handles the input, so that no attempt starts in between.
             self.pending.clear();
             // Sending fails if the driver has completed all its requests and ended.
-            let _ = self.driver.send(DriverInput::ClientDisconnected(self.number));
+            let _ = self.driver_inputs.send(DriverInput::ClientDisconnected(self.number));
         }
     }
 }
@@ -54,9 +54,10 @@
     };
     // The driver ends only when nothing refers to it any more. If it has ended, the receiver below returns an
     // error and the request fails.
-    let _ = metadata.driver.send(DriverInput::RequestAccepted(Box::new(accepted)));
-    let mut guard = DisconnectGuard { number, pending, driver: metadata.driver, responded: false };
-    let result = receiver.await.unwrap_or(FinalResponse::Failed);
+    let _ = metadata.driver_inputs.send(DriverInput::RequestAccepted(Box::new(accepted)));
+    let mut guard =
+        DisconnectGuard { number, pending, driver_inputs: metadata.driver_inputs, responded: false };
+    let final_response = receiver.await.unwrap_or(FinalResponse::Failed);
     guard.responded = true;
-    response::from_result(result)
+    response::from_final(final_response)
 }
--- a/crates/cache-balancer/src/frontend/http1/request.rs
+++ b/crates/cache-balancer/src/frontend/http1/request.rs
@@ -115,7 +115,7 @@
     pub(super) client_timeout: Duration,
     pub(super) class: ClassId,
     /// The input queue of the driver of the class's pool.
-    pub(super) driver: UnboundedSender<DriverInput>,
+    pub(super) driver_inputs: UnboundedSender<DriverInput>,
     pub(super) tenant: Option<TenantId>,
     pub(super) expected_work: Option<Duration>,
     pub(super) client_retry: bool,
@@ -141,7 +141,7 @@
                 // Capped, because the node keeps the request's body and connection for this time.
                 client_timeout: Duration::from_millis(deadline_ms.into()).min(class.deadline),
                 class: class.id,
-                driver: class.driver.clone(),
+                driver_inputs: class.driver_inputs.clone(),
                 tenant,
                 expected_work: expected_work_us.map(|us| Duration::from_micros(us.into())),
                 client_retry: header_text(headers, &REQ_RETRY)? == Some("1"),
--- a/crates/cache-balancer/src/frontend/http1/request/tests.rs
+++ b/crates/cache-balancer/src/frontend/http1/request/tests.rs
@@ -7,9 +7,9 @@
     let class =
         RequestClass { name: "read".into(), deadline: Duration::from_millis(500), ..RequestClass::default() };
     let settings = Settings { classes: vec![class], ..Settings::default() };
-    let (driver, _) = mpsc::unbounded_channel();
+    let (driver_inputs, _) = mpsc::unbounded_channel();
     Routes {
-        classes: ClassRoute::for_pool(&settings, &driver).collect(),
+        classes: ClassRoute::for_pool(&settings, &driver_inputs).collect(),
         tenants: tenants.iter().map(|name| (*name).into()).collect(),
     }
 }
--- a/crates/cache-balancer/src/frontend/http1/response.rs
+++ b/crates/cache-balancer/src/frontend/http1/response.rs
@@ -17,8 +17,8 @@
 }
 
 /// Converts the driver's final response to HTTP.
-pub(super) fn from_result(result: FinalResponse) -> HttpResponse {
-    match result {
+pub(super) fn from_final(response: FinalResponse) -> HttpResponse {
+    match response {
         FinalResponse::Served(body) => Response::new(Full::new(body)),
         FinalResponse::Rejected { retry_after } => {
             let mut response = text(StatusCode::SERVICE_UNAVAILABLE, "refused: try again later");
--- a/crates/cache-balancer/src/frontend/http1/routes.rs
+++ b/crates/cache-balancer/src/frontend/http1/routes.rs
@@ -12,20 +12,20 @@
     /// Upper bound of a client's time limit in this class.
     pub(super) deadline: Duration,
     /// The input queue of the driver of the class's pool.
-    pub(super) driver: UnboundedSender<DriverInput>,
+    pub(super) driver_inputs: UnboundedSender<DriverInput>,
 }
 
 impl ClassRoute {
     /// Returns a route for each class of a pool, with the input queue of the pool's driver.
     pub fn for_pool<'a>(
         settings: &'a Settings,
-        driver: &'a UnboundedSender<DriverInput>,
+        driver_inputs: &'a UnboundedSender<DriverInput>,
     ) -> impl Iterator<Item = Self> + 'a {
         settings.classes.iter().enumerate().map(|(index, class)| Self {
             name: class.name.clone(),
             id: ClassId(index),
             deadline: class.deadline,
-            driver: driver.clone(),
+            driver_inputs: driver_inputs.clone(),
         })
     }
 }
--- a/crates/cache-balancer/src/handover/link.rs
+++ b/crates/cache-balancer/src/handover/link.rs
@@ -18,7 +18,7 @@
 use tokio::net::UnixStream;
 
 /// Maximum number of descriptors that Linux passes in one message (`SCM_MAX_FD`).
-pub(super) const MAX_DESCRIPTORS: usize = 253;
+pub(super) const MAX_PASSED_DESCRIPTORS: usize = 253;
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// Error after which a link can no longer be used.
@@ -138,7 +138,7 @@
 
 fn send(stream: &UnixStream, frame: &OutgoingFrame) -> io::Result<usize> {
     let descriptors: Vec<_> = frame.descriptors.iter().map(AsFd::as_fd).collect();
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PASSED_DESCRIPTORS))];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
     if !descriptors.is_empty() && !ancillary.push(SendAncillaryMessage::ScmRights(&descriptors)) {
         return Err(io::Error::from(Errno::TOOBIG));
@@ -148,14 +148,14 @@
 }
 
 fn receive(stream: &UnixStream, bytes: &mut [u8], descriptors: &mut Vec<OwnedFd>) -> io::Result<usize> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PASSED_DESCRIPTORS))];
     let mut ancillary = RecvAncillaryBuffer::new(&mut space);
     let received = recvmsg(stream, &mut [IoSliceMut::new(bytes)], &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
     for message in ancillary.drain() {
         if let RecvAncillaryMessage::ScmRights(passed) = message {
             // Descriptors beyond the maximum of a hand-over are closed.
             descriptors.extend(passed);
-            descriptors.truncate(MAX_DESCRIPTORS);
+            descriptors.truncate(MAX_PASSED_DESCRIPTORS);
         }
     }
     Ok(received.bytes)
--- a/crates/cache-balancer/src/handover/peer.rs
+++ b/crates/cache-balancer/src/handover/peer.rs
@@ -23,7 +23,7 @@
 }
 
 impl Peer {
-    /// Refers to the running process with this PID. If the system does not report the PID, as between
+    /// Opens a pidfd of the running process with this PID. If the system does not report the PID, as between
     /// containers, the process counts as dead once its link has ended.
     pub fn new(pid: Option<u32>) -> Self {
         let open = |pid: u32| pidfd_open(Pid::from_raw(pid as i32)?, PidfdFlags::empty()).ok();
--- a/crates/cache-balancer/src/handover/peer_link.rs
+++ b/crates/cache-balancer/src/handover/peer_link.rs
@@ -15,7 +15,7 @@
 /// link.
 const LAST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Meaning of the end of a link.
+/// Reason why a link has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkEnd {
     /// The peer is alive. Reported only once.
--- a/crates/cache-balancer/src/handover/predecessor/mod.rs
+++ b/crates/cache-balancer/src/handover/predecessor/mod.rs
@@ -5,7 +5,7 @@
 mod successor_link;
 
 use super::frame::FrameKind;
-use super::link::MAX_DESCRIPTORS;
+use super::link::MAX_PASSED_DESCRIPTORS;
 use super::messages::{Cancel, CancelReason, Offer, OfferedListener, Proceed};
 use super::State;
 use crate::config::{HandoverConfig, Listener};
@@ -61,23 +61,23 @@
 
     /// Returns the PID of the successor; `None` if there is no successor or the system does not report its
     /// PID.
-    pub fn successor_process(&self) -> Option<u32> {
+    pub fn successor_pid(&self) -> Option<u32> {
         self.successor.as_ref()?.pid()
     }
 
     /// Sends the listeners with their sockets, and the learned state. Listeners in excess of
-    /// [`MAX_DESCRIPTORS`] are left out; the successor binds them itself.
+    /// [`MAX_PASSED_DESCRIPTORS`] are left out; the successor binds them itself.
     pub fn send_offer(&mut self, listeners: Vec<(Listener, OwnedFd)>, state: &State) {
-        let excess = listeners.len().saturating_sub(MAX_DESCRIPTORS);
+        let excess = listeners.len().saturating_sub(MAX_PASSED_DESCRIPTORS);
         if excess > 0 {
             log!(
-                "hand-over: {excess} listeners exceed the limit of {MAX_DESCRIPTORS} and are not passed; \
+                "hand-over: {excess} listeners exceed the limit of {MAX_PASSED_DESCRIPTORS} and are not passed; \
                  the successor binds them itself"
             );
         }
         let (listeners, sockets): (Vec<_>, Vec<_>) = listeners
             .into_iter()
-            .take(MAX_DESCRIPTORS)
+            .take(MAX_PASSED_DESCRIPTORS)
             .map(|(Listener { name, address }, socket)| (OfferedListener { name, address }, socket))
             .unzip();
         let offer = Offer { listeners, state: to_json(state), probation: true };
@@ -172,7 +172,7 @@
     async fn next_without_successor(&mut self) -> Option<PredecessorEvent> {
         let accepted = tokio::select! {
             accepted = accept(self.listener.as_ref()) => accepted,
-            () = wait_until(self.backoff_until) => {
+            () = sleep_until_or_forever(self.backoff_until) => {
                 self.backoff_until = None;
                 return Some(PredecessorEvent::BackoffExpired);
             }
@@ -197,8 +197,7 @@
     }
 }
 
-/// Waits until `time`; waits forever if there is none.
-async fn wait_until(time: Option<Instant>) {
+async fn sleep_until_or_forever(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
         None => pending().await,
--- a/crates/cache-balancer/src/handover/predecessor/socket.rs
+++ b/crates/cache-balancer/src/handover/predecessor/socket.rs
@@ -15,8 +15,8 @@
     // An earlier process with the same PID may have left its temporary socket.
     let _ = remove_file(&temporary);
     let listener = UnixListener::bind(&temporary)?;
-    // Whoever obtains the listening sockets receives the clients, so other users must not be able to request
-    // them.
+    // A process that obtains the listening sockets receives the client connections, so other users must not
+    // be able to request them.
     set_permissions(&temporary, Permissions::from_mode(0o600))?;
     rename(&temporary, path)?;
     Ok(listener)
--- a/crates/cache-balancer/src/handover/successor.rs
+++ b/crates/cache-balancer/src/handover/successor.rs
@@ -124,8 +124,8 @@
         self.send_last(FrameKind::Decline).await;
     }
 
-    /// Tells the predecessor that it need not stand by, and ends the link. If the message cannot be sent, the
-    /// predecessor is sent a termination signal instead.
+    /// Tells the predecessor that it no longer needs to stand by, and ends the link. If the message cannot be
+    /// sent, the predecessor is sent a termination signal instead.
     pub async fn release(&mut self) {
         if !self.send_last(FrameKind::Release).await {
             self.terminate_predecessor();
--- a/crates/cache-balancer/src/hollow/mod.rs
+++ b/crates/cache-balancer/src/hollow/mod.rs
@@ -1,6 +1,6 @@
 //! `cache-balancer scale-hollow`: runs hundreds of hollow nodes in one process on one thread.
 //!
-//! The term comes from Kubemark. Each hollow node consists of the real client of discovery with its own
+//! The term comes from Kubemark. Each hollow node consists of the real discovery client with its own
 //! connection, the real balancing logic and the real driver, without a data path.
 
 mod node;
@@ -91,8 +91,8 @@
 }
 
 impl HollowNodes {
-    /// Starts the nodes of these numbers with this list and waits until they have applied it. A node that
-    /// runs already is replaced.
+    /// Starts the nodes with these numbers and this initial list, and waits until they have applied it. A
+    /// node that is already running is replaced.
     async fn launch(
         &mut self,
         numbers: impl Iterator<Item = u32>,
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    /// Returns an error if the node of this number does not belong to this process.
+    /// Returns an error if the node with this number does not belong to this process.
     fn check_number(&self, node: u32) -> Result<(), ProcessError> {
         let (first, count) = (self.first, self.count);
         if node.checked_sub(first).is_some_and(|index| index < count) {
--- a/crates/cache-balancer/src/hollow/node.rs
+++ b/crates/cache-balancer/src/hollow/node.rs
@@ -35,7 +35,7 @@
     pub seed: u64,
     /// Zones, assigned to nodes round-robin by node number.
     pub zones: Vec<String>,
-    /// Replicas of discovery that the nodes poll.
+    /// Discovery replicas that the nodes poll.
     pub replicas: watch::Receiver<DiscoveryReplicas>,
     /// Record of the nodes' activity.
     pub record: Rc<ActivityRecord>,
--- a/crates/cache-balancer/src/hollow/record.rs
+++ b/crates/cache-balancer/src/hollow/record.rs
@@ -10,7 +10,7 @@
 pub struct ActivityRecord(RefCell<HollowReport>);
 
 impl ActivityRecord {
-    /// Records a discovery event of a node. Answers without changes are not recorded.
+    /// Records a discovery event of a node. Responses without changes are not recorded.
     pub fn add(&self, node: u32, event: DiscoveryEvent) {
         let mut report = self.0.borrow_mut();
         match event {
@@ -18,7 +18,7 @@
                 report.applied.push(Applied { node, version, at_us: now_us(), whole: snapshot });
             }
             DiscoveryEvent::ListApplied { .. } => {}
-            DiscoveryEvent::CallFailed => report.failed_calls += 1,
+            DiscoveryEvent::PollFailed => report.failed_calls += 1,
         }
     }
 
--- a/crates/cache-balancer/src/readiness.rs
+++ b/crates/cache-balancer/src/readiness.rs
@@ -25,7 +25,7 @@
         self.pools.send_replace(pools);
     }
 
-    /// Whether the node can serve, or could at an earlier check.
+    /// Returns whether the node can serve, or could at an earlier check.
     pub fn reached(&self) -> bool {
         if !self.reached.get() {
             self.reached.set(self.pools.borrow().iter().all(|(_, ready)| *ready.borrow()));
--- a/crates/cache-balancer/src/scale/mod.rs
+++ b/crates/cache-balancer/src/scale/mod.rs
@@ -6,7 +6,7 @@
 mod virtual_time;
 
 use crate::cli::scripts::{self, ScriptError};
-use crate::cli::{Player, ProgramNotFound, UNUSABLE};
+use crate::cli::{ExecutableNotFound, Player, UNUSABLE};
 use checked_toml::time_text;
 use clap::{Args, Subcommand, ValueEnum};
 use std::io;
@@ -28,7 +28,7 @@
     #[error(transparent)]
     Script(#[from] ScriptError),
     #[error(transparent)]
-    Program(#[from] ProgramNotFound),
+    Executable(#[from] ExecutableNotFound),
     #[error("{0}")]
     Run(Box<dyn std::error::Error>),
     #[error("--svg: expected --player sockets; runs in virtual time cannot be plotted")]
@@ -187,7 +187,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Loads the built-in scenario of this name, or else the script at this path.
+/// Loads the built-in scenario with this name, or otherwise the script at this path.
 fn load_script(name: &str) -> Result<ScaleScript, ScriptError> {
     match scenarios::named(name) {
         Some(scenario) => ScaleScript::parse(scenario.name, scenario.text).map_err(ScriptError::Invalid),
--- a/crates/cache-balancer/src/scale/run.rs
+++ b/crates/cache-balancer/src/scale/run.rs
@@ -2,7 +2,7 @@
 
 use super::{apply_overrides, load_script, write_plot, RunArguments, ScaleError};
 use crate::cli::progress::ProgressDisplay;
-use crate::cli::{exit_code, interrupted, program};
+use crate::cli::{current_executable, exit_code, interrupted};
 use std::process::ExitCode;
 use testbed::scale::run::{self, Phase, Progress};
 use testbed::scale::{plot, ScaleReport, ScaleScript};
@@ -25,7 +25,7 @@
 }
 
 fn run_script(script: &ScaleScript) -> Result<ScaleReport, ScaleError> {
-    let program = program()?;
+    let program = current_executable()?;
     let mut display = ProgressDisplay::for_standard_error();
     let mut last_phase = None;
     let report = run::run(
--- a/crates/cache-balancer/src/scale/virtual_time.rs
+++ b/crates/cache-balancer/src/scale/virtual_time.rs
@@ -1,4 +1,4 @@
-//! `cache-balancer scale --player virtual`: simulates only the clients of discovery, without sockets and in
+//! `cache-balancer scale --player virtual`: simulates only the discovery clients, without sockets and in
 //! virtual time.
 
 use super::{apply_overrides, load_script, RunArguments, ScaleError};
--- a/crates/cache-balancer/src/scenario/mod.rs
+++ b/crates/cache-balancer/src/scenario/mod.rs
@@ -115,7 +115,7 @@
     ExitCode::SUCCESS
 }
 
-/// Loads the built-in scenario of this name, or else the script at this path.
+/// Loads the built-in scenario with this name, or otherwise the script at this path.
 fn load_script(name: &str) -> Result<Script, ScriptError> {
     match scenarios::named(name) {
         Some(scenario) => Script::parse(scenario.name, scenario.text).map_err(ScriptError::Invalid),
--- a/crates/cache-balancer/src/scenario/sockets.rs
+++ b/crates/cache-balancer/src/scenario/sockets.rs
@@ -1,18 +1,18 @@
 //! Runs a scenario with processes of this program, on loopback and in real time.
 
 use crate::cli::progress::ProgressDisplay;
-use crate::cli::{interrupted, program, ProgramNotFound};
+use crate::cli::{current_executable, interrupted, ExecutableNotFound};
 use std::time::Duration;
 use testbed::run_result::{RunResult, Sample};
 use testbed::Script;
 use thiserror::Error;
 
-/// An error because of which a run on sockets has no result.
+/// The reason why a run on sockets has no result.
 #[derive(Debug, Error)]
 pub(super) enum SocketRunError {
     /// The executable to start the nodes with could not be determined.
     #[error(transparent)]
-    Program(#[from] ProgramNotFound),
+    Executable(#[from] ExecutableNotFound),
     /// The run failed.
     #[error("{0}")]
     Run(Box<dyn std::error::Error>),
@@ -40,7 +40,7 @@
 
 /// Runs a scenario until its end or Ctrl-C. With `show_progress`, prints a progress line each second.
 pub(super) fn run(script: &Script, show_progress: bool) -> Result<SocketRun, SocketRunError> {
-    let program = program()?;
+    let program = current_executable()?;
     let length_s = script.length.as_secs();
     let mut display = show_progress.then(ProgressDisplay::rewriting);
     let progress = move |at: Duration, sample: &Sample| {
--- a/crates/cache-balancer/src/service_manager/activation.rs
+++ b/crates/cache-balancer/src/service_manager/activation.rs
@@ -52,7 +52,7 @@
         Ok(Self(sockets))
     }
 
-    /// Removes and returns the socket for the listener of this name, if there is one.
+    /// Removes and returns the socket for the listener with this name, if there is one.
     pub fn take(&mut self, listener: &str) -> Option<TcpListener> {
         let index = self.0.iter().position(|(name, _)| name == listener)?;
         Some(self.0.swap_remove(index).1)
--- a/crates/cache-balancer/src/service_manager/mod.rs
+++ b/crates/cache-balancer/src/service_manager/mod.rs
@@ -63,9 +63,9 @@
         self.notify(Notification::Ready);
     }
 
-    /// Reports the id of the main process of the service.
-    pub fn notify_main_process(&self, process: u32) {
-        self.notify(Notification::MainProcess(process));
+    /// Reports the PID of the main process of the service.
+    pub fn notify_main_process(&self, pid: u32) {
+        self.notify(Notification::MainProcess(pid));
     }
 
     /// Reports that the node is stopping.
--- a/crates/cache-balancer/src/service_manager/notifier.rs
+++ b/crates/cache-balancer/src/service_manager/notifier.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub(super) enum Notification {
     Ready,
-    /// The id of the main process of the service.
+    /// The PID of the main process of the service.
     MainProcess(u32),
     Reloading,
     Stopping,
@@ -69,7 +69,7 @@
                 continue;
             }
             Notification::Ready => sd_notify::notify(&[NotifyState::Ready]),
-            Notification::MainProcess(process) => sd_notify::notify(&[NotifyState::MainPid(process)]),
+            Notification::MainProcess(pid) => sd_notify::notify(&[NotifyState::MainPid(pid)]),
             Notification::Reloading => send_reloading(),
             Notification::Stopping => sd_notify::notify(&[NotifyState::Stopping]),
             Notification::Watchdog => {
--- a/crates/cache-balancer/src/service_manager/watchdog.rs
+++ b/crates/cache-balancer/src/service_manager/watchdog.rs
@@ -23,14 +23,14 @@
     }
 }
 
-/// Whether every driver responds to a liveness check.
+/// Returns whether every driver responds to a liveness check.
 async fn all_respond(drivers: Vec<UnboundedSender<DriverInput>>) -> bool {
     for driver in drivers {
-        let (response, responded) = oneshot::channel();
+        let (reply, replied) = oneshot::channel();
         // The driver of a removed pool ends when its requests are complete, and may leave a check in its
         // queue.
-        if driver.send(DriverInput::LivenessCheck(response)).is_ok()
-            && responded.await.is_err()
+        if driver.send(DriverInput::LivenessCheck(reply)).is_ok()
+            && replied.await.is_err()
             && !driver.is_closed()
         {
             return false;
--- a/crates/cache-balancer/src/service_manager/watchdog/tests.rs
+++ b/crates/cache-balancer/src/service_manager/watchdog/tests.rs
@@ -10,7 +10,7 @@
     let drivers = [first, second];
     let fed = Cell::new(0);
     let respond = |input: Option<DriverInput>| match input {
-        Some(DriverInput::LivenessCheck(response)) => response.send(()).is_ok(),
+        Some(DriverInput::LivenessCheck(reply)) => reply.send(()).is_ok(),
         _ => false,
     };
     let work = async {
--- a/crates/cache-balancer/src/shutdown_phase.rs
+++ b/crates/cache-balancer/src/shutdown_phase.rs
@@ -1,4 +1,4 @@
-//! The shutdown phase of a listener. The daemon sets it, and the fronts act on it.
+//! The shutdown phase of a listener. The daemon sets it, and the frontends act on it.
 
 /// The shutdown phase of a listener and of all connections accepted on it. The variants are in the order of
 /// progress. Only the first three allow a return to [`ShutdownPhase::Serving`].
@@ -13,7 +13,7 @@
     /// process may accept again.
     StandingBy,
     /// Another process accepts connections. Requests in flight are finished, every response asks the client
-    /// to use another connection, and idle connections end by their timeout.
+    /// to use another connection, and idle connections end when they time out.
     HandedOver,
     /// Connections are accepted and served, and every response asks the client to use another connection.
     Draining,
--- a/crates/cache-balancer/src/signals.rs
+++ b/crates/cache-balancer/src/signals.rs
@@ -10,7 +10,7 @@
     pub terminate: Signal,
     /// SIGHUP: reloads the configuration.
     pub reload: Signal,
-    /// SIGUSR2: upgrades to the program that is now at the path of this process's program.
+    /// SIGUSR2: upgrades to the executable that is now at this program's path.
     pub upgrade: Signal,
 }
 
--- a/crates/cache-balancer/src/tally/mod.rs
+++ b/crates/cache-balancer/src/tally/mod.rs
@@ -49,7 +49,7 @@
     /// Endpoint lists that were applied.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub lists: u32,
-    /// Calls to discovery that failed.
+    /// Polls of discovery that failed.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub lists_failed: u32,
     /// Servers whose state changed in an endpoint list, with the new state.
@@ -94,7 +94,7 @@
 }
 
 impl AttemptCounts {
-    /// Counts an attempt. Attempts that the node canceled or never sent are not counted.
+    /// Counts an attempt. Attempts that the node cancelled or never sent are not counted.
     fn record(&mut self, status: AttemptStatus) {
         *match status {
             AttemptStatus::Ok | AttemptStatus::Miss => &mut self.ok,
