--- a/crates/cache-balancer/src/daemon/error.rs
+++ b/crates/cache-balancer/src/daemon/error.rs
@@ -17,7 +17,8 @@
     #[error("{0}")]
     Operator(#[from] operator::FileError),
     #[error(
-        "{descriptors} descriptors are too few: the node reserves {reserved}, and connections need at least {}",
+        "{descriptors} descriptors are too few: the node reserves {reserved}, and \
+         connections need at least {}",
         2 * MIN_CONNECTIONS
     )]
     Descriptors { descriptors: usize, reserved: usize },
--- a/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
@@ -164,8 +164,8 @@
     fn log_event(&self, event: PredecessorEvent) {
         let description = match event {
             PredecessorEvent::SuccessorDied => "has died",
-            PredecessorEvent::LinkLost => "has lost its link, and lives",
-            PredecessorEvent::Declined => "declines",
+            PredecessorEvent::LinkLost => "has lost its link but is still running",
+            PredecessorEvent::Declined => "has declined the hand-over",
             _ => return,
         };
         let pid = self.endpoint.successor_pid().unwrap_or_default();
--- a/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
@@ -24,11 +24,11 @@
 /// The reason why a predecessor continues to serve.
 #[derive(Debug, Error)]
 pub enum TakeoverError {
-    #[error("the predecessor goes on by itself: {0}")]
+    #[error("the predecessor continues to serve: {0}")]
     Cancelled(CancelCause),
-    #[error("the link to the predecessor was lost, and it goes on by itself")]
+    #[error("the link to the predecessor was lost, and the predecessor continues to serve")]
     LinkLost,
-    #[error("the predecessor goes on by itself: its messages came out of order")]
+    #[error("the predecessor continues to serve: its messages arrived out of order")]
     OutOfOrder,
 }
 
--- a/crates/cache-balancer/src/daemon/mod.rs
+++ b/crates/cache-balancer/src/daemon/mod.rs
@@ -1,8 +1,10 @@
 //! The daemon of one node.
 //!
-//! * [`startup`]: starts a node from its configuration, with or without a predecessor process to take over from.
+//! * [`startup`]: starts a node from its configuration, with or without a predecessor process to take
+//!   over from.
 //! * [`serve`]: runs the event loop for signals and graceful restarts.
-//! * [`node`]: owns the components of a node and reloads its configuration; [`change`] compares two configurations.
+//! * [`node`]: owns the components of a node and reloads its configuration; [`change`] compares two
+//!   configurations.
 //! * [`graceful_restart`]: carries out the actions that [`balancer_core::graceful_restart`] decides on.
 
 mod change;
--- a/crates/cache-balancer/src/daemon/serve.rs
+++ b/crates/cache-balancer/src/daemon/serve.rs
@@ -113,7 +113,7 @@
             self.restart.reconfigure(endpoint, &self.node.config);
         });
         if let Err(error) = &applied {
-            log!("configuration not taken: {error}");
+            log!("configuration rejected: {error}");
         }
         if self.node.readiness.reached() {
             match applied {
--- a/crates/cache-balancer/src/fleet/mod.rs
+++ b/crates/cache-balancer/src/fleet/mod.rs
@@ -203,7 +203,7 @@
                 self.configs = configs;
                 self.handle(Event::Reload);
             }
-            Err(error) => log!("configuration not taken: {error}"),
+            Err(error) => log!("configuration rejected: {error}"),
         }
     }
 
--- a/crates/cache-balancer/src/handover/predecessor/mod.rs
+++ b/crates/cache-balancer/src/handover/predecessor/mod.rs
@@ -71,8 +71,8 @@
         let excess = listeners.len().saturating_sub(MAX_PASSED_DESCRIPTORS);
         if excess > 0 {
             log!(
-                "hand-over: {excess} listeners exceed the limit of {MAX_PASSED_DESCRIPTORS} and are not passed; \
-                 the successor binds them itself"
+                "hand-over: {excess} listeners exceed the limit of {MAX_PASSED_DESCRIPTORS} and are not \
+                 passed; the successor binds them itself"
             );
         }
         let (listeners, sockets): (Vec<_>, Vec<_>) = listeners
--- a/crates/cache-balancer/src/list_file.rs
+++ b/crates/cache-balancer/src/list_file.rs
@@ -15,7 +15,7 @@
 const READ_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sends each new list in the file to the driver until the driver stops. Errors in the file are logged, one
-/// line each, and the one before stays in use.
+/// line each, and the previous list stays in use.
 pub async fn watch(path: PathBuf, driver_inputs: UnboundedSender<DriverInput>) {
     let (mut version, mut last_read) = (0, None);
     loop {
@@ -50,6 +50,6 @@
     log!("{error}");
     log!(
         "list rejected; {}",
-        if version == 0 { "no list has been loaded yet" } else { "the one before stays in use" }
+        if version == 0 { "no list has been loaded yet" } else { "the previous list stays in use" }
     );
 }
--- a/crates/cache-balancer/src/service_manager/mod.rs
+++ b/crates/cache-balancer/src/service_manager/mod.rs
@@ -58,7 +58,7 @@
     /// Reports that this process serves again, because its successor has died.
     pub fn notify_rolled_back(&self) {
         self.notify_main_process(std::process::id());
-        let status = "serving: the successor has died, and its clients were taken back";
+        let status = "serving: the successor has died, and this process accepts connections again";
         self.notify(Notification::Status(status.into()));
         self.notify(Notification::Ready);
     }
