--- a/crates/arrival-time/src/lib.rs
+++ b/crates/arrival-time/src/lib.rs
@@ -1,6 +1,6 @@
 //! Reads from a TCP socket and reports how long the bytes have waited in the kernel.
 //!
-//! A process that is starting or gets no processor time reads bytes some time after they arrived. A time
+//! A process that is starting or is not scheduled reads bytes some time after they arrived. A time
 //! limit that counts from the read is then too long by that wait. Linux can record the arrival time of each
 //! packet (`SO_TIMESTAMPNS`, see socket(7)), and `recvmsg` returns that of the last bytes read.
 
--- a/crates/arrival-time/tests/waits.rs
+++ b/crates/arrival-time/tests/waits.rs
@@ -37,7 +37,7 @@
     (client, listener.accept().await.unwrap().0)
 }
 
-/// Guards against a suspended process that treats bytes as new that arrived long before.
+/// Guards against a process that, after a suspension, treats bytes that arrived long before as new.
 #[tokio::test]
 async fn the_wait_of_unread_bytes_is_reported() {
     let (mut client, server) = connect(&listener_with_timestamps().await).await;
--- a/crates/cache-balancer/src/aggregate/rows.rs
+++ b/crates/cache-balancer/src/aggregate/rows.rs
@@ -107,7 +107,7 @@
     total >= MIN_OUTLIER_ATTEMPTS && failed as f64 >= OUTLIER_FAILURE_FRACTION * total as f64
 }
 
-/// Latest state of a server of which any node was notified.
+/// Latest state of a server, combined from the notifications of all nodes.
 ///
 /// Notifications reach nodes at different times. A late `Ready` does not revive a server that is draining or
 /// removed, unless its start time is later, which means a new incarnation. A drain that is revoked within one
--- a/crates/cache-balancer/src/daemon/serve.rs
+++ b/crates/cache-balancer/src/daemon/serve.rs
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Stops the process. A successor that was told to proceed replaces it.
+    /// Stops the process. If a successor has already received the message to proceed, it serves in place of
+    /// this process.
     async fn stop(mut self) {
         let name = &self.node.config.name;
         if self.restart.stop(&self.manager).await {
--- a/crates/cache-balancer/src/fleet/files.rs
+++ b/crates/cache-balancer/src/fleet/files.rs
@@ -73,7 +73,7 @@
     folder.join(format!("{instance}.toml"))
 }
 
-/// Writes the files of all instances. Each one replaces its predecessor atomically.
+/// Writes the files of all instances. Each file replaces the previous one atomically.
 pub fn write(folder: &Path, configs: &[Config]) -> Result<(), FilesError> {
     for (instance, config) in configs.iter().enumerate() {
         let (path, temporary) = (path(folder, instance), folder.join(format!("{instance}.new")));
--- a/crates/cache-balancer/src/fleet/process.rs
+++ b/crates/cache-balancer/src/fleet/process.rs
@@ -48,7 +48,7 @@
 fn spawn(file: &Path, notify_socket: &Path, watchdog_timeout: Duration) -> io::Result<Child> {
     let mut command = Command::new(executable_path());
     command.arg("run").arg("--with-parent").arg("--config").arg(file);
-    // These variables describe this process to its own service manager, not the new one.
+    // These variables describe this process to its own service manager and do not apply to the new process.
     for variable in PER_PROCESS_VARIABLES {
         command.env_remove(variable);
     }
@@ -89,6 +89,6 @@
 }
 
 fn remove_socket(socket: &Path) {
-    // A socket that cannot be removed is removed with the folder.
+    // If this fails, the socket is removed with the folder.
     let _ = std::fs::remove_file(socket);
 }
--- a/crates/cache-balancer/src/frontend/connections/tracked.rs
+++ b/crates/cache-balancer/src/frontend/connections/tracked.rs
@@ -110,8 +110,8 @@
     }
 
     /// Closes the connection as the node shuts down. If a request has begun to arrive, the connection waits
-    /// for the rest of it under the usual timeout and closes with its response. Closed at once, hyper would
-    /// drop the part that it has read and the bytes in the socket.
+    /// for the rest of it under the usual timeout and closes with its response. If it were closed at once,
+    /// hyper would drop the part that it has read and the bytes in the socket.
     fn close_for_shutdown<C>(&self, serving: Pin<&mut C>, close: &impl Fn(Pin<&mut C>)) {
         match self.state.phase() {
             Phase::ReadingRequest => {}
--- a/crates/cache-balancer/src/frontend/http1/mod.rs
+++ b/crates/cache-balancer/src/frontend/http1/mod.rs
@@ -63,8 +63,9 @@
         let (surplus, permits) =
             (previous_max.saturating_sub(max_connections), self.connection_permits.clone());
         tokio::task::spawn_local(async move {
-            // Permits are acquired one at a time, in turn with waiting clients. Acquired all at once, they
-            // would block every client that waits to be accepted until the last of them became free.
+            // Permits are acquired one at a time, in turn with waiting clients. If they were acquired all at
+            // once, they would block every client that waits to be accepted until the last of them became
+            // free.
             for _ in 0..surplus {
                 // The semaphore is never closed.
                 permits.acquire().await.into_iter().for_each(SemaphorePermit::forget);
--- a/crates/cache-balancer/src/scenario/sockets.rs
+++ b/crates/cache-balancer/src/scenario/sockets.rs
@@ -67,8 +67,8 @@
 fn progress_line(at: Duration, length_s: u64, sample: &Sample) -> String {
     let Sample { servers, warming_servers, requests_in_servers, origin_queue, .. } = sample;
     format!(
-        "{:>4} of {length_s} s: {servers} servers, {warming_servers} cold, {requests_in_servers} requests in them, \
-         {origin_queue} waiting at the origin",
+        "{:>4} of {length_s} s: {servers} servers, {warming_servers} cold, {requests_in_servers} requests \
+         in them, {origin_queue} waiting at the origin",
         at.as_secs()
     )
 }
--- a/crates/cache-balancer/src/tally/mod.rs
+++ b/crates/cache-balancer/src/tally/mod.rs
@@ -60,7 +60,7 @@
     pub servers: BTreeMap<String, AttemptCounts>,
 }
 
-/// State of a server, as notified by an endpoint list.
+/// State of a server, as reported by an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NotifiedState {
--- a/crates/cache-balancer/src/upstream/connection/tests.rs
+++ b/crates/cache-balancer/src/upstream/connection/tests.rs
@@ -6,8 +6,9 @@
 use tokio::net::TcpListener;
 
 /// Between the attempt's own check and hyper's write, the server can start draining, the client can
-/// disconnect, or the deduplication window can end. The request would then run on a draining server, for
-/// nobody, or twice. Without the check in the stream itself, each of these cases writes three bytes here.
+/// disconnect, or the deduplication window can end. The request would then run on a draining server, for a
+/// client that no longer waits, or twice. Without the check in the stream itself, each of these cases writes
+/// three bytes here.
 #[tokio::test]
 async fn the_first_byte_is_written_only_while_the_start_condition_holds() {
     let (past, ahead) = (Some(Instant::now()), Some(Instant::now() + Duration::from_secs(3_600)));
