--- a/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/predecessor.rs
@@ -12,13 +12,14 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// The predecessor's side of a hand-over, created when this process starts to serve or its hand-over socket changes.
+/// The predecessor's side of a hand-over, created when this process starts to serve or its hand-over socket
+/// changes.
 #[derive(Debug)]
 pub(super) struct OutgoingHandover {
     machine: Predecessor,
     endpoint: PredecessorEndpoint,
-    /// The earliest end of the successor's probation. The probation also lasts until every connection that this process
-    /// accepted has ended.
+    /// The earliest end of the successor's probation. The probation also lasts until every connection that
+    /// this process accepted has ended.
     probation_until: Option<Instant>,
 }
 
@@ -142,10 +143,10 @@
     }
 
     async fn depart(&mut self, manager: &ServiceManager) {
-        // The service manager has to know the successor before this process exits. Otherwise it would consider the service
-        // stopped.
-        if let Some(process) = self.endpoint.successor_process() {
-            manager.notify_main_process(process);
+        // The service manager has to know the successor before this process exits. Otherwise it would
+        // consider the service stopped.
+        if let Some(pid) = self.endpoint.successor_pid() {
+            manager.notify_main_process(pid);
         }
         self.endpoint.depart().await;
     }
@@ -163,17 +164,17 @@
     fn log_event(&self, event: PredecessorEvent) {
         let description = match event {
             PredecessorEvent::SuccessorDied => "has died",
-            PredecessorEvent::LinkLost => "has lost its link, and lives",
-            PredecessorEvent::Declined => "declines",
+            PredecessorEvent::LinkLost => "has lost its link but is still running",
+            PredecessorEvent::Declined => "has declined the hand-over",
             _ => return,
         };
-        let process = self.endpoint.successor_process().unwrap_or_default();
-        log!("hand-over: the successor {process} {description}");
+        let pid = self.endpoint.successor_pid().unwrap_or_default();
+        log!("hand-over: the successor {pid} {description}");
     }
 }
 
-/// Waits until the probation time has passed and every connection of this process has ended. Without a probation, waits
-/// forever.
+/// Waits until the probation time has passed and every connection of this process has ended. Without a
+/// probation, waits forever.
 async fn probation_over(until: Option<Instant>, node: &Node) {
     match until {
         Some(until) => sleep_until(until).await,
--- a/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
+++ b/crates/cache-balancer/src/daemon/graceful_restart/successor.rs
@@ -24,17 +24,18 @@
 /// The reason why a predecessor continues to serve.
 #[derive(Debug, Error)]
 pub enum TakeoverError {
-    #[error("the predecessor goes on by itself: {0}")]
+    #[error("the predecessor continues to serve: {0}")]
     Cancelled(CancelCause),
-    #[error("the link to the predecessor was lost, and it goes on by itself")]
+    #[error("the link to the predecessor was lost, and the predecessor continues to serve")]
     LinkLost,
-    #[error("the predecessor goes on by itself: its messages came out of order")]
+    #[error("the predecessor continues to serve: its messages arrived out of order")]
     OutOfOrder,
 }
 
 /// Takes over from the predecessor that `endpoint` is connected to. `bound` has a socket for each listener.
 ///
 /// # Errors
+///
 /// The predecessor continues to serve, and this process has not accepted any connection.
 pub(in crate::daemon) async fn take_over(
     node: &mut Node,
@@ -146,7 +147,8 @@
             SuccessorAction::Decline => self.endpoint.decline().await,
             SuccessorAction::Release => self.endpoint.release().await,
             SuccessorAction::TerminatePredecessor => self.endpoint.terminate_predecessor(),
-            // The service manager is notified only after this action, since until then the takeover may be cancelled.
+            // The service manager is notified only after this action, since until then the takeover may be
+            // cancelled.
             SuccessorAction::TakeOwnership => return ControlFlow::Break(End::Serving),
             SuccessorAction::Drain => return ControlFlow::Break(End::Drain),
             SuccessorAction::Exit => return ControlFlow::Break(End::Exit),
--- a/crates/cache-balancer/src/daemon/mod.rs
+++ b/crates/cache-balancer/src/daemon/mod.rs
@@ -1,8 +1,10 @@
 //! The daemon of one node.
 //!
-//! * [`startup`]: starts a node from its configuration, with or without a predecessor process to take over from.
+//! * [`startup`]: starts a node from its configuration, with or without a predecessor process to take
+//!   over from.
 //! * [`serve`]: runs the event loop for signals and graceful restarts.
-//! * [`node`]: owns the components of a node and reloads its configuration; [`change`] compares two configurations.
+//! * [`node`]: owns the components of a node and reloads its configuration; [`change`] compares two
+//!   configurations.
 //! * [`graceful_restart`]: carries out the actions that [`balancer_core::graceful_restart`] decides on.
 
 mod change;
@@ -39,7 +41,8 @@
     block_on(config, ConfigSource::Platform)
 }
 
-/// Runs a node with the configuration from an operator's file, until SIGTERM or until another process has taken over.
+/// Runs a node with the configuration from an operator's file, until SIGTERM or until another process has
+/// taken over.
 ///
 /// If `with_parent` is set, this process receives SIGTERM when its parent exits.
 pub fn start_from(path: &Path, with_parent: bool) -> Result<(), StartError> {
@@ -60,7 +63,7 @@
     result
 }
 
-/// Lowers the configured number of descriptors to the system's limit.
+/// Lowers the configured number of descriptors to the system's limit if it is higher.
 fn limit_descriptors(mut config: Config) -> Config {
     let limit = operator::descriptor_limit();
     if config.descriptors > limit {
--- a/crates/cache-balancer/src/daemon/pools.rs
+++ b/crates/cache-balancer/src/daemon/pools.rs
@@ -1,4 +1,5 @@
-//! The pools of a node. Each has a driver with its own balancer, upstream connections, and a source of its endpoint list.
+//! The pools of a node. Each has a driver with its own balancer, upstream connections, and a source of its
+//! endpoint list.
 
 use super::change::Change;
 use crate::config::{Config, DiscoveryReplicas, Pool, Source};
@@ -40,7 +41,7 @@
     driver_inputs: UnboundedSender<DriverInput>,
     ready: watch::Receiver<bool>,
     list: ListWatch,
-    /// The settings of discovery polls, shared with the poller.
+    /// The settings of discovery polls, shared with the discovery client.
     poll_settings: Rc<Cell<PollSettings>>,
 }
 
@@ -61,8 +62,8 @@
 }
 
 impl RunningPool {
-    /// Restores the state of the predecessor's pool. A list that the configuration itself contains takes precedence over the
-    /// predecessor's.
+    /// Restores the state of the predecessor's pool. A list that the configuration itself contains takes
+    /// precedence over the predecessor's.
     fn restore(&self, PoolState { endpoint_list, learned_state, .. }: PoolState) {
         let endpoint_list = match self.pool.source {
             Source::Fixed => self.pool.configured_list.clone(),
@@ -104,9 +105,9 @@
     pub async fn learned_state(&self) -> Vec<PoolState> {
         let mut states = Vec::new();
         for RunningPool { pool, driver_inputs, .. } in &self.running {
-            let (response, state) = oneshot::channel();
+            let (reply, state) = oneshot::channel();
             // The driver ends only once its pool is removed.
-            let _ = driver_inputs.send(DriverInput::StateRequested(response));
+            let _ = driver_inputs.send(DriverInput::StateRequested(reply));
             let Ok((endpoint_list, learned_state)) = state.await else { continue };
             states.push(PoolState::new(&pool.name, &pool.source, endpoint_list, learned_state));
         }
@@ -131,7 +132,7 @@
     }
 
     /// Returns the input channel of each pool's driver.
-    pub fn drivers(&self) -> Vec<UnboundedSender<DriverInput>> {
+    pub fn driver_inputs(&self) -> Vec<UnboundedSender<DriverInput>> {
         self.running.iter().map(|running| running.driver_inputs.clone()).collect()
     }
 
@@ -190,7 +191,7 @@
         }
         match (source, &running.list) {
             (Source::Discovery(new), ListWatch::Discovery(current, _)) => {
-                // The poller keeps its watch if the watched replica is still listed.
+                // The discovery client keeps its watch if the watched replica is still listed.
                 current.send_if_modified(|current| std::mem::replace(current, new.clone()) != *new);
             }
             _ if *source == previous.source => {}
@@ -221,7 +222,8 @@
 }
 
 impl ListWatch {
-    /// Starts to watch `source`. `validator` describes the list that the driver holds, and `node` is the name of the node.
+    /// Starts to watch `source`. `validator` describes the list that the driver holds, and `node` is the name
+    /// of the node.
     fn start(
         node: &str,
         source: &Source,
@@ -232,8 +234,8 @@
     ) -> Self {
         match source {
             Source::Discovery(replicas) => {
-                // Each pool has its own random sequence, so that pools that lost discovery at the same time do not retry at
-                // the same time.
+                // Each pool has its own random sequence, so that pools that lost discovery at the same time
+                // do not retry at the same time.
                 let random = fastrand::Rng::with_seed(seed);
                 let (sender, replicas) = watch::channel(replicas.clone());
                 let (poll_settings, driver_inputs) = (poll_settings.clone(), driver_inputs.clone());
@@ -255,8 +257,8 @@
     }
 }
 
-/// Returns the validator for the list that a pool starts with. If the predecessor used the same discovery service, the watch
-/// continues from the predecessor's version.
+/// Returns the validator for the list that a pool starts with. If the predecessor used the same discovery
+/// service, the watch continues from the predecessor's version.
 fn initial_validator(pool: &Pool, learned: Option<&PoolState>) -> ListValidator {
     match learned {
         Some(learned) if learned.shares_versions_with(&pool.source) => {
--- a/crates/cache-balancer/src/daemon/serve.rs
+++ b/crates/cache-balancer/src/daemon/serve.rs
@@ -101,7 +101,8 @@
         if notify_reloading {
             self.manager.notify_reloading();
         }
-        // Reload signals that arrive meanwhile are merged into one: the configuration is read once more afterwards.
+        // Reload signals that arrive meanwhile are merged into one: the configuration is read once more
+        // afterwards.
         let prepared = tokio::select! {
             biased;
             _ = terminate.recv() => return ControlFlow::Break(()),
@@ -112,7 +113,7 @@
             self.restart.reconfigure(endpoint, &self.node.config);
         });
         if let Err(error) = &applied {
-            log!("configuration not taken: {error}");
+            log!("configuration rejected: {error}");
         }
         if self.node.readiness.reached() {
             match applied {
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Stops the process. A successor that was told to proceed replaces it.
+    /// Stops the process. If a successor has already received the message to proceed, it serves in place of
+    /// this process.
     async fn stop(mut self) {
         let name = &self.node.config.name;
         if self.restart.stop(&self.manager).await {
@@ -161,11 +163,11 @@
 }
 
 fn start_watchdog(node: &Node, manager: &ServiceManager) -> JoinHandle<()> {
-    spawn_local(manager.clone().feed_watchdog(node.drivers.subscribe()))
+    spawn_local(manager.clone().feed_watchdog(node.driver_inputs.subscribe()))
 }
 
-/// Finishes the requests in flight while another process accepts connections. On SIGTERM, idle connections are closed as
-/// well.
+/// Finishes the requests in flight while another process accepts connections. On SIGTERM, idle connections
+/// are closed as well.
 pub(super) async fn finish(mut node: Node, terminate: &mut Signal) {
     node.listeners.hand_over();
     tokio::select! {
--- a/crates/cache-balancer/src/list_file.rs
+++ b/crates/cache-balancer/src/list_file.rs
@@ -50,6 +50,6 @@
     log!("{error}");
     log!(
         "list rejected; {}",
-        if version == 0 { "no list has been loaded yet" } else { "the one before stays in use" }
+        if version == 0 { "no list has been loaded yet" } else { "the previous list stays in use" }
     );
 }
--- a/crates/cache-balancer/src/service_manager/activation.rs
+++ b/crates/cache-balancer/src/service_manager/activation.rs
@@ -1,4 +1,5 @@
-//! Socket activation: listening sockets that the service manager opened before the node started (sd_listen_fds(3)).
+//! Socket activation: listening sockets that the service manager opened before the node started
+//! (sd_listen_fds(3)).
 
 use listenfd::ListenFd;
 use std::io;
@@ -24,8 +25,8 @@
 pub struct ActivationSockets(Vec<(String, TcpListener)>);
 
 impl ActivationSockets {
-    /// Takes the sockets that the environment describes, and matches them to the listeners by name. If there is one socket
-    /// and one listener, the name of the socket is ignored.
+    /// Takes the sockets that the environment describes, and matches them to the listeners by name. If there
+    /// is one socket and one listener, the name of the socket is ignored.
     pub fn from_env(listeners: &[&str]) -> Result<Self, ActivationError> {
         // Read before `ListenFd::from_env` removes the other variables.
         let names = std::env::var("LISTEN_FDNAMES").unwrap_or_default();
@@ -51,7 +52,7 @@
         Ok(Self(sockets))
     }
 
-    /// Removes and returns the socket for the listener of this name, if there is one.
+    /// Removes and returns the socket for the listener with this name, if there is one.
     pub fn take(&mut self, listener: &str) -> Option<TcpListener> {
         let index = self.0.iter().position(|(name, _)| name == listener)?;
         Some(self.0.swap_remove(index).1)
--- a/crates/cache-balancer/src/service_manager/mod.rs
+++ b/crates/cache-balancer/src/service_manager/mod.rs
@@ -1,5 +1,5 @@
-//! The interface to the service manager: sd_notify(3) reports the node's state, and sd_listen_fds(3) passes listening sockets
-//! to the node. Without a service manager, both do nothing.
+//! The interface to the service manager: sd_notify(3) reports the node's state, and sd_listen_fds(3) passes
+//! listening sockets to the node. Without a service manager, both do nothing.
 
 mod activation;
 mod notifier;
@@ -41,7 +41,8 @@
         self.notify(Notification::Ready);
     }
 
-    /// Reports the start of a reload. [`Self::notify_ready`] or [`Self::notify_reload_failed`] reports its end.
+    /// Reports the start of a reload. [`Self::notify_ready`] or [`Self::notify_reload_failed`] reports its
+    /// end.
     pub fn notify_reloading(&self) {
         self.notify(Notification::Status("reloading".into()));
         self.notify(Notification::Reloading);
@@ -57,14 +58,14 @@
     /// Reports that this process serves again, because its successor has died.
     pub fn notify_rolled_back(&self) {
         self.notify_main_process(std::process::id());
-        let status = "serving: the successor has died, and its clients were taken back";
+        let status = "serving: the successor has died, and this process accepts connections again";
         self.notify(Notification::Status(status.into()));
         self.notify(Notification::Ready);
     }
 
-    /// Reports the id of the main process of the service.
-    pub fn notify_main_process(&self, process: u32) {
-        self.notify(Notification::MainProcess(process));
+    /// Reports the PID of the main process of the service.
+    pub fn notify_main_process(&self, pid: u32) {
+        self.notify(Notification::MainProcess(pid));
     }
 
     /// Reports that the node is stopping.
@@ -78,8 +79,8 @@
         self.notify(Notification::Status(text.into()));
     }
 
-    /// Waits until all notifications are sent, but no longer than [`FLUSH_TIMEOUT`]: a service manager that does not read its
-    /// socket must not keep the process alive.
+    /// Waits until all notifications are sent, but no longer than [`FLUSH_TIMEOUT`]: a service manager that
+    /// does not read its socket must not keep the process alive.
     pub async fn flush(&self) {
         if self.0.is_none() {
             return;
--- a/crates/cache-balancer/src/service_manager/notifier.rs
+++ b/crates/cache-balancer/src/service_manager/notifier.rs
@@ -1,5 +1,5 @@
-//! Sends notifications from a separate thread. A write blocks if the service manager does not read its socket, and must not
-//! delay requests.
+//! Sends notifications from a separate thread. A write blocks if the service manager does not read its
+//! socket, and must not delay requests.
 
 use crate::log::log;
 use sd_notify::NotifyState;
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub(super) enum Notification {
     Ready,
-    /// The id of the main process of the service.
+    /// The PID of the main process of the service.
     MainProcess(u32),
     Reloading,
     Stopping,
@@ -22,8 +22,9 @@
     Flush(oneshot::Sender<()>),
 }
 
-/// The queue of the sending thread. The queue is unbounded, because the service manager would wait for the start forever if
-/// `READY=1` were lost. It holds a few notifications per pool at the start, two at the end, and at most one of the watchdog.
+/// The queue of the sending thread. The queue is unbounded, because the service manager would wait for the
+/// start forever if `READY=1` were lost. It holds a few notifications per pool at the start, two at the end,
+/// and at most one of the watchdog.
 #[derive(Clone, Debug)]
 pub(super) struct Notifier {
     queue: Sender<Notification>,
@@ -68,7 +69,7 @@
                 continue;
             }
             Notification::Ready => sd_notify::notify(&[NotifyState::Ready]),
-            Notification::MainProcess(process) => sd_notify::notify(&[NotifyState::MainPid(process)]),
+            Notification::MainProcess(pid) => sd_notify::notify(&[NotifyState::MainPid(pid)]),
             Notification::Reloading => send_reloading(),
             Notification::Stopping => sd_notify::notify(&[NotifyState::Stopping]),
             Notification::Watchdog => {
--- a/crates/cache-balancer/tests/operator.rs
+++ b/crates/cache-balancer/tests/operator.rs
@@ -269,7 +269,7 @@
     let logged = |text: &str| node.logged(text) > 0;
     directory.write("boxes.toml", "version = 1\n[[server]]\nname = \"oth");
     wait_for("the log line of the fault", || logged("boxes.toml:3: TOML: "));
-    assert!(logged("list rejected; the one before stays in use"));
+    assert!(logged("list rejected; the previous list stays in use"));
     assert_eq!(node.read("read", 2).body, b"one");
     std::fs::remove_file(directory.0.join("boxes.toml")).unwrap();
     wait_for("the log line of the missing file", || logged("boxes.toml: No such file"));
