--- a/crates/testbed/src/client_model.rs
+++ b/crates/testbed/src/client_model.rs
@@ -1,11 +1,13 @@
-//! The behaviour of clients: request timeouts, disconnects and retries. Times are relative to the start of the run.
+//! The behaviour of clients: request timeouts, disconnects and retries. Times are relative to the start of
+//! the run.
 
 use crate::random::RandomSource;
 use crate::script::Script;
 use crate::workload::Operation;
 use std::time::Duration;
 
-/// An operation with less time left than this is not retried, because clients send their timeout in whole milliseconds.
+/// An operation with less time left than this is not retried, because clients send their timeout in whole
+/// milliseconds.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// Returns the time that a client waits for the answer to a request that it sends now.
@@ -15,17 +17,18 @@
     timeout.min((operation.at + deadline).saturating_sub(now))
 }
 
-/// Returns the time after which the client of a request disconnects without an answer, or `None` if it waits for the
-/// timeout. `random` is the request's own source.
+/// Returns the time after which the client of a request disconnects without an answer, or `None` if it waits
+/// for the timeout. `random` is the request's own source.
 pub fn disconnects_after(script: &Script, random: RandomSource, timeout: Duration) -> Option<Duration> {
     let disconnects = random.derive(3).uniform() < script.clients.disconnect_fraction;
     disconnects.then(|| timeout.mul_f64(random.derive(4).uniform()))
 }
 
-/// Returns the delay before the retry of a request that was not served, or `None` if the client gives up the operation.
+/// Returns the delay before the retry of a request that was not served, or `None` if the client gives up the
+/// operation.
 ///
-/// `ordinal` is the number of the request within the operation, from 0. `retry_after` is the value from the answer, or zero
-/// if there is none.
+/// `ordinal` is the number of the request within the operation, from 0. `retry_after` is the value from the
+/// answer, or zero if there is none.
 pub fn retry_delay(
     script: &Script,
     operation: &Operation,
--- a/crates/testbed/src/counts.rs
+++ b/crates/testbed/src/counts.rs
@@ -1,7 +1,8 @@
-//! Counts the effects of all nodes together on the fleet, by second. Problems often show only in the sum: when a
-//! hundred nodes each send one attempt to a dead server, a hundred attempts are lost in a second.
+//! Counts the effects of all nodes together on the fleet, by second. Problems often show only in the sum:
+//! when a hundred nodes each send one attempt to a dead server, a hundred attempts are lost in a second.
 //!
-//! An attempt is counted by the actual state of its cache server, which the node may not have been notified of yet.
+//! An attempt is counted by the actual state of its cache server, which the node may not have been notified
+//! of yet.
 
 use serde::Serialize;
 use std::ops::AddAssign;
--- a/crates/testbed/src/discovery_call.rs
+++ b/crates/testbed/src/discovery_call.rs
@@ -19,8 +19,8 @@
 }
 
 impl DiscoveryCall {
-    /// Parses the query of a request target. Missing or malformed parameters take their defaults: the whole list,
-    /// without a wait.
+    /// Parses the query of a request target. Missing or malformed parameters take their defaults: the whole
+    /// list, without a wait.
     pub fn read(query: Option<&str>) -> Self {
         let query = query.unwrap_or("");
         let wait = Duration::from_millis(parameter(query, "wait_ms").unwrap_or(0));
--- a/crates/testbed/src/fault_schedule/active_faults.rs
+++ b/crates/testbed/src/fault_schedule/active_faults.rs
@@ -83,8 +83,8 @@
         self.servers.entry(index).or_default()
     }
 
-    /// Drains a server, unless another incident is already retiring it. Even then, a permanent retirement prevents the start
-    /// of a successor.
+    /// Drains a server, unless another incident is already retiring it. Even then, a permanent retirement
+    /// prevents the start of a successor.
     fn begin_retirement(&mut self, incident: IncidentIndex, index: usize, permanent: bool) -> Option<Change> {
         let server = self.server_faults(index);
         let already_retired = server.removed || server.retiring.is_some();
--- a/crates/testbed/src/fault_schedule/effects.rs
+++ b/crates/testbed/src/fault_schedule/effects.rs
@@ -220,7 +220,8 @@
         self.incident.at + self.incident.duration.mul_f64(fraction)
     }
 
-    /// Returns a random share of the cache servers in the zone of the incident, or in all zones if it has none.
+    /// Returns a random share of the cache servers in the zone of the incident, or in all zones if it has
+    /// none.
     fn choose_servers(&self, share: f64) -> Vec<usize> {
         self.choose(fleet::server_count(self.script), share)
     }
@@ -241,8 +242,8 @@
         all
     }
 
-    /// Splits the chosen indices into batches of at most `fraction` of `count`, but at least one. The batches start at equal
-    /// intervals over the duration of the incident.
+    /// Splits the chosen indices into batches of at most `fraction` of `count`, but at least one. The batches
+    /// start at equal intervals over the duration of the incident.
     fn batches(&self, chosen: &[usize], count: usize, fraction: f64) -> Vec<(Duration, Vec<usize>)> {
         let size = ((count as f64 * fraction).floor() as usize).max(1);
         let batches = chosen.len().div_ceil(size).max(1);
--- a/crates/testbed/src/fault_schedule/mod.rs
+++ b/crates/testbed/src/fault_schedule/mod.rs
@@ -1,9 +1,10 @@
-//! The schedule of a script's faults: all changes to the simulated system with their times, the same for every runner.
+//! The schedule of a script's faults: all changes to the simulated system with their times, the same for
+//! every runner.
 //!
-//! Cache servers are identified by their index (see [`crate::fleet`]). Each incident selects its servers with its own
-//! random source, so that adding an incident to a script does not change the servers of the others. `effects` expands each
-//! incident into effects as if it were the only one. `active_faults` combines effects that overlap on one server, so that
-//! the end of one incident does not end the effects of another.
+//! Cache servers are identified by their index (see [`crate::fleet`]). Each incident selects its servers with
+//! its own random source, so that adding an incident to a script does not change the servers of the others.
+//! `effects` expands each incident into effects as if it were the only one. `active_faults` combines effects
+//! that overlap on one server, so that the end of one incident does not end the effects of another.
 
 mod active_faults;
 mod effects;
@@ -48,8 +49,8 @@
         /// The new condition.
         condition: ServerCondition,
     },
-    /// A middlebox loses its state of the present connections to a cache server. It then drops all packets of these
-    /// connections without notifying either end.
+    /// A middlebox loses its state of the present connections to a cache server. It then drops all packets of
+    /// these connections without notifying either end.
     ForgetConnections {
         /// The index of the cache server.
         index: usize,
@@ -95,7 +96,8 @@
 pub struct ServerCondition {
     /// Whether messages to and from the server are delivered.
     pub reachable: bool,
-    /// The fraction of requests that fail because of faults, in addition to the error rate of the server's kind.
+    /// The fraction of requests that fail because of faults, in addition to the error rate of the server's
+    /// kind.
     pub error_rate: f64,
     /// The additional one-way latency.
     pub extra_latency: Duration,
@@ -131,7 +133,8 @@
     }
 }
 
-/// Returns all changes of a script in chronological order. Changes at the same time are in the order of their incidents.
+/// Returns all changes of a script in chronological order. Changes at the same time are in the order of their
+/// incidents.
 pub fn changes(script: &Script) -> Vec<(Duration, Change)> {
     let mut effects = effects::expand_incidents(script);
     // The stable sort keeps effects at the same time in the order of the script.
--- a/crates/testbed/src/judge/mod.rs
+++ b/crates/testbed/src/judge/mod.rs
@@ -1,9 +1,9 @@
 //! Checks the four rules and measures the service of a run.
 //!
-//! The judge uses only what an observer outside of the nodes sees: the requests sent to a node and its answers, the
-//! attempts that reached a cache server and their executions, and the endpoint states that discovery sent to nodes.
-//! Nodes and cache servers are identified by number. All runners record the same [`Observation`]s, whatever protocol
-//! they use.
+//! The judge uses only what an observer outside of the nodes sees: the requests sent to a node and its
+//! answers, the attempts that reached a cache server and their executions, and the endpoint states that
+//! discovery sent to nodes. Nodes and cache servers are identified by number. All runners record the same
+//! [`Observation`]s, whatever protocol they use.
 
 mod observation;
 mod record;
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Registers a cache server and returns its number in observations. `zone` and `cell` determine where repeats of
-    /// requests with an idempotency key are safe.
+    /// Registers a cache server and returns its number in observations. `zone` and `cell` determine where
+    /// repeats of requests with an idempotency key are safe.
     pub fn add_server(&mut self, name: &str, zone: usize, cell: u64) -> usize {
         self.servers.push(ServerRecord { name: name.to_owned(), zone, cell });
         self.servers.len() - 1
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Returns the figures of the second that contains `at`. Times after the end of the run belong to its last second.
+    /// Returns the figures of the second that contains `at`. Times after the end of the run belong to its
+    /// last second.
     fn second(&mut self, at: Timestamp) -> &mut SecondFigures {
         let last = self.seconds.len() - 1;
         &mut self.seconds[((at.as_micros() / 1_000_000) as usize).min(last)]
@@ -218,12 +219,13 @@
         }
     }
 
-    /// Returns why the last execution of a request was an unsafe repeat; `None` if it was safe or the first execution.
+    /// Returns why the last execution of a request was an unsafe repeat; `None` if it was safe or the first
+    /// execution.
     fn unsafe_repeat(&self, request: RequestNumber, server: usize, at: Timestamp) -> Option<&'static str> {
         let record = self.requests.get(&request)?;
         let first = *record.executions.first().filter(|_| record.executions.len() > 1)?;
-        // The node is not responsible for the time that a server holds an attempt before executing it, so the window is
-        // checked against the time of the send.
+        // The node is not responsible for the time that a server holds an attempt before executing it, so the
+        // window is checked against the time of the send.
         let sent_at = record.sent.iter().rfind(|(to, _)| *to == server).map_or(at, |(_, sent_at)| *sent_at);
         match self.class_of(record).idempotency {
             Idempotency::Idempotent => None,
@@ -320,8 +322,8 @@
                     let description = format!("request {request:x} was never answered");
                     violations.push((Rule::OneAnswerInTime, record.expires_at, *request, description));
                 }
-                // A rejection promises that a retry is harmless. An execution before or after it breaks the promise,
-                // unless repeats are always safe.
+                // A rejection promises that a retry is harmless. An execution before or after it breaks the
+                // promise, unless repeats are always safe.
                 Some((at, FinalAnswer::Rejected))
                     if !record.executions.is_empty()
                         && !is_always_repeatable(self.class_of(record).idempotency) =>
--- a/crates/testbed/src/judge/observation.rs
+++ b/crates/testbed/src/judge/observation.rs
@@ -30,7 +30,8 @@
         /// The index of the operation's class in the script.
         class: usize,
     },
-    /// A node has accepted a request: the last byte was sent on a connection that the node's machine accepted.
+    /// A node has accepted a request: the last byte was sent on a connection that the node's machine
+    /// accepted.
     RequestAccepted {
         /// The request.
         request: RequestNumber,
--- a/crates/testbed/src/judge/record.rs
+++ b/crates/testbed/src/judge/record.rs
@@ -17,7 +17,8 @@
     pub(super) answered: Option<(Timestamp, FinalAnswer)>,
     /// When and why the connection ended without an answer.
     pub(super) connection_lost: Option<(Timestamp, String)>,
-    /// Whether a missing or late answer is no violation, because the client disconnected or the node was killed.
+    /// Whether a missing or late answer is no violation, because the client disconnected or the node was
+    /// killed.
     pub(super) excused: bool,
 }
 
--- a/crates/testbed/src/judge/trace.rs
+++ b/crates/testbed/src/judge/trace.rs
@@ -6,7 +6,8 @@
 use std::fmt::Write;
 
 impl Judge {
-    /// Describes the course of a request: where and when it was accepted, sent and executed, and how it ended.
+    /// Describes the course of a request: where and when it was accepted, sent and executed, and how it
+    /// ended.
     pub(super) fn trace(&self, record: &RequestRecord) -> String {
         let node = record.node;
         let mut text = format!(
--- a/crates/testbed/src/judge/verdict.rs
+++ b/crates/testbed/src/judge/verdict.rs
@@ -5,8 +5,8 @@
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// Number of the rule. 1: one final answer in time. 2: repeats only where they are safe. 3: no new requests after a
-    /// drain. 4: no overload of a cold server.
+    /// Number of the rule. 1: one final answer in time. 2: repeats only where they are safe. 3: no new
+    /// requests after a drain. 4: no overload of a cold server.
     pub rule: u8,
     /// Seconds from the start of the run.
     pub at_s: f64,
@@ -60,14 +60,15 @@
 /// Name and service of a class.
 pub type ClassService = (String, f64);
 
-/// Service figures. Service is the weight earned by timely answers, as a fraction from 0 to 1 of the weight of all
-/// operations.
+/// Service figures. Service is the weight earned by timely answers, as a fraction from 0 to 1 of the weight
+/// of all operations.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Service {
     /// Service over the whole run.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// Lowest service of any [`SERVICE_WINDOW`](super::SERVICE_WINDOW), and the second in which that window begins.
+    /// Lowest service of any [`SERVICE_WINDOW`](super::SERVICE_WINDOW), and the second in which that window
+    /// begins.
     pub worst_window: (f64, u64),
     /// Service of each class, in the script's order.
     pub classes: Vec<ClassService>,
@@ -96,8 +97,8 @@
     pub answers: [u64; 4],
     /// Attempts that nodes sent.
     pub attempts: u64,
-    /// Repeated executions of requests: of idempotent classes, of classes with an idempotency key, and of classes
-    /// that are not idempotent.
+    /// Repeated executions of requests: of idempotent classes, of classes with an idempotency key, and of
+    /// classes that are not idempotent.
     pub repeats: [u64; 3],
     /// Figures of each second.
     pub seconds: Vec<SecondFigures>,
--- a/crates/testbed/src/models/cache_server/load_reports.rs
+++ b/crates/testbed/src/models/cache_server/load_reports.rs
@@ -34,8 +34,8 @@
         self.reported
     }
 
-    /// Takes the snapshots that are due and updates the reported load. The caller guarantees that the load has not changed
-    /// since the last update.
+    /// Takes the snapshots that are due and updates the reported load. The caller guarantees that the load
+    /// has not changed since the last update.
     pub(super) fn update(&mut self, now: Timestamp, load: ServerLoad) {
         if self.next_snapshot <= now {
             self.take_snapshots(now, load);
--- a/crates/testbed/src/models/cache_server/mod.rs
+++ b/crates/testbed/src/models/cache_server/mod.rs
@@ -1,7 +1,8 @@
-//! The model of a cache server: cores, slots, a bounded queue, a cache, slow start, and a crash if overloaded in slow start.
+//! The model of a cache server: cores, slots, a bounded queue, a cache, slow start, and a crash if overloaded
+//! in slow start.
 //!
-//! An accepted request waits for a slot, then, on a miss, for the origin, and then for a core. Misses of the same key do not
-//! share a fetch. Clients and nodes cannot cancel work that was accepted.
+//! An accepted request waits for a slot, then, on a miss, for the origin, and then for a core. Misses of the
+//! same key do not share a fetch. Clients and nodes cannot cancel work that was accepted.
 
 mod entries;
 mod load_reports;
@@ -32,8 +33,8 @@
     pub id: JobId,
     /// The key of the requested entry.
     pub key: u64,
-    /// The popularity rank of the key, if its entry belongs to this server at the start. `None` otherwise, or if the rank
-    /// makes no difference.
+    /// The popularity rank of the key, if its entry belongs to this server at the start. `None` otherwise, or
+    /// if the rank makes no difference.
     pub initial_rank: Option<u32>,
     /// The work of the job, in time on a standard core.
     pub work: Duration,
--- a/crates/testbed/src/models/cache_server/slow_start_load.rs
+++ b/crates/testbed/src/models/cache_server/slow_start_load.rs
@@ -19,7 +19,8 @@
         Self { rules, arrivals: VecDeque::new(), sum: 0.0 }
     }
 
-    /// Adds a request. Returns whether the work in the window now exceeds the overload limit of a server of this capacity.
+    /// Adds a request. Returns whether the work in the window now exceeds the overload limit of a server of
+    /// this capacity.
     pub(super) fn add(&mut self, now: Timestamp, work: Duration, capacity: f64) -> bool {
         let window = self.rules.slow_start_overload_window;
         self.arrivals.push_back((now, work.as_secs_f64()));
--- a/crates/testbed/src/models/initial_entries.rs
+++ b/crates/testbed/src/models/initial_entries.rs
@@ -1,14 +1,15 @@
-//! Entries that a cache server has from the start and that nothing has requested yet. They are not stored one by one: only
-//! their number and the upper bound of their ranks are visible from outside.
+//! Entries that a cache server has from the start and that nothing has requested yet. They are not stored one
+//! by one: only their number and the upper bound of their ranks are visible from outside.
 //!
-//! Each rank belongs to a server with the same probability, the server's share, independently of the other ranks (rendezvous
-//! hashing of hashed keys). So the number of entries has a binomial distribution, approximated here by a normal
-//! distribution. In a cache that is too small for all of them, the rank of the last one that fits is an order statistic. The
-//! distances between their ranks are geometrically distributed.
+//! Each rank belongs to a server with the same probability, the server's share, independently of the other
+//! ranks (rendezvous hashing of hashed keys). So the number of entries has a binomial distribution,
+//! approximated here by a normal distribution. In a cache that is too small for all of them, the rank of the
+//! last one that fits is an order statistic. The distances between their ranks are geometrically distributed.
 
 use crate::random::RandomSource;
 
-/// The initial entries of a cache server. The least popular entry, which has the highest rank, is evicted first.
+/// The initial entries of a cache server. The least popular entry, which has the highest rank, is evicted
+/// first.
 #[derive(Clone, Debug)]
 pub struct InitialEntries {
     count: u32,
@@ -63,8 +64,8 @@
         cached
     }
 
-    /// Evicts the least popular entry, if there is one. Few entries of such ranks have been removed by use, so the choice of
-    /// the next rank ignores them.
+    /// Evicts the least popular entry, if there is one. Few entries of such ranks have been removed by use,
+    /// so the choice of the next rank ignores them.
     pub fn evict(&mut self) {
         if self.count == 0 {
             return;
@@ -77,8 +78,8 @@
     }
 }
 
-/// Returns a random value of the `rank`-th smallest of `count` uniform values from 0 to 1. The beta distribution of this
-/// value is approximated by a normal distribution with the same mean and variance.
+/// Returns a random value of the `rank`-th smallest of `count` uniform values from 0 to 1. The beta
+/// distribution of this value is approximated by a normal distribution with the same mean and variance.
 fn order_statistic(rank: f64, count: f64, random: RandomSource) -> f64 {
     let mean = rank / (count + 1.0);
     let variance = mean * (1.0 - mean) / (count + 2.0);
--- a/crates/testbed/src/models/origin.rs
+++ b/crates/testbed/src/models/origin.rs
@@ -1,5 +1,5 @@
-//! The origin that all cache servers share. It has a bounded number of fetches in progress and a bounded queue. Further
-//! fetches fail immediately.
+//! The origin that all cache servers share. It has a bounded number of fetches in progress and a bounded
+//! queue. Further fetches fail immediately.
 
 use crate::random::RandomSource;
 use crate::script;
@@ -18,7 +18,8 @@
 pub struct Origin {
     settings: script::Origin,
     slowdown: f64,
-    /// The fetches in progress with their end times, unordered. Their number is bounded by the number of slots.
+    /// The fetches in progress with their end times, unordered. Their number is bounded by the number of
+    /// slots.
     in_progress: Vec<(Timestamp, FetchId)>,
     queue: VecDeque<(FetchId, RandomSource)>,
 }
@@ -62,8 +63,8 @@
         self.in_progress.iter().map(|(at, _)| *at).min()
     }
 
-    /// Appends the fetches that have ended by now, in the order of their end times, and starts queued fetches in the freed
-    /// slots.
+    /// Appends the fetches that have ended by now, in the order of their end times, and starts queued fetches
+    /// in the freed slots.
     pub fn advance(&mut self, now: Timestamp, ended: &mut Vec<FetchId>) {
         while let Some(i) = self.next_to_end().filter(|&i| self.in_progress[i].0 <= now) {
             let (at, id) = self.in_progress.swap_remove(i);
--- a/crates/testbed/src/network_model.rs
+++ b/crates/testbed/src/network_model.rs
@@ -1,13 +1,13 @@
-//! The latency of messages and connections, including network faults between nodes and cache servers. The same message has
-//! the same latency and losses in virtual time and on sockets.
+//! The latency of messages and connections, including network faults between nodes and cache servers. The
+//! same message has the same latency and losses in virtual time and on sockets.
 
 use crate::fault_schedule::ServerCondition;
 use crate::random::RandomSource;
 use crate::script::Network;
 use std::time::Duration;
 
-/// The time after which a lost packet of an established connection is retransmitted, as in Linux. RFC 6298 allows a longer
-/// time. The time doubles with each further loss.
+/// The time after which a lost packet of an established connection is retransmitted, as in Linux. RFC 6298
+/// allows a longer time. The time doubles with each further loss.
 const RETRANSMISSION_TIMEOUT: Duration = Duration::from_millis(200);
 /// The time after which a lost first packet of a connection is retransmitted (RFC 6298, section 2.1).
 const INITIAL_RETRANSMISSION_TIMEOUT: Duration = Duration::from_secs(1);
@@ -30,8 +30,8 @@
     condition.extra_latency + retransmission_delay(condition.packet_loss_rate, RETRANSMISSION_TIMEOUT, random)
 }
 
-/// Returns the time from the start of a connection until the first request may be sent. `round_trip` is a round trip without
-/// faults.
+/// Returns the time from the start of a connection until the first request may be sent. `round_trip` is a
+/// round trip without faults.
 pub fn handshake_time(
     network: &Network,
     condition: &ServerCondition,
--- a/crates/testbed/src/node_process.rs
+++ b/crates/testbed/src/node_process.rs
@@ -9,7 +9,8 @@
 
 /// Time from a node's shutdown signal until the front stops sending requests to the node.
 pub(crate) const SHUTDOWN_ANNOUNCED_AFTER: Duration = Duration::from_millis(300);
-/// A node that is shutting down is killed when the longest deadline and this time have passed since the signal.
+/// A node that is shutting down is killed when the longest deadline and this time have passed since the
+/// signal.
 pub(crate) const KILLED_AFTER_LONGEST_DEADLINE: Duration = Duration::from_millis(700);
 
 /// Outcome of reading the listen address from a node's log.
--- a/crates/testbed/src/placement.rs
+++ b/crates/testbed/src/placement.rs
@@ -1,9 +1,9 @@
-//! The placement of entries on cache servers at the start. Each popular entry is cached on the server to which the balancer
-//! sends requests for it.
+//! The placement of entries on cache servers at the start. Each popular entry is cached on the server to
+//! which the balancer sends requests for it.
 //!
-//! Finding the server of a key takes one balancer decision, whose time is proportional to the number of cache servers. So
-//! the simulation in virtual time looks up only the keys that are requested. The number of other entries of a cache server
-//! is random (see [`crate::models::initial_entries`]).
+//! Finding the server of a key takes one balancer decision, whose time is proportional to the number of cache
+//! servers. So the simulation in virtual time looks up only the keys that are requested. The number of other
+//! entries of a cache server is random (see [`crate::models::initial_entries`]).
 
 use crate::fleet::node_settings;
 use crate::script::Script;
@@ -35,7 +35,8 @@
         Self { balancer, ranks, total_weight, servers: HashMap::new() }
     }
 
-    /// Returns the exclusive upper bound of the ranks whose entries are cached at the start, if they fit into the caches.
+    /// Returns the exclusive upper bound of the ranks whose entries are cached at the start, if they fit into
+    /// the caches.
     pub fn ranks(&self) -> u32 {
         self.ranks
     }
@@ -89,8 +90,9 @@
     }
 }
 
-/// Returns all initial entries with their cache servers. The least popular come first, so that a full cache evicts the most
-/// popular ones last. The run time is proportional to keys times servers. On sockets, this runs before the scenario begins.
+/// Returns all initial entries with their cache servers. The least popular come first, so that a full cache
+/// evicts the most popular ones last. The run time is proportional to keys times servers. On sockets, this
+/// runs before the scenario begins.
 pub fn initial_entries(script: &Script, list: Vec<Endpoint>) -> Vec<(ServerId, u64)> {
     let mut placement = Placement::new(script, list);
     let ranks = (0..placement.ranks()).rev();
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -1,15 +1,15 @@
 //! A deterministic random source without a sequence: each value is a hash of a seed and a purpose.
 //!
-//! With one shared sequence, every additional request would change the work of all later requests. Two runs that differ in
-//! one respect could not be compared.
+//! With one shared sequence, every additional request would change the work of all later requests. Two runs
+//! that differ in one respect could not be compared.
 
 use std::f64::consts::TAU;
 
 /// The purpose of the random values of a run, on sockets and in virtual time.
 pub(crate) const RUN_STREAM: u64 = 0x706c_6179;
 
-/// A source of random values. [`RandomSource::derive`] narrows it to one purpose; sources of different purposes are
-/// independent.
+/// A source of random values. [`RandomSource::derive`] narrows it to one purpose; sources of different
+/// purposes are independent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RandomSource(u64);
 
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -46,7 +46,8 @@
     /// Name of the figure.
     #[serde(rename = "what")]
     pub figure: String,
-    /// Expected value: a minimum for service, a maximum for counts, and an exact value for violations of rules.
+    /// Expected value: a minimum for service, a maximum for counts, and an exact value for violations of
+    /// rules.
     #[serde(rename = "wanted")]
     pub expected: f64,
     /// Value in the run.
--- a/crates/testbed/src/run_result.rs
+++ b/crates/testbed/src/run_result.rs
@@ -21,7 +21,8 @@
     pub log_lines: u64,
     /// The state of the servers at the end of each second.
     pub samples: Vec<Sample>,
-    /// Effects of all nodes on the fleet, by second. Empty for runs on sockets, where they cannot be fully observed.
+    /// Effects of all nodes on the fleet, by second. Empty for runs on sockets, where they cannot be fully
+    /// observed.
     pub counts: Vec<Counts>,
     /// Number of initial entries whose cache server was looked up. Counted only in virtual time.
     #[serde(skip)]
--- a/crates/testbed/src/scale/child_processes.rs
+++ b/crates/testbed/src/scale/child_processes.rs
@@ -1,5 +1,5 @@
-//! Starts and stops the child processes of a scale run (replicas and hollow nodes), sends them commands and receives their
-//! events.
+//! Starts and stops the child processes of a scale run (replicas and hollow nodes), sends them commands and
+//! receives their events.
 
 use super::messages::{HollowCommand, HollowEvent, ReplicaCommand, ReplicaEvent};
 use serde::de::DeserializeOwned;
@@ -235,7 +235,8 @@
     };
     let mut command = Command::new(program);
     command.arg(subcommand).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
-    // A process group of its own keeps Ctrl-C on the terminal from the process; the run receives it and ends its processes.
+    // A process group of its own keeps Ctrl-C on the terminal from the process; the run receives it and ends
+    // its processes.
     command.process_group(0).kill_on_drop(true);
     command
 }
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -1,4 +1,5 @@
-//! Fits lines to the figures of runs of several sizes by least squares, and predicts the figures of another size.
+//! Fits lines to the figures of runs of several sizes by least squares, and predicts the figures of another
+//! size.
 
 use super::report::{bordered_table, ScaleReport, WindowFigures};
 use serde::{Deserialize, Serialize};
@@ -158,7 +159,8 @@
 /// Fits lines to the results, and predicts the figures of another result if one is given.
 ///
 /// # Errors
-/// If there are fewer than [`MIN_SIZES`] different sizes, or the results differ in script, replicas or mechanism.
+/// If there are fewer than [`MIN_SIZES`] different sizes, or the results differ in script, replicas or
+/// mechanism.
 pub fn fit(results: &[ScaleReport], predicted: Option<&ScaleReport>) -> Result<Fit, FitError> {
     let size = |report: &ScaleReport| (report.nodes, report.servers);
     let sizes: BTreeSet<_> = results.iter().map(size).collect();
@@ -219,7 +221,8 @@
 }
 
 impl Line {
-    /// Fits a line to points by least squares. Returns `None` if there are fewer than [`MIN_SIZES`] different sizes.
+    /// Fits a line to points by least squares. Returns `None` if there are fewer than [`MIN_SIZES`] different
+    /// sizes.
     pub fn least_squares(points: Vec<(f64, f64)>) -> Option<Self> {
         let distinct_sizes: BTreeSet<_> = points.iter().map(|(size, _)| size.to_bits()).collect();
         if distinct_sizes.len() < MIN_SIZES {
--- a/crates/testbed/src/scale/line_queue.rs
+++ b/crates/testbed/src/scale/line_queue.rs
@@ -1,5 +1,5 @@
-//! The queue of a replica of discovery, which processes calls and answers in the order of their arrival at a fixed number of
-//! lines per second. Times are relative to any common start.
+//! The queue of a replica of discovery, which processes calls and answers in the order of their arrival at a
+//! fixed number of lines per second. Times are relative to any common start.
 
 use super::messages::ReplicaCapacity;
 use std::time::Duration;
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -35,8 +35,9 @@
     Ok(Cost { processor, resident_bytes: usage.rss_anon })
 }
 
-/// Returns the time that all threads of a process have run, from the scheduler statistics, which count nanoseconds. Threads
-/// that have ended are not included; the processes of a run end no thread while they work.
+/// Returns the time that all threads of a process have run, from the scheduler statistics, which count
+/// nanoseconds. Threads that have ended are not included; the processes of a run end no thread while they
+/// work.
 fn scheduled_time(process: u32) -> io::Result<Duration> {
     let mut sum = Duration::ZERO;
     for thread in fs::read_dir(format!("/proc/{process}/task"))? {
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -1,5 +1,6 @@
-//! The messages between the processes of a scale run: one JSON value per line, commands on standard input and events on
-//! standard output. Times are microseconds of Unix time; all processes run on one machine and share its clock.
+//! The messages between the processes of a scale run: one JSON value per line, commands on standard input and
+//! events on standard output. Times are microseconds of Unix time; all processes run on one machine and share
+//! its clock.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -134,7 +135,8 @@
         count: u32,
         /// The number of nodes of the whole fleet.
         fleet: u32,
-        /// The addresses of the replicas of discovery; a single address stands for a discovery without replicas.
+        /// The addresses of the replicas of discovery; a single address stands for a discovery without
+        /// replicas.
         replicas: Vec<SocketAddr>,
         /// The capacity of a replica, if nodes are configured with it.
         capacity: Option<ReplicaCapacity>,
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,13 +1,14 @@
-//! Scale runs: a few processes with hundreds of hollow nodes each, and a few real nodes, poll replicas of a stand-in
-//! discovery service.
+//! Scale runs: a few processes with hundreds of hollow nodes each, and a few real nodes, poll replicas of a
+//! stand-in discovery service.
 //!
-//! A hollow node runs the real discovery client and the real balancing decisions but serves no clients, like the hollow
-//! kubelets of Kubemark. The child processes exchange the JSON lines defined in [`messages`] with the run; [`process`] reads
-//! and writes them. [`replica`] implements one replica of discovery.
+//! A hollow node runs the real discovery client and the real balancing decisions but serves no clients, like
+//! the hollow kubelets of Kubemark. The child processes exchange the JSON lines defined in [`messages`] with
+//! the run; [`process`] reads and writes them. [`replica`] implements one replica of discovery.
 //!
-//! - [`ScaleScript`] is parsed from TOML; [`scenarios`] lists the scripts that ship. [`steps`] turns the events of a script
-//!   into timed steps.
-//! - [`requirements`] compares the resources that a run needs with the limits of the machine, before anything starts.
+//! - [`ScaleScript`] is parsed from TOML; [`scenarios`] lists the scripts that ship. [`steps`] turns the
+//!   events of a script into timed steps.
+//! - [`requirements`] compares the resources that a run needs with the limits of the machine, before anything
+//!   starts.
 //! - [`run`](run::run) starts the [`child_processes`], executes the steps and [measures](measure) the cost.
 //!   [`replica_set`] replicates the list to the replicas, and [`real_fleet`] manages the [`real`] nodes.
 //! - [`propagation`] measures the time from a change until nodes apply it; [`report`] and [`plot`] show it.
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -1,5 +1,5 @@
-//! Code that the child processes of a scale run share: they read commands from standard input, write events to standard
-//! output and raise their limit of descriptors.
+//! Code that the child processes of a scale run share: they read commands from standard input, write events
+//! to standard output and raise their limit of descriptors.
 
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use serde::de::DeserializeOwned;
@@ -72,8 +72,8 @@
     }
 }
 
-/// Returns a channel of the commands on standard input, which is closed at the end of the input. A separate thread reads
-/// them, since a blocking read cannot be cancelled.
+/// Returns a channel of the commands on standard input, which is closed at the end of the input. A separate
+/// thread reads them, since a blocking read cannot be cancelled.
 pub fn commands<T: DeserializeOwned + Send + 'static>() -> mpsc::Receiver<Result<T, ProcessError>> {
     let (sender, commands) = mpsc::channel(READ_AHEAD);
     thread::spawn(move || {
--- a/crates/testbed/src/scale/propagation.rs
+++ b/crates/testbed/src/scale/propagation.rs
@@ -1,5 +1,5 @@
-//! Measures the propagation of the endpoint list from its changes, the incarnations of the nodes, and the lists that nodes
-//! applied.
+//! Measures the propagation of the endpoint list from its changes, the incarnations of the nodes, and the
+//! lists that nodes applied.
 
 use super::messages::Applied;
 use hdrhistogram::Histogram;
@@ -79,10 +79,11 @@
     pub never: u64,
     /// The number of nodes in such pairs.
     pub nodes_never: u64,
-    /// The number of pairs of a change and a node that was killed before it applied the change. These count neither as late
-    /// nor as missed.
+    /// The number of pairs of a change and a node that was killed before it applied the change. These count
+    /// neither as late nor as missed.
     pub killed_before: u64,
-    /// The cumulative distribution: a fraction of all times, and the quantile of that fraction in milliseconds.
+    /// The cumulative distribution: a fraction of all times, and the quantile of that fraction in
+    /// milliseconds.
     pub distribution: Vec<(f64, f64)>,
 }
 
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Records that nodes were started without a list. `sending_ms` is the time that discovery needs to send the list to all
-    /// of them, from its capacity.
+    /// Records that nodes were started without a list. `sending_ms` is the time that discovery needs to send
+    /// the list to all of them, from its capacity.
     pub fn record_launch(&mut self, nodes: &[u32], at_us: u64, sending_ms: f64) {
         for &number in nodes {
             if let Some(node) = self.nodes.get_mut(number as usize) {
@@ -181,7 +182,8 @@
         })
     }
 
-    /// Returns the figures of the times from changes until nodes applied them. Times above `within_ms` count as late.
+    /// Returns the figures of the times from changes until nodes applied them. Times above `within_ms` count
+    /// as late.
     pub fn propagation_figures(&self, within_ms: Option<f64>) -> PropagationFigures {
         let mut figures =
             PropagationFigures { changes: self.changes.len() as u64, ..PropagationFigures::default() };
@@ -208,7 +210,8 @@
         times: &mut LatencyRecorder,
     ) {
         let until = incarnation.to_us.unwrap_or(u64::MAX);
-        // Changes before the first list of a node don't count: the node is not ready yet, and its first list contains them.
+        // Changes before the first list of a node don't count: the node is not ready yet, and its first list
+        // contains them.
         let from = if incarnation.with_list {
             Some(incarnation.from_us)
         } else {
--- a/crates/testbed/src/scale/real/load.rs
+++ b/crates/testbed/src/scale/real/load.rs
@@ -79,8 +79,8 @@
         lock(&self.state).address.is_some()
     }
 
-    /// Takes an idle connection, if there is one, and returns it with the address of the node. Returns `None` if the node
-    /// does not run.
+    /// Takes an idle connection, if there is one, and returns it with the address of the node. Returns `None`
+    /// if the node does not run.
     fn take_idle(&self) -> Option<(SocketAddr, Option<Connection>)> {
         let mut state = lock(&self.state);
         let address = state.address?;
@@ -243,7 +243,8 @@
                     self.recorder.record(|at| Observation::Answered { request, at, answer });
                     return node.put_back(connection);
                 }
-                // A node may close an idle connection while a request is on its way. The request is sent again.
+                // A node may close an idle connection while a request is on its way. The request is sent
+                // again.
                 Err(_) if reused => {}
                 // The answer is lost unless the node was killed in the meantime.
                 Err(_) if node.kills() == kills => return,
@@ -251,7 +252,8 @@
             }
         }
         if accepted {
-            // The node was killed, or no longer listened when the request was sent again, so it never accepted the request.
+            // The node was killed, or no longer listened when the request was sent again, so it never
+            // accepted the request.
             let request = request.number;
             self.recorder.record(|_| Observation::ClientDisconnected { request });
         }
--- a/crates/testbed/src/scale/real/mod.rs
+++ b/crates/testbed/src/scale/real/mod.rs
@@ -1,21 +1,23 @@
-//! Real nodes of a scale run, which run beside the hollow ones: up to 64 processes of the daemon under a light load. A judge
-//! checks the four rules on them.
+//! Real nodes of a scale run, which run beside the hollow ones: up to 64 processes of the daemon under a
+//! light load. A judge checks the four rules on them.
 //!
 //! - [`CacheServers`] runs up to 1,100 stand-ins on loopback in this process. Discovery lists their entries.
-//! - [`RealNodes`] starts the nodes, sends requests to them, applies changes of discovery's list and reports at the end.
-//! - [`NotificationJudge`] determines when a node counts as notified of a change; the [`Judge`](crate::Judge) checks the
-//!   rules.
+//! - [`RealNodes`] starts the nodes, sends requests to them, applies changes of discovery's list and reports
+//!   at the end.
+//! - [`NotificationJudge`] determines when a node counts as notified of a change; the [`Judge`](crate::Judge)
+//!   checks the rules.
 //!
-//! Discovery runs in another process, so the messages that it sends to a node are not observed. The judge therefore relies
-//! on the operators' definition alone: a node is notified of a change 6 s after discovery had it and could be reached
-//! ([`notification_judge::NOTIFIED_AFTER`]). The 6 s start again at the end of an outage and at the start of the node. The
-//! drain grace of 0.5 s and the judge's tolerance of 50 ms are added. A node that was notified earlier is still judged by
-//! the 6 s, so this judge is less strict than one that sees the messages. An attempt is timed when it reaches the stand-in.
+//! Discovery runs in another process, so the messages that it sends to a node are not observed. The judge
+//! therefore relies on the operators' definition alone: a node is notified of a change 6 s after discovery
+//! had it and could be reached ([`notification_judge::NOTIFIED_AFTER`]). The 6 s start again at the end of an
+//! outage and at the start of the node. The drain grace of 0.5 s and the judge's tolerance of 50 ms are
+//! added. A node that was notified earlier is still judged by the 6 s, so this judge is less strict than one
+//! that sees the messages. An attempt is timed when it reaches the stand-in.
 //!
-//! All tasks are spawned on the caller's runtime. Nodes are started with `--with-parent`, which ends them when the thread
-//! that started them ends, so start them from a thread that outlives the run. Dropping [`RealNodes`] kills the nodes and
-//! removes the temporary folder with their configuration files, also after errors. A program that handles Ctrl-C must
-//! drop it then.
+//! All tasks are spawned on the caller's runtime. Nodes are started with `--with-parent`, which ends them
+//! when the thread that started them ends, so start them from a thread that outlives the run. Dropping
+//! [`RealNodes`] kills the nodes and removes the temporary folder with their configuration files, also after
+//! errors. A program that handles Ctrl-C must drop it then.
 
 mod error;
 mod load;
@@ -75,7 +77,8 @@
     log_lines: Arc<AtomicU64>,
     stop: watch::Sender<bool>,
     load: JoinHandle<()>,
-    /// The folder of the configuration files. It is declared after the processes, so that it is dropped after them.
+    /// The folder of the configuration files. It is declared after the processes, so that it is dropped after
+    /// them.
     folder: TempDir,
 }
 
@@ -90,8 +93,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if a setting is out of range, the cache servers were used in an earlier run, the program cannot be
-    /// run, or a node is not ready in time.
+    /// Returns an error if a setting is out of range, the cache servers were used in an earlier run, the
+    /// program cannot be run, or a node is not ready in time.
     pub async fn start(servers: &CacheServers, settings: RealSettings) -> Result<Self, RealError> {
         settings.check()?;
         let folder = tempfile::Builder::new().prefix("cache-balancer-scale-").tempdir();
@@ -208,7 +211,8 @@
         usage.collect()
     }
 
-    /// Stops the load, waits for the requests in flight, ends the nodes, and returns the report with the judge's verdict.
+    /// Stops the load, waits for the requests in flight, ends the nodes, and returns the report with the
+    /// judge's verdict.
     pub async fn finish(mut self) -> RealReport {
         // `send_replace` also works if the load ran out and dropped the receiver.
         self.stop.send_replace(true);
--- a/crates/testbed/src/scale/real/notification_judge.rs
+++ b/crates/testbed/src/scale/real/notification_judge.rs
@@ -1,7 +1,7 @@
 //! Determines when a real node counts as notified of a change; the [`Judge`] checks the rules.
 //!
-//! Observations are stored and judged at the end in chronological order, so that an outage of discovery can be recorded
-//! after it has ended.
+//! Observations are stored and judged at the end in chronological order, so that an outage of discovery can
+//! be recorded after it has ended.
 
 use crate::judge::{Judge, Observation, Verdict};
 use crate::script::{Class, Script};
@@ -9,11 +9,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after which a node counts as notified of a change that discovery has, if the node could reach discovery throughout.
-/// The operators define it.
+/// Time after which a node counts as notified of a change that discovery has, if the node could reach
+/// discovery throughout. The operators define it.
 pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// Time for which a node may still send requests to a cache server after it was notified that the server is unavailable. The
-/// judge adds its tolerance.
+/// Time for which a node may still send requests to a cache server after it was notified that the server is
+/// unavailable. The judge adds its tolerance.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
 /// Whether discovery lists a cache server as ready.
@@ -55,7 +55,8 @@
     to: Option<Timestamp>,
 }
 
-/// Records observations of clients, cache servers and discovery, and judges them at the end. Nodes are numbered from 0.
+/// Records observations of clients, cache servers and discovery, and judges them at the end. Nodes are
+/// numbered from 0.
 #[derive(Debug)]
 pub struct NotificationJudge {
     nodes: usize,
@@ -82,8 +83,8 @@
         self.nodes = nodes;
     }
 
-    /// Returns the number of the cache server with this name, and adds it if it is new. `zone` and `cell` are ignored if it
-    /// is known.
+    /// Returns the number of the cache server with this name, and adds it if it is new. `zone` and `cell` are
+    /// ignored if it is known.
     pub fn server(&mut self, name: &str, zone: usize, cell: u64) -> usize {
         if let Some(number) = self.server_by_name.get(name) {
             return *number;
@@ -94,8 +95,8 @@
         number
     }
 
-    /// Records how discovery lists a cache server from a time on. Changes of one server must be recorded in chronological
-    /// order.
+    /// Records how discovery lists a cache server from a time on. Changes of one server must be recorded in
+    /// chronological order.
     pub fn record_change(&mut self, server: usize, at: Timestamp, availability: Availability) {
         let spans = &mut self.servers[server].unavailable;
         let current = spans.last_mut().filter(|span| span.to.is_none());
@@ -162,8 +163,9 @@
         span: &UnavailableSpan,
     ) -> Vec<(Timestamp, Observation)> {
         let at = self.notified_at(span.from.max(incarnation.from));
-        // A node that does not count as notified before the server is available again may send requests to it throughout.
-        // The same holds if both happen at the same time, since the node may have been notified earlier.
+        // A node that does not count as notified before the server is available again may send requests to it
+        // throughout. The same holds if both happen at the same time, since the node may have been notified
+        // earlier.
         if span.to.is_some_and(|to| to <= at) || incarnation.to.is_some_and(|to| to <= at) {
             return Vec::new();
         }
@@ -174,7 +176,8 @@
         notifications
     }
 
-    /// Returns the incarnations of a node in chronological order. A node without recorded starts runs from the beginning.
+    /// Returns the incarnations of a node in chronological order. A node without recorded starts runs from
+    /// the beginning.
     fn incarnations(&self, node: usize) -> Vec<Incarnation> {
         let starts = self.observations.iter().filter_map(|(at, observation)| match observation {
             Observation::NodeStarted { node: started } if *started == node => Some(*at),
@@ -186,8 +189,8 @@
         starts.iter().copied().zip(ends).map(|(from, to)| Incarnation { from, to }).collect()
     }
 
-    /// Returns when a node counts as notified of a change that discovery had at `changed_at`. The time starts again at the
-    /// end of an outage that begins before it has passed.
+    /// Returns when a node counts as notified of a change that discovery had at `changed_at`. The time starts
+    /// again at the end of an outage that begins before it has passed.
     fn notified_at(&self, changed_at: Timestamp) -> Timestamp {
         let start = self.outages.iter().fold(changed_at, |start, outage| {
             let overlaps = outage.from < start + NOTIFIED_AFTER && start < outage.to;
--- a/crates/testbed/src/scale/real/process.rs
+++ b/crates/testbed/src/scale/real/process.rs
@@ -17,8 +17,8 @@
 use tokio::process::{Child, Command};
 use tokio::time::timeout;
 
-/// Time within which a node must listen, and then time within which it must be ready; otherwise it has failed to start. It
-/// may have to wait for discovery.
+/// Time within which a node must listen, and then time within which it must be ready; otherwise it has failed
+/// to start. It may have to wait for discovery.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time between two readiness checks of a starting node.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -84,8 +84,8 @@
 }
 
 impl Process {
-    /// Starts a node with a configuration file and waits until it is ready. `log_lines` counts the lines that it logs after
-    /// it has started to listen.
+    /// Starts a node with a configuration file and waits until it is ready. `log_lines` counts the lines that
+    /// it logs after it has started to listen.
     pub(super) async fn start(
         program: &Path,
         file: &Path,
@@ -136,8 +136,8 @@
         command.env_remove(variable);
     }
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
-    // A process group of its own keeps Ctrl-C from the node. The run ends its nodes itself; a node that ended first would
-    // lose requests.
+    // A process group of its own keeps Ctrl-C from the node. The run ends its nodes itself; a node that ended
+    // first would lose requests.
     command.process_group(0);
     command
 }
--- a/crates/testbed/src/scale/real/recorder.rs
+++ b/crates/testbed/src/scale/real/recorder.rs
@@ -57,7 +57,8 @@
         Timestamp::default() + self.clock.started_at.elapsed()
     }
 
-    /// Converts microseconds of Unix time to a timestamp. A time before the start of the clock becomes the start.
+    /// Converts microseconds of Unix time to a timestamp. A time before the start of the clock becomes the
+    /// start.
     pub(super) fn time(&self, unix_us: u64) -> Timestamp {
         Timestamp::default() + Duration::from_micros(unix_us).saturating_sub(self.clock.started_at_unix)
     }
@@ -72,8 +73,8 @@
         function(&mut lock(&self.state).judge)
     }
 
-    /// Starts a run with this number of nodes. Returns `false` if a run was started before, since request numbers start from
-    /// 0 only once.
+    /// Starts a run with this number of nodes. Returns `false` if a run was started before, since request
+    /// numbers start from 0 only once.
     pub(super) fn start_run(&self, nodes: usize) -> bool {
         let mut state = lock(&self.state);
         let first = !std::mem::replace(&mut state.run_started, true);
@@ -105,7 +106,8 @@
         lock(&self.state).requests.len() as u64
     }
 
-    /// Counts an attempt at a request and returns the request as it was before. Returns `None` if no client has sent it.
+    /// Counts an attempt at a request and returns the request as it was before. Returns `None` if no client
+    /// has sent it.
     pub(super) fn start_attempt(&self, request: RequestNumber) -> Option<SentRequest> {
         let mut state = lock(&self.state);
         let request = state.requests.get_mut(usize::try_from(request).ok()?)?;
--- a/crates/testbed/src/scale/real/report.rs
+++ b/crates/testbed/src/scale/real/report.rs
@@ -10,7 +10,8 @@
     pub lost: u64,
     /// A request was repeated although that was not safe, or was rejected although it was executed.
     pub repeated_effect: u64,
-    /// A node sent a new request to a cache server after it was notified that the server drains or is removed.
+    /// A node sent a new request to a cache server after it was notified that the server drains or is
+    /// removed.
     pub after_drain: u64,
     /// A cache server was overloaded while it was warming up.
     #[serde(rename = "cold_server_fell")]
@@ -30,7 +31,8 @@
     }
 }
 
-/// The latency of served requests, from the start of sending to the last byte of the answer; zero if none was served.
+/// The latency of served requests, from the start of sending to the last byte of the answer; zero if none was
+/// served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Latency {
     /// The median, in microseconds.
@@ -59,7 +61,8 @@
     pub running: bool,
     /// The processor time of all processes of the node, in microseconds.
     pub processor_us: u64,
-    /// The anonymous resident memory (RssAnon) in bytes, of the running process or of the last one when it was killed.
+    /// The anonymous resident memory (RssAnon) in bytes, of the running process or of the last one when it
+    /// was killed.
     pub rss_anon: u64,
 }
 
@@ -75,15 +78,17 @@
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests with none of these answers: lost ones, which `rules_broken` counts, or in flight at a node that was killed.
+    /// Requests with none of these answers: lost ones, which `rules_broken` counts, or in flight at a node
+    /// that was killed.
     pub unanswered: u64,
     /// Requests that were not sent because too many were in flight at their node or the node did not run.
     #[serde(rename = "held_back")]
     pub not_sent: u64,
     /// Whether the maximum number of requests of a run was sent, after which the nodes had no load.
     pub load_ran_out: bool,
-    /// The longest delay of a request at its client, in microseconds. If it is not small compared to the tolerance of 50 ms,
-    /// the machine was too busy, and a time limit exceeded by less than this delay may be due to the testbed.
+    /// The longest delay of a request at its client, in microseconds. If it is not small compared to the
+    /// tolerance of 50 ms, the machine was too busy, and a time limit exceeded by less than this delay may be
+    /// due to the testbed.
     #[serde(rename = "latest_us")]
     pub longest_delay_us: u64,
     /// Attempts that reached cache servers.
--- a/crates/testbed/src/scale/real/servers/connection.rs
+++ b/crates/testbed/src/scale/real/servers/connection.rs
@@ -107,8 +107,8 @@
     u64::from_str_radix(key, 16).ok()
 }
 
-/// Records an attempt at the request that the header `req-id` names, and returns the attempt's id and work. Returns `None`
-/// if no client has sent that request.
+/// Records an attempt at the request that the header `req-id` names, and returns the attempt's id and work.
+/// Returns `None` if no client has sent that request.
 fn record_attempt(
     recorder: &Recorder,
     server: &Server,
--- a/crates/testbed/src/scale/real/servers/mod.rs
+++ b/crates/testbed/src/scale/real/servers/mod.rs
@@ -1,8 +1,10 @@
-//! Stand-in cache servers, up to 1,100 in this process. Each runs the state machine of [`crate::models`] behind a listener.
+//! Stand-in cache servers, up to 1,100 in this process. Each runs the state machine of [`crate::models`]
+//! behind a listener.
 //!
-//! Each server has a loopback address of its own and keeps listening at it after its removal: requests that arrive then are
-//! recorded for the judge, and their connections are closed, as by a machine whose process has ended. Work is emulated by
-//! waiting instead of using the processor; fetches from the origin take no time.
+//! Each server has a loopback address of its own and keeps listening at it after its removal: requests that
+//! arrive then are recorded for the judge, and their connections are closed, as by a machine whose process
+//! has ended. Work is emulated by waiting instead of using the processor; fetches from the origin take no
+//! time.
 
 mod connection;
 mod server;
@@ -77,8 +79,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the count is not from 1 to [`MAX_SERVERS`], there is no zone, this process may not open enough
-    /// descriptors, or a server cannot listen.
+    /// Returns an error if the count is not from 1 to [`MAX_SERVERS`], there is no zone, this process may not
+    /// open enough descriptors, or a server cannot listen.
     pub async fn start(settings: ServerSettings) -> Result<Self, RealError> {
         let ServerSettings { count, zones } = settings;
         if !(1..=MAX_SERVERS).contains(&count) {
@@ -113,12 +115,14 @@
         self.0.servers.iter().filter_map(|server| server.listed()).collect()
     }
 
-    /// Applies an entry that discovery has had since `at_us`, in microseconds of Unix time: the server drains, is removed,
-    /// or is ready. A ready server is cold if it was removed before or the entry has another name or start time.
+    /// Applies an entry that discovery has had since `at_us`, in microseconds of Unix time: the server
+    /// drains, is removed, or is ready. A ready server is cold if it was removed before or the entry has
+    /// another name or start time.
     ///
     /// # Errors
     ///
-    /// Returns an error if no server listens at the entry's address or its health is not a value of discovery's protocol.
+    /// Returns an error if no server listens at the entry's address or its health is not a value of
+    /// discovery's protocol.
     pub fn apply_entry(&self, entry: &ListedServer, at_us: u64) -> Result<(), RealError> {
         let unknown = || RealError::UnknownServer { host: entry.host.clone(), dial: entry.dial };
         let server = &self.0.servers[*self.0.by_address.get(&entry.dial).ok_or_else(unknown)?];
--- a/crates/testbed/src/scale/real/servers/server.rs
+++ b/crates/testbed/src/scale/real/servers/server.rs
@@ -117,7 +117,8 @@
         self.incarnation.send_modify(|incarnation| *incarnation += 1);
     }
 
-    /// Marks the server as ready. A cold process starts if none runs or if the entry has another name or start time.
+    /// Marks the server as ready. A cold process starts if none runs or if the entry has another name or
+    /// start time.
     pub(super) fn set_ready(&self, entry: &ListedServer, judge_number: usize, now: Timestamp) {
         let mut process = lock(&self.process);
         let same_process = process.listed.host == entry.host && process.listed.born_ms == entry.born_ms;
--- a/crates/testbed/src/scale/real/settings.rs
+++ b/crates/testbed/src/scale/real/settings.rs
@@ -59,9 +59,9 @@
     }
 }
 
-/// Returns three classes with little work per request: reads that are idempotent, writes with idempotency keys, and writes
-/// that are not idempotent. Their deadline is long, so that no request is lost on a test machine that is short of processor
-/// time.
+/// Returns three classes with little work per request: reads that are idempotent, writes with idempotency
+/// keys, and writes that are not idempotent. Their deadline is long, so that no request is lost on a test
+/// machine that is short of processor time.
 pub fn classes() -> Vec<Class> {
     let class = |name: &str, share, idempotency, write| Class {
         name: name.into(),
--- a/crates/testbed/src/scale/real/usage.rs
+++ b/crates/testbed/src/scale/real/usage.rs
@@ -7,8 +7,8 @@
 /// The resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Usage {
-    /// The processor time of all threads since the start of the process, in user and system mode. Its resolution is the
-    /// system's clock tick, usually 10 ms.
+    /// The processor time of all threads since the start of the process, in user and system mode. Its
+    /// resolution is the system's clock tick, usually 10 ms.
     pub processor: Duration,
     /// Anonymous resident memory (RssAnon), in bytes.
     pub rss_anon: u64,
@@ -19,7 +19,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the process does not exist or has ended, or if a file does not have the format of proc(5).
+    /// Returns an error if the process does not exist or has ended, or if a file does not have the format of
+    /// proc(5).
     pub fn of(process: u32) -> io::Result<Self> {
         let stat = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
         if has_ended(&stat) {
@@ -39,8 +40,8 @@
     stat.rsplit_once(") ").is_some_and(|(_, rest)| rest.starts_with(['Z', 'X']))
 }
 
-/// Returns the ticks in user and system mode, fields 14 and 15. Field 2 is a name in parentheses that may contain any
-/// character.
+/// Returns the ticks in user and system mode, fields 14 and 15. Field 2 is a name in parentheses that may
+/// contain any character.
 fn processor_ticks(stat: &str) -> Option<u64> {
     let (_, rest) = stat.rsplit_once(") ")?;
     // `rest` starts with field 3.
--- a/crates/testbed/src/scale/real_fleet.rs
+++ b/crates/testbed/src/scale/real_fleet.rs
@@ -1,4 +1,5 @@
-//! The real nodes of a scale run and their cache servers, which receive the same events as the replicas of discovery.
+//! The real nodes of a scale run and their cache servers, which receive the same events as the replicas of
+//! discovery.
 
 use super::measure::Cost;
 use super::messages::{Answering, ListedServer};
@@ -12,7 +13,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The real nodes of a run and the cache servers that they use; neither is started if the script has no real nodes.
+/// The real nodes of a run and the cache servers that they use; neither is started if the script has no real
+/// nodes.
 #[derive(Debug)]
 pub struct RealFleet {
     servers: Option<CacheServers>,
@@ -73,8 +75,8 @@
             seed: script.seed,
         };
         let nodes = RealNodes::start(servers, settings).await?;
-        // The nodes have read their files and are not started again. Removing the files now means that a run that is killed
-        // leaves none behind. Files that cannot be removed now are removed with the nodes.
+        // The nodes have read their files and are not started again. Removing the files now means that a run
+        // that is killed leaves none behind. Files that cannot be removed now are removed with the nodes.
         let _ = std::fs::remove_dir_all(nodes.folder());
         self.nodes = Some(nodes);
         Ok(())
@@ -83,12 +85,14 @@
     /// Applies a changed entry of discovery's list to the cache servers and records it for the judge.
     ///
     /// # Errors
-    /// Returns an error if no cache server of this fleet listens at the entry's address, or its health is unknown.
+    /// Returns an error if no cache server of this fleet listens at the entry's address, or its health is
+    /// unknown.
     pub fn record_change(&self, server: &ListedServer, at_us: u64) -> Result<(), RealError> {
         self.nodes.as_ref().map_or(Ok(()), |nodes| nodes.apply_entry(server, at_us))
     }
 
-    /// Records how replicas answer from now on. Discovery is unavailable while no replica that the nodes know answers.
+    /// Records how replicas answer from now on. Discovery is unavailable while no replica that the nodes know
+    /// answers.
     pub fn set_answering(&mut self, replicas: &[u32], answering: Answering, at_us: u64) {
         for &replica in replicas {
             if let Some(current) = self.answering.get_mut(replica as usize) {
--- a/crates/testbed/src/scale/replica/address.rs
+++ b/crates/testbed/src/scale/replica/address.rs
@@ -7,8 +7,9 @@
 /// Backlog of the listening socket. The system may impose a lower limit.
 const BACKLOG: u32 = 16_384;
 
-/// An address reserved by a socket that is bound but does not listen. Connections to it are refused. The system does not
-/// assign the port to another socket, which would soon happen on a machine with thousands of connections.
+/// An address reserved by a socket that is bound but does not listen. Connections to it are refused. The
+/// system does not assign the port to another socket, which would soon happen on a machine with thousands of
+/// connections.
 #[derive(Debug)]
 pub struct ReservedAddress {
     address: SocketAddr,
--- a/crates/testbed/src/scale/replica/list.rs
+++ b/crates/testbed/src/scale/replica/list.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Returns the answer for a node with this version: a delta, or a snapshot if the node has no version or one that is too
-    /// old.
+    /// Returns the answer for a node with this version: a delta, or a snapshot if the node has no version or
+    /// one that is too old.
     pub fn answer(&mut self, after: Option<u64>) -> Answer {
         if let Some(answer) = self.answers.get(&after) {
             return answer.clone();
--- a/crates/testbed/src/scale/replica/mod.rs
+++ b/crates/testbed/src/scale/replica/mod.rs
@@ -1,5 +1,5 @@
-//! A process that runs one replica of the stand-in discovery service. The replica answers calls for the whole list and watches
-//! over HTTP/1.1 with a fixed capacity, and executes [`ReplicaCommand`]s.
+//! A process that runs one replica of the stand-in discovery service. The replica answers calls for the whole
+//! list and watches over HTTP/1.1 with a fixed capacity, and executes [`ReplicaCommand`]s.
 
 mod address;
 mod connection;
@@ -20,8 +20,8 @@
 /// The channel of commands for a replica. The replica ends when the channel is closed.
 pub type Commands = Receiver<Result<ReplicaCommand, ProcessError>>;
 
-/// Runs a replica that reads [`ReplicaCommand`]s from standard input and writes [`ReplicaEvent`]s to standard output. Returns
-/// on the command to stop or at the end of the input.
+/// Runs a replica that reads [`ReplicaCommand`]s from standard input and writes [`ReplicaEvent`]s to standard
+/// output. Returns on the command to stop or at the end of the input.
 ///
 /// # Errors
 /// If a command cannot be read or executed, or a system call fails.
--- a/crates/testbed/src/scale/replica/service.rs
+++ b/crates/testbed/src/scale/replica/service.rs
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Answers a call. `last_watch_answer` is the time of the last answer on this connection if it was to a watch.
+    /// Answers a call. `last_watch_answer` is the time of the last answer on this connection if it was to a
+    /// watch.
     async fn respond(
         &self,
         request: Request<Incoming>,
@@ -180,12 +181,13 @@
     /// Waits until the version of the list is above `after`, but no longer than until a time.
     async fn wait_for_change(&self, after: u64, until: Instant) {
         let mut versions = self.version.subscribe();
-        // The channel is not closed while `self` exists. After a timeout, the watch is answered without changes.
+        // The channel is not closed while `self` exists. After a timeout, the watch is answered without
+        // changes.
         let _ = timeout_at(until, versions.wait_for(|version| *version > after)).await;
     }
 
-    /// Builds the answer for a node with this version, charges its entries and `call_lines` to the queue, and returns it after
-    /// they have been processed.
+    /// Builds the answer for a node with this version, charges its entries and `call_lines` to the queue, and
+    /// returns it after they have been processed.
     async fn charge_and_answer(&self, after: Option<u64>, call_lines: f64) -> Result<Answer, QueueFull> {
         let answer = self.list.borrow_mut().answer(after);
         let lines = answer.entries as f64 + call_lines;
--- a/crates/testbed/src/scale/replica_set.rs
+++ b/crates/testbed/src/scale/replica_set.rs
@@ -1,5 +1,5 @@
-//! Replicates the list to the replicas of discovery: immediately, with a lag, or not at all while a replica has lost its
-//! state.
+//! Replicates the list to the replicas of discovery: immediately, with a lag, or not at all while a replica
+//! has lost its state.
 
 use super::messages::{ListedServer, ReplicaCommand};
 use std::collections::{BTreeMap, VecDeque};
@@ -46,7 +46,8 @@
         self.servers.len()
     }
 
-    /// Changes the entry of a server, or removes it if its health is `gone`. Returns the commands that are due now.
+    /// Changes the entry of a server, or removes it if its health is `gone`. Returns the commands that are
+    /// due now.
     pub fn change(&mut self, server: ListedServer, now: Instant) -> Vec<AddressedCommand> {
         self.version += 1;
         if server.health == "gone" {
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -34,8 +34,8 @@
     pub mechanism: bool,
     /// The capacity of a replica.
     pub capacity: ReplicaCapacity,
-    /// The longest delay with which a step was executed, in milliseconds. Above a few hundred milliseconds, the machine was
-    /// too busy for meaningful times.
+    /// The longest delay with which a step was executed, in milliseconds. Above a few hundred milliseconds,
+    /// the machine was too busy for meaningful times.
     #[serde(rename = "most_late_ms")]
     pub longest_step_delay_ms: f64,
     /// The figures before the first event.
@@ -48,11 +48,11 @@
     /// The time from the start of a node without a list to its first list.
     #[serde(rename = "ready")]
     pub readiness: ReadinessFigures,
-    /// Processor time of a node for each delta that it applies, in excess of that at rest, in microseconds. `None` if
-    /// snapshots were applied as well, since the costs of the two can't be separated.
+    /// Processor time of a node for each delta that it applies, in excess of that at rest, in microseconds.
+    /// `None` if snapshots were applied as well, since the costs of the two can't be separated.
     pub node_change_us: Option<f64>,
-    /// Processor time of a node for each snapshot that it applies, in excess of that at rest, in microseconds. `None` unless
-    /// snapshots outnumbered deltas.
+    /// Processor time of a node for each snapshot that it applies, in excess of that at rest, in
+    /// microseconds. `None` unless snapshots outnumbered deltas.
     pub node_whole_list_us: Option<f64>,
     /// The activity of each replica during the measurement.
     pub replica_loads: Vec<ReplicaReport>,
@@ -182,8 +182,8 @@
 }
 
 impl ScaleReport {
-    /// Returns whether every running node applied every change within the time that the script expects, every started node
-    /// got a list, and the real nodes violated no rule.
+    /// Returns whether every running node applied every change within the time that the script expects, every
+    /// started node got a list, and the real nodes violated no rule.
     pub fn all_met(&self) -> bool {
         let rules_held = self.real.as_ref().is_none_or(|real| real.rules_broken == [0; 4]);
         self.propagation.never == 0 && self.propagation.late == 0 && self.readiness.never == 0 && rules_held
@@ -349,7 +349,8 @@
     counts.join(", ")
 }
 
-/// Returns the largest value divided by the mean. Returns 0 if the sum is not positive, in particular without values.
+/// Returns the largest value divided by the mean. Returns 0 if the sum is not positive, in particular without
+/// values.
 pub fn largest_over_mean(values: impl Iterator<Item = f64>) -> f64 {
     let (count, sum, largest) = values.fold((0.0, 0.0, 0.0_f64), |(count, sum, largest), value| {
         (count + 1.0, sum + value, largest.max(value))
--- a/crates/testbed/src/scale/requirements.rs
+++ b/crates/testbed/src/scale/requirements.rs
@@ -9,13 +9,16 @@
 /// Maximum number of processes of a run.
 pub const MAX_PROCESSES: u64 = 300;
 
-/// Descriptors that every process uses in addition to those of its nodes: standard streams, runtime, listener, system files.
+/// Descriptors that every process uses in addition to those of its nodes: standard streams, runtime,
+/// listener, system files.
 const OWN_DESCRIPTORS: u64 = 64;
-/// Connections of a hollow node to discovery: one, and a second one while the node switches to another replica.
+/// Connections of a hollow node to discovery: one, and a second one while the node switches to another
+/// replica.
 const CONNECTIONS_PER_NODE: u64 = 2;
 /// Pipes between the run and each process that it starts.
 const PIPES_PER_PROCESS: u64 = 3;
-/// Descriptors that the run uses for the clients of real nodes, with a reserve. Those for the servers are counted separately.
+/// Descriptors that the run uses for the clients of real nodes, with a reserve. Those for the servers are
+/// counted separately.
 const CLIENT_DESCRIPTORS: u64 = 2_000;
 /// Maximum number of connections between real nodes and the run's servers.
 const MAX_SERVER_CONNECTIONS: u64 = 12_000;
@@ -83,9 +86,10 @@
 impl Requirements {
     /// Estimates the requirements of a script.
     ///
-    /// Memory is `processes * PROCESS + nodes * (NODE + servers * LISTED) + nodes * CONNECTIONS * CONNECTION + real *
-    /// REAL_NODE`. The constants come from runs that used, per node at rest, 1,192,574 bytes with 5,900 nodes and 1,100
-    /// servers, 139,510 bytes with 500 nodes and 94 servers, and 425,980 bytes with 2,000 nodes and 373 servers.
+    /// Memory is `processes * PROCESS + nodes * (NODE + servers * LISTED) + nodes * CONNECTIONS * CONNECTION
+    /// + real * REAL_NODE`. The constants come from runs that used, per node at rest, 1,192,574 bytes with
+    /// 5,900 nodes and 1,100 servers, 139,510 bytes with 500 nodes and 94 servers, and 425,980 bytes with
+    /// 2,000 nodes and 373 servers.
     pub fn of(script: &ScaleScript) -> Self {
         let (nodes, servers) = (u64::from(script.nodes), u64::from(script.servers));
         let hollow = u64::from(script.hollow_processes.min(script.nodes));
--- a/crates/testbed/src/scale/run/executor.rs
+++ b/crates/testbed/src/scale/run/executor.rs
@@ -113,7 +113,8 @@
                 servers: servers.to_vec(),
             };
             self.processes.send_to_replica(number, &command).await?;
-            // Replicas are started one at a time, so that their addresses arrive in the order of their indices.
+            // Replicas are started one at a time, so that their addresses arrive in the order of their
+            // indices.
             let listens = |executor: &Self| executor.addresses.len() > number;
             self.receive_until(START_TIMEOUT, ChildId::Replica(number), listens).await?;
         }
@@ -242,8 +243,8 @@
         Ok(())
     }
 
-    /// Returns the time in milliseconds that the replicas known to nodes need to send this number of snapshots, from their
-    /// capacity.
+    /// Returns the time in milliseconds that the replicas known to nodes need to send this number of
+    /// snapshots, from their capacity.
     fn sending_ms(&self, lists: usize) -> f64 {
         let lines = lists as f64 * (self.replicas.server_count() as f64 + self.script.capacity.call_lines);
         let lines_per_second =
--- a/crates/testbed/src/scale/run/measurement.rs
+++ b/crates/testbed/src/scale/run/measurement.rs
@@ -38,8 +38,8 @@
         Ok(self.replica_reports.iter().map(|report| report.unwrap_or_default()).collect())
     }
 
-    /// Creates the report of a run from the snapshots at the beginning of the measurement, before the first step, and at the
-    /// end. `steps_from_us` is the time of the first step, if there is one.
+    /// Creates the report of a run from the snapshots at the beginning of the measurement, before the first
+    /// step, and at the end. `steps_from_us` is the time of the first step, if there is one.
     pub(super) fn report(
         &self,
         at_begin: &Snapshot,
--- a/crates/testbed/src/scale/run/mod.rs
+++ b/crates/testbed/src/scale/run/mod.rs
@@ -1,4 +1,5 @@
-//! Runs a script: `executor` starts the processes and executes the steps on schedule, and `measurement` measures their cost.
+//! Runs a script: `executor` starts the processes and executes the steps on schedule, and `measurement`
+//! measures their cost.
 
 mod executor;
 mod measurement;
@@ -80,8 +81,8 @@
     pub behind: usize,
 }
 
-/// Runs a script and returns its report. `program` is the executable of the child processes and must have the subcommands
-/// `scale-replica` and `scale-hollow`. All child processes have ended when this returns.
+/// Runs a script and returns its report. `program` is the executable of the child processes and must have the
+/// subcommands `scale-replica` and `scale-hollow`. All child processes have ended when this returns.
 ///
 /// # Errors
 /// If the run needs more resources than the machine allows, a process fails, or `stop` completes first.
--- a/crates/testbed/src/scale/script.rs
+++ b/crates/testbed/src/scale/script.rs
@@ -1,4 +1,5 @@
-//! The script of a scale run: the numbers of nodes, servers and replicas, the capacity of each replica, and the events.
+//! The script of a scale run: the numbers of nodes, servers and replicas, the capacity of each replica, and
+//! the events.
 
 use super::messages::ReplicaCapacity;
 use checked_toml::{time_text, Document, Fault, Table};
@@ -48,11 +49,13 @@
     pub hollow_processes: u32,
     /// The number of zones. Nodes and servers are assigned to them round-robin.
     pub zones: u32,
-    /// The number of regions. Zones are assigned to them round-robin; the name of a zone begins with that of its region.
+    /// The number of regions. Zones are assigned to them round-robin; the name of a zone begins with that of
+    /// its region.
     pub regions: u32,
     /// The number of replicas of discovery.
     pub replicas: u32,
-    /// Whether nodes are configured with all replicas and their capacity, or only with the address of the first replica.
+    /// Whether nodes are configured with all replicas and their capacity, or only with the address of the
+    /// first replica.
     pub mechanism: bool,
     /// The capacity of a replica.
     pub capacity: ReplicaCapacity,
@@ -85,14 +88,16 @@
 /// A kind of event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EventKind {
-    /// Servers are replaced: one drains, is removed one `step` later, and its successor is ready after another `step`.
+    /// Servers are replaced: one drains, is removed one `step` later, and its successor is ready after
+    /// another `step`.
     Changes {
         /// Changes of the list per day. Each replacement causes three.
         per_day: f64,
         /// The time from draining to removal, and from removal to the start of the successor.
         step: Duration,
     },
-    /// Nodes and servers restart, chosen at random in proportion to their numbers. A restarted node has no list.
+    /// Nodes and servers restart, chosen at random in proportion to their numbers. A restarted node has no
+    /// list.
     Restarts {
         /// Restarts per day.
         per_day: f64,
@@ -278,8 +283,8 @@
     read.into_iter().flatten().collect()
 }
 
-/// Returns whether an event of this kind may omit its duration: faults of replicas may last until the end of the run, and a
-/// set of replicas is never undone.
+/// Returns whether an event of this kind may omit its duration: faults of replicas may last until the end of
+/// the run, and a set of replicas is never undone.
 fn duration_is_optional(kind: &str) -> bool {
     kind.starts_with("replica-") || kind == "discovery-away"
 }
--- a/crates/testbed/src/scale/snapshot.rs
+++ b/crates/testbed/src/scale/snapshot.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Returns the activity of each replica between an earlier snapshot and this one. The longest wait is that of the whole
-    /// run.
+    /// Returns the activity of each replica between an earlier snapshot and this one. The longest wait is
+    /// that of the whole run.
     pub fn loads_since(&self, earlier: &Self) -> Vec<ReplicaReport> {
         self.reports.iter().zip(&earlier.reports).map(|(now, before)| report_since(now, before)).collect()
     }
--- a/crates/testbed/src/scale/steps.rs
+++ b/crates/testbed/src/scale/steps.rs
@@ -1,5 +1,5 @@
-//! Turns the events of a script into timed steps. Random choices depend on the seed only, so the same script always gives
-//! the same steps.
+//! Turns the events of a script into timed steps. Random choices depend on the seed only, so the same script
+//! always gives the same steps.
 
 use super::messages::{Answering, ListedServer};
 use super::script::{Event, EventKind, ScaleScript};
@@ -87,8 +87,8 @@
     }
 }
 
-/// Returns the server after `generation` replacements of the first one. It has its own name and the address of the first
-/// server.
+/// Returns the server after `generation` replacements of the first one. It has its own name and the address
+/// of the first server.
 fn successor(first: &ListedServer, generation: u32) -> ListedServer {
     match generation {
         0 => first.clone(),
@@ -99,8 +99,8 @@
 /// Returns the steps of all events of a script in chronological order. `servers` is the list at the start.
 pub fn plan(script: &ScaleScript, servers: &[ListedServer]) -> Vec<PlannedStep> {
     let mut planner = Planner::new(script, servers);
-    // The loss of a zone affects all of its nodes and servers, so it is planned first. The other events choose among the
-    // remaining ones.
+    // The loss of a zone affects all of its nodes and servers, so it is planned first. The other events
+    // choose among the remaining ones.
     let (zones, others): (Vec<_>, Vec<_>) =
         script.events.iter().enumerate().partition(|(_, event)| matches!(event.kind, EventKind::Zone { .. }));
     for (number, event) in zones.into_iter().chain(others) {
@@ -112,7 +112,8 @@
     planned
 }
 
-/// The times for which each node or server is reserved by an event, so that none is chosen for two events at once.
+/// The times for which each node or server is reserved by an event, so that none is chosen for two events at
+/// once.
 #[derive(Debug)]
 struct Reservations(Vec<Vec<(Duration, Duration)>>);
 
@@ -163,7 +164,8 @@
     initial_servers: &'a [ListedServer],
     nodes: Reservations,
     servers: Reservations,
-    /// Turned into steps last, since the replacement that is running at a time depends on all earlier operations.
+    /// Turned into steps last, since the replacement that is running at a time depends on all earlier
+    /// operations.
     server_operations: Vec<ServerOperation>,
     planned: Vec<PlannedStep>,
 }
@@ -308,8 +310,8 @@
         }
     }
 
-    /// Turns server operations into changes of the list. Each one applies to the generation of the server that is listed at
-    /// that time.
+    /// Turns server operations into changes of the list. Each one applies to the generation of the server
+    /// that is listed at that time.
     fn plan_server_changes(&mut self) {
         let mut operations = std::mem::take(&mut self.server_operations);
         operations.sort_by_key(|operation| operation.at);
@@ -347,8 +349,8 @@
     ListedServer { health: health.into(), ..server.clone() }
 }
 
-/// Returns the start times of operations that happen at a rate within an event and end before it does: one at a random time
-/// in each of equal parts of the event. There is at least one.
+/// Returns the start times of operations that happen at a rate within an event and end before it does: one at
+/// a random time in each of equal parts of the event. There is at least one.
 fn random_times(event: &Event, per_day: f64, duration: Duration, random: RandomSource) -> Vec<Duration> {
     let over = event.over.unwrap_or_default();
     let count = (per_day * over.as_secs_f64() / SECONDS_PER_DAY).round().max(1.0) as u32;
--- a/crates/testbed/src/scale/virtual_time/calls.rs
+++ b/crates/testbed/src/scale/virtual_time/calls.rs
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Processes a call at its replica: queues the answer if there is news, or charges the call before it watches.
+    /// Processes a call at its replica: queues the answer if there is news, or charges the call before it
+    /// watches.
     pub(super) fn serve(&mut self, id: CallId) {
         let Some(replica) = self.replica_of(id) else { return };
         self.counts[replica as usize].calls += 1;
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Charges lines to a replica and schedules the event for when they have been processed. Rejects the call if the queue is
-    /// full.
+    /// Charges lines to a replica and schedules the event for when they have been processed. Rejects the call
+    /// if the queue is full.
     fn charge(&mut self, id: CallId, replica: u32, lines: f64, event: SimulationEvent) {
         match self.replicas[replica as usize].queue.charge(self.now, lines) {
             Ok(at) => {
--- a/crates/testbed/src/scale/virtual_time/client.rs
+++ b/crates/testbed/src/scale/virtual_time/client.rs
@@ -1,4 +1,5 @@
-//! The decisions of a discovery client: which replica it calls, what it requests, how long it waits, and when it calls again.
+//! The decisions of a discovery client: which replica it calls, what it requests, how long it waits, and when
+//! it calls again.
 
 use super::scene::Scene;
 use balancer_core::discovery::{
@@ -92,7 +93,8 @@
     ) -> AfterCall;
 }
 
-/// The decisions of the discovery client of `balancer_core`, for one address or for several replicas of known capacity.
+/// The decisions of the discovery client of `balancer_core`, for one address or for several replicas of known
+/// capacity.
 pub struct CoreClientDecisions {
     poll_settings: PollSettings,
     capacity: Option<ReplicaCapacity>,
--- a/crates/testbed/src/scale/virtual_time/event_queue.rs
+++ b/crates/testbed/src/scale/virtual_time/event_queue.rs
@@ -1,4 +1,5 @@
-//! The queue of simulation events, in chronological order. Simultaneous events keep the order in which they were scheduled.
+//! The queue of simulation events, in chronological order. Simultaneous events keep the order in which they
+//! were scheduled.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/testbed/src/scale/virtual_time/measure.rs
+++ b/crates/testbed/src/scale/virtual_time/measure.rs
@@ -125,8 +125,8 @@
     pub measured: Duration,
     /// The number of changes of the list.
     pub changes: u64,
-    /// The times from a change at discovery until a node applies it, for each change and each node that ran at the time of the
-    /// change and was not killed before it applied the change.
+    /// The times from a change at discovery until a node applies it, for each change and each node that ran
+    /// at the time of the change and was not killed before it applied the change.
     pub latencies: Latencies,
     /// Pairs of a change and a node that ran from the change to the end of the run without applying it.
     pub never: u64,
--- a/crates/testbed/src/scale/virtual_time/nodes.rs
+++ b/crates/testbed/src/scale/virtual_time/nodes.rs
@@ -1,4 +1,5 @@
-//! The state of simulated nodes: incarnation, connection, call in flight, and the decisions of the discovery client.
+//! The state of simulated nodes: incarnation, connection, call in flight, and the decisions of the discovery
+//! client.
 
 use super::client::{ClientDecisions, NextCall};
 use super::replica::Answer;
@@ -78,7 +79,8 @@
         self.random.derive(0).uniform()
     }
 
-    /// Calls the node's decisions with a source of uniform random values. Returns `None` if the node is not running.
+    /// Calls the node's decisions with a source of uniform random values. Returns `None` if the node is not
+    /// running.
     pub(super) fn decide<T>(
         &mut self,
         decide: impl FnOnce(&mut dyn ClientDecisions, &mut dyn FnMut() -> f64) -> T,
--- a/crates/testbed/src/scale/virtual_time/replica.rs
+++ b/crates/testbed/src/scale/virtual_time/replica.rs
@@ -76,8 +76,8 @@
         self.version > after
     }
 
-    /// Returns the answer for a node with this version of the list: a delta, or a snapshot if the node has no version or one
-    /// that is too old.
+    /// Returns the answer for a node with this version of the list: a delta, or a snapshot if the node has no
+    /// version or one that is too old.
     pub(super) fn answer(&mut self, versions: &Versions, after: Option<u64>) -> Rc<Answer> {
         if let Some(answer) = self.answers.get(&after) {
             return answer.clone();
@@ -118,7 +118,8 @@
         order.is_some_and(|order| self.watches.remove(&(order, call)).is_some())
     }
 
-    /// Removes and returns the watches whose version is older than the replica's, in the order in which they began.
+    /// Removes and returns the watches whose version is older than the replica's, in the order in which they
+    /// began.
     pub(super) fn take_due_watches(&mut self) -> Vec<CallId> {
         let version = self.version;
         let due = self.watches.iter().filter(|(_, after)| version > **after);
--- a/crates/testbed/src/scale/virtual_time/report.rs
+++ b/crates/testbed/src/scale/virtual_time/report.rs
@@ -22,9 +22,10 @@
     "bytes a node a second",
 ];
 
-/// Returns a Markdown table with a row for each outcome. The columns `p50`, `p99` and `last` show the times from a change at
-/// discovery until a node applies it. `last list` is the longest time from a launch until the node has a list, and
-/// `over sending` is that time divided by the time that replicas need to send all these lists.
+/// Returns a Markdown table with a row for each outcome. The columns `p50`, `p99` and `last` show the times
+/// from a change at discovery until a node applies it. `last list` is the longest time from a launch until
+/// the node has a list, and `over sending` is that time divided by the time that replicas need to send all
+/// these lists.
 pub fn table<'a>(rows: impl IntoIterator<Item = (&'a str, &'a Outcome)>) -> String {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN);
--- a/crates/testbed/src/scale/virtual_time/scene.rs
+++ b/crates/testbed/src/scale/virtual_time/scene.rs
@@ -50,11 +50,13 @@
 /// A scene to simulate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scene {
-    /// Sizes, capacity, durations and seed. The script's own events are ignored; `events` contains their steps.
+    /// Sizes, capacity, durations and seed. The script's own events are ignored; `events` contains their
+    /// steps.
     pub script: ScaleScript,
     /// The events in chronological order, with their times since the beginning of the measurement.
     pub events: Vec<(Duration, SceneEvent)>,
-    /// Whether nodes run and have the list from the beginning. Otherwise each node starts when it is launched.
+    /// Whether nodes run and have the list from the beginning. Otherwise each node starts when it is
+    /// launched.
     pub starts_running: bool,
 }
 
--- a/crates/testbed/src/scale/virtual_time/scenes.rs
+++ b/crates/testbed/src/scale/virtual_time/scenes.rs
@@ -1,5 +1,5 @@
-//! The named scenes: the scale run scripts that ship with the program, and scenes that runs on sockets do not support: the
-//! loss of a rack, a region that is cut off, and the start of all nodes at once without a list.
+//! The named scenes: the scale run scripts that ship with the program, and scenes that runs on sockets do not
+//! support: the loss of a rack, a region that is cut off, and the start of all nodes at once without a list.
 
 use super::scene::{Scene, SceneError, SceneEvent};
 use crate::scale::messages::{ListedServer, ReplicaCapacity};
--- a/crates/testbed/src/scale/virtual_time/simulation.rs
+++ b/crates/testbed/src/scale/virtual_time/simulation.rs
@@ -1,4 +1,5 @@
-//! Simulates a scene: the event loop, and the effects of events on nodes and replicas. `calls` simulates the calls of nodes.
+//! Simulates a scene: the event loop, and the effects of events on nodes and replicas. `calls` simulates the
+//! calls of nodes.
 
 use super::client::{ClientDecisions, ClientStart};
 use super::event_queue::{EventQueue, SimulationEvent};
@@ -15,8 +16,8 @@
 
 /// One-way latency between a node and a replica.
 pub(super) const LATENCY: Duration = Duration::from_millis(5);
-/// Time over which the first calls of nodes that run from the beginning are spread, like those of a fleet that has been
-/// running for long.
+/// Time over which the first calls of nodes that run from the beginning are spread, like those of a fleet
+/// that has been running for long.
 const FIRST_CALLS: Duration = Duration::from_secs(20);
 
 /// Creates the decisions of a node's discovery client.
@@ -196,7 +197,8 @@
         }
     }
 
-    /// Replicates changes to a replica, unless its region is cut off from the region in which changes originate.
+    /// Replicates changes to a replica, unless its region is cut off from the region in which changes
+    /// originate.
     fn replicate(&mut self, replica: u32, version: u64) {
         if self.cut_off.contains(&self.scene.region_of_replica(replica)) {
             return;
--- a/crates/testbed/src/scale/virtual_time/versions.rs
+++ b/crates/testbed/src/scale/virtual_time/versions.rs
@@ -74,7 +74,8 @@
         }
         let number = self.names.len() as ServerNumber;
         self.names.push(server.host.clone());
-        // Each entry is followed by a comma or a bracket. Serialization only fails for maps whose keys are not strings.
+        // Each entry is followed by a comma or a bracket. Serialization only fails for maps whose keys are
+        // not strings.
         self.bytes.push(serde_json::to_vec(server).map_or(0, |text| text.len() + 1));
         self.numbers.insert(server.host.clone(), number);
         number
--- a/crates/testbed/src/script/fault.rs
+++ b/crates/testbed/src/script/fault.rs
@@ -9,15 +9,15 @@
     pub at: Duration,
     /// The duration of the incident.
     pub duration: Duration,
-    /// The index in [`Script::zones`](super::Script::zones) of the zone whose cache servers or nodes are affected. `None`
-    /// stands for all zones.
+    /// The index in [`Script::zones`](super::Script::zones) of the zone whose cache servers or nodes are
+    /// affected. `None` stands for all zones.
     pub zone: Option<usize>,
     /// The kind of fault and its parameters.
     pub fault: Fault,
 }
 
-/// A kind of fault. `share` is the affected fraction of the cache servers, or of the nodes for faults of nodes. `batch` is
-/// the fraction that is affected at the same time.
+/// A kind of fault. `share` is the affected fraction of the cache servers, or of the nodes for faults of
+/// nodes. `batch` is the fraction that is affected at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Cache servers are drained one by one over the duration and removed permanently.
@@ -106,8 +106,8 @@
         /// The fraction of answers that are truncated.
         rate: f64,
     },
-    /// A middlebox loses its state of the connections to cache servers, one server after another over the duration. It then
-    /// drops all packets of these connections without notifying either end.
+    /// A middlebox loses its state of the connections to cache servers, one server after another over the
+    /// duration. It then drops all packets of these connections without notifying either end.
     HalfOpen {
         /// The share that is affected.
         share: f64,
@@ -131,7 +131,8 @@
     },
     /// Discovery does not answer.
     DiscoveryOutage,
-    /// A fraction of discovery's answers is truncated or malformed. Such answers cost discovery as much as intact ones.
+    /// A fraction of discovery's answers is truncated or malformed. Such answers cost discovery as much as
+    /// intact ones.
     DiscoveryErrors {
         /// The fraction of answers that are truncated or malformed.
         rate: f64,
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -1,7 +1,8 @@
 //! The script of a scenario: the simulated system, its faults, and the expected service.
 //!
-//! A script states only the differences from [`Script::default`], which has 20 cache servers and 12 nodes in two zones and
-//! no faults. `docs/operators/scenarios.md` lists the keys of the file, and `parse` maps them to the fields here.
+//! A script states only the differences from [`Script::default`], which has 20 cache servers and 12 nodes in
+//! two zones and no faults. `docs/operators/scenarios.md` lists the keys of the file, and `parse` maps them
+//! to the fields here.
 
 mod defaults;
 mod fault;
@@ -67,7 +68,8 @@
     pub cores: u32,
     /// The speed of a core relative to a standard core.
     pub speed: f64,
-    /// Maximum number of requests in progress per core. A request that waits for the origin occupies a slot, but no core.
+    /// Maximum number of requests in progress per core. A request that waits for the origin occupies a slot,
+    /// but no core.
     pub slots_per_core: u32,
     /// Maximum number of queued requests per core. Further requests are declined.
     pub queue_per_core: u32,
@@ -77,14 +79,15 @@
     pub max_connections: u32,
     /// The capacity of a server right after a cold start, as a fraction of its full capacity.
     pub slow_start_min_fraction: f64,
-    /// Slow start ends after this much work, in time on a standard core, or after `slow_start_window`, whichever comes
-    /// first.
+    /// Slow start ends after this much work, in time on a standard core, or after `slow_start_window`,
+    /// whichever comes first.
     pub slow_start_work: Duration,
     /// The longest duration of slow start. See `slow_start_work`.
     pub slow_start_window: Duration,
     /// The fraction of requests that fail when no fault is active.
     pub error_rate: f64,
-    /// The time after which the server closes an idle connection. `None` stands for [`Network::idle_timeout`].
+    /// The time after which the server closes an idle connection. `None` stands for
+    /// [`Network::idle_timeout`].
     pub idle_timeout: Option<Duration>,
 }
 
@@ -158,7 +161,8 @@
     pub client_latency: Duration,
     /// Maximum random increase of a latency, as a fraction of it.
     pub jitter: f64,
-    /// The number of round trips to establish a connection to a cache server before the first request is sent.
+    /// The number of round trips to establish a connection to a cache server before the first request is
+    /// sent.
     pub handshake_round_trips: u32,
     /// The work of the cache server for a new connection, in time on a standard core.
     pub handshake_work: Duration,
@@ -210,7 +214,8 @@
 /// The parameters of the four rules that the [`Judge`](crate::Judge) checks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// The time after a notification of a drain or removal in which a node may still send new requests to the cache server.
+    /// The time after a notification of a drain or removal in which a node may still send new requests to the
+    /// cache server.
     pub drain_grace: Duration,
     /// A server in slow start crashes when the work sent to it exceeds this multiple of its present capacity.
     pub slow_start_overload_factor: f64,
@@ -240,8 +245,8 @@
 }
 
 impl Script {
-    /// Returns whether the script contains an upgrade or a reload. If so, nodes run from an operator's file instead of the
-    /// platform's configuration.
+    /// Returns whether the script contains an upgrade or a reload. If so, nodes run from an operator's file
+    /// instead of the platform's configuration.
     pub fn uses_operator_file(&self) -> bool {
         let is_operator_action =
             |fault: &Fault| matches!(fault, Fault::Upgrade { .. } | Fault::Reload { .. });
--- a/crates/testbed/src/script/parse.rs
+++ b/crates/testbed/src/script/parse.rs
@@ -253,7 +253,8 @@
     "discovery-breaks",
 ];
 
-/// Returns whether faults of this kind affect cache servers or nodes, so that they can be limited to one zone.
+/// Returns whether faults of this kind affect cache servers or nodes, so that they can be limited to one
+/// zone.
 fn has_zone(kind: &str) -> bool {
     !matches!(kind, "hot-keys" | "surge" | "slow-origin" | "discovery-away" | "discovery-breaks")
 }
--- a/crates/testbed/src/sockets/cache_server/connection.rs
+++ b/crates/testbed/src/sockets/cache_server/connection.rs
@@ -90,7 +90,8 @@
     });
     let mut serving = pin!(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
     tokio::select! {
-        // Connection errors are ignored here: the node sees them, and the judge sees their effect on requests.
+        // Connection errors are ignored here: the node sees them, and the judge sees their effect on
+        // requests.
         _ = serving.as_mut() => return,
         () = usage.idle_for(idle_timeout) => {}
     }
--- a/crates/testbed/src/sockets/cache_server/respond.rs
+++ b/crates/testbed/src/sockets/cache_server/respond.rs
@@ -23,8 +23,8 @@
 
 type HttpResponse = Response<Full<Bytes>>;
 
-/// Responds to an attempt whose bytes arrived at `sent_at`. Latency is emulated afterwards, so this is also the time at
-/// which the node sent it. `process` is the cache server's process.
+/// Responds to an attempt whose bytes arrived at `sent_at`. Latency is emulated afterwards, so this is also
+/// the time at which the node sent it. `process` is the cache server's process.
 pub(super) async fn respond(
     context: &Rc<Context>,
     process: usize,
@@ -82,8 +82,8 @@
 }
 
 impl Attempt {
-    /// Registers an attempt at the request named by the `req-id` header. Returns `None` if no client has sent that
-    /// request.
+    /// Registers an attempt at the request named by the `req-id` header. Returns `None` if no client has sent
+    /// that request.
     fn begin(context: &Context, process: usize, request: &Request<Incoming>) -> Option<Self> {
         let id = request.headers().get("req-id")?.to_str().ok()?;
         let number = usize::from_str_radix(id, 16).ok()?;
@@ -125,8 +125,8 @@
             let round_trip = self.latency(context, self.random(8)) * 2;
             let handshake = network_model::handshake_time(network, &condition, round_trip, self.random(8));
             if handshake > network.connect_timeout {
-                // A real node would have given up connecting by then. Loopback connects at once, so a reset emulates
-                // the timeout.
+                // A real node would have given up connecting by then. Loopback connects at once, so a reset
+                // emulates the timeout.
                 sleep(network.connect_timeout).await;
                 return Err(ConnectTimedOut);
             }
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Waits for the network time of the response. A fault may reset the connection in the middle of the response.
+    /// Waits for the network time of the response. A fault may reset the connection in the middle of the
+    /// response.
     async fn send_back(
         &self,
         context: &Context,
--- a/crates/testbed/src/sockets/clients/mod.rs
+++ b/crates/testbed/src/sockets/clients/mod.rs
@@ -23,8 +23,8 @@
 use tokio::task::{spawn_local, AbortHandle, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// How long answers are still read after the client's timeout. Far longer than the judge's tolerance: the judge
-/// decides by an answer's time of arrival, and the runner may read it later than that.
+/// How long answers are still read after the client's timeout. Far longer than the judge's tolerance: the
+/// judge decides by an answer's time of arrival, and the runner may read it later than that.
 const READ_AFTER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A connection to a node. Dropping it closes it, even in the middle of an answer.
@@ -94,8 +94,8 @@
     const NO_ANSWER: Self = Self::NotServed { retry_after: Duration::ZERO };
 }
 
-/// Chooses the node for a request: a random one in the client's zone, or else in the next zone that has a node in
-/// rotation.
+/// Chooses the node for a request: a random one in the client's zone, or else in the next zone that has a
+/// node in rotation.
 fn choose_node(context: &Context, zone: usize, random: RandomSource) -> Option<(usize, SocketAddr)> {
     let (nodes, zones) = (context.nodes.borrow(), context.script.zones.len());
     (0..zones).find_map(|step| {
@@ -198,7 +198,8 @@
             None => match connect(request.address).await {
                 Some(connection) => connection,
                 None => {
-                    // The node closed the idle connection and no longer listens, so it never received the request.
+                    // The node closed the idle connection and no longer listens, so it never received the
+                    // request.
                     if accepted {
                         context.record(Observation::ClientDisconnected { request: request.request });
                     }
@@ -230,8 +231,8 @@
                 }
                 return Some(answer);
             }
-            // The node may have closed the idle connection while the request was on its way, so it is sent again on a
-            // new connection.
+            // The node may have closed the idle connection while the request was on its way, so it is sent
+            // again on a new connection.
             Err(_) if reused => {}
             Err(error) => {
                 context.record(Observation::ConnectionLost {
--- a/crates/testbed/src/sockets/clients/tests.rs
+++ b/crates/testbed/src/sockets/clients/tests.rs
@@ -37,8 +37,8 @@
     Duration::from_millis(time_left.expect("a deadline header"))
 }
 
-/// Guards against a deadline header with the full client timeout although a part of it had passed before the send. The
-/// node then had less time than the header said.
+/// Guards against a deadline header with the full client timeout although a part of it had passed before the
+/// send. The node then had less time than the header said.
 #[tokio::test]
 async fn the_deadline_header_holds_the_time_left_at_the_send() {
     let node = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
@@ -51,8 +51,8 @@
     assert!(time_left <= CLIENT_TIMEOUT - SEND_DELAY, "{time_left:?}");
 }
 
-/// Guards against a request that is sent after its client's timeout, for which the judge blames the node with a late
-/// answer.
+/// Guards against a request that is sent after its client's timeout, for which the judge blames the node with
+/// a late answer.
 #[tokio::test]
 async fn a_request_is_not_sent_after_the_client_timeout() {
     let node = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
--- a/crates/testbed/src/sockets/context.rs
+++ b/crates/testbed/src/sockets/context.rs
@@ -1,4 +1,5 @@
-//! The state that all tasks of a run share. All tasks run on one thread, and none holds a borrow across an `await`.
+//! The state that all tasks of a run share. All tasks run on one thread, and none holds a borrow across an
+//! `await`.
 
 use super::cache_server::JobResult;
 use super::error::SocketRunError;
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -1,5 +1,6 @@
-//! The discovery service on sockets: snapshots, watches, a bounded number of lines per second, and faults. Each node
-//! calls an address of its own, so that the runner can tell the judge which node was notified of what.
+//! The discovery service on sockets: snapshots, watches, a bounded number of lines per second, and faults.
+//! Each node calls an address of its own, so that the runner can tell the judge which node was notified of
+//! what.
 
 use super::context::{Context, Server};
 use super::error::SocketRunError;
@@ -87,7 +88,8 @@
     json!({"seq": *context.discovery.list_version.borrow(), "whole": true, "hosts": hosts})
 }
 
-/// Returns the entries that changed after `version`, in discovery's format, or the whole list if `version` is `None`.
+/// Returns the entries that changed after `version`, in discovery's format, or the whole list if `version` is
+/// `None`.
 fn list_after(context: &Context, version: Option<u64>) -> Value {
     let Some(version) = version else { return snapshot(context) };
     let state = context.state.borrow();
@@ -178,8 +180,8 @@
     send_lines(context, context.script.discovery.call_lines).await?;
     if let Some(after) = after {
         let mut version = context.discovery.list_version.subscribe();
-        // The sender lives as long as the context, so this fails only when the watch times out. The answer then has no
-        // changes.
+        // The sender lives as long as the context, so this fails only when the watch times out. The answer
+        // then has no changes.
         let _ = timeout(wait, version.wait_for(|version| *version > after)).await;
     }
     let changed = {
@@ -203,8 +205,8 @@
     version.is_none_or(|version| server.version > version)
 }
 
-/// Waits until discovery has sent this many lines after those already queued. The lines count against its limit of
-/// lines per second.
+/// Waits until discovery has sent this many lines after those already queued. The lines count against its
+/// limit of lines per second.
 async fn send_lines(context: &Context, lines: f64) -> Result<(), TimedOut> {
     let settings = &context.script.discovery;
     let now = Instant::now();
--- a/crates/testbed/src/sockets/faulty_stream/mod.rs
+++ b/crates/testbed/src/sockets/faulty_stream/mod.rs
@@ -1,5 +1,5 @@
-//! The cache server's end of a connection, with network faults: a reset in the middle of an answer, or a half-open
-//! connection that silently drops all data in both directions.
+//! The cache server's end of a connection, with network faults: a reset in the middle of an answer, or a
+//! half-open connection that silently drops all data in both directions.
 
 #[cfg(test)]
 mod tests;
@@ -71,7 +71,8 @@
         }
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
-        // The connection may have been forgotten since the check above. The close of the peer must not be seen then.
+        // The connection may have been forgotten since the check above. The close of the peer must not be
+        // seen then.
         if read.is_ready() && self.faults.is_forgotten() {
             buf.set_filled(before);
             return Poll::Pending;
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -1,11 +1,12 @@
 //! Runs a scenario on sockets: nodes as real processes, against stand-ins on loopback, in real time.
 //!
-//! One thread runs all stand-ins: clients and the front, cache servers, origin and discovery. Emulated work waits
-//! instead of using the processor. The stand-ins also emulate the network faults that loopback lacks: they wait for
-//! the latency of each message, and an unreachable server still accepts connections but does not answer.
+//! One thread runs all stand-ins: clients and the front, cache servers, origin and discovery. Emulated work
+//! waits instead of using the processor. The stand-ins also emulate the network faults that loopback lacks:
+//! they wait for the latency of each message, and an unreachable server still accepts connections but does
+//! not answer.
 //!
-//! A run on a machine that is too busy is void, because its figures would describe the machine and not the nodes. A
-//! long timer lag shows this.
+//! A run on a machine that is too busy is void, because its figures would describe the machine and not the
+//! nodes. A long timer lag shows this.
 
 mod cache_server;
 mod clients;
--- a/crates/testbed/src/sockets/node.rs
+++ b/crates/testbed/src/sockets/node.rs
@@ -23,7 +23,8 @@
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between two readiness checks of a starting node.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long after the longest deadline a predecessor must have ended. Client connections may stay open for that long.
+/// How long after the longest deadline a predecessor must have ended. Client connections may stay open for
+/// that long.
 const PREDECESSOR_EXIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A node. Its process need not be running.
--- a/crates/testbed/src/sockets/node_config.rs
+++ b/crates/testbed/src/sockets/node_config.rs
@@ -102,8 +102,8 @@
     format!("\"{}\"", time_text(time))
 }
 
-/// Returns the text of an operator's file. After an odd number of reloads the classes are in reverse order and there
-/// is an additional listener, so that each reload changes the configuration.
+/// Returns the text of an operator's file. After an odd number of reloads the classes are in reverse order
+/// and there is an additional listener, so that each reload changes the configuration.
 fn operator_file(context: &Context, node: usize) -> String {
     let script = &context.script;
     let nodes = context.nodes.borrow();
--- a/crates/testbed/src/sockets/timed_stream/mod.rs
+++ b/crates/testbed/src/sockets/timed_stream/mod.rs
@@ -1,6 +1,7 @@
 //! A TCP stream that records when the bytes read from it arrived.
 //!
-//! The runner shares the machine with its nodes and may read late. The delay must not count against the nodes.
+//! The runner shares the machine with its nodes and may read late. The delay must not count against the
+//! nodes.
 
 use arrival_time::{ArrivalReader, Received};
 use std::cell::Cell;
@@ -17,7 +18,8 @@
 pub(super) struct LastArrival(Rc<Cell<Instant>>);
 
 impl LastArrival {
-    /// Returns the time of arrival of the bytes read last, or the creation time of the stream if none have been read.
+    /// Returns the time of arrival of the bytes read last, or the creation time of the stream if none have
+    /// been read.
     pub(super) fn get(&self) -> Instant {
         self.0.get()
     }
--- a/crates/testbed/src/variance/mod.rs
+++ b/crates/testbed/src/variance/mod.rs
@@ -1,4 +1,5 @@
-//! Compares several runs of one script, to show how much its figures vary by chance or because of the machine.
+//! Compares several runs of one script, to show how much its figures vary by chance or because of the
+//! machine.
 
 #[cfg(test)]
 mod tests;
--- a/crates/testbed/src/virtual_time/attempts.rs
+++ b/crates/testbed/src/virtual_time/attempts.rs
@@ -129,8 +129,8 @@
             && self.connections_forgotten_at[index].is_none_or(|forgotten_at| established_at > forgotten_at)
     }
 
-    /// Returns whether a process refuses another connection. Connections that were closed after their idle timeout are
-    /// removed only here, because they have no effect before the limit is reached.
+    /// Returns whether a process refuses another connection. Connections that were closed after their idle
+    /// timeout are removed only here, because they have no effect before the limit is reached.
     fn is_full(&mut self, server: usize, process: usize) -> bool {
         let Process { model, connections, .. } = &self.processes[process];
         let (max, open) = (model.max_connections(), *connections);
@@ -141,7 +141,8 @@
         let kind = fleet::server_kind(self.script, self.servers[server].index);
         let idle_timeout = kind.idle_timeout.unwrap_or(network.idle_timeout);
         let slowest = network.same_zone_latency.max(network.cross_zone_latency).mul_f64(1.0 + network.jitter);
-        // After this time, every node has noticed that the server closed the connection, or has closed it itself.
+        // After this time, every node has noticed that the server closed the connection, or has closed it
+        // itself.
         let limit = (idle_timeout + slowest).min(network.idle_timeout / 2);
         let (now, mut closed) = (self.now, 0);
         for idle in self.nodes.iter_mut().filter_map(|node| node.idle_connections.get_mut(&server)) {
@@ -155,8 +156,8 @@
         open - closed >= max
     }
 
-    /// Returns the idle connection that an attempt reuses, if there is one. Removes connections that the node knows to be
-    /// closed or closes itself.
+    /// Returns the idle connection that an attempt reuses, if there is one. Removes connections that the node
+    /// knows to be closed or closes itself.
     fn reuse_connection(
         &mut self,
         node: usize,
@@ -183,7 +184,8 @@
         None
     }
 
-    /// Sends the first byte of an attempt, unless the node's endpoint list has meanwhile marked the server as not ready.
+    /// Sends the first byte of an attempt, unless the node's endpoint list has meanwhile marked the server as
+    /// not ready.
     pub(super) fn send_attempt(&mut self, request: usize, attempt: usize) {
         let ClientRequest { node, ref attempts, .. } = self.requests[request];
         let Attempt { server, process, ended, abandoned, .. } = attempts[attempt];
@@ -287,8 +289,8 @@
         self.end_attempt(request, attempt, end);
     }
 
-    /// Keeps the connection of an attempt for another request, if its server is ready and its process is alive. Returns
-    /// whether the connection was kept.
+    /// Keeps the connection of an attempt for another request, if its server is ready and its process is
+    /// alive. Returns whether the connection was kept.
     fn keep_connection(&mut self, request: usize, attempt: usize) -> bool {
         let node = self.requests[request].node;
         let Attempt { server, process, established_at, .. } = self.requests[request].attempts[attempt];
@@ -326,8 +328,8 @@
         }
     }
 
-    /// Ends an attempt and returns its outcome as an event for the node's decision logic. Sends a successful answer to the
-    /// client.
+    /// Ends an attempt and returns its outcome as an event for the node's decision logic. Sends a successful
+    /// answer to the client.
     pub(super) fn outcome(&mut self, request: usize, attempt: usize, end: AttemptEnd) -> Event {
         let AttemptEnd { status, hit, load } = end;
         let Attempt { server, started_at, .. } = self.requests[request].attempts[attempt];
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -60,8 +60,8 @@
         self.events.schedule(expires_at, SimulationEvent::ClientTimesOut { request });
     }
 
-    /// Returns the node to which the front sends a request: a random one in the client's zone, or in the next zone that has
-    /// nodes in rotation.
+    /// Returns the node to which the front sends a request: a random one in the client's zone, or in the next
+    /// zone that has nodes in rotation.
     fn choose_node(&self, zone: usize, random: RandomSource) -> Option<usize> {
         let zones = self.nodes_in_rotation.len();
         let mut by_distance = (0..zones).map(|step| &self.nodes_in_rotation[(zone + step) % zones]);
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Handles a node's request for an endpoint update. After failed calls, the node first backs off with jitter, so that
-    /// nodes that lost the same discovery service do not all call at the same time.
+    /// Handles a node's request for an endpoint update. After failed calls, the node first backs off with
+    /// jitter, so that nodes that lost the same discovery service do not all call at the same time.
     pub(super) fn subscribe_to_endpoints(&mut self, node: usize) {
         let Node { incarnation, failed_calls, list_version, .. } = self.nodes[node];
         if failed_calls == 0 {
--- a/crates/testbed/src/virtual_time/event_queue.rs
+++ b/crates/testbed/src/virtual_time/event_queue.rs
@@ -7,7 +7,8 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// An event of a simulation. Requests, attempts, nodes, servers and processes are identified by their indices.
+/// An event of a simulation. Requests, attempts, nodes, servers and processes are identified by their
+/// indices.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SimulationEvent {
     /// The next operation of the workload starts.
@@ -81,8 +82,8 @@
 }
 
 impl Ord for ScheduledEvent {
-    /// The earliest event is the greatest, because the heap pops the greatest. Of events at the same time, the one scheduled
-    /// first is the greatest.
+    /// The earliest event is the greatest, because the heap pops the greatest. Of events at the same time,
+    /// the one scheduled first is the greatest.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence_number).cmp(&(self.at, self.sequence_number))
     }
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -1,8 +1,10 @@
-//! Runs a scenario in virtual time: a discrete-event simulation with the production balancer, one instance for each node. It
-//! uses one thread, no wall clock and no external input, so the same script always gives the same bytes.
+//! Runs a scenario in virtual time: a discrete-event simulation with the production balancer, one instance
+//! for each node. It uses one thread, no wall clock and no external input, so the same script always gives
+//! the same bytes.
 //!
-//! The simulation replaces the parts of a node around the balancer: its driver, its connections and its discovery client.
-//! They behave like the daemon, as far as this is visible from outside. The judge records what an observer would see.
+//! The simulation replaces the parts of a node around the balancer: its driver, its connections and its
+//! discovery client. They behave like the daemon, as far as this is visible from outside. The judge records
+//! what an observer would see.
 
 mod attempts;
 mod clients;
@@ -48,7 +50,8 @@
 pub struct Safeguards {
     /// The driver fails a request that the decision logic has not answered shortly before its deadline.
     pub answers_in_time: bool,
-    /// The driver sends nothing for a request that has its final answer, and nothing to a server that is not ready.
+    /// The driver sends nothing for a request that has its final answer, and nothing to a server that is not
+    /// ready.
     pub suppresses_late_sends: bool,
 }
 
--- a/crates/testbed/src/virtual_time/nodes.rs
+++ b/crates/testbed/src/virtual_time/nodes.rs
@@ -14,7 +14,8 @@
 
 /// The daemon subtracts this margin from the client's timeout.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(5);
-/// The delay from the deadline of a request to the expiry of the node's own timer. The decision logic can answer until then.
+/// The delay from the deadline of a request to the expiry of the node's own timer. The decision logic can
+/// answer until then.
 pub(super) const DEADLINE_TIMER_DELAY: Duration = Duration::from_millis(4);
 /// After a shutdown signal, a node accepts requests for this long, because the front may still send them.
 const ACCEPTS_DURING_SHUTDOWN: Duration = Duration::from_millis(500);
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Builds a request as the node's decision logic receives it. Starts the node's own timer for the deadline.
+    /// Builds a request as the node's decision logic receives it. Starts the node's own timer for the
+    /// deadline.
     fn node_request(&mut self, request: usize) -> Request {
         let ClientRequest { operation, node, expires_at, .. } = self.requests[request];
         // The client sends its timeout, and the node measures it from the arrival of the request.
@@ -123,8 +125,8 @@
         }
     }
 
-    /// Passes an event to a node's decision logic and executes the resulting actions. Events that follow immediately are
-    /// handled too.
+    /// Passes an event to a node's decision logic and executes the resulting actions. Events that follow
+    /// immediately are handled too.
     pub(super) fn decide(&mut self, node: usize, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
@@ -203,7 +205,8 @@
         state.up = true;
         state.shutting_down = false;
         state.reloads = 0;
-        // A node that runs from an operator's file starts without a list version, so it cannot request only the changes.
+        // A node that runs from an operator's file starts without a list version, so it cannot request only
+        // the changes.
         state.list_version = state.list_version.filter(|_| keeps_list_version);
         (state.calling, state.watching, state.failed_calls) = (false, false, 0);
         let list: Vec<_> = state.endpoints.values().cloned().collect();
@@ -212,7 +215,8 @@
         self.set_in_rotation(node, true);
     }
 
-    /// Restores the learned state as the successor process does. The decision logic keeps its attempts in flight.
+    /// Restores the learned state as the successor process does. The decision logic keeps its attempts in
+    /// flight.
     pub(super) fn upgrade_node(&mut self, node: usize) {
         if !self.nodes[node].up || self.nodes[node].shutting_down {
             return;
@@ -267,7 +271,8 @@
         self.events.schedule(killed_at, stops(true));
     }
 
-    /// Ends a node that is shutting down, if it has no requests left or `forced` is set. Otherwise, checks again later.
+    /// Ends a node that is shutting down, if it has no requests left or `forced` is set. Otherwise, checks
+    /// again later.
     pub(super) fn node_stops(&mut self, node: usize, incarnation: u32, forced: bool, downtime: Duration) {
         if !self.is_up(node, incarnation) {
             return;
--- a/crates/testbed/src/virtual_time/servers.rs
+++ b/crates/testbed/src/virtual_time/servers.rs
@@ -59,8 +59,8 @@
         self.placement = Some(placement);
     }
 
-    /// Returns the rank of an entry if the entry was initially cached and belongs to this server. Looks up the server only
-    /// if the cache result depends on it.
+    /// Returns the rank of an entry if the entry was initially cached and belongs to this server. Looks up
+    /// the server only if the cache result depends on it.
     pub(super) fn initial_rank(&mut self, server: usize, process: usize, key: u64, rank: u32) -> Option<u32> {
         if !self.processes[process].model.depends_on_initial_entries(key, rank) {
             return None;
--- a/crates/testbed/src/virtual_time/simulation.rs
+++ b/crates/testbed/src/virtual_time/simulation.rs
@@ -42,8 +42,8 @@
     pub(super) server_at: Vec<usize>,
     /// The condition of the server by index in the fleet.
     pub(super) conditions: Vec<ServerCondition>,
-    /// The time of the last loss of connections by index in the fleet. No packets pass on connections that were established
-    /// up to this time.
+    /// The time of the last loss of connections by index in the fleet. No packets pass on connections that
+    /// were established up to this time.
     pub(super) connections_forgotten_at: Vec<Option<Timestamp>>,
     pub(super) processes: Vec<Process>,
     pub(super) nodes: Vec<Node>,
@@ -248,7 +248,8 @@
         self.now.since(Timestamp::default())
     }
 
-    /// Returns the counts of the present second. Events after the length of the script count in its last second.
+    /// Returns the counts of the present second. Events after the length of the script count in its last
+    /// second.
     pub(super) fn counts(&mut self) -> &mut Counts {
         let second = self.elapsed().as_secs() as usize;
         let last = self.statistics.counts.len() - 1;
--- a/crates/testbed/src/virtual_time/state.rs
+++ b/crates/testbed/src/virtual_time/state.rs
@@ -32,8 +32,9 @@
     pub(super) model: CacheServer,
     pub(super) alive: bool,
     pub(super) connections: u32,
-    /// The time of the next valid [`SimulationEvent::ServerWakeup`](super::event_queue::SimulationEvent::ServerWakeup).
-    /// Others are ignored.
+    /// The time of the next valid
+    /// [`SimulationEvent::ServerWakeup`](super::event_queue::SimulationEvent::ServerWakeup). Others are
+    /// ignored.
     pub(super) wakeup: Option<Timestamp>,
 }
 
@@ -55,7 +56,8 @@
     pub(super) endpoints: BTreeMap<usize, Endpoint>,
     /// The idle connections by server. The most recently used connection is the last one.
     pub(super) idle_connections: BTreeMap<usize, Vec<IdleConnection>>,
-    /// The version of the endpoint list. It survives a restart if the node runs from the platform's configuration.
+    /// The version of the endpoint list. It survives a restart if the node runs from the platform's
+    /// configuration.
     pub(super) list_version: Option<u64>,
     /// Whether a call to discovery is being answered.
     pub(super) calling: bool,
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -1,5 +1,5 @@
-//! The operations of clients in chronological order. The same script gives the same operations. All random values of an
-//! operation are derived from its number.
+//! The operations of clients in chronological order. The same script gives the same operations. All random
+//! values of an operation are derived from its number.
 
 use crate::models::cache_server::{Job, JobId};
 use crate::random::{RandomSource, Zipf};
@@ -25,7 +25,8 @@
 }
 
 impl Operation {
-    /// Returns the source of all random values of one request of the operation. `ordinal` 0 is the first request.
+    /// Returns the source of all random values of one request of the operation. `ordinal` 0 is the first
+    /// request.
     pub fn request_random(&self, ordinal: u32) -> RandomSource {
         self.random.derive(100 + u64::from(ordinal))
     }
@@ -41,7 +42,8 @@
     RandomSource::new(0x6b65_7973).derive(u64::from(rank)).bits()
 }
 
-/// Returns the job that an attempt for an operation creates at its cache server. `random` is the attempt's own source.
+/// Returns the job that an attempt for an operation creates at its cache server. `random` is the attempt's
+/// own source.
 pub fn job(
     script: &Script,
     operation: &Operation,
@@ -129,7 +131,8 @@
         self.popularity.rank(random.derive(u64::MAX))
     }
 
-    /// Returns a random one of an incident's hot keys. Outside the incident, these keys have a medium popularity.
+    /// Returns a random one of an incident's hot keys. Outside the incident, these keys have a medium
+    /// popularity.
     fn choose_hot_key_rank(&self, incident: &Incident, keys: u32, random: RandomSource) -> u32 {
         let incident_random = RandomSource::new(self.script.seed).derive(incident.at.as_micros() as u64);
         let start = incident_random.uniform() / 2.0 + 0.25;
--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -1,4 +1,5 @@
-//! The control plane in virtual time: outcomes that can be computed from the scene, and properties of every scene and seed.
+//! The control plane in virtual time: outcomes that can be computed from the scene, and properties of every
+//! scene and seed.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -70,7 +71,8 @@
         ReplicaCapacity { lines_per_second: 100.0, call_lines: 1.0, continued_call_lines: 0.0, ..CAPACITY };
     let changes = event(30, 90, EventKind::Changes { per_day: 2_880.0, step: 30 * SECOND });
     let outcome = run(&quiet(&Size { capacity, ..size(250) }, vec![changes]));
-    // The three changes (draining, gone, ready) are half a minute apart. Each takes 250 lines at 100 lines per second.
+    // The three changes (draining, gone, ready) are half a minute apart. Each takes 250 lines at 100 lines
+    // per second.
     assert_eq!((outcome.changes, outcome.latencies.count()), (3, 750));
     let last = outcome.latencies.quantile(1.0).expect("some");
     assert!((2_500 * SECOND / 1_000..2_600 * SECOND / 1_000).contains(&last), "{last:?}");
@@ -141,7 +143,8 @@
     assert_all_caught_up(&lagging);
 }
 
-/// A client that requests snapshots from two replicas in turn and applies them without checking their versions.
+/// A client that requests snapshots from two replicas in turn and applies them without checking their
+/// versions.
 struct TrustingClient {
     replica: u32,
 }
@@ -173,8 +176,8 @@
     }
 }
 
-/// Guards against a `went_back` count that never increases: a client that applies older lists must raise it, and the real
-/// client must not.
+/// Guards against a `went_back` count that never increases: a client that applies older lists must raise it,
+/// and the real client must not.
 #[test]
 fn only_a_client_that_applies_older_lists_is_counted_as_going_back() {
     let two = Size { replicas: 2, mechanism: true, ..size(5) };
--- a/crates/testbed/tests/fault_schedule.rs
+++ b/crates/testbed/tests/fault_schedule.rs
@@ -28,8 +28,8 @@
     assert!(all.windows(2).all(|pair| pair[0].0 <= pair[1].0));
 }
 
-/// If incidents shared one random sequence, an additional incident in a script would change the servers of the others, and
-/// two runs could not be compared.
+/// If incidents shared one random sequence, an additional incident in a script would change the servers of
+/// the others, and two runs could not be compared.
 #[test]
 fn an_incident_affects_the_same_servers_independent_of_later_incidents() {
     let crash = || incident(5, 10, Fault::Crash { share: 0.25 });
@@ -42,7 +42,8 @@
     assert_eq!(stops(&alone), stops(&both));
 }
 
-/// Returns the changes to one cache server under incidents that affect every cache server, as seconds and descriptions.
+/// Returns the changes to one cache server under incidents that affect every cache server, as seconds and
+/// descriptions.
 fn changes_of_server_0(incidents: Vec<Incident>) -> Vec<(u64, String)> {
     let all = changes(&script(incidents));
     let described = all.into_iter().filter_map(|(at, change)| {
@@ -69,8 +70,9 @@
     all.iter().map(|(at, description)| (*at, (*description).to_owned())).collect()
 }
 
-/// The end of an incident must not restore the normal condition of a server while another incident still affects it:
-/// otherwise, a server that is cut off by two faults would be reachable again at the end of the first.
+/// The end of an incident must not restore the normal condition of a server while another incident still
+/// affects it: otherwise, a server that is cut off by two faults would be reachable again at the end of the
+/// first.
 #[test]
 fn the_end_of_one_incident_does_not_end_another_on_the_same_server() {
     let errors = |rate| Fault::Errors { share: 1.0, rate };
@@ -137,8 +139,8 @@
     assert_eq!(crashed_last, described(&[(1, "drain"), (5, "stop"), (6, "stop")]), "no restart");
 }
 
-/// A second deploy that overlaps the first must not end the successor that the first one started. That successor was not
-/// drained, so its requests in flight would be lost.
+/// A second deploy that overlaps the first must not end the successor that the first one started. That
+/// successor was not drained, so its requests in flight would be lost.
 #[test]
 fn a_server_that_is_being_replaced_is_neither_replaced_again_nor_restarted() {
     let drain = Duration::from_secs(4);
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Tests the faults of network, cache servers and nodes in virtual time, as the decision logic of the nodes observes them.
+//! Tests the faults of network, cache servers and nodes in virtual time, as the decision logic of the nodes
+//! observes them.
 
 use balancer_core::{Action, AttemptStatus, Balancer, EndpointUpdate, Event, Settings, Timestamp};
 use std::cell::RefCell;
@@ -61,7 +62,8 @@
         self.outcomes().filter(|(_, status, _)| *status == expected).count()
     }
 
-    /// Returns the ends of all attempts: the time in milliseconds, the status and the duration of the attempt.
+    /// Returns the ends of all attempts: the time in milliseconds, the status and the duration of the
+    /// attempt.
     fn outcomes(&self) -> impl Iterator<Item = (u64, AttemptStatus, Duration)> + '_ {
         self.log.iter().filter_map(|(at, event)| match event {
             RecordedEvent::AttemptEnded { status, elapsed } => Some((ms(*at), *status, *elapsed)),
@@ -86,8 +88,8 @@
     script.clients.disconnect_fraction = 0.0;
     script.server_kinds.truncate(1);
     (script.server_kinds[0].count, script.server_kinds[0].error_rate) = (6, 0.0);
-    // All entries are cached at the start, and the work varies little. Fetches also vary little: they occur on the other
-    // servers over which a hot key is spread.
+    // All entries are cached at the start, and the work varies little. Fetches also vary little: they occur
+    // on the other servers over which a hot key is spread.
     (script.load.keys, script.origin.initially_cached_fraction, script.origin.fetch_variation) =
         (2_000, 1.0, 0.1);
     script.classes.iter_mut().for_each(|class| class.work_variation = 0.1);
@@ -160,8 +162,8 @@
     };
     assert!(with_resets.outcomes().all(|outcome| resets_only_during_incident(&outcome)));
     assert!(with_resets.outcomes().any(|(at, status, _)| at > 5_100 && status == AttemptStatus::Ok));
-    // A request that is not idempotent must not be executed again after its answer was lost: half of these requests are not
-    // served, and none is executed twice.
+    // A request that is not idempotent must not be executed again after its answer was lost: half of these
+    // requests are not served, and none is executed twice.
     script.classes.iter_mut().for_each(|class| class.idempotency = balancer_core::Idempotency::NotIdempotent);
     let not_idempotent = RecordedRun::run(&script);
     assert!(not_idempotent.count(AttemptStatus::Reset) > 30);
@@ -175,7 +177,8 @@
     let timed_out = with_half_open.count(AttemptStatus::TimedOut);
     let without_faults = RecordedRun::run(&small_fleet(vec![]));
     assert!(timed_out > 0 && without_faults.count(AttemptStatus::TimedOut) == 0);
-    // New connections work. A half-open connection may remain in the pool and be used later, but each only once.
+    // New connections work. A half-open connection may remain in the pool and be used later, but each only
+    // once.
     let late = |expected| {
         with_half_open.outcomes().filter(|(at, status, _)| *at >= 8_000 && *status == expected).count()
     };
@@ -188,7 +191,8 @@
     script.load.rate = 400.0;
     script.nodes = 6;
     script.server_kinds[0].count = 12;
-    // The latency between zones is long enough for some requests to be in transit when the server closes the connection.
+    // The latency between zones is long enough for some requests to be in transit when the server closes the
+    // connection.
     let idle = Duration::from_millis(50);
     script.server_kinds[0].idle_timeout = Some(idle);
     let with_idle_timeout = RecordedRun::run(&script);
@@ -200,8 +204,8 @@
     assert_eq!(RecordedRun::run(&script).count(AttemptStatus::Reset), 0);
 }
 
-/// If a server still counted connections that it closed after the idle timeout as open, it would refuse new ones. With a low
-/// limit of connections, nodes would then get connect errors without any fault.
+/// If a server still counted connections that it closed after the idle timeout as open, it would refuse new
+/// ones. With a low limit of connections, nodes would then get connect errors without any fault.
 #[test]
 fn connections_closed_after_the_idle_timeout_do_not_count_as_open() {
     let mut script = small_fleet(vec![]);
@@ -226,7 +230,8 @@
     script.nodes = 1;
     script.load.rate = 1.0;
     let times = RecordedRun::run(&script).times(&RecordedEvent::Started);
-    // After the shutdown signal, a node accepts requests for another 500 ms, until the front sends it no more.
+    // After the shutdown signal, a node accepts requests for another 500 ms, until the front sends it no
+    // more.
     let expected = [0, 1_600, 9_500];
     assert_eq!(times.len(), 3, "{times:?}");
     assert!(
@@ -240,7 +245,8 @@
     let mut script = small_fleet(vec![incident(1_000, 9_000, Fault::DiscoveryOutage)]);
     script.nodes = 8;
     let failed = RecordedRun::run(&script).times(&RecordedEvent::DiscoveryFailed);
-    // The backoff times are 0.2 s, 0.4 s and so on up to 3 s, each multiplied by a random factor from 0.5 to 1.5.
+    // The backoff times are 0.2 s, 0.4 s and so on up to 3 s, each multiplied by a random factor from 0.5 to
+    // 1.5.
     let calls_per_node = failed.len() as f64 / 8.0;
     assert!((5.0..9.0).contains(&calls_per_node), "{calls_per_node} calls per node in 9 s");
     let calls_in_second = |from: u64| failed.iter().filter(|at| (from..from + 1_000).contains(at)).count();
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,4 +1,5 @@
-//! Tests the judge on nodes that break each rule on purpose. The judge must report every one of these violations.
+//! Tests the judge on nodes that break each rule on purpose. The judge must report every one of these
+//! violations.
 
 use balancer_core::{
     Action, Balancer, DeduplicationScope, EndpointState, EndpointUpdate, Event, Idempotency, RequestId,
@@ -146,7 +147,8 @@
     run_with(script, safeguards, &mut make_decisions).verdict
 }
 
-/// Returns a short script with three nodes, six servers and one class. Its clients neither disconnect nor retry.
+/// Returns a short script with three nodes, six servers and one class. Its clients neither disconnect nor
+/// retry.
 fn small_script(idempotency: Idempotency, incidents: Vec<Incident>) -> Script {
     let mut script = Script { nodes: 3, length: Duration::from_secs(12), incidents, ..Script::default() };
     script.load.rate = 60.0;
@@ -172,8 +174,8 @@
     (verdict.violation_counts.map(|count| count > 0), descriptions.join(", "))
 }
 
-/// Asserts that the deviation breaks exactly this rule with a violation whose description contains `expected`, and that
-/// the same run without the deviation breaks no rule.
+/// Asserts that the deviation breaks exactly this rule with a violation whose description contains
+/// `expected`, and that the same run without the deviation breaks no rule.
 #[track_caller]
 fn assert_breaks_only(script: &Script, deviation: Deviation, rule: usize, expected: &str) {
     let (rules, descriptions) = violations(script, deviation);
@@ -339,8 +341,8 @@
     }
 }
 
-/// The kill of a node excuses only the requests that the node could still have answered in time. A judge that excused
-/// all unanswered requests would miss those that were lost long before.
+/// The kill of a node excuses only the requests that the node could still have answered in time. A judge that
+/// excused all unanswered requests would miss those that were lost long before.
 #[test]
 fn a_kill_excuses_only_requests_that_had_time_left() {
     let script = small_script(Idempotency::Idempotent, vec![]);
@@ -380,8 +382,8 @@
     assert!(verdict.violations[0].description.contains("made for another"), "{:?}", verdict.violations);
 }
 
-/// A client that retries early has two requests of one operation in flight. Each must get its own answer, and the
-/// service counts the operation once.
+/// A client that retries early has two requests of one operation in flight. Each must get its own answer, and
+/// the service counts the operation once.
 #[test]
 fn overlapping_requests_of_an_operation_each_need_an_answer() {
     let script = small_script(Idempotency::Idempotent, vec![]);
@@ -415,8 +417,8 @@
     assert_eq!(one.violations[0].description, "request 0 was never answered");
 }
 
-/// Guards against violations whose cause is unknown: a node without processor time, a reset and a kill were all
-/// reported as "was never answered" on sockets.
+/// Guards against violations whose cause is unknown: a node without processor time, a reset and a kill were
+/// all reported as "was never answered" on sockets.
 #[test]
 fn a_violation_has_the_trace_of_its_request() {
     let script = small_script(Idempotency::Idempotent, vec![]);
--- a/crates/testbed/tests/placement.rs
+++ b/crates/testbed/tests/placement.rs
@@ -1,5 +1,5 @@
-//! Tests the initial entries of cache servers. A random number of entries must have the same effect as entries listed one by
-//! one, and its cost must not depend on the number of keys.
+//! Tests the initial entries of cache servers. A random number of entries must have the same effect as
+//! entries listed one by one, and its cost must not depend on the number of keys.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -160,8 +160,9 @@
     assert_eq!((initial.count(), initial.contains_rank(0)), (0, false));
 }
 
-/// If the server of every key were looked up at the start, four million keys would take four million decisions over 1,100
-/// servers before the first event. The number of lookups must be bounded by the number of operations instead.
+/// If the server of every key were looked up at the start, four million keys would take four million
+/// decisions over 1,100 servers before the first event. The number of lookups must be bounded by the number
+/// of operations instead.
 #[test]
 fn only_requested_keys_are_looked_up() {
     let mut script = Script { nodes: 2, length: Duration::from_secs(2), ..Script::default() };
--- a/crates/testbed/tests/properties.rs
+++ b/crates/testbed/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Properties of every script: a text is parsed or its errors name lines, and a run keeps the rules and is reproducible.
+//! Properties of every script: a text is parsed or its errors name lines, and a run keeps the rules and is
+//! reproducible.
 
 use balancer_core::{DeduplicationScope, Idempotency};
 use proptest::prelude::*;
--- a/crates/testbed/tests/replay.rs
+++ b/crates/testbed/tests/replay.rs
@@ -35,8 +35,9 @@
     }
 }
 
-/// Guards against a random sequence that requests share with other events. Each request would then get other work and
-/// latencies whenever an event is added, and two runs that differ in one late incident would differ from the start.
+/// Guards against a random sequence that requests share with other events. Each request would then get other
+/// work and latencies whenever an event is added, and two runs that differ in one late incident would differ
+/// from the start.
 #[test]
 fn an_incident_does_not_change_the_seconds_before_it() {
     let calm = parsed_scenario("calm");
--- a/crates/testbed/tests/replica.rs
+++ b/crates/testbed/tests/replica.rs
@@ -1,5 +1,5 @@
-//! A replica of the stand-in discovery service of scale runs, called over plain sockets: its answers, its charges, and the
-//! behaviour of its faults as clients see it.
+//! A replica of the stand-in discovery service of scale runs, called over plain sockets: its answers, its
+//! charges, and the behaviour of its faults as clients see it.
 
 use serde_json::Value;
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
@@ -282,7 +282,8 @@
     thread::sleep(PAUSE_BETWEEN_WATCHES);
     node.call(&watch(FIRST_VERSION, 1));
     assert_eq!(lines(), 14.0 + 10.0);
-    // A watch costs the full price on a new connection or after a snapshot, and so does a snapshot after a watch.
+    // A watch costs the full price on a new connection or after a snapshot, and so does a snapshot after a
+    // watch.
     let mut other = replica.connect();
     other.send(&[SNAPSHOT_REQUEST.to_owned(), watch(FIRST_VERSION, 1), SNAPSHOT_REQUEST.to_owned()].concat());
     for _ in 0..3 {
@@ -330,20 +331,23 @@
     assert!(report.longest_queue_ms <= 800, "{report:?}");
 }
 
-/// The wait of a watch must count from the arrival of the call, not from the end of its time in the queue. All calls share one
-/// queue, so the watch may be answered together with a later call, and the order of the answers proves nothing. The content
-/// does: a watch whose wait is over is answered without a change that comes later.
+/// The wait of a watch must count from the arrival of the call, not from the end of its time in the queue.
+/// All calls share one queue, so the watch may be answered together with a later call, and the order of the
+/// answers proves nothing. The content does: a watch whose wait is over is answered without a change that
+/// comes later.
 #[test]
 fn the_wait_of_a_watch_counts_from_the_arrival_of_its_call() {
     let capacity = ReplicaCapacity { lines_per_second: 5.0, ..FAST };
     let replica = Replica::start(capacity, 2);
     let (mut first, mut second) = (replica.connect(), replica.connect());
-    // The first call leaves the queue after 2 s, with 1 s of its wait left. The second one leaves it after 4 s.
+    // The first call leaves the queue after 2 s, with 1 s of its wait left. The second one leaves it after 4
+    // s.
     first.send(&watch(FIRST_VERSION, 3_000));
     replica.wait_for_calls(1);
     second.send(&watch(FIRST_VERSION, 1));
     let second = second.answer().unwrap();
-    // If the wait counted from the end of the time in the queue, it would last until 5 s, and this change would end it.
+    // If the wait counted from the end of the time in the queue, it would last until 5 s, and this change
+    // would end it.
     replica.change(FIRST_VERSION + 1, server_with_health(1, "draining"));
     let first = first.answer().unwrap();
     assert_eq!(replica.report().bytes_out, (first.length + second.length) as u64);
--- a/crates/testbed/tests/scale_fit.rs
+++ b/crates/testbed/tests/scale_fit.rs
@@ -7,8 +7,8 @@
 use testbed::scale::propagation::{PropagationFigures, ReadinessFigures};
 use testbed::scale::report::{largest_over_mean, ScaleReport, WindowFigures, VERSION};
 
-/// A result in which each node uses 5 us of processor time per second and 40,000 bytes of memory plus 300 for each server.
-/// The processor time of all nodes has a constant part of 0.01 s/s as well.
+/// A result in which each node uses 5 us of processor time per second and 40,000 bytes of memory plus 300 for
+/// each server. The processor time of all nodes has a constant part of 0.01 s/s as well.
 fn result(nodes: u32, servers: u32) -> ScaleReport {
     let node_bytes = 40_000.0 + 300.0 * f64::from(servers);
     let rest = WindowFigures {
--- a/crates/testbed/tests/scale_real.rs
+++ b/crates/testbed/tests/scale_real.rs
@@ -1,5 +1,5 @@
-//! Tests of the real nodes of a scale run that need no program: the notification judge on constructed observations, and the
-//! cache servers.
+//! Tests of the real nodes of a scale run that need no program: the notification judge on constructed
+//! observations, and the cache servers.
 
 use balancer_core::Timestamp;
 use proptest::prelude::*;
@@ -184,7 +184,8 @@
     assert_eq!(violations_of_read_at(7_600, outage(7_000, 20_000)), AFTER_DRAIN);
     // The outage is over when discovery has the change.
     assert_eq!(violations_of_read_at(7_600, outage(0, 1_000)), AFTER_DRAIN);
-    // Each of several consecutive outages postpones the notification, whatever the order and time of their recording.
+    // Each of several consecutive outages postpones the notification, whatever the order and time of their
+    // recording.
     let several = |input: &mut JudgeInput| {
         input.changed(1_000, 0, Availability::Unavailable);
         input.judge.record_outage(at(8_000), at(9_000));
@@ -285,8 +286,8 @@
     assert_eq!(Latency::of(hundred), Latency { p50_us: 50, p99_us: 99 });
 }
 
-// A second implementation of the time limit, which advances in steps: a node counts the steps in which it could reach
-// discovery.
+// A second implementation of the time limit, which advances in steps: a node counts the steps in which it
+// could reach discovery.
 
 /// The length of a step.
 const STEP_MS: u64 = 250;
@@ -358,8 +359,8 @@
     });
     let outages: Vec<_> = outages.collect();
     let mut unavailable = [false; 2];
-    // Steps by node and server since the latest of these: the server became unavailable, the node started, an outage ended
-    // before the node was notified.
+    // Steps by node and server since the latest of these: the server became unavailable, the node started, an
+    // outage ended before the node was notified.
     let mut steps_since_change = [[0u64; 2]; 2];
     let mut violations = 0;
     for step in 0..STEPS {
@@ -421,7 +422,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64
 }
 
-/// Returns the response of a server to a request on a new connection; `None` if the connection ends without one.
+/// Returns the response of a server to a request on a new connection; `None` if the connection ends without
+/// one.
 async fn response_text(server: &ListedServer, id: &str) -> Option<String> {
     timeout(TIMEOUT, async {
         let mut stream = TcpStream::connect(server.dial).await.unwrap();
