--- a/crates/testbed/src/scale/requirements.rs
+++ b/crates/testbed/src/scale/requirements.rs
@@ -86,10 +86,10 @@
 impl Requirements {
     /// Estimates the requirements of a script.
     ///
-    /// Memory is `processes * PROCESS + nodes * (NODE + servers * LISTED) + nodes * CONNECTIONS * CONNECTION
-    /// + real * REAL_NODE`. The constants come from runs that used, per node at rest, 1,192,574 bytes with
-    /// 5,900 nodes and 1,100 servers, 139,510 bytes with 500 nodes and 94 servers, and 425,980 bytes with
-    /// 2,000 nodes and 373 servers.
+    /// The memory is the sum of `processes * PROCESS`, `nodes * (NODE + servers * LISTED)`, `nodes *
+    /// CONNECTIONS * CONNECTION` and `real * REAL_NODE`. The constants come from runs that used, per node at
+    /// rest, 1,192,574 bytes with 5,900 nodes and 1,100 servers, 139,510 bytes with 500 nodes and 94 servers,
+    /// and 425,980 bytes with 2,000 nodes and 373 servers.
     pub fn of(script: &ScaleScript) -> Self {
         let (nodes, servers) = (u64::from(script.nodes), u64::from(script.servers));
         let hollow = u64::from(script.hollow_processes.min(script.nodes));
