--- a/crates/cache-balancer/src/hollow/record.rs
+++ b/crates/cache-balancer/src/hollow/record.rs
@@ -15,7 +15,7 @@
         let mut report = self.0.borrow_mut();
         match event {
             DiscoveryEvent::ListApplied { version, snapshot, entries } if snapshot || entries > 0 => {
-                report.applied.push(Applied { node, version, at_us: now_us(), whole: snapshot });
+                report.applied.push(Applied { node, version, at_us: now_us(), is_snapshot: snapshot });
             }
             DiscoveryEvent::ListApplied { .. } => {}
             DiscoveryEvent::CallFailed => report.failed_calls += 1,
--- a/crates/cache-balancer/tests/hollow.rs
+++ b/crates/cache-balancer/tests/hollow.rs
@@ -237,14 +237,14 @@
     let applied = hollow.report().applied;
     for node in nodes() {
         let lists: Vec<_> = applied.iter().filter(|list| list.node == node).collect();
-        let versions: Vec<_> = lists.iter().map(|list| (list.version, list.whole)).collect();
+        let versions: Vec<_> = lists.iter().map(|list| (list.version, list.is_snapshot)).collect();
         assert_eq!(versions, changes.map(|(version, ..)| (version, false)), "node {node}");
         for (list, between) in lists.iter().zip(times.windows(2)) {
             assert!(between[0] <= list.at_us && list.at_us <= between[1], "{list:?} {times:?}");
         }
     }
     let report = replica.report();
-    assert_eq!((report.whole_lists, report.refused), (0, 0));
+    assert_eq!((report.snapshots, report.rejected), (0, 0));
     assert_eq!(hollow.report().failed_calls, 0);
 }
 
@@ -253,14 +253,14 @@
     let replica = Replica::start(FIRST_VERSION, 30);
     let hollow = Hollow::start(vec![replica.address], None, 0);
     let applied = hollow.wait_for_lists(NODES as usize);
-    assert!(applied.iter().all(|list| list.whole && list.version == FIRST_VERSION), "{applied:?}");
+    assert!(applied.iter().all(|list| list.is_snapshot && list.version == FIRST_VERSION), "{applied:?}");
     let mut nodes_with_list: Vec<_> = applied.iter().map(|list| list.node).collect();
     nodes_with_list.sort_unstable();
     assert_eq!(nodes_with_list, Vec::from_iter(nodes()));
     // Each node uses its own connection, also for its watch.
     replica.wait_for_calls(u64::from(NODES) * 2);
     let report = replica.report();
-    assert_eq!((report.calls, report.whole_lists), (u64::from(NODES) * 2, NODES.into()));
+    assert_eq!((report.calls, report.snapshots), (u64::from(NODES) * 2, NODES.into()));
     assert_eq!(report.lines, f64::from(NODES) * (10.0 + 30.0 + 10.0));
 }
 
@@ -275,16 +275,16 @@
     replica.change(FIRST_VERSION + 1, 3, "draining");
     let running = NODES as usize - killed.len();
     let applied = hollow.wait_for_lists(running);
-    assert!(applied.iter().all(|list| !killed.contains(&list.node) && !list.whole), "{applied:?}");
+    assert!(applied.iter().all(|list| !killed.contains(&list.node) && !list.is_snapshot), "{applied:?}");
     hollow.send(&HollowCommand::Launch { nodes: killed.clone() });
     let applied = hollow.wait_for_lists(running + killed.len());
-    let new: Vec<_> = applied[running..].iter().map(|list| (list.version, list.whole)).collect();
+    let new: Vec<_> = applied[running..].iter().map(|list| (list.version, list.is_snapshot)).collect();
     assert_eq!(new, [(FIRST_VERSION + 1, true); 2]);
     assert!(applied[running..].iter().all(|list| killed.contains(&list.node)), "{applied:?}");
     // A running node can be restarted as well; the others keep running.
     hollow.send(&HollowCommand::Launch { nodes: vec![FIRST_NODE + 1] });
     let applied = hollow.wait_for_lists(running + killed.len() + 1);
-    assert_eq!(applied.last().map(|list| (list.node, list.whole)), Some((FIRST_NODE + 1, true)));
+    assert_eq!(applied.last().map(|list| (list.node, list.is_snapshot)), Some((FIRST_NODE + 1, true)));
     replica.change(FIRST_VERSION + 2, 3, "gone");
     hollow.wait_for_version(nodes(), FIRST_VERSION + 2);
     assert_eq!(hollow.report().failed_calls, 0);
@@ -301,7 +301,7 @@
     replica.change(FIRST_VERSION + 1, 3, "draining");
     replica.send(&ReplicaCommand::Answer { answering: Answering::Up });
     hollow.wait_for_version(nodes(), FIRST_VERSION + 1);
-    assert!(hollow.report().applied.iter().all(|list| !list.whole));
+    assert!(hollow.report().applied.iter().all(|list| !list.is_snapshot));
 }
 
 #[test]
--- a/crates/cache-balancer/tests/scale.rs
+++ b/crates/cache-balancer/tests/scale.rs
@@ -158,7 +158,7 @@
     assert_eq!(report.replica_loads.len(), 3, "{shown}");
     assert!(report.replica_loads.iter().all(|load| load.calls > 0), "{shown}");
     let real = report.real.clone().unwrap();
-    assert_eq!((real.nodes, real.rules_broken, real.breaches.len()), (3, [0; 4], 0), "{shown}");
+    assert_eq!((real.nodes, real.violation_counts, real.violations.len()), (3, [0; 4], 0), "{shown}");
     assert!(real.served > 0, "{shown}");
     assert_eq!(report.rest.hollow_processor_s > 0.0, report.rest.hollow_resident_bytes > 0, "{shown}");
     assert!(report.all_met() && status.success(), "{shown}");
--- a/crates/cache-balancer/tests/scale_real.rs
+++ b/crates/cache-balancer/tests/scale_real.rs
@@ -9,7 +9,7 @@
 use testbed::scale::messages::ListedServer;
 use testbed::scale::real::notification_judge::{DRAIN_GRACE, NOTIFIED_AFTER};
 use testbed::scale::real::{
-    classes, CacheServers, RealError, RealNodes, RealReport, RealSettings, RulesBroken, ServerSettings,
+    classes, CacheServers, RealError, RealNodes, RealReport, RealSettings, ServerSettings, ViolationCounts,
 };
 use tokio::time::sleep;
 
@@ -132,7 +132,7 @@
     assert!(usage.iter().all(|node| node.rss_anon > 0), "{usage:?}");
     let report = run.nodes.finish().await;
     assert_accounted(&report, sent + MAX_IN_FLIGHT * u64::from(NODES));
-    assert_eq!(report.rules_broken, RulesBroken::default(), "{report:#?}");
+    assert_eq!(report.violation_counts, ViolationCounts::default(), "{report:#?}");
     // Only the killed node may leave requests without an answer.
     assert!(report.unanswered <= MAX_IN_FLIGHT, "{report:#?}");
     assert!(report.served > 0 && report.latency.p50_us > 0, "{report:#?}");
@@ -149,7 +149,8 @@
     sleep(NOTIFIED_AFTER + DRAIN_GRACE * 2).await;
     run.wait_for_requests(100).await;
     let report = run.nodes.finish().await;
-    let RulesBroken { lost, repeated_effect, after_drain, warming_server_overloaded } = report.rules_broken;
+    let ViolationCounts { lost, repeated_effect, after_drain, warming_server_overloaded } =
+        report.violation_counts;
     assert!(after_drain > 0, "{report:#?}");
     assert_eq!((lost, repeated_effect, warming_server_overloaded), (0, 0, 0), "{report:#?}");
     assert!(report.violations.iter().all(|breach| breach.rule == 3), "{report:#?}");
@@ -167,7 +168,7 @@
     run.nodes.record_outage(from, now_us());
     let report = run.nodes.finish().await;
     assert_accounted(&report, sent + MAX_IN_FLIGHT * u64::from(NODES));
-    assert_eq!(report.rules_broken, RulesBroken::default(), "{report:#?}");
+    assert_eq!(report.violation_counts, ViolationCounts::default(), "{report:#?}");
 }
 
 #[tokio::test]
@@ -187,7 +188,8 @@
     let run = Run { servers: listed, discovery, nodes };
     run.wait_for_requests(100).await;
     let report = run.nodes.finish().await;
-    let RulesBroken { lost, repeated_effect, after_drain, warming_server_overloaded } = report.rules_broken;
+    let ViolationCounts { lost, repeated_effect, after_drain, warming_server_overloaded } =
+        report.violation_counts;
     assert!((1..=2).contains(&warming_server_overloaded), "{report:#?}");
     assert_eq!((lost, repeated_effect, after_drain), (0, 0, 0), "{report:#?}");
 }
@@ -202,7 +204,10 @@
     discovery.wait_until_notified(1);
     let report = nodes.finish().await;
     assert_accounted(&report, 0);
-    assert_eq!((report.attempts, report.not_sent, report.rules_broken), (0, 0, RulesBroken::default()));
+    assert_eq!(
+        (report.attempts, report.not_sent, report.violation_counts),
+        (0, 0, ViolationCounts::default())
+    );
     assert_eq!((report.latency.p50_us, report.latency.p99_us), (0, 0));
 }
 
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -131,8 +131,8 @@
     ("hollow nodes' processor with events, s/s", Variable::NodesTimesServers, |report| {
         active(report, |window| window.hollow_processor_s / window.seconds)
     }),
-    ("one node's processor for a change, us", Variable::Servers, |report| report.node_change_us),
-    ("one node's processor for a whole list, us", Variable::Servers, |report| report.node_whole_list_us),
+    ("one node's processor for a change, us", Variable::Servers, |report| report.node_delta_us),
+    ("one node's processor for a whole list, us", Variable::Servers, |report| report.node_snapshot_us),
     ("bytes to nodes with events, B/s", Variable::Nodes, |report| {
         active(report, |window| window.bytes_to_nodes as f64 / window.seconds)
     }),
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -110,9 +110,11 @@
     /// Calls received, of all kinds.
     pub calls: u64,
     /// Calls that were rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Snapshots sent.
-    pub whole_lists: u64,
+    #[serde(rename = "whole_lists")]
+    pub snapshots: u64,
     /// Lines charged for entries sent and for calls.
     pub lines: f64,
     /// Bytes read from nodes.
@@ -199,5 +201,6 @@
     /// When the list took effect in the node's decisions, in microseconds of Unix time.
     pub at_us: u64,
     /// Whether the list was a snapshot.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_snapshot: bool,
 }
--- a/crates/testbed/src/scale/propagation.rs
+++ b/crates/testbed/src/scale/propagation.rs
@@ -176,9 +176,9 @@
     pub fn lists_applied_since(&self, from_us: u64) -> (u64, u64) {
         let applied =
             self.nodes.iter().flat_map(|node| &node.applied).filter(|applied| applied.at_us >= from_us);
-        applied.fold((0, 0), |(changes, whole), applied| match applied.whole {
-            true => (changes, whole + 1),
-            false => (changes + 1, whole),
+        applied.fold((0, 0), |(deltas, snapshots), applied| match applied.is_snapshot {
+            true => (deltas, snapshots + 1),
+            false => (deltas + 1, snapshots),
         })
     }
 
--- a/crates/testbed/src/scale/real/mod.rs
+++ b/crates/testbed/src/scale/real/mod.rs
@@ -31,7 +31,7 @@
 
 pub use error::RealError;
 pub use notification_judge::NotificationJudge;
-pub use report::{Latency, NodeUsage, RealReport, RulesBroken};
+pub use report::{Latency, NodeUsage, RealReport, ViolationCounts};
 pub use servers::{CacheServers, ServerSettings, MAX_SERVERS};
 pub use settings::{classes, RealSettings, MAX_NODES};
 pub use usage::Usage;
@@ -238,7 +238,7 @@
             attempts: verdict.attempts,
             rejected_connections: self.servers.rejected_connections(),
             log_lines: self.log_lines.load(Ordering::Relaxed),
-            rules_broken: RulesBroken::of(&verdict),
+            violation_counts: ViolationCounts::of(&verdict),
             violations: verdict.violations,
             latency: Latency::of(latencies),
             nodes,
--- a/crates/testbed/src/scale/real/report.rs
+++ b/crates/testbed/src/scale/real/report.rs
@@ -5,7 +5,7 @@
 
 /// The number of violations of each rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct RulesBroken {
+pub struct ViolationCounts {
     /// A request had no final answer in time, two answers, or the response to another request.
     pub lost: u64,
     /// A request was repeated although that was not safe, or was rejected although it was executed.
@@ -18,7 +18,7 @@
     pub warming_server_overloaded: u64,
 }
 
-impl RulesBroken {
+impl ViolationCounts {
     /// Returns the number of violations of all rules.
     pub fn all(&self) -> u64 {
         self.lost + self.repeated_effect + self.after_drain + self.warming_server_overloaded
@@ -78,7 +78,7 @@
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests with none of these answers: lost ones, which `rules_broken` counts, or in flight at a node
+    /// Requests with none of these answers: lost ones, which `violation_counts` counts, or in flight at a node
     /// that was killed.
     pub unanswered: u64,
     /// Requests that were not sent because too many were in flight at their node or the node did not run.
@@ -99,7 +99,8 @@
     /// Lines that nodes logged after they had started to listen.
     pub log_lines: u64,
     /// The number of violations of each rule.
-    pub rules_broken: RulesBroken,
+    #[serde(rename = "rules_broken")]
+    pub violation_counts: ViolationCounts,
     /// The first violations, in detail.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
--- a/crates/testbed/src/scale/real_fleet.rs
+++ b/crates/testbed/src/scale/real_fleet.rs
@@ -138,25 +138,25 @@
 }
 
 fn figures(report: RealReport) -> RealFigures {
-    let broken = report.rules_broken;
+    let counts = report.violation_counts;
     RealFigures {
         nodes: report.nodes.len() as u32,
         requests: report.requests,
         served: report.served,
-        refused: report.rejected,
+        rejected: report.rejected,
         failed: report.failed,
         unanswered: report.unanswered,
-        held_back: report.not_sent,
+        not_sent: report.not_sent,
         load_ran_out: report.load_ran_out,
-        latest_us: report.longest_delay_us,
+        longest_delay_us: report.longest_delay_us,
         p50_us: report.latency.p50_us,
         p99_us: report.latency.p99_us,
-        rules_broken: [
-            broken.lost,
-            broken.repeated_effect,
-            broken.after_drain,
-            broken.warming_server_overloaded,
+        violation_counts: [
+            counts.lost,
+            counts.repeated_effect,
+            counts.after_drain,
+            counts.warming_server_overloaded,
         ],
-        breaches: report.violations.iter().map(|violation| violation.description.clone()).collect(),
+        violations: report.violations.iter().map(|violation| violation.description.clone()).collect(),
     }
 }
--- a/crates/testbed/src/scale/replica/service.rs
+++ b/crates/testbed/src/scale/replica/service.rs
@@ -42,8 +42,8 @@
     resets: watch::Sender<u64>,
     bytes: Rc<ByteCounts>,
     calls: Cell<u64>,
-    refused: Cell<u64>,
-    whole_lists: Cell<u64>,
+    rejected: Cell<u64>,
+    snapshots: Cell<u64>,
 }
 
 impl Service {
@@ -59,8 +59,8 @@
             resets: watch::Sender::new(0),
             bytes: Rc::default(),
             calls: Cell::new(0),
-            refused: Cell::new(0),
-            whole_lists: Cell::new(0),
+            rejected: Cell::new(0),
+            snapshots: Cell::new(0),
         }
     }
 
@@ -94,8 +94,8 @@
         let queue = self.queue.borrow();
         ReplicaReport {
             calls: self.calls.get(),
-            refused: self.refused.get(),
-            whole_lists: self.whole_lists.get(),
+            rejected: self.rejected.get(),
+            snapshots: self.snapshots.get(),
             lines: queue.lines(),
             bytes_in: self.bytes.read.get(),
             bytes_out: self.bytes.written.get(),
@@ -149,11 +149,11 @@
             && last_watch_answer.take().is_some_and(|answered| answered.elapsed() <= WATCH_CONTINUED_WITHIN);
         self.wait_while_silent().await;
         let Ok(answer) = self.answer(call, continued).await else {
-            self.refused.set(self.refused.get() + 1);
+            self.rejected.set(self.rejected.get() + 1);
             return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         };
         self.wait_while_silent().await;
-        self.whole_lists.set(self.whole_lists.get() + u64::from(answer.is_snapshot));
+        self.snapshots.set(self.snapshots.get() + u64::from(answer.is_snapshot));
         last_watch_answer.set(call.after.map(|_| Instant::now()));
         Response::new(Full::new(answer.body))
     }
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -50,10 +50,12 @@
     pub readiness: ReadinessFigures,
     /// Processor time of a node for each delta that it applies, in excess of that at rest, in microseconds.
     /// `None` if snapshots were applied as well, since the costs of the two can't be separated.
-    pub node_change_us: Option<f64>,
+    #[serde(rename = "node_change_us")]
+    pub node_delta_us: Option<f64>,
     /// Processor time of a node for each snapshot that it applies, in excess of that at rest, in
     /// microseconds. `None` unless snapshots outnumbered deltas.
-    pub node_whole_list_us: Option<f64>,
+    #[serde(rename = "node_whole_list_us")]
+    pub node_snapshot_us: Option<f64>,
     /// The activity of each replica during the measurement.
     pub replica_loads: Vec<ReplicaReport>,
     /// The largest number of calls to a replica, divided by the mean of all replicas.
@@ -88,11 +90,13 @@
     /// Calls that nodes made.
     pub calls: u64,
     /// Calls that replicas rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Failed calls, as counted by the hollow nodes.
     pub failed_calls: u64,
     /// Snapshots that replicas sent.
-    pub whole_lists: u64,
+    #[serde(rename = "whole_lists")]
+    pub snapshots: u64,
     /// Lines charged to replicas.
     pub lines: f64,
     /// Bytes from nodes to replicas.
@@ -123,25 +127,30 @@
     /// Requests that were answered with the response of a server.
     pub served: u64,
     /// Requests that were answered with status 429 or 503.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Requests that were answered in any other way.
     pub failed: u64,
     /// Requests that were not answered.
     pub unanswered: u64,
     /// Requests that were not made, since their node had too many in flight or was not running.
-    pub held_back: u64,
+    #[serde(rename = "held_back")]
+    pub not_sent: u64,
     /// Whether the maximum number of requests of a run was reached, so that nodes had no load from then on.
     pub load_ran_out: bool,
     /// The longest delay with which a client made a request, in microseconds.
-    pub latest_us: u64,
+    #[serde(rename = "latest_us")]
+    pub longest_delay_us: u64,
     /// The median latency of served requests, in microseconds.
     pub p50_us: u32,
     /// The 99th percentile of the latency of served requests, in microseconds.
     pub p99_us: u32,
     /// The numbers of violations of rules 1 to 4.
-    pub rules_broken: [u64; 4],
+    #[serde(rename = "rules_broken")]
+    pub violation_counts: [u64; 4],
     /// Descriptions of the first violations.
-    pub breaches: Vec<String>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<String>,
 }
 
 impl WindowFigures {
@@ -165,9 +174,9 @@
             run_resident_bytes: window.run.resident_bytes,
             real_resident_bytes: window.real.resident_bytes,
             calls: calls.calls,
-            refused: calls.refused,
+            rejected: calls.rejected,
             failed_calls: window.failed_calls,
-            whole_lists: calls.whole_lists,
+            snapshots: calls.snapshots,
             lines: calls.lines,
             bytes_from_nodes: calls.bytes_in,
             bytes_to_nodes: calls.bytes_out,
@@ -185,7 +194,7 @@
     /// Returns whether every running node applied every change within the time that the script expects, every
     /// started node got a list, and the real nodes violated no rule.
     pub fn all_met(&self) -> bool {
-        let rules_held = self.real.as_ref().is_none_or(|real| real.rules_broken == [0; 4]);
+        let rules_held = self.real.as_ref().is_none_or(|real| real.violation_counts == [0; 4]);
         self.propagation.never == 0 && self.propagation.late == 0 && self.readiness.never == 0 && rules_held
     }
 
@@ -236,10 +245,11 @@
             let _ =
                 writeln!(text, "MISSED: {} nodes that were started never held a list", self.readiness.never);
         }
-        if let Some(real) = self.real.as_ref().filter(|real| real.rules_broken != [0; 4]) {
-            let _ = writeln!(text, "MISSED: rules 1 to 4 broken {:?} times by real nodes", real.rules_broken);
-            for breach in &real.breaches {
-                let _ = writeln!(text, "  {breach}");
+        if let Some(real) = self.real.as_ref().filter(|real| real.violation_counts != [0; 4]) {
+            let _ =
+                writeln!(text, "MISSED: rules 1 to 4 broken {:?} times by real nodes", real.violation_counts);
+            for violation in &real.violations {
+                let _ = writeln!(text, "  {violation}");
             }
         }
         text
@@ -263,8 +273,8 @@
             format!("{:.1}, {:.1}", window.node_bytes_out_per_s, window.node_bytes_in_per_s)
         });
         row("  messages a second, both ways", &|window| format!("{:.3}", window.node_messages_per_s));
-        row("all replicas: calls, refused", &|window| format!("{}, {}", window.calls, window.refused));
-        row("  lines, whole lists", &|window| format!("{:.0}, {}", window.lines, window.whole_lists));
+        row("all replicas: calls, refused", &|window| format!("{}, {}", window.calls, window.rejected));
+        row("  lines, whole lists", &|window| format!("{:.0}, {}", window.lines, window.snapshots));
         row("calls failed, by the nodes", &|window| window.failed_calls.to_string());
         row("processor, s: hollow, real, replicas, run", &|window| {
             let [hollow, real] = [window.hollow_processor_s, window.real_processor_s];
@@ -307,8 +317,8 @@
         let optional =
             |value: Option<f64>| value.map_or("not told apart".into(), |value| format!("{value:.1}"));
         if self.active.is_some() {
-            row("a node's processor time for a change, us", optional(self.node_change_us));
-            row("a node's processor time for a whole list, us", optional(self.node_whole_list_us));
+            row("a node's processor time for a change, us", optional(self.node_delta_us));
+            row("a node's processor time for a whole list, us", optional(self.node_snapshot_us));
         }
         row("replicas' calls, largest over mean", format!("{:.2}", self.calls_largest_over_mean));
         row("replicas' lines, largest over mean", format!("{:.2}", self.lines_largest_over_mean));
@@ -317,12 +327,12 @@
         row("steps carried out late by at most, ms", format!("{:.0}", self.longest_step_delay_ms));
         if let Some(real) = &self.real {
             row("real nodes", real.nodes.to_string());
-            let answers = [real.requests, real.served, real.refused, real.failed, real.unanswered];
+            let answers = [real.requests, real.served, real.rejected, real.failed, real.unanswered];
             row("  requests, served, refused, failed, unanswered", join_counts(&answers));
-            row("  requests not made", real.held_back.to_string());
-            row("  clients late by at most, us", real.latest_us.to_string());
+            row("  requests not made", real.not_sent.to_string());
+            row("  clients late by at most, us", real.longest_delay_us.to_string());
             row("  answered in us: p50, p99", format!("{}, {}", real.p50_us, real.p99_us));
-            row("  rules broken, 1 to 4", join_counts(&real.rules_broken));
+            row("  rules broken, 1 to 4", join_counts(&real.violation_counts));
         }
         table
     }
--- a/crates/testbed/src/scale/run/measurement.rs
+++ b/crates/testbed/src/scale/run/measurement.rs
@@ -56,7 +56,7 @@
             let node_seconds = active.seconds * f64::from(script.nodes);
             active.hollow_processor_s * 1e6 - rest.node_processor_us_per_s * node_seconds
         });
-        let (changes, whole) =
+        let (deltas, snapshots) =
             steps_from_us.map_or((0, 0), |from_us| self.propagation.lists_applied_since(from_us));
         let loads = at_end.loads_since(at_begin);
         let within_ms = script.within.map(|within| within.as_secs_f64() * 1e3);
@@ -76,8 +76,8 @@
             active,
             propagation: self.propagation.propagation_figures(within_ms),
             readiness: self.propagation.readiness_figures(),
-            node_change_us: (changes > 0 && whole == 0).then(|| above_rest_us / changes as f64),
-            node_whole_list_us: (whole > changes).then(|| above_rest_us / whole as f64),
+            node_delta_us: (deltas > 0 && snapshots == 0).then(|| above_rest_us / deltas as f64),
+            node_snapshot_us: (snapshots > deltas).then(|| above_rest_us / snapshots as f64),
             calls_largest_over_mean: largest_over_mean(loads.iter().map(|load| load.calls as f64)),
             lines_largest_over_mean: largest_over_mean(loads.iter().map(|load| load.lines)),
             replica_loads: loads,
--- a/crates/testbed/src/scale/snapshot.rs
+++ b/crates/testbed/src/scale/snapshot.rs
@@ -70,8 +70,8 @@
 fn report_since(now: &ReplicaReport, before: &ReplicaReport) -> ReplicaReport {
     ReplicaReport {
         calls: now.calls.saturating_sub(before.calls),
-        refused: now.refused.saturating_sub(before.refused),
-        whole_lists: now.whole_lists.saturating_sub(before.whole_lists),
+        rejected: now.rejected.saturating_sub(before.rejected),
+        snapshots: now.snapshots.saturating_sub(before.snapshots),
         lines: now.lines - before.lines,
         bytes_in: now.bytes_in.saturating_sub(before.bytes_in),
         bytes_out: now.bytes_out.saturating_sub(before.bytes_out),
@@ -82,8 +82,8 @@
 fn add_reports(sum: ReplicaReport, one: ReplicaReport) -> ReplicaReport {
     ReplicaReport {
         calls: sum.calls + one.calls,
-        refused: sum.refused + one.refused,
-        whole_lists: sum.whole_lists + one.whole_lists,
+        rejected: sum.rejected + one.rejected,
+        snapshots: sum.snapshots + one.snapshots,
         lines: sum.lines + one.lines,
         bytes_in: sum.bytes_in + one.bytes_in,
         bytes_out: sum.bytes_out + one.bytes_out,
--- a/crates/testbed/src/scale/virtual_time/calls.rs
+++ b/crates/testbed/src/scale/virtual_time/calls.rs
@@ -108,7 +108,7 @@
                 self.events.schedule(at, event);
             }
             Err(_) => {
-                self.counts[replica as usize].refused += 1;
+                self.counts[replica as usize].rejected += 1;
                 self.end_call(id.node, CallResult::Rejected, LATENCY);
             }
         }
@@ -165,7 +165,7 @@
         }
         let counts = &mut self.counts[replica as usize];
         counts.answers += 1;
-        counts.whole_lists += u64::from(answer.is_snapshot);
+        counts.snapshots += u64::from(answer.is_snapshot);
         let bytes = answer.entries.iter().map(|(server, _)| self.versions.entry_bytes(*server));
         counts.entry_bytes += bytes.sum::<usize>() as u64;
         self.end_call(id.node, CallResult::Answer(answer), LATENCY);
--- a/crates/testbed/src/scale/virtual_time/measure.rs
+++ b/crates/testbed/src/scale/virtual_time/measure.rs
@@ -72,11 +72,13 @@
     /// Calls that reached the replica.
     pub calls: u64,
     /// Calls that the replica rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Answers that the replica sent.
     pub answers: u64,
     /// Answers that were snapshots.
-    pub whole_lists: u64,
+    #[serde(rename = "whole_lists")]
+    pub snapshots: u64,
     /// Lines charged to the replica.
     pub lines: f64,
     /// Bytes of the entries in its answers.
@@ -88,16 +90,16 @@
 impl ReplicaOutcome {
     /// Returns the bytes of calls and answers: heads of a fixed size, and entries.
     pub fn bytes(&self) -> u64 {
-        self.calls * CALL_BYTES + (self.answers + self.refused) * ANSWER_BYTES + self.entry_bytes
+        self.calls * CALL_BYTES + (self.answers + self.rejected) * ANSWER_BYTES + self.entry_bytes
     }
 
     /// Returns the difference between an earlier state of the counts and this one.
     pub(super) fn since(&self, earlier: &Self) -> Self {
         Self {
             calls: self.calls - earlier.calls,
-            refused: self.refused - earlier.refused,
+            rejected: self.rejected - earlier.rejected,
             answers: self.answers - earlier.answers,
-            whole_lists: self.whole_lists - earlier.whole_lists,
+            snapshots: self.snapshots - earlier.snapshots,
             lines: self.lines - earlier.lines,
             entry_bytes: self.entry_bytes - earlier.entry_bytes,
             longest_queue: self.longest_queue,
--- a/crates/testbed/src/scale/virtual_time/report.rs
+++ b/crates/testbed/src/scale/virtual_time/report.rs
@@ -58,7 +58,7 @@
         relative_to_sending(last_list, outcome.sending_takes),
         outcome.without_list.to_string(),
         outcome.total(|replica| replica.calls as f64).to_string(),
-        outcome.total(|replica| replica.refused as f64).to_string(),
+        outcome.total(|replica| replica.rejected as f64).to_string(),
         format!("{:.2}", outcome.largest_over_mean(|replica| replica.lines)),
         time(longest),
         format!("{:.0}", bytes / node_seconds),
--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -56,7 +56,7 @@
         let capacity = ReplicaCapacity { continued_call_lines, ..CAPACITY };
         let outcome = run(&quiet(&Size { capacity, ..size(100) }, Vec::new()));
         let replica = outcome.replicas[0];
-        assert_eq!((replica.refused, replica.whole_lists, outcome.overdue, outcome.unreached), (0, 0, 0, 0));
+        assert_eq!((replica.rejected, replica.snapshots, outcome.overdue, outcome.unreached), (0, 0, 0, 0));
         assert_eq!(replica.lines, continued_call_lines * replica.calls as f64);
         // Waits are random between 10 and 20 s.
         let mean = outcome.measured.as_secs_f64() * 100.0 / replica.calls as f64;
@@ -85,7 +85,7 @@
         ReplicaCapacity { lines_per_second: 50.0, call_lines: 1.0, continued_call_lines: 0.0, ..CAPACITY };
     let changes = event(30, 90, EventKind::Changes { per_day: 2_880.0, step: 30 * SECOND });
     let outcome = run(&quiet(&Size { capacity, ..size(250) }, vec![changes]));
-    assert!(outcome.replicas[0].refused > 0, "{outcome:?}");
+    assert!(outcome.replicas[0].rejected > 0, "{outcome:?}");
     assert!(outcome.replicas[0].longest_queue <= 3 * SECOND);
     assert!(outcome.latencies.quantile(1.0) > Some(5 * SECOND), "sending alone takes five seconds");
     assert_all_caught_up(&outcome);
@@ -99,10 +99,10 @@
     assert_eq!(outcome.sending_takes, 10 * SECOND);
     assert!(outcome.lists.quantile(1.0) >= Some(10 * SECOND), "{outcome:?}");
     assert!(
-        outcome.replicas[0].refused > 0,
+        outcome.replicas[0].rejected > 0,
         "the calls at the start exceed the queue limit of three seconds"
     );
-    assert_eq!(outcome.replicas[0].whole_lists, 200);
+    assert_eq!(outcome.replicas[0].snapshots, 200);
 }
 
 #[test]
--- a/crates/testbed/tests/replica.rs
+++ b/crates/testbed/tests/replica.rs
@@ -201,8 +201,8 @@
     );
     let expected = ReplicaReport {
         calls: 1,
-        refused: 0,
-        whole_lists: 1,
+        rejected: 0,
+        snapshots: 1,
         lines: 10.0 + 3.0,
         bytes_in: SNAPSHOT_REQUEST.len() as u64,
         bytes_out: answer.length as u64,
@@ -229,7 +229,7 @@
         );
     }
     let report = replica.report();
-    assert_eq!((report.calls, report.lines, report.whole_lists), (50, 50.0 * 11.0, 0));
+    assert_eq!((report.calls, report.lines, report.snapshots), (50, 50.0 * 11.0, 0));
 }
 
 #[test]
@@ -301,11 +301,11 @@
     replica.wait_for_calls(1);
     // 12 lines take 3 s. A call in that time would wait longer than the limit.
     let mut node = replica.connect();
-    while replica.report().refused == 0 {
+    while replica.report().rejected == 0 {
         assert_eq!(node.call(SNAPSHOT_REQUEST).status, 503);
     }
     let report = replica.report();
-    assert_eq!((report.calls, report.refused, report.lines, report.longest_queue_ms), (2, 1, 12.0, 0));
+    assert_eq!((report.calls, report.rejected, report.lines, report.longest_queue_ms), (2, 1, 12.0, 0));
     assert_eq!(first.answer().unwrap().version_and_entries().2.len(), 2);
     // The queue is empty again.
     assert_eq!(replica.connect().call(SNAPSHOT_REQUEST).version_and_entries().2.len(), 2);
@@ -327,7 +327,7 @@
     // 100 lines at 100 lines per second take at least a second, even on a fast machine.
     assert!(start.elapsed() >= Duration::from_secs(1), "{:?}", start.elapsed());
     let report = replica.report();
-    assert_eq!((report.calls, report.refused, report.lines), (5, 0, 100.0));
+    assert_eq!((report.calls, report.rejected, report.lines), (5, 0, 100.0));
     assert!(report.longest_queue_ms <= 800, "{report:?}");
 }
 
@@ -369,7 +369,7 @@
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 503, 503, 503, 503]);
     let report = replica.report();
-    assert_eq!((report.refused, report.lines), (4, 1.0));
+    assert_eq!((report.rejected, report.lines), (4, 1.0));
 }
 
 #[test]
@@ -429,7 +429,7 @@
         node.0.get_ref().set_read_timeout(Some(TIMEOUT)).unwrap();
     }
     let report = replica.report();
-    assert_eq!((report.bytes_out, report.lines, report.refused), (0, 10.0, 0));
+    assert_eq!((report.bytes_out, report.lines, report.rejected), (0, 10.0, 0));
     replica.set_answering(Answering::Up);
     assert_eq!(
         known.answer().unwrap().version_and_entries(),
@@ -489,7 +489,7 @@
         counts(node.call(&long_watch(FIRST_VERSION + 1)).version_and_entries()),
         (last, false, CHANGES_KEPT)
     );
-    assert_eq!(replica.report().whole_lists, 1);
+    assert_eq!(replica.report().snapshots, 1);
 }
 
 #[test]
--- a/crates/testbed/tests/scale_propagation.rs
+++ b/crates/testbed/tests/scale_propagation.rs
@@ -4,7 +4,7 @@
 use testbed::scale::propagation::Propagation;
 
 fn applied(node: u32, version: u64, at_us: u64) -> Applied {
-    Applied { node, version, at_us, whole: false }
+    Applied { node, version, at_us, is_snapshot: false }
 }
 
 #[test]
@@ -56,7 +56,7 @@
     propagation.record_launch(&[0, 1], 2_000, 4.0);
     propagation.record_change(2, 3_000);
     assert_eq!(propagation.nodes_behind(2), 2);
-    propagation.record_applied(Applied { node: 0, version: 2, at_us: 10_000, whole: true });
+    propagation.record_applied(Applied { node: 0, version: 2, at_us: 10_000, is_snapshot: true });
     propagation.record_change(3, 12_000);
     propagation.record_applied(applied(0, 3, 13_000));
     let (figures, ready) = (propagation.propagation_figures(None), propagation.readiness_figures());
--- a/crates/testbed/tests/scale_real.rs
+++ b/crates/testbed/tests/scale_real.rs
@@ -12,7 +12,7 @@
     Availability, NotificationJudge, DRAIN_GRACE, NOTIFIED_AFTER,
 };
 use testbed::scale::real::{
-    classes, CacheServers, Latency, RealError, RealNodes, RealSettings, RulesBroken, ServerSettings,
+    classes, CacheServers, Latency, RealError, RealNodes, RealSettings, ServerSettings, ViolationCounts,
     MAX_SERVERS,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -94,23 +94,23 @@
         self.judge.verdict(classes())
     }
 
-    fn rules_broken(self) -> RulesBroken {
-        RulesBroken::of(&self.verdict())
+    fn violation_counts(self) -> ViolationCounts {
+        ViolationCounts::of(&self.verdict())
     }
 }
 
-const NO_VIOLATIONS: RulesBroken =
-    RulesBroken { lost: 0, repeated_effect: 0, after_drain: 0, warming_server_overloaded: 0 };
+const NO_VIOLATIONS: ViolationCounts =
+    ViolationCounts { lost: 0, repeated_effect: 0, after_drain: 0, warming_server_overloaded: 0 };
 
 /// Returns the violations of one read that node 0 sends to server 0 at this time.
-fn violations_of_read_at(ms: u64, prepare: impl FnOnce(&mut JudgeInput)) -> RulesBroken {
+fn violations_of_read_at(ms: u64, prepare: impl FnOnce(&mut JudgeInput)) -> ViolationCounts {
     let mut input = JudgeInput::new();
     prepare(&mut input);
     input.served_read(ms, 0, 0);
-    input.rules_broken()
+    input.violation_counts()
 }
 
-const AFTER_DRAIN: RulesBroken = RulesBroken { after_drain: 1, ..NO_VIOLATIONS };
+const AFTER_DRAIN: ViolationCounts = ViolationCounts { after_drain: 1, ..NO_VIOLATIONS };
 
 #[test]
 fn a_node_has_6550_ms_to_act_on_a_drain() {
@@ -137,7 +137,7 @@
     let mut input = JudgeInput::new();
     input.changed(1_000, 1, Availability::Unavailable);
     input.served_read(60_000, 0, 0);
-    assert_eq!(input.rules_broken(), NO_VIOLATIONS);
+    assert_eq!(input.violation_counts(), NO_VIOLATIONS);
 }
 
 #[test]
@@ -209,7 +209,7 @@
     let mut input = JudgeInput::new();
     restarted(&mut input);
     input.served_read(16_000, 1, 0);
-    assert_eq!(input.rules_broken(), AFTER_DRAIN);
+    assert_eq!(input.violation_counts(), AFTER_DRAIN);
 }
 
 #[test]
@@ -220,9 +220,9 @@
         input.attempt_sent(1, request, 0);
         input.executed(2, request, 0);
         (0..answers).for_each(|answer| input.answered(10 + answer, request, FinalAnswer::Served));
-        input.rules_broken()
+        input.violation_counts()
     };
-    let lost = RulesBroken { lost: 1, ..NO_VIOLATIONS };
+    let lost = ViolationCounts { lost: 1, ..NO_VIOLATIONS };
     assert_eq!([0, 1, 2].map(violations), [lost, NO_VIOLATIONS, lost]);
 }
 
@@ -234,7 +234,7 @@
         input.attempt_sent(1, request, 0);
         input.executed(2, request, 0);
         input.answered(ms, request, answer);
-        input.rules_broken().lost
+        input.violation_counts().lost
     };
     assert_eq!(lost(10_050, FinalAnswer::Served), 0);
     assert_eq!(lost(10_051, FinalAnswer::Served), 1);
@@ -248,7 +248,7 @@
         let mut input = JudgeInput::new();
         input.accepted(0, READ);
         input.judge.record(at(100), Observation::NodeKilled { node, at: at(100) });
-        input.rules_broken().lost
+        input.violation_counts().lost
     };
     assert_eq!((lost_after_kill_of(0), lost_after_kill_of(1)), (0, 1));
 }
@@ -263,7 +263,7 @@
             input.executed(ms, request, server);
         }
         input.answered(repeated_at + 1, request, answer);
-        input.rules_broken().repeated_effect
+        input.violation_counts().repeated_effect
     };
     let served = [READ, KEYED_WRITE, UNSAFE_WRITE].map(|class| violations(class, 20, FinalAnswer::Served));
     assert_eq!(served, [0, 0, 1]);
@@ -343,8 +343,8 @@
             input.served_read(step * STEP_MS + STEP_MS / 2, node, server);
         }
     }
-    let broken = input.rules_broken();
-    assert_eq!(broken, RulesBroken { after_drain: broken.after_drain, ..NO_VIOLATIONS });
+    let broken = input.violation_counts();
+    assert_eq!(broken, ViolationCounts { after_drain: broken.after_drain, ..NO_VIOLATIONS });
     broken.after_drain
 }
 
