--- a/crates/cache-balancer/tests/scale.rs
+++ b/crates/cache-balancer/tests/scale.rs
@@ -140,7 +140,7 @@
 fn changes_after_the_loss(text: &str) -> u64 {
     let script = ScaleScript::parse("test", text).unwrap();
     let steps = plan(&script, &servers_at_start(&script));
-    let is_loss = |step: &Step| matches!(step, Step::Answer { answering: Answering::Away, .. });
+    let is_loss = |step: &Step| matches!(step, Step::SetAnswering { answering: Answering::Away, .. });
     let loss = steps.iter().position(|planned| is_loss(&planned.step)).unwrap();
     steps[loss..].iter().filter(|planned| matches!(planned.step, Step::Change { .. })).count() as u64
 }
--- a/crates/testbed/src/discovery_call.rs
+++ b/crates/testbed/src/discovery_call.rs
@@ -21,7 +21,7 @@
 impl DiscoveryCall {
     /// Parses the query of a request target. Missing or malformed parameters take their defaults: the whole
     /// list, without a wait.
-    pub fn read(query: Option<&str>) -> Self {
+    pub fn parse(query: Option<&str>) -> Self {
         let query = query.unwrap_or("");
         let wait = Duration::from_millis(parameter(query, "wait_ms").unwrap_or(0));
         Self { after: parameter(query, "after"), wait: wait.min(MAX_WAIT) }
--- a/crates/testbed/src/fault_schedule/active_faults.rs
+++ b/crates/testbed/src/fault_schedule/active_faults.rs
@@ -127,7 +127,7 @@
     }
 
     fn slow_origin_change(&self) -> Change {
-        Change::SlowOrigin { factor: self.origin_factors.values().product() }
+        Change::SetOriginSlowdown { factor: self.origin_factors.values().product() }
     }
 
     fn discovery_error_change(&self) -> Change {
--- a/crates/testbed/src/fault_schedule/effects.rs
+++ b/crates/testbed/src/fault_schedule/effects.rs
@@ -149,7 +149,7 @@
         let servers = self.choose_servers(share);
         for (n, &index) in servers.iter().enumerate() {
             let at = self.at_fraction(n as f64 / servers.len() as f64);
-            self.add(at, Effect::Independent(Change::ForgetConnections { index }));
+            self.add(at, Effect::Independent(Change::LoseConnectionState { index }));
         }
     }
 
--- a/crates/testbed/src/fault_schedule/mod.rs
+++ b/crates/testbed/src/fault_schedule/mod.rs
@@ -51,7 +51,7 @@
     },
     /// A middlebox loses its state of the present connections to a cache server. It then drops all packets of
     /// these connections without notifying either end.
-    ForgetConnections {
+    LoseConnectionState {
         /// The index of the cache server.
         index: usize,
     },
@@ -75,7 +75,7 @@
         node: usize,
     },
     /// The duration of fetches from the origin changes.
-    SlowOrigin {
+    SetOriginSlowdown {
         /// The new duration, as a multiple of the normal one.
         factor: f64,
     },
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -6,7 +6,7 @@
 use std::f64::consts::TAU;
 
 /// The purpose of the random values of a run, on sockets and in virtual time.
-pub(crate) const RUN_STREAM: u64 = 0x706c_6179;
+pub(crate) const RUN_PURPOSE: u64 = 0x706c_6179;
 
 /// A source of random values. [`RandomSource::derive`] narrows it to one purpose; sources of different
 /// purposes are independent.
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -33,14 +33,14 @@
     #[error("expected the command start once, found it again")]
     StartedTwice,
     /// The version of a change is not above the version of the list.
-    #[error("change of {host}: expected a version above {held}, found {version}")]
+    #[error("change of {host}: expected a version above {current}, found {version}")]
     OldVersion {
         /// The server whose entry changed.
         host: String,
         /// The version of the change.
         version: u64,
         /// The version of the list.
-        held: u64,
+        current: u64,
     },
     /// A command names a node that is not in this process.
     #[error("node {node}: expected one from {first} to {last}")]
@@ -132,11 +132,11 @@
 /// Raises the soft limit of descriptors of this process to its hard limit, but not above 20,000.
 pub fn raise_descriptors() -> Result<(), ProcessError> {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
-    let wanted = maximum.map_or(MAX_DESCRIPTORS, |maximum| maximum.min(MAX_DESCRIPTORS));
-    if current.is_none_or(|current| current >= wanted) {
+    let target = maximum.map_or(MAX_DESCRIPTORS, |maximum| maximum.min(MAX_DESCRIPTORS));
+    if current.is_none_or(|current| current >= target) {
         return Ok(());
     }
-    let raised = setrlimit(Resource::Nofile, Rlimit { current: Some(wanted), maximum });
+    let raised = setrlimit(Resource::Nofile, Rlimit { current: Some(target), maximum });
     raised.map_err(|error| ProcessError::System {
         context: "raising the limit of descriptors",
         error: error.into(),
--- a/crates/testbed/src/scale/propagation.rs
+++ b/crates/testbed/src/scale/propagation.rs
@@ -33,7 +33,7 @@
     incarnations: Vec<Incarnation>,
     applied: Vec<Applied>,
     /// The version of the list that the current incarnation has, if any.
-    held_version: Option<u64>,
+    list_version: Option<u64>,
 }
 
 /// Nodes that were started together without a list.
@@ -110,7 +110,7 @@
     /// Creates a record of nodes that all start at `from_us` with a list of this version.
     pub fn new(nodes: u32, from_us: u64, version: u64) -> Self {
         let incarnation = Incarnation { from_us, to_us: None, with_list: true };
-        let node = Node { incarnations: vec![incarnation], applied: Vec::new(), held_version: Some(version) };
+        let node = Node { incarnations: vec![incarnation], applied: Vec::new(), list_version: Some(version) };
         Self { changes: Vec::new(), nodes: vec![node; nodes as usize], launches: Vec::new() }
     }
 
@@ -123,7 +123,7 @@
     pub fn record_kill(&mut self, nodes: &[u32], at_us: u64) {
         for &number in nodes {
             if let Some(node) = self.nodes.get_mut(number as usize) {
-                node.held_version = None;
+                node.list_version = None;
                 if let Some(incarnation) = node.incarnations.last_mut() {
                     incarnation.to_us.get_or_insert(at_us);
                 }
@@ -136,7 +136,7 @@
     pub fn record_launch(&mut self, nodes: &[u32], at_us: u64, sending_ms: f64) {
         for &number in nodes {
             if let Some(node) = self.nodes.get_mut(number as usize) {
-                node.held_version = None;
+                node.list_version = None;
                 node.incarnations.push(Incarnation { from_us: at_us, to_us: None, with_list: false });
             }
         }
@@ -152,7 +152,7 @@
             .last()
             .is_some_and(|incarnation| incarnation.to_us.is_none() && applied.at_us >= incarnation.from_us);
         if in_this_incarnation {
-            node.held_version = Some(applied.version);
+            node.list_version = Some(applied.version);
         }
     }
 
@@ -168,7 +168,7 @@
         self.nodes
             .iter()
             .filter(is_running)
-            .filter(|node| node.held_version.is_none_or(|held_version| held_version < version))
+            .filter(|node| node.list_version.is_none_or(|list_version| list_version < version))
             .count()
     }
 
--- a/crates/testbed/src/scale/real/mod.rs
+++ b/crates/testbed/src/scale/real/mod.rs
@@ -50,7 +50,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 /// Number of the random stream of the load.
-const LOAD_STREAM: u64 = 0x7265_616c;
+const LOAD_PURPOSE: u64 = 0x7265_616c;
 
 /// Returns the response body for a request, which is unique to it.
 fn response_body(request: RequestNumber) -> String {
@@ -114,7 +114,7 @@
         let clients = Clients {
             rate: settings.rate,
             classes: settings.classes.clone(),
-            random: RandomSource::new(settings.seed).derive(LOAD_STREAM),
+            random: RandomSource::new(settings.seed).derive(LOAD_PURPOSE),
             nodes: nodes.clone(),
             recorder: servers.recorder().clone(),
             statistics: statistics.clone(),
--- a/crates/testbed/src/scale/replica/service.rs
+++ b/crates/testbed/src/scale/replica/service.rs
@@ -66,9 +66,9 @@
 
     /// Changes the entry of a server.
     pub fn change(&self, version: u64, server: ListedServer) -> Result<(), ProcessError> {
-        let held = self.list.borrow().version();
-        if version <= held {
-            return Err(ProcessError::OldVersion { host: server.host, version, held });
+        let current = self.list.borrow().version();
+        if version <= current {
+            return Err(ProcessError::OldVersion { host: server.host, version, current });
         }
         self.list.borrow_mut().change(version, server);
         self.version.send_replace(version);
@@ -144,7 +144,7 @@
         if request.method() != Method::GET || request.uri().path() != discovery_call::PATH {
             return empty_response(StatusCode::NOT_FOUND);
         }
-        let call = DiscoveryCall::read(request.uri().query());
+        let call = DiscoveryCall::parse(request.uri().query());
         let continued = call.after.is_some()
             && last_watch_answer.take().is_some_and(|answered| answered.elapsed() <= WATCH_CONTINUED_WITHIN);
         self.wait_while_silent().await;
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -257,9 +257,9 @@
 
     fn windows_table(&self) -> Table {
         let mut table = bordered_table(["", "at rest", "with events"]);
-        let mut row = |what: &str, value: &dyn Fn(&WindowFigures) -> String| {
+        let mut row = |label: &str, value: &dyn Fn(&WindowFigures) -> String| {
             let active = self.active.as_ref().map(value).unwrap_or_default();
-            table.add_row([what.to_owned(), value(&self.rest), active]);
+            table.add_row([label.to_owned(), value(&self.rest), active]);
         };
         row("seconds", &|window| format!("{:.1}", window.seconds));
         row("a hollow node: processor, us a second", &|window| {
@@ -292,8 +292,8 @@
 
     fn events_table(&self) -> Table {
         let mut table = bordered_table(["", "figure"]);
-        let mut row = |what: &str, value: String| {
-            table.add_row([what.to_owned(), value]);
+        let mut row = |label: &str, value: String| {
+            table.add_row([label.to_owned(), value]);
         };
         let (propagation, readiness) = (&self.propagation, &self.readiness);
         if propagation.changes > 0 {
--- a/crates/testbed/src/scale/requirements.rs
+++ b/crates/testbed/src/scale/requirements.rs
@@ -58,10 +58,10 @@
 
 /// A resource of which the run needs more than is allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("{what}: the run needs {needed} {unit}, {allowed} are allowed ({source_of_limit})")]
+#[error("{resource}: the run needs {needed} {unit}, {allowed} are allowed ({source_of_limit})")]
 pub struct Shortage {
     /// The name of the resource.
-    pub what: &'static str,
+    pub resource: &'static str,
     /// The unit of the amounts.
     pub unit: &'static str,
     /// The needed amount.
@@ -116,9 +116,9 @@
     pub fn fit(&self, limits: &Limits) -> Result<(), Vec<Shortage>> {
         const MIB: u64 = 1 << 20;
         let mut shortages = Vec::new();
-        let mut compare = |what, unit, needed, allowed, source_of_limit| {
+        let mut compare = |resource, unit, needed, allowed, source_of_limit| {
             if needed > allowed {
-                shortages.push(Shortage { what, unit, needed, allowed, source_of_limit });
+                shortages.push(Shortage { resource, unit, needed, allowed, source_of_limit });
             }
         };
         let (needed, allowed) = (self.descriptors, limits.descriptors);
--- a/crates/testbed/src/scale/run/executor.rs
+++ b/crates/testbed/src/scale/run/executor.rs
@@ -195,7 +195,7 @@
                 }
                 Ok(())
             }
-            Step::Answer { replicas, answering } => {
+            Step::SetAnswering { replicas, answering } => {
                 self.real_fleet.set_answering(replicas, *answering, unix_us());
                 for &replica in replicas {
                     let command = ReplicaCommand::Answer { answering: *answering };
@@ -215,7 +215,7 @@
                 let commands = self.replicas.restore_state(*replica as usize);
                 self.send_all(commands).await
             }
-            Step::ReplicaSet(replicas) => {
+            Step::SetReplicas(replicas) => {
                 let command = HollowCommand::Replicas { replicas: self.first_addresses(*replicas) };
                 for process in 0..self.nodes_per_process().len() {
                     self.processes.send_to_hollow(process, &command).await?;
--- a/crates/testbed/src/scale/script.rs
+++ b/crates/testbed/src/scale/script.rs
@@ -80,7 +80,7 @@
     /// The time of its beginning, counted from the beginning of the measurement.
     pub at: Duration,
     /// Its duration; `None` if it lasts until the end of the run.
-    pub over: Option<Duration>,
+    pub duration: Option<Duration>,
     /// What happens.
     pub kind: EventKind,
 }
@@ -102,7 +102,7 @@
         /// Restarts per day.
         per_day: f64,
         /// The downtime of each restart.
-        down: Duration,
+        downtime: Duration,
         /// Whether only nodes restart.
         nodes_only: bool,
     },
@@ -264,21 +264,21 @@
 fn read_events(top: &Table, length: Duration, zones: u32, replicas: u32) -> Vec<Event> {
     let read = top.tables("event", |table| {
         let at = table.need("at", table.time("at", Duration::ZERO..=length));
-        let over = table.time("over", Duration::ZERO..=length);
+        let duration = table.time("over", Duration::ZERO..=length);
         let kind = table.word("kind", &KINDS);
         table.need("kind", kind.map(|_| ()));
         let kind = KINDS[kind?];
         if !duration_is_optional(kind) {
-            table.need("over", over);
+            table.need("over", duration);
         }
-        let end = at + over.unwrap_or_default();
+        let end = at + duration.unwrap_or_default();
         if end > length {
             let found = time_text(end);
             let length = time_text(length);
             table
                 .fault("over", format!("expected an end within the length, \"{length}\", found \"{found}\""));
         }
-        Some(Event { at, over, kind: read_event_kind(table, kind, zones, replicas) })
+        Some(Event { at, duration, kind: read_event_kind(table, kind, zones, replicas) })
     });
     read.into_iter().flatten().collect()
 }
@@ -303,7 +303,7 @@
         },
         "restarts" => EventKind::Restarts {
             per_day: per_day(),
-            down: table.time("down", STEP).unwrap_or(Duration::from_secs(2)),
+            downtime: table.time("down", STEP).unwrap_or(Duration::from_secs(2)),
             nodes_only: table.flag("nodes_only").unwrap_or(false),
         },
         "zone" => EventKind::Zone { zone: below("zone", zones) },
--- a/crates/testbed/src/scale/steps.rs
+++ b/crates/testbed/src/scale/steps.rs
@@ -39,7 +39,7 @@
     /// Starts hollow nodes, given by index, without a list.
     Launch(Vec<u32>),
     /// Sets how replicas answer from now on.
-    Answer {
+    SetAnswering {
         /// The indices of the replicas.
         replicas: Vec<u32>,
         /// How they answer.
@@ -65,7 +65,7 @@
         replica: u32,
     },
     /// Configures nodes to use only this number of replicas, from the first one on.
-    ReplicaSet(u32),
+    SetReplicas(u32),
 }
 
 /// Returns the list at the start of a run in which nothing connects to the servers. All of them are ready.
@@ -195,11 +195,11 @@
 
     fn plan_event(&mut self, event: &Event, random: RandomSource) {
         let from = event.at;
-        let to = event.over.map(|over| from + over);
+        let to = event.duration.map(|duration| from + duration);
         match event.kind {
             EventKind::Changes { per_day, step } => self.plan_changes(event, per_day, step, random),
-            EventKind::Restarts { per_day, down, nodes_only } => {
-                self.plan_restarts(event, per_day, down, nodes_only, random);
+            EventKind::Restarts { per_day, downtime, nodes_only } => {
+                self.plan_restarts(event, per_day, downtime, nodes_only, random);
             }
             EventKind::Zone { zone } => {
                 let random_zone = (random.bits() % u64::from(self.script.zones)) as u32;
@@ -228,7 +228,7 @@
                 self.plan_answering(event, all, Answering::Away);
             }
             EventKind::ReplicaSet { replicas } if self.script.mechanism => {
-                self.push_step(from, Step::ReplicaSet(replicas));
+                self.push_step(from, Step::SetReplicas(replicas));
             }
             // Without the mechanism, nodes know only one address.
             EventKind::ReplicaSet { .. } => {}
@@ -242,9 +242,9 @@
     }
 
     fn plan_answering(&mut self, event: &Event, replicas: Vec<u32>, answering: Answering) {
-        self.push_step(event.at, Step::Answer { replicas: replicas.clone(), answering });
-        let end = event.over.map(|over| event.at + over);
-        self.push_end_step(end, Step::Answer { replicas, answering: Answering::Up });
+        self.push_step(event.at, Step::SetAnswering { replicas: replicas.clone(), answering });
+        let end = event.duration.map(|duration| event.at + duration);
+        self.push_end_step(end, Step::SetAnswering { replicas, answering: Answering::Up });
     }
 
     fn plan_changes(&mut self, event: &Event, per_day: f64, step: Duration, random: RandomSource) {
@@ -268,14 +268,14 @@
         &mut self,
         event: &Event,
         per_day: f64,
-        down: Duration,
+        downtime: Duration,
         nodes_only: bool,
         random: RandomSource,
     ) {
         let machines = u64::from(self.script.nodes) + self.initial_servers.len() as u64;
-        for (number, at) in random_times(event, per_day, down, random).into_iter().enumerate() {
+        for (number, at) in random_times(event, per_day, downtime, random).into_iter().enumerate() {
             let random = random.derive(1).derive(number as u64);
-            let back = at + down;
+            let back = at + downtime;
             let is_node = nodes_only || random.bits() % machines < u64::from(self.script.nodes);
             if is_node {
                 if let Some(node) = self.nodes.reserve_random(random.derive(1), at, back) {
@@ -293,7 +293,7 @@
     }
 
     fn plan_zone_loss(&mut self, event: &Event, zone: u32) {
-        let (from, to) = (event.at, event.at + event.over.unwrap_or_default());
+        let (from, to) = (event.at, event.at + event.duration.unwrap_or_default());
         let in_zone = |number: &u32| number % self.script.zones == zone;
         let nodes: Vec<_> = (0..self.script.nodes).filter(in_zone).collect();
         let nodes: Vec<_> = nodes.into_iter().filter(|&node| self.nodes.reserve(node, from, to)).collect();
@@ -351,10 +351,15 @@
 
 /// Returns the start times of operations that happen at a rate within an event and end before it does: one at
 /// a random time in each of equal parts of the event. There is at least one.
-fn random_times(event: &Event, per_day: f64, duration: Duration, random: RandomSource) -> Vec<Duration> {
-    let over = event.over.unwrap_or_default();
-    let count = (per_day * over.as_secs_f64() / SECONDS_PER_DAY).round().max(1.0) as u32;
-    let available = over.saturating_sub(duration);
+fn random_times(
+    event: &Event,
+    per_day: f64,
+    operation_time: Duration,
+    random: RandomSource,
+) -> Vec<Duration> {
+    let duration = event.duration.unwrap_or_default();
+    let count = (per_day * duration.as_secs_f64() / SECONDS_PER_DAY).round().max(1.0) as u32;
+    let available = duration.saturating_sub(operation_time);
     let part = available / count;
     (0..count)
         .map(|number| event.at + part * number + part.mul_f64(random.derive(u64::from(number)).uniform()))
--- a/crates/testbed/src/scale/virtual_time/calls.rs
+++ b/crates/testbed/src/scale/virtual_time/calls.rs
@@ -21,7 +21,7 @@
         if !state.up || state.incarnation != incarnation {
             return;
         }
-        let next_call = state.decide(|decisions, random| decisions.next_call(now, random));
+        let next_call = state.decide(|decision_logic, random| decision_logic.next_call(now, random));
         let Some(parameters) = next_call else { return };
         state.calls += 1;
         let id = CallId { node, number: state.calls };
@@ -223,8 +223,8 @@
             entries: entries.collect(),
         };
         let outcome = CallOutcome::Answered { took, response };
-        let next =
-            self.nodes[node as usize].decide(|decisions, random| decisions.call_ended(now, outcome, random));
+        let next = self.nodes[node as usize]
+            .decide(|decision_logic, random| decision_logic.call_ended(now, outcome, random));
         let Some(next) = next else { return };
         match next.applied {
             Some(version) => self.list_applied(node, version),
@@ -238,7 +238,9 @@
         let now = self.now;
         let state = &mut self.nodes[node as usize];
         state.connection = None;
-        if let Some(next) = state.decide(|decisions, random| decisions.call_ended(now, outcome, random)) {
+        if let Some(next) =
+            state.decide(|decision_logic, random| decision_logic.call_ended(now, outcome, random))
+        {
             self.schedule_next_call(node, next);
         }
     }
--- a/crates/testbed/src/scale/virtual_time/client.rs
+++ b/crates/testbed/src/scale/virtual_time/client.rs
@@ -80,7 +80,7 @@
 }
 
 /// The decisions of a node's discovery client. `random` returns uniform random values from 0 to 1.
-pub trait ClientDecisions {
+pub trait ClientDecisionLogic {
     /// Returns the next call.
     fn next_call(&mut self, now: Duration, random: &mut dyn FnMut() -> f64) -> NextCall;
 
@@ -95,7 +95,7 @@
 
 /// The decisions of the discovery client of `balancer_core`, for one address or for several replicas of known
 /// capacity.
-pub struct CoreClientDecisions {
+pub struct CoreClientDecisionLogic {
     poll_settings: PollSettings,
     capacity: Option<ReplicaCapacity>,
     names: Vec<String>,
@@ -104,7 +104,7 @@
     poll: Poll,
 }
 
-impl CoreClientDecisions {
+impl CoreClientDecisionLogic {
     /// Creates the decisions of a node that has not made a call yet.
     pub fn new(start: &ClientStart) -> Self {
         let script = &start.scene.script;
@@ -159,7 +159,7 @@
     }
 }
 
-impl ClientDecisions for CoreClientDecisions {
+impl ClientDecisionLogic for CoreClientDecisionLogic {
     fn next_call(&mut self, _now: Duration, random: &mut dyn FnMut() -> f64) -> NextCall {
         self.poll = self.client.next_poll(self.pacing(), self.list_validator.next_poll_kind(), random());
         let Poll { wait, timeout } = self.poll;
@@ -226,7 +226,7 @@
     }
 
     /// Creates the decisions of the discovery client of `balancer_core`.
-    pub fn client(&self) -> Box<dyn ClientDecisions> {
-        Box::new(CoreClientDecisions::new(self))
+    pub fn client(&self) -> Box<dyn ClientDecisionLogic> {
+        Box::new(CoreClientDecisionLogic::new(self))
     }
 }
--- a/crates/testbed/src/scale/virtual_time/nodes.rs
+++ b/crates/testbed/src/scale/virtual_time/nodes.rs
@@ -1,7 +1,7 @@
 //! The state of simulated nodes: incarnation, connection, call in flight, and the decisions of the discovery
 //! client.
 
-use super::client::{ClientDecisions, NextCall};
+use super::client::{ClientDecisionLogic, NextCall};
 use super::replica::Answer;
 use super::versions::FIRST_VERSION;
 use crate::random::RandomSource;
@@ -42,7 +42,7 @@
     /// The number of times that the node was killed.
     pub(super) incarnation: u32,
     pub(super) up: bool,
-    pub(super) decisions: Option<Box<dyn ClientDecisions>>,
+    pub(super) decision_logic: Option<Box<dyn ClientDecisionLogic>>,
     pub(super) call: Option<Call>,
     /// The number of calls that all incarnations made.
     pub(super) calls: u64,
@@ -62,7 +62,7 @@
         Self {
             incarnation: 0,
             up: false,
-            decisions: None,
+            decision_logic: None,
             call: None,
             calls: 0,
             connection: None,
@@ -83,13 +83,13 @@
     /// running.
     pub(super) fn decide<T>(
         &mut self,
-        decide: impl FnOnce(&mut dyn ClientDecisions, &mut dyn FnMut() -> f64) -> T,
+        decide: impl FnOnce(&mut dyn ClientDecisionLogic, &mut dyn FnMut() -> f64) -> T,
     ) -> Option<T> {
-        let Self { decisions, random, random_values, .. } = self;
+        let Self { decision_logic, random, random_values, .. } = self;
         let mut next_random = || {
             *random_values += 1;
             random.derive(*random_values).uniform()
         };
-        decisions.as_deref_mut().map(|decisions| decide(decisions, &mut next_random))
+        decision_logic.as_deref_mut().map(|decision_logic| decide(decision_logic, &mut next_random))
     }
 }
--- a/crates/testbed/src/scale/virtual_time/scene.rs
+++ b/crates/testbed/src/scale/virtual_time/scene.rs
@@ -71,7 +71,7 @@
                 Step::LoseState { .. } | Step::RestoreState { .. } => {
                     Err(SceneError::UnsupportedEvent { kind: "replica-reset" })
                 }
-                Step::ReplicaSet(_) => Err(SceneError::UnsupportedEvent { kind: "replica-set" }),
+                Step::SetReplicas(_) => Err(SceneError::UnsupportedEvent { kind: "replica-set" }),
                 _ => Ok((planned.at, SceneEvent::Step(planned.step))),
             });
         let events = planned.collect::<Result<_, _>>()?;
--- a/crates/testbed/src/scale/virtual_time/scenes.rs
+++ b/crates/testbed/src/scale/virtual_time/scenes.rs
@@ -121,7 +121,7 @@
 
 fn changes(length: Duration) -> Event {
     let kind = EventKind::Changes { per_day: CHANGES_PER_DAY, step: Duration::from_secs(2) };
-    Event { at: Duration::ZERO, over: Some(length), kind }
+    Event { at: Duration::ZERO, duration: Some(length), kind }
 }
 
 fn rack_lost(size: &Size) -> Result<Scene, SceneError> {
--- a/crates/testbed/src/scale/virtual_time/simulation.rs
+++ b/crates/testbed/src/scale/virtual_time/simulation.rs
@@ -1,7 +1,7 @@
 //! Simulates a scene: the event loop, and the effects of events on nodes and replicas. `calls` simulates the
 //! calls of nodes.
 
-use super::client::{ClientDecisions, ClientStart};
+use super::client::{ClientDecisionLogic, ClientStart};
 use super::event_queue::{EventQueue, SimulationEvent};
 use super::measure::{Outcome, ReplicaOutcome, SentLines};
 use super::nodes::{CallResult, Node};
@@ -21,7 +21,7 @@
 const FIRST_CALLS: Duration = Duration::from_secs(20);
 
 /// Creates the decisions of a node's discovery client.
-pub type MakeClient<'a> = &'a mut dyn FnMut(ClientStart) -> Box<dyn ClientDecisions>;
+pub type MakeClient<'a> = &'a mut dyn FnMut(ClientStart) -> Box<dyn ClientDecisionLogic>;
 
 /// Runs a scene with the real decisions.
 pub fn run(scene: &Scene) -> Outcome {
@@ -104,10 +104,10 @@
     /// Starts a node that runs and has the list from the beginning.
     fn start_with_list(&mut self, node: u32) {
         let list = Some((FIRST_VERSION, self.initial_servers.as_slice()));
-        let decisions = (self.make_client)(ClientStart { scene: self.scene, node, list });
+        let decision_logic = (self.make_client)(ClientStart { scene: self.scene, node, list });
         let first_calls = FIRST_CALLS.min(self.scene.script.settle);
         let state = &mut self.nodes[node as usize];
-        (state.up, state.version, state.decisions) = (true, Some(FIRST_VERSION), Some(decisions));
+        (state.up, state.version, state.decision_logic) = (true, Some(FIRST_VERSION), Some(decision_logic));
         let at = first_calls.mul_f64(state.first_call_fraction());
         self.events.schedule(at, SimulationEvent::CallBegins { node, incarnation: 0 });
     }
@@ -171,12 +171,12 @@
             Step::Change { server, .. } => self.change(server),
             Step::Kill(nodes) => nodes.iter().for_each(|node| self.kill(*node)),
             Step::Launch(nodes) => nodes.iter().for_each(|node| self.launch(*node)),
-            Step::Answer { replicas, answering } => {
+            Step::SetAnswering { replicas, answering } => {
                 replicas.iter().for_each(|replica| self.set_answering(*replica, *answering));
             }
             Step::SetLag { replica, by } => self.set_lag(*replica, *by),
             // `Scene::of_script` rejects scripts with these steps.
-            Step::LoseState { .. } | Step::RestoreState { .. } | Step::ReplicaSet(_) => {}
+            Step::LoseState { .. } | Step::RestoreState { .. } | Step::SetReplicas(_) => {}
         }
     }
 
@@ -223,13 +223,13 @@
         let state = &mut self.nodes[node as usize];
         state.incarnation += 1;
         (state.up, state.version, state.launched_at) = (false, None, None);
-        (state.connection, state.decisions) = (None, None);
+        (state.connection, state.decision_logic) = (None, None);
     }
 
     fn launch(&mut self, node: u32) {
-        let decisions = (self.make_client)(ClientStart { scene: self.scene, node, list: None });
+        let decision_logic = (self.make_client)(ClientStart { scene: self.scene, node, list: None });
         let state = &mut self.nodes[node as usize];
-        (state.up, state.decisions, state.launched_at) = (true, Some(decisions), Some(self.now));
+        (state.up, state.decision_logic, state.launched_at) = (true, Some(decision_logic), Some(self.now));
         state.counted_after = self.versions.latest();
         self.outcome.launches += 1;
         let event = SimulationEvent::CallBegins { node, incarnation: state.incarnation };
--- a/crates/testbed/src/sockets/cache_server/connection.rs
+++ b/crates/testbed/src/sockets/cache_server/connection.rs
@@ -72,7 +72,7 @@
         let index = state.servers[state.processes[process].server].index;
         let kind = fleet::server_kind(&context.script, index);
         let idle_timeout = kind.idle_timeout.unwrap_or(context.script.network.idle_timeout);
-        (ConnectionFaults::new(state.connections_forgotten_at[index].clone()), idle_timeout)
+        (ConnectionFaults::new(state.connection_state_lost_at[index].clone()), idle_timeout)
     };
     let stream = FaultyStream::new(stream, faults.clone());
     let last_arrival = stream.last_arrival();
@@ -95,7 +95,7 @@
         _ = serving.as_mut() => return,
         () = usage.idle_for(idle_timeout) => {}
     }
-    if faults.is_forgotten() {
+    if faults.is_half_open() {
         // The node must not see the connection close.
         return std::future::pending().await;
     }
--- a/crates/testbed/src/sockets/cache_server/mod.rs
+++ b/crates/testbed/src/sockets/cache_server/mod.rs
@@ -142,8 +142,8 @@
     let listener = match listen(same_address.then_some(address)).await {
         Ok(listener) => listener,
         Err(error) => {
-            let what = format!("a cache server does not start again at {address}");
-            return context.abort(SocketRunError::System { what, error });
+            let operation = format!("a cache server does not start again at {address}");
+            return context.abort(SocketRunError::System { context: operation, error });
         }
     };
     if same_id {
--- a/crates/testbed/src/sockets/cache_server/tests.rs
+++ b/crates/testbed/src/sockets/cache_server/tests.rs
@@ -32,21 +32,21 @@
 }
 
 #[tokio::test]
-async fn an_idle_connection_is_closed_unless_it_was_forgotten() {
+async fn an_idle_connection_is_closed_unless_it_is_half_open() {
     run_local(async {
         let context = start_one_server(Duration::from_millis(20)).await;
         let mut idle = TcpStream::connect(address(&context)).await.unwrap();
         assert_eq!(idle.read(&mut [0; 1]).await.unwrap(), 0, "closed without a reset");
-        let mut forgotten = TcpStream::connect(address(&context)).await.unwrap();
+        let mut half_open = TcpStream::connect(address(&context)).await.unwrap();
         // Waits until the server has accepted the connection.
         while context.state.borrow().processes[0].connections == 0 {
             sleep(MIN_IDLE_CHECK_INTERVAL).await;
         }
-        context.state.borrow().connections_forgotten_at[0].set(Some(Instant::now()));
+        context.state.borrow().connection_state_lost_at[0].set(Some(Instant::now()));
         let mut other = TcpStream::connect(address(&context)).await.unwrap();
-        let (mut from_forgotten, mut from_other) = ([0; 1], [0; 1]);
+        let (mut from_half_open, mut from_other) = ([0; 1], [0; 1]);
         tokio::select! {
-            read = forgotten.read(&mut from_forgotten) => panic!("{read:?}"),
+            read = half_open.read(&mut from_half_open) => panic!("{read:?}"),
             closed = other.read(&mut from_other) => assert_eq!(closed.unwrap(), 0),
         }
     })
--- a/crates/testbed/src/sockets/context.rs
+++ b/crates/testbed/src/sockets/context.rs
@@ -3,7 +3,7 @@
 
 use super::cache_server::JobResult;
 use super::error::SocketRunError;
-use super::faulty_stream::ForgottenAt;
+use super::faulty_stream::StateLostAt;
 use super::node::Node;
 use crate::fault_schedule::ServerCondition;
 use crate::fleet;
@@ -11,7 +11,7 @@
 use crate::models::cache_server::JobId;
 use crate::models::{CacheServer, Origin};
 use crate::network_model;
-use crate::random::{RandomSource, RUN_STREAM};
+use crate::random::{RandomSource, RUN_PURPOSE};
 use crate::run_result::Sample;
 use crate::script::Script;
 use crate::workload::{Operation, Workload};
@@ -94,7 +94,7 @@
     /// Network and error faults at each index in the fleet.
     pub(super) conditions: Vec<watch::Sender<ServerCondition>>,
     /// When the connections to each index in the fleet were last forgotten.
-    pub(super) connections_forgotten_at: Vec<ForgottenAt>,
+    pub(super) connection_state_lost_at: Vec<StateLostAt>,
     pub(super) processes: Vec<Process>,
     pub(super) origin: Origin,
     /// The process that each fetch at the origin belongs to.
@@ -142,7 +142,7 @@
         let folder = std::env::temp_dir().join(format!("cache-balancer-rehearse-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(SocketRunError::system(format!("{}", folder.display())))?;
         Ok(Self {
-            random: RandomSource::new(script.seed).derive(RUN_STREAM),
+            random: RandomSource::new(script.seed).derive(RUN_PURPOSE),
             judge: RefCell::new(Judge::new(&script)),
             state: RefCell::new(State::new(&script)),
             script,
@@ -236,7 +236,7 @@
             servers: Vec::new(),
             server_at: Vec::new(),
             conditions: (0..servers).map(|_| watch::Sender::default()).collect(),
-            connections_forgotten_at: (0..servers).map(|_| Rc::default()).collect(),
+            connection_state_lost_at: (0..servers).map(|_| Rc::default()).collect(),
             processes: Vec::new(),
             origin: Origin::new(script.origin.clone()),
             fetch_processes: HashMap::new(),
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -159,7 +159,7 @@
 }
 
 async fn respond(context: &Rc<Context>, node: usize, request: Request<Incoming>) -> HttpResponse {
-    let call = DiscoveryCall::read(request.uri().query());
+    let call = DiscoveryCall::parse(request.uri().query());
     let mut available = context.discovery.available.subscribe();
     let response = tokio::select! {
         response = answer(context, node, call) => response,
--- a/crates/testbed/src/sockets/error.rs
+++ b/crates/testbed/src/sockets/error.rs
@@ -8,10 +8,10 @@
 #[derive(Debug, Error)]
 pub enum SocketRunError {
     /// A system call failed.
-    #[error("{what}: {error}")]
+    #[error("{context}: {error}")]
     System {
         /// The operation that failed.
-        what: String,
+        context: String,
         /// The error of the system call.
         error: io::Error,
     },
@@ -35,8 +35,8 @@
 
 impl SocketRunError {
     /// Returns a function for `map_err` that adds the operation to the error of a system call.
-    pub(super) fn system(what: impl Into<String>) -> impl FnOnce(io::Error) -> Self {
-        let what = what.into();
-        move |error| Self::System { what, error }
+    pub(super) fn system(context: impl Into<String>) -> impl FnOnce(io::Error) -> Self {
+        let context = context.into();
+        move |error| Self::System { context, error }
     }
 }
--- a/crates/testbed/src/sockets/faults.rs
+++ b/crates/testbed/src/sockets/faults.rs
@@ -30,15 +30,15 @@
         }
         Change::Pause { index, duration } => pause(context, index, duration),
         Change::SetCondition { index, condition } => set_condition(context, index, condition),
-        Change::ForgetConnections { index } => {
-            context.state.borrow().connections_forgotten_at[index].set(Some(Instant::now()));
+        Change::LoseConnectionState { index } => {
+            context.state.borrow().connection_state_lost_at[index].set(Some(Instant::now()));
         }
         Change::UpgradeNode { node } => drop(spawn_local(node::upgrade(context.clone(), node))),
         Change::ReloadNode { node } => node::reload(context, node),
         Change::RestartNode { node, killed, downtime } => {
             spawn_local(node::restart(context.clone(), node, killed, downtime));
         }
-        Change::SlowOrigin { factor } => context.state.borrow_mut().origin.set_slowdown(factor),
+        Change::SetOriginSlowdown { factor } => context.state.borrow_mut().origin.set_slowdown(factor),
         Change::SetDiscoveryAvailable { available } => {
             context.discovery.available.send_replace(available);
         }
--- a/crates/testbed/src/sockets/faulty_stream/mod.rs
+++ b/crates/testbed/src/sockets/faulty_stream/mod.rs
@@ -15,25 +15,25 @@
 use tokio::time::Instant;
 
 /// When the emulated middlebox in front of a cache server last dropped its connection state.
-pub(super) type ForgottenAt = Rc<Cell<Option<Instant>>>;
+pub(super) type StateLostAt = Rc<Cell<Option<Instant>>>;
 
 /// The faults of one connection.
 #[derive(Clone, Debug)]
 pub(super) struct ConnectionFaults {
     established_at: Instant,
-    forgotten_at: ForgottenAt,
+    state_lost_at: StateLostAt,
     reset_next_write: Rc<Cell<bool>>,
 }
 
 impl ConnectionFaults {
     /// Creates the faults of a connection that is established now.
-    pub(super) fn new(forgotten_at: ForgottenAt) -> Self {
-        Self { established_at: Instant::now(), forgotten_at, reset_next_write: Rc::default() }
+    pub(super) fn new(state_lost_at: StateLostAt) -> Self {
+        Self { established_at: Instant::now(), state_lost_at, reset_next_write: Rc::default() }
     }
 
     /// Returns whether the middlebox has forgotten this connection, so that no data passes any more.
-    pub(super) fn is_forgotten(&self) -> bool {
-        self.forgotten_at.get().is_some_and(|at| self.established_at <= at)
+    pub(super) fn is_half_open(&self) -> bool {
+        self.state_lost_at.get().is_some_and(|at| self.established_at <= at)
     }
 
     /// Resets the connection in the middle of the next write.
@@ -65,7 +65,7 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.faults.is_forgotten() {
+        if self.faults.is_half_open() {
             // No wake-up is needed, since no data will ever arrive.
             return Poll::Pending;
         }
@@ -73,7 +73,7 @@
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         // The connection may have been forgotten since the check above. The close of the peer must not be
         // seen then.
-        if read.is_ready() && self.faults.is_forgotten() {
+        if read.is_ready() && self.faults.is_half_open() {
             buf.set_filled(before);
             return Poll::Pending;
         }
@@ -83,7 +83,7 @@
 
 impl AsyncWrite for FaultyStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        if self.faults.is_forgotten() {
+        if self.faults.is_half_open() {
             return Poll::Ready(Ok(buf.len()));
         }
         if !self.faults.reset_next_write.get() {
@@ -104,7 +104,7 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.faults.is_forgotten() {
+        if self.faults.is_half_open() {
             return Poll::Ready(Ok(()));
         }
         Pin::new(&mut self.stream).poll_shutdown(cx)
--- a/crates/testbed/src/sockets/faulty_stream/tests.rs
+++ b/crates/testbed/src/sockets/faulty_stream/tests.rs
@@ -4,17 +4,17 @@
 use tokio::net::TcpListener;
 
 /// Returns both ends of a connection: the node's, and the server's with its faults.
-async fn connected_pair(forgotten_at: &ForgottenAt) -> (TcpStream, FaultyStream, ConnectionFaults) {
+async fn connected_pair(state_lost_at: &StateLostAt) -> (TcpStream, FaultyStream, ConnectionFaults) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let node = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-    let faults = ConnectionFaults::new(forgotten_at.clone());
+    let faults = ConnectionFaults::new(state_lost_at.clone());
     let server = FaultyStream::new(listener.accept().await.unwrap().0, faults.clone());
     (node, server, faults)
 }
 
 #[tokio::test]
 async fn a_reset_write_delivers_half_of_its_bytes_and_then_a_reset() {
-    let (mut node, mut server, faults) = connected_pair(&ForgottenAt::default()).await;
+    let (mut node, mut server, faults) = connected_pair(&StateLostAt::default()).await;
     server.write_all(b"whole ").await.unwrap();
     faults.reset_next_write();
     let error = server.write_all(b"never whole").await.unwrap_err();
@@ -29,28 +29,28 @@
 }
 
 #[tokio::test]
-async fn a_forgotten_connection_drops_all_data_and_a_later_one_works() {
-    let forgotten_at = ForgottenAt::default();
-    let (mut node, mut server, faults) = connected_pair(&forgotten_at).await;
+async fn a_half_open_connection_drops_all_data_and_a_later_one_works() {
+    let state_lost_at = StateLostAt::default();
+    let (mut node, mut server, faults) = connected_pair(&state_lost_at).await;
     server.write_all(b"a").await.unwrap();
     assert_eq!(node.read_u8().await.unwrap(), b'a');
-    forgotten_at.set(Some(Instant::now()));
-    assert!(faults.is_forgotten());
+    state_lost_at.set(Some(Instant::now()));
+    assert!(faults.is_half_open());
     // Writes succeed at both ends.
     server.write_all(b"b").await.unwrap();
     node.write_all(b"c").await.unwrap();
     server.shutdown().await.unwrap();
     let (mut server_buffer, mut node_buffer) = ([0; 1], [0; 1]);
     // A connection counts as forgotten until the clock has advanced since `forgotten_at`.
-    let mut later = connected_pair(&forgotten_at).await;
+    let mut later = connected_pair(&state_lost_at).await;
     for _ in 0..1_000 {
-        if !later.2.is_forgotten() {
+        if !later.2.is_half_open() {
             break;
         }
-        later = connected_pair(&forgotten_at).await;
+        later = connected_pair(&state_lost_at).await;
     }
     let (mut later_node, mut later, faults) = later;
-    assert!(!faults.is_forgotten());
+    assert!(!faults.is_half_open());
     tokio::select! {
         biased;
         read = server.read(&mut server_buffer) => panic!("{read:?}"),
--- a/crates/testbed/src/virtual_time/attempts.rs
+++ b/crates/testbed/src/virtual_time/attempts.rs
@@ -126,7 +126,7 @@
         let Attempt { server, established_at, .. } = self.requests[request].attempts[attempt];
         let index = self.servers[server].index;
         self.conditions[index].reachable
-            && self.connections_forgotten_at[index].is_none_or(|forgotten_at| established_at > forgotten_at)
+            && self.connection_state_lost_at[index].is_none_or(|state_lost_at| established_at > state_lost_at)
     }
 
     /// Returns whether a process refuses another connection. Connections that were closed after their idle
--- a/crates/testbed/src/virtual_time/event_queue.rs
+++ b/crates/testbed/src/virtual_time/event_queue.rs
@@ -42,7 +42,7 @@
     /// The state machine of the origin is due for a wakeup.
     OriginWakeup,
     /// A change of the fault schedule is due.
-    Fault { change: usize },
+    ChangeDue { change: usize },
     /// Discovery detects the new state of a cache server.
     StateDetected { server: usize, state: EndpointState, started_at: Option<Timestamp> },
     /// A node's call to discovery is due.
--- a/crates/testbed/src/virtual_time/faults.rs
+++ b/crates/testbed/src/virtual_time/faults.rs
@@ -19,11 +19,11 @@
             Change::Start { index, same_id, .. } => self.restart_server(index, same_id),
             Change::Pause { index, duration } => self.pause_server(index, duration),
             Change::SetCondition { index, condition } => self.set_condition(index, condition),
-            Change::ForgetConnections { index } => self.connections_forgotten_at[index] = Some(self.now),
+            Change::LoseConnectionState { index } => self.connection_state_lost_at[index] = Some(self.now),
             Change::UpgradeNode { node } => self.upgrade_node(node),
             Change::ReloadNode { node } => self.reload_node(node),
             Change::RestartNode { node, killed, downtime } => self.restart_node(node, killed, downtime),
-            Change::SlowOrigin { factor } => self.origin.set_slowdown(factor),
+            Change::SetOriginSlowdown { factor } => self.origin.set_slowdown(factor),
             Change::SetDiscoveryAvailable { available } => self.set_discovery_available(available),
             Change::SetDiscoveryErrors { rate } => self.discovery.error_rate = rate,
         }
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -22,7 +22,7 @@
 use simulation::Simulation;
 
 /// The decision logic of a node: the production balancer, or a test's variant that breaks a rule.
-pub trait Decisions {
+pub trait DecisionLogic {
     /// Handles an event and appends the resulting actions of the node.
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>);
 
@@ -32,7 +32,7 @@
     }
 }
 
-impl Decisions for Balancer {
+impl DecisionLogic for Balancer {
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         Balancer::handle(self, now, event, actions);
     }
@@ -43,29 +43,33 @@
 }
 
 /// Creates the decision logic of a node from its settings and a seed.
-pub type MakeDecisions<'a> = &'a mut dyn FnMut(Settings, u64) -> Box<dyn Decisions>;
+pub type MakeDecisionLogic<'a> = &'a mut dyn FnMut(Settings, u64) -> Box<dyn DecisionLogic>;
 
 /// The protections that the driver of a node applies independently of its decision logic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Safeguards {
+pub struct DriverSafeguards {
     /// The driver fails a request that the decision logic has not answered shortly before its deadline.
-    pub answers_in_time: bool,
+    pub fails_overdue_requests: bool,
     /// The driver sends nothing for a request that has its final answer, and nothing to a server that is not
     /// ready.
     pub suppresses_late_sends: bool,
 }
 
-impl Safeguards {
+impl DriverSafeguards {
     /// The safeguards of the daemon.
-    pub const ALL: Self = Self { answers_in_time: true, suppresses_late_sends: true };
+    pub const ALL: Self = Self { fails_overdue_requests: true, suppresses_late_sends: true };
 }
 
 /// Runs a script with the production balancer.
 pub fn run(script: &Script) -> RunResult {
-    run_with(script, Safeguards::ALL, &mut |settings, seed| Box::new(Balancer::new(settings, seed)))
+    run_with(script, DriverSafeguards::ALL, &mut |settings, seed| Box::new(Balancer::new(settings, seed)))
 }
 
 /// Runs a script with other decision logic and safeguards.
-pub fn run_with(script: &Script, safeguards: Safeguards, make_decisions: MakeDecisions) -> RunResult {
-    Simulation::new(script, safeguards, make_decisions).run()
+pub fn run_with(
+    script: &Script,
+    safeguards: DriverSafeguards,
+    make_decision_logic: MakeDecisionLogic,
+) -> RunResult {
+    Simulation::new(script, safeguards, make_decision_logic).run()
 }
--- a/crates/testbed/src/virtual_time/nodes.rs
+++ b/crates/testbed/src/virtual_time/nodes.rs
@@ -66,7 +66,7 @@
         let latency = self.client_latency(self.request_random(request).derive(2));
         let timeout = expires_at.since(self.now) + latency;
         let deadline = self.now + timeout.saturating_sub(DEADLINE_MARGIN);
-        if self.safeguards.answers_in_time {
+        if self.safeguards.fails_overdue_requests {
             let event = SimulationEvent::DeadlineTimer { request };
             self.events.schedule(deadline + DEADLINE_TIMER_DELAY, event);
         }
@@ -131,7 +131,7 @@
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
-            self.nodes[node].decisions.handle(self.now, event, &mut actions);
+            self.nodes[node].decision_logic.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
                 events.extend(self.execute(node, action));
             }
@@ -197,10 +197,10 @@
         let settings = fleet::node_settings(self.script, self.nodes[node].zone);
         let incarnation = self.nodes[node].incarnation + 1;
         let seed = self.random.derive(node as u64).derive(u64::from(incarnation)).bits();
-        let decisions = (self.make_decisions)(settings, seed);
+        let decision_logic = (self.make_decision_logic)(settings, seed);
         let keeps_list_version = !self.script.uses_operator_file();
         let state = &mut self.nodes[node];
-        state.decisions = decisions;
+        state.decision_logic = decision_logic;
         state.incarnation = incarnation;
         state.up = true;
         state.shutting_down = false;
@@ -221,7 +221,7 @@
         if !self.nodes[node].up || self.nodes[node].shutting_down {
             return;
         }
-        if let Some(state) = self.nodes[node].decisions.learned_state(self.now) {
+        if let Some(state) = self.nodes[node].decision_logic.learned_state(self.now) {
             self.decide(node, Event::StateRestored(Arc::new(state)));
         }
     }
--- a/crates/testbed/src/virtual_time/simulation.rs
+++ b/crates/testbed/src/virtual_time/simulation.rs
@@ -2,14 +2,14 @@
 
 use super::event_queue::{EventQueue, SimulationEvent};
 use super::state::{ClientRequest, ListedState, Node, Process, Server, StartedOperation};
-use super::{MakeDecisions, Safeguards};
+use super::{DriverSafeguards, MakeDecisionLogic};
 use crate::counts::Counts;
 use crate::fault_schedule::{changes, Change, ServerCondition};
 use crate::fleet;
 use crate::judge::Judge;
 use crate::models::Origin;
 use crate::placement::Placement;
-use crate::random::{RandomSource, RUN_STREAM};
+use crate::random::{RandomSource, RUN_PURPOSE};
 use crate::run_result::{hit_rate, RunResult, Sample};
 use crate::script::Script;
 use crate::workload::{Operation, Workload};
@@ -24,8 +24,8 @@
 
 pub(super) struct Simulation<'a> {
     pub(super) script: &'a Script,
-    pub(super) safeguards: Safeguards,
-    pub(super) make_decisions: MakeDecisions<'a>,
+    pub(super) safeguards: DriverSafeguards,
+    pub(super) make_decision_logic: MakeDecisionLogic<'a>,
     pub(super) now: Timestamp,
     pub(super) events: EventQueue,
     pub(super) judge: Judge,
@@ -44,7 +44,7 @@
     pub(super) conditions: Vec<ServerCondition>,
     /// The time of the last loss of connections by index in the fleet. No packets pass on connections that
     /// were established up to this time.
-    pub(super) connections_forgotten_at: Vec<Option<Timestamp>>,
+    pub(super) connection_state_lost_at: Vec<Option<Timestamp>>,
     pub(super) processes: Vec<Process>,
     pub(super) nodes: Vec<Node>,
     /// The nodes to which the front sends requests, by zone.
@@ -86,8 +86,12 @@
 }
 
 impl<'a> Simulation<'a> {
-    pub(super) fn new(script: &'a Script, safeguards: Safeguards, make_decisions: MakeDecisions<'a>) -> Self {
-        let mut simulation = Self::empty(script, safeguards, make_decisions);
+    pub(super) fn new(
+        script: &'a Script,
+        safeguards: DriverSafeguards,
+        make_decision_logic: MakeDecisionLogic<'a>,
+    ) -> Self {
+        let mut simulation = Self::empty(script, safeguards, make_decision_logic);
         simulation.start_servers();
         simulation.start_nodes();
         simulation.schedule_changes();
@@ -97,16 +101,20 @@
     }
 
     /// Creates a simulation without servers, nodes and events.
-    fn empty(script: &'a Script, safeguards: Safeguards, make_decisions: MakeDecisions<'a>) -> Self {
+    fn empty(
+        script: &'a Script,
+        safeguards: DriverSafeguards,
+        make_decision_logic: MakeDecisionLogic<'a>,
+    ) -> Self {
         let seconds = script.length.as_secs_f64().ceil() as usize;
         Self {
             script,
             safeguards,
-            make_decisions,
+            make_decision_logic,
             now: Timestamp::default(),
             events: EventQueue::default(),
             judge: Judge::new(script),
-            random: RandomSource::new(script.seed).derive(RUN_STREAM),
+            random: RandomSource::new(script.seed).derive(RUN_PURPOSE),
             workload: Workload::new(script),
             next_operation: None,
             operations: Vec::new(),
@@ -117,7 +125,7 @@
             placement: None,
             server_at: Vec::new(),
             conditions: vec![ServerCondition::default(); fleet::server_count(script)],
-            connections_forgotten_at: vec![None; fleet::server_count(script)],
+            connection_state_lost_at: vec![None; fleet::server_count(script)],
             processes: Vec::new(),
             nodes: Vec::new(),
             nodes_in_rotation: vec![Vec::new(); script.zones.len()],
@@ -148,10 +156,10 @@
         for node in 0..self.script.nodes as usize {
             let zone = fleet::node_zone(self.script, node);
             let settings = fleet::node_settings(self.script, zone);
-            let decisions = (self.make_decisions)(settings, self.random.derive(node as u64).bits());
+            let decision_logic = (self.make_decision_logic)(settings, self.random.derive(node as u64).bits());
             self.nodes.push(Node {
                 zone,
-                decisions,
+                decision_logic,
                 reloads: 0,
                 incarnation: 0,
                 up: false,
@@ -172,7 +180,7 @@
 
     fn schedule_changes(&mut self) {
         for (at, change) in changes(self.script) {
-            let event = SimulationEvent::Fault { change: self.changes.len() };
+            let event = SimulationEvent::ChangeDue { change: self.changes.len() };
             self.changes.push(change);
             self.events.schedule(self.now + at, event);
         }
@@ -218,7 +226,7 @@
             SimulationEvent::AttemptTimesOut { request, attempt } => self.attempt_times_out(request, attempt),
             SimulationEvent::ServerWakeup { process } => self.server_wakeup(process),
             SimulationEvent::OriginWakeup => self.origin_wakeup(),
-            SimulationEvent::Fault { change } => self.apply_change(change),
+            SimulationEvent::ChangeDue { change } => self.apply_change(change),
             SimulationEvent::StateDetected { server, state, started_at } => {
                 self.state_detected(server, state, started_at);
             }
--- a/crates/testbed/src/virtual_time/state.rs
+++ b/crates/testbed/src/virtual_time/state.rs
@@ -1,6 +1,6 @@
 //! The state of the servers, nodes and requests of a simulation.
 
-use super::Decisions;
+use super::DecisionLogic;
 use crate::models::CacheServer;
 use crate::workload::Operation;
 use balancer_core::{AttemptStatus, Endpoint, EndpointState, LoadReport, ServerId, Timestamp};
@@ -41,7 +41,7 @@
 /// A node with its decision logic, connections and endpoint list.
 pub(super) struct Node {
     pub(super) zone: usize,
-    pub(super) decisions: Box<dyn Decisions>,
+    pub(super) decision_logic: Box<dyn DecisionLogic>,
     /// The number of reloads since the start. When it is odd, the node's classes are in reverse order.
     pub(super) reloads: u32,
     /// The number of starts. Events of an earlier incarnation are ignored.
--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -7,7 +7,7 @@
 use testbed::scale::line_queue::{LineQueue, QueueFull};
 use testbed::scale::messages::ReplicaCapacity;
 use testbed::scale::script::{Event, EventKind, ScaleScript};
-use testbed::scale::virtual_time::client::{AfterCall, CallOutcome, ClientDecisions, NextCall};
+use testbed::scale::virtual_time::client::{AfterCall, CallOutcome, ClientDecisionLogic, NextCall};
 use testbed::scale::virtual_time::scenes::{named, names, Size, VIRTUAL_ONLY};
 use testbed::scale::virtual_time::{
     run, run_traced, run_with, Outcome, Scene, SceneError, SceneEvent, SentLines,
@@ -32,8 +32,8 @@
     Scene::of_script(script).expect("a scene")
 }
 
-fn event(at: u64, over: u64, kind: EventKind) -> Event {
-    Event { at: Duration::from_secs(at), over: Some(Duration::from_secs(over)), kind }
+fn event(at: u64, duration: u64, kind: EventKind) -> Event {
+    Event { at: Duration::from_secs(at), duration: Some(Duration::from_secs(duration)), kind }
 }
 
 fn assert_all_caught_up(outcome: &Outcome) {
@@ -112,8 +112,8 @@
     let cut = |region, at| (Duration::from_secs(at), SceneEvent::CutOff { region });
     let back = |region, at| (Duration::from_secs(at), SceneEvent::Reconnect { region });
     let scene = quiet(&several, vec![changes]);
-    let whole = run(&scene);
-    assert!(whole.latencies.quantile(1.0) < Some(SECOND), "{whole:?}");
+    let connected = run(&scene);
+    assert!(connected.latencies.quantile(1.0) < Some(SECOND), "{connected:?}");
     // Region 0 has its own replica and region 13 has none. Neither receives changes until it is reconnected.
     for region in [0, 13] {
         let outcome = run(&scene.clone().with([cut(region, 10), back(region, 110)]));
@@ -149,7 +149,7 @@
     replica: u32,
 }
 
-impl ClientDecisions for TrustingClient {
+impl ClientDecisionLogic for TrustingClient {
     fn next_call(&mut self, _now: Duration, _random: &mut dyn FnMut() -> f64) -> NextCall {
         self.replica = 1 - self.replica;
         let timeout = 3 * SECOND;
@@ -233,7 +233,7 @@
             .prop_map(|(per_day, step)| EventKind::Changes { per_day, step: SECOND * step }),
         (1_000.0..100_000.0).prop_map(|per_day| EventKind::Restarts {
             per_day,
-            down: SECOND,
+            downtime: SECOND,
             nodes_only: false
         }),
         (0..34u32).prop_map(|zone| EventKind::Zone { zone: Some(zone) }),
@@ -242,7 +242,7 @@
         (1..10u32).prop_map(|lag| EventKind::ReplicaLagging { replica: None, lag: SECOND * lag }),
         Just(EventKind::DiscoveryAway),
     ];
-    (0..60u64, 1..60u64, kind).prop_map(|(at, over, kind)| event(at, over, kind))
+    (0..60u64, 1..60u64, kind).prop_map(|(at, duration, kind)| event(at, duration, kind))
 }
 
 /// Generates small scenes with arbitrary events and partitions, all of which end before the scene does.
@@ -260,8 +260,8 @@
             let capacity =
                 ReplicaCapacity { lines_per_second, call_lines: 10.0, continued_call_lines, queue_limit_ms };
             let size = Size { nodes, servers, replicas, mechanism: true, capacity, seed };
-            let cuts = cuts.into_iter().flat_map(|(region, at, over)| {
-                let (at, to) = (Duration::from_secs(at), Duration::from_secs(at + over));
+            let cuts = cuts.into_iter().flat_map(|(region, at, duration)| {
+                let (at, to) = (Duration::from_secs(at), Duration::from_secs(at + duration));
                 [(at, SceneEvent::CutOff { region }), (to, SceneEvent::Reconnect { region })]
             });
             quiet(&size, events).with(cuts)
@@ -271,9 +271,9 @@
 
 /// Configures the number of cases, which the environment variable `PROPTEST_CASES` overrides.
 fn cases(default: u32) -> ProptestConfig {
-    let wanted = std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
+    let from_environment = std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
     ProptestConfig {
-        cases: wanted.unwrap_or(default),
+        cases: from_environment.unwrap_or(default),
         failure_persistence: None,
         ..ProptestConfig::default()
     }
--- a/crates/testbed/tests/fault_schedule.rs
+++ b/crates/testbed/tests/fault_schedule.rs
@@ -167,7 +167,7 @@
         incident(11, 8, Fault::DiscoveryOutage),
     ]));
     let all: Vec<_> = all.into_iter().map(|(at, change)| (at.as_secs(), change)).collect();
-    let factor = |factor| Change::SlowOrigin { factor };
+    let factor = |factor| Change::SetOriginSlowdown { factor };
     let expected = [
         (1, factor(2.0)),
         (2, factor(6.0)),
@@ -213,5 +213,5 @@
     let all = changes(&script(vec![incident(5, 10, Fault::HalfOpen { share: 0.5 })]));
     let times: Vec<_> = all.iter().map(|(at, _)| at.as_secs()).collect();
     assert_eq!(times, (5..15).collect::<Vec<_>>());
-    assert!(all.iter().all(|(_, change)| matches!(change, Change::ForgetConnections { .. })));
+    assert!(all.iter().all(|(_, change)| matches!(change, Change::LoseConnectionState { .. })));
 }
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use testbed::run_result::RunResult;
 use testbed::script::{Fault, Incident};
-use testbed::virtual_time::{run_with, Decisions, Safeguards};
+use testbed::virtual_time::{run_with, DecisionLogic, DriverSafeguards};
 use testbed::Script;
 
 /// An event that the decision logic of a node received.
@@ -26,7 +26,7 @@
     log: EventLog,
 }
 
-impl Decisions for RecordingBalancer {
+impl DecisionLogic for RecordingBalancer {
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         let recorded = match &event {
             Event::EndpointsRestored(_) => Some(RecordedEvent::Started),
@@ -50,10 +50,10 @@
     fn run(script: &Script) -> Self {
         let log = EventLog::default();
         let shared_log = log.clone();
-        let mut make = move |settings: Settings, seed| -> Box<dyn Decisions> {
+        let mut make = move |settings: Settings, seed| -> Box<dyn DecisionLogic> {
             Box::new(RecordingBalancer { balancer: Balancer::new(settings, seed), log: shared_log.clone() })
         };
-        let result = run_with(script, Safeguards::ALL, &mut make);
+        let result = run_with(script, DriverSafeguards::ALL, &mut make);
         assert_eq!(result.verdict.violation_counts, [0; 4], "{:?}", result.verdict.violations);
         Self { result, log: log.take() }
     }
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use testbed::judge::{FinalAnswer, Judge, Observation, Verdict};
 use testbed::script::{Class, Fault, Incident};
-use testbed::virtual_time::{run, run_with, Decisions, Safeguards};
+use testbed::virtual_time::{run, run_with, DecisionLogic, DriverSafeguards};
 use testbed::Script;
 
 /// How a node's decisions deviate from those of the real balancer.
@@ -27,7 +27,7 @@
     SendsAllToNewestServer,
 }
 
-struct FaultyDecisions {
+struct FaultyDecisionLogic {
     real: Balancer,
     deviation: Deviation,
     /// All servers that the node has been notified of, with their start times.
@@ -45,7 +45,7 @@
 /// Timeout of attempts and of requests.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-impl FaultyDecisions {
+impl FaultyDecisionLogic {
     fn record_servers(&mut self, event: &Event) {
         let (Event::EndpointsRestored(list)
         | Event::EndpointsUpdated(EndpointUpdate::Snapshot(list) | EndpointUpdate::Delta(list))) = event
@@ -61,7 +61,7 @@
     }
 }
 
-impl Decisions for FaultyDecisions {
+impl DecisionLogic for FaultyDecisionLogic {
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.record_servers(&event);
         let Event::Request(request) = &event else {
@@ -127,9 +127,9 @@
 }
 
 fn run_with_deviation(script: &Script, deviation: Deviation) -> Verdict {
-    let mut make_decisions = |settings: Settings, seed| -> Box<dyn Decisions> {
+    let mut make_decision_logic = |settings: Settings, seed| -> Box<dyn DecisionLogic> {
         let real = Balancer::new(settings, seed);
-        Box::new(FaultyDecisions {
+        Box::new(FaultyDecisionLogic {
             real,
             deviation,
             servers: BTreeMap::new(),
@@ -138,13 +138,13 @@
         })
     };
     let safeguards = match deviation {
-        Deviation::None => Safeguards::ALL,
+        Deviation::None => DriverSafeguards::ALL,
         Deviation::AnswersLate | Deviation::LosesRequests => {
-            Safeguards { answers_in_time: false, suppresses_late_sends: false }
+            DriverSafeguards { fails_overdue_requests: false, suppresses_late_sends: false }
         }
-        _ => Safeguards { answers_in_time: true, suppresses_late_sends: false },
+        _ => DriverSafeguards { fails_overdue_requests: true, suppresses_late_sends: false },
     };
-    run_with(script, safeguards, &mut make_decisions).verdict
+    run_with(script, safeguards, &mut make_decision_logic).verdict
 }
 
 /// Returns a short script with three nodes, six servers and one class. Its clients neither disconnect nor
--- a/crates/testbed/tests/replica.rs
+++ b/crates/testbed/tests/replica.rs
@@ -480,7 +480,8 @@
     }
     replica.report();
     let mut node = replica.connect();
-    let counts = |(version, whole, entries): (u64, bool, Vec<String>)| (version, whole, entries.len());
+    let counts =
+        |(version, is_snapshot, entries): (u64, bool, Vec<String>)| (version, is_snapshot, entries.len());
     assert_eq!(
         counts(node.call(&long_watch(FIRST_VERSION)).version_and_entries()),
         (last, true, CHANGES_KEPT + 1)
--- a/crates/testbed/tests/scale_script.rs
+++ b/crates/testbed/tests/scale_script.rs
@@ -39,7 +39,7 @@
 fn faults_of_replicas_may_last_until_the_end() {
     let lost = "[[event]]\nkind = \"replica-lost\"\nat = \"5s\"\n";
     let script = ScaleScript::parse("my.toml", &format!("{SMALL}{lost}")).unwrap();
-    assert_eq!((script.events[0].over, script.first_event().as_secs()), (None, 5));
+    assert_eq!((script.events[0].duration, script.first_event().as_secs()), (None, 5));
 }
 
 #[test]
--- a/crates/testbed/tests/scale_steps.rs
+++ b/crates/testbed/tests/scale_steps.rs
@@ -13,7 +13,7 @@
 }
 
 fn with_event(kind: EventKind) -> ScaleScript {
-    let event = Event { at: Duration::from_secs(5), over: Some(Duration::from_secs(20)), kind };
+    let event = Event { at: Duration::from_secs(5), duration: Some(Duration::from_secs(20)), kind };
     ScaleScript { events: vec![event], ..shipped("quiet") }
 }
 
@@ -91,7 +91,7 @@
         ..with_event(EventKind::Restarts {
             // This is 200 restarts in 20 s.
             per_day: 864_000.0,
-            down: Duration::from_secs(1),
+            downtime: Duration::from_secs(1),
             nodes_only: false,
         })
     };
@@ -141,14 +141,14 @@
 #[test]
 fn no_node_or_server_is_chosen_for_two_events_at_once() {
     let mut script = ScaleScript { servers: 40, nodes: 40, ..shipped("zone") };
-    let over = Some(Duration::from_secs(25));
+    let duration = Some(Duration::from_secs(25));
     let at = Duration::from_secs(5);
     let step = Duration::from_secs(2);
-    script.events.push(Event { at, over, kind: EventKind::Changes { per_day: 100_000.0, step } });
+    script.events.push(Event { at, duration, kind: EventKind::Changes { per_day: 100_000.0, step } });
     script.events.push(Event {
         at,
-        over,
-        kind: EventKind::Restarts { per_day: 100_000.0, down: step, nodes_only: false },
+        duration,
+        kind: EventKind::Restarts { per_day: 100_000.0, downtime: step, nodes_only: false },
     });
     let mut health: BTreeMap<String, String> = BTreeMap::new();
     let mut down = BTreeSet::new();
@@ -174,7 +174,7 @@
 fn without_the_mechanism_the_only_known_replica_is_lost() {
     let script = ScaleScript { mechanism: false, ..with_event(EventKind::ReplicaLost { replica: Some(5) }) };
     let steps: Vec<_> = plan(&script).into_iter().map(|planned| planned.step).collect();
-    let answers = |answering| Step::Answer { replicas: vec![0], answering };
+    let answers = |answering| Step::SetAnswering { replicas: vec![0], answering };
     assert_eq!(steps, [answers(Answering::Away), answers(Answering::Up)]);
 }
 
@@ -182,16 +182,16 @@
 fn discovery_away_affects_all_replicas() {
     let script = ScaleScript { replicas: 4, ..with_event(EventKind::DiscoveryAway) };
     let steps: Vec<_> = plan(&script).into_iter().map(|planned| planned.step).collect();
-    let answers = |answering| Step::Answer { replicas: vec![0, 1, 2, 3], answering };
+    let answers = |answering| Step::SetAnswering { replicas: vec![0, 1, 2, 3], answering };
     assert_eq!(steps, [answers(Answering::Away), answers(Answering::Up)]);
 }
 
 #[test]
 fn a_fault_without_a_duration_has_no_end_step() {
     let mut script = with_event(EventKind::ReplicaLost { replica: Some(5) });
-    script.events[0].over = None;
+    script.events[0].duration = None;
     let steps: Vec<_> = plan(&script).into_iter().map(|planned| planned.step).collect();
-    assert_eq!(steps, [Step::Answer { replicas: vec![5], answering: Answering::Away }]);
+    assert_eq!(steps, [Step::SetAnswering { replicas: vec![5], answering: Answering::Away }]);
 }
 
 #[test]
