--- a/crates/testbed/benches/virtual_time.rs
+++ b/crates/testbed/benches/virtual_time.rs
@@ -1,4 +1,4 @@
-//! Measures the run time of a simulation of 50 s, for the present fleet and for the planned one.
+//! Measures the run time of a simulation of 50 s, for the current fleet and for the planned one.
 
 use criterion::Criterion;
 use std::time::Duration;
--- a/crates/testbed/examples/control_plane.rs
+++ b/crates/testbed/examples/control_plane.rs
@@ -2,9 +2,9 @@
 //!
 //!     cargo run --release -p testbed --example control_plane -- off 200 0 [SCENE...]
 //!
-//! The first argument is `off` (nodes know only one replica) or `on` (nodes know all replicas). The other two
-//! are the lines that a replica processes per second, and the lines that a call costs that continues a watch.
-//! If no scene is named, all scenes run.
+//! The first argument is `off` (nodes know only one replica) or `on` (nodes know all replicas). The second is
+//! the number of lines that a replica processes per second, the third the cost in lines of a call that
+//! continues a watch. If no scene is named, all scenes run.
 
 use std::process::ExitCode;
 use testbed::scale::messages::ReplicaCapacity;
--- a/crates/testbed/src/fault_schedule/active_faults.rs
+++ b/crates/testbed/src/fault_schedule/active_faults.rs
@@ -4,7 +4,7 @@
 use super::{Change, ServerCondition};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The effects that are active at present, by incident.
+/// The currently active effects, by incident.
 #[derive(Default)]
 pub(super) struct ActiveFaults {
     servers: BTreeMap<usize, ServerFaults>,
@@ -18,7 +18,7 @@
 struct ServerFaults {
     conditions: BTreeMap<IncidentIndex, ServerCondition>,
     crashes: BTreeSet<IncidentIndex>,
-    /// The incident that is retiring the present process.
+    /// The incident that is retiring the current process.
     retiring: Option<IncidentIndex>,
     /// Whether the server has been retired permanently.
     removed: bool,
--- a/crates/testbed/src/fault_schedule/mod.rs
+++ b/crates/testbed/src/fault_schedule/mod.rs
@@ -42,15 +42,15 @@
         /// How long the pause lasts.
         duration: Duration,
     },
-    /// The condition of a cache server changes. It applies to the present process and to its successors.
+    /// The condition of a cache server changes. It applies to the current process and to its successors.
     SetCondition {
         /// The index of the cache server.
         index: usize,
         /// The new condition.
         condition: ServerCondition,
     },
-    /// A middlebox loses its state of the present connections to a cache server. It then drops all packets of
-    /// these connections without notifying either end.
+    /// A middlebox loses its state of the current connections to a cache server. They are half-open from then
+    /// on: the middlebox drops all their packets without notifying either end.
     LoseConnectionState {
         /// The index of the cache server.
         index: usize,
--- a/crates/testbed/src/judge/mod.rs
+++ b/crates/testbed/src/judge/mod.rs
@@ -55,7 +55,7 @@
     seconds: Vec<SecondFigures>,
     /// Node and time of each kill.
     kills: Vec<(usize, Timestamp)>,
-    /// The first violations, at most [`MAX_DESCRIBED_VIOLATIONS`].
+    /// The first [`MAX_DESCRIBED_VIOLATIONS`] violations.
     violations: Vec<Violation>,
     /// Number of violations of each rule.
     violation_counts: [u64; 4],
--- a/crates/testbed/src/judge/trace.rs
+++ b/crates/testbed/src/judge/trace.rs
@@ -1,4 +1,4 @@
-//! Describes the course of a request in one line of text, which shows the cause of a violation.
+//! Describes the course of a request in one line of text, to show the cause of a violation.
 
 use super::record::RequestRecord;
 use super::Judge;
--- a/crates/testbed/src/models/cache_server/mod.rs
+++ b/crates/testbed/src/models/cache_server/mod.rs
@@ -182,7 +182,7 @@
         self.running = running.into_iter().map(|(at, id)| (at + additional, id)).collect();
     }
 
-    /// Returns the present capacity as a fraction of the full capacity. It is below 1 in slow start.
+    /// Returns the current capacity as a fraction of the full capacity. It is below 1 in slow start.
     pub fn capacity_fraction(&self, now: Timestamp) -> f64 {
         if self.started_warm {
             return 1.0;
@@ -198,7 +198,7 @@
         self.capacity_fraction(now) < 1.0
     }
 
-    /// Returns the present capacity, in standard cores.
+    /// Returns the current capacity, in standard cores.
     pub fn capacity(&self, now: Timestamp) -> f64 {
         f64::from(self.kind.cores) * self.kind.speed * self.capacity_fraction(now)
     }
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Returns the time on a core of a job that starts now. The present speed applies to the whole job.
+    /// Returns the time on a core of a job that starts now. The current speed applies to the whole job.
     fn run_time(&self, in_progress: &JobInProgress, now: Timestamp) -> Duration {
         let JobInProgress { job, fetch_failed, .. } = in_progress;
         // After a failed fetch, the job only returns an error.
--- a/crates/testbed/src/models/initial_entries.rs
+++ b/crates/testbed/src/models/initial_entries.rs
@@ -1,5 +1,5 @@
-//! Entries that a cache server has from the start and that nothing has requested yet. They are not stored one
-//! by one: only their number and the upper bound of their ranks are visible from outside.
+//! The entries that a cache server has from the start and that have not been requested yet. They are not
+//! stored one by one: only their number and the upper bound of their ranks are visible from outside.
 //!
 //! Each rank belongs to a server with the same probability, the server's share, independently of the other
 //! ranks (rendezvous hashing of hashed keys). So the number of entries has a binomial distribution,
--- a/crates/testbed/src/models/mod.rs
+++ b/crates/testbed/src/models/mod.rs
@@ -1,5 +1,5 @@
-//! Models of a cache server and of the origin, as state machines without I/O or a clock. Both runners, in
-//! virtual time and on sockets, pass them what arrives and query the time of their next wakeup.
+//! Models of a cache server and of the origin, as state machines without I/O or a clock. The runners pass
+//! them the requests that arrive and query the time of their next wakeup.
 
 pub mod cache_server;
 pub mod initial_entries;
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -11,7 +11,7 @@
 pub struct Cost {
     /// Processor time in user and system mode since the start of the process.
     pub processor: Duration,
-    /// Resident anonymous memory (`RssAnon`) in bytes, which excludes the program text.
+    /// Resident anonymous memory (`RssAnon`) in bytes, without the program text.
     pub resident_bytes: u64,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Returns the processor time since the start of a process, and its present memory.
+/// Returns the processor time since the start of a process, and its current memory.
 ///
 /// # Errors
 /// If the process has ended, or its files in `/proc` cannot be read.
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -8,7 +8,7 @@
 /// The capacity of a replica of discovery. The script states it, and nodes may be configured with it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaCapacity {
-    /// Lines per second. Each entry sent counts as one line; calls count as the two fields below say.
+    /// Lines per second. Each entry sent counts as one line. The next two fields are the costs of calls.
     pub lines_per_second: f64,
     /// Cost in lines of a call that opens a watch or requests the whole list.
     pub call_lines: f64,
@@ -148,7 +148,7 @@
         servers: Vec<ListedServer>,
         /// The seed of random values.
         seed: u64,
-        /// The zones of the nodes, assigned in turn by node number.
+        /// The zones of the nodes, which are assigned to them round-robin by node number.
         zones: Vec<String>,
     },
     /// Kills nodes: their connections are closed, and their state is lost.
@@ -198,7 +198,7 @@
     pub node: u32,
     /// The version of the list.
     pub version: u64,
-    /// When the list took effect in the node's decisions, in microseconds of Unix time.
+    /// When the list took effect in the node's decision logic, in microseconds of Unix time.
     pub at_us: u64,
     /// Whether the list was a snapshot.
     #[serde(rename = "whole")]
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,7 +1,7 @@
 //! Scale runs: a few processes with hundreds of hollow nodes each, and a few real nodes, poll replicas of a
 //! stand-in discovery service.
 //!
-//! A hollow node runs the real discovery client and the real balancing decisions but serves no clients, like
+//! A hollow node runs the real discovery client and the real decision logic but serves no clients, like
 //! the hollow kubelets of Kubemark. The child processes exchange the JSON lines defined in [`messages`] with
 //! the run; [`process`] reads and writes them. [`replica`] implements one replica of discovery.
 //!
--- a/crates/testbed/src/scale/plot.rs
+++ b/crates/testbed/src/scale/plot.rs
@@ -30,7 +30,7 @@
 /// Plots the cumulative distribution of the time from a change of the list until a node applies it.
 ///
 /// # Errors
-/// If the plot can't be drawn.
+/// If the plot cannot be drawn.
 pub fn propagation(report: &ScaleReport) -> Result<String, PlotError> {
     let points: Vec<_> = report
         .propagation
@@ -64,7 +64,7 @@
 /// Plots the points and the fitted line of each figure, and the measured value at the predicted size.
 ///
 /// # Errors
-/// If the plot can't be drawn.
+/// If the plot cannot be drawn.
 pub fn fits(fit: &Fit) -> Result<String, PlotError> {
     let rows = fit.lines.len().div_ceil(2).max(1);
     let mut svg = String::new();
--- a/crates/testbed/src/scale/propagation.rs
+++ b/crates/testbed/src/scale/propagation.rs
@@ -210,7 +210,7 @@
         times: &mut LatencyRecorder,
     ) {
         let until = incarnation.to_us.unwrap_or(u64::MAX);
-        // Changes before the first list of a node don't count: the node is not ready yet, and its first list
+        // Changes before the first list of a node do not count: the node is not ready yet, and its first list
         // contains them.
         let from = if incarnation.with_list {
             Some(incarnation.from_us)
--- a/crates/testbed/src/scale/real/mod.rs
+++ b/crates/testbed/src/scale/real/mod.rs
@@ -49,7 +49,7 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Number of the random stream of the load.
+/// The purpose of the random values of the load.
 const LOAD_PURPOSE: u64 = 0x7265_616c;
 
 /// Returns the response body for a request, which is unique to it.
@@ -263,7 +263,7 @@
         starting.spawn(async move { (node, Process::start(&program, &path, node, lines).await) });
     }
     while let Some(started) = starting.join_next().await {
-        // A task that panicked has dropped its process, which was killed thereby.
+        // A task that panicked has dropped its process, which kills the process.
         let Ok((node, process)) = started else { continue };
         processes[node as usize].process = Some(process?);
     }
--- a/crates/testbed/src/scale/real/recorder.rs
+++ b/crates/testbed/src/scale/real/recorder.rs
@@ -20,7 +20,7 @@
     started_at_unix: Duration,
 }
 
-/// A request that a client has sent, with what cache servers need to know of it.
+/// The properties of a sent request that cache servers need.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentRequest {
     /// The work of one attempt.
--- a/crates/testbed/src/scale/real/report.rs
+++ b/crates/testbed/src/scale/real/report.rs
@@ -6,14 +6,14 @@
 /// The number of violations of each rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ViolationCounts {
-    /// A request had no final answer in time, two answers, or the response to another request.
+    /// Rule 1: a request had no final answer in time, two answers, or the response to another request.
     pub lost: u64,
-    /// A request was repeated although that was not safe, or was rejected although it was executed.
+    /// Rule 2: a request was repeated although that was not safe, or was rejected although it was executed.
     pub repeated_effect: u64,
-    /// A node sent a new request to a cache server after it was notified that the server drains or is
+    /// Rule 3: a node sent a new request to a cache server after it was notified that the server drains or is
     /// removed.
     pub after_drain: u64,
-    /// A cache server was overloaded while it was warming up.
+    /// Rule 4: a cache server was overloaded in slow start.
     #[serde(rename = "cold_server_fell")]
     pub warming_server_overloaded: u64,
 }
@@ -78,8 +78,8 @@
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests with none of these answers: lost ones, which `violation_counts` counts, or in flight at a node
-    /// that was killed.
+    /// Requests with none of these answers: lost ones, which `violation_counts` counts, or in flight at a
+    /// node that was killed.
     pub unanswered: u64,
     /// Requests that were not sent because too many were in flight at their node or the node did not run.
     #[serde(rename = "held_back")]
--- a/crates/testbed/src/scale/real/servers/connection.rs
+++ b/crates/testbed/src/scale/real/servers/connection.rs
@@ -26,7 +26,7 @@
 
 /// Maximum length of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// Pause after accepting a connection has failed, such as for lack of descriptors.
+/// Delay before the next attempt to accept after a failure, such as a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts and serves connections until the future is dropped.
@@ -64,7 +64,8 @@
     }
 }
 
-/// Closes the connection without a response, since the process has ended or the request is incomplete.
+/// Makes the server close a connection without a response, since the process has ended or the request is
+/// incomplete.
 #[derive(Debug, Error)]
 #[error("connection closed without a response")]
 struct ConnectionClosed;
--- a/crates/testbed/src/scale/real/servers/mod.rs
+++ b/crates/testbed/src/scale/real/servers/mod.rs
@@ -35,7 +35,7 @@
 const ADDRESSES_PER_ROW: u32 = 250;
 /// Second byte of the addresses, which are 127.80.y.z.
 const ADDRESS_BLOCK: u8 = 80;
-/// Number of cache servers in a cell. The servers of a cell share their memory of idempotency keys.
+/// Number of cache servers in a cell. The servers of a cell share their record of idempotency keys.
 const SERVERS_PER_CELL: u32 = 8;
 
 /// The number and zones of the cache servers.
@@ -43,7 +43,7 @@
 pub struct ServerSettings {
     /// The number of servers, from 1 to [`MAX_SERVERS`].
     pub count: u32,
-    /// The zones of the servers, assigned in turn; at least one.
+    /// The zones of the servers, at least one. They are assigned to the servers round-robin.
     pub zones: Vec<String>,
 }
 
--- a/crates/testbed/src/scale/real/settings.rs
+++ b/crates/testbed/src/scale/real/settings.rs
@@ -22,7 +22,7 @@
     pub count: u32,
     /// The number of nodes of the whole fleet, including hollow ones; nodes are configured with it.
     pub fleet_size: u32,
-    /// The zones of the nodes, assigned in turn by node number.
+    /// The zones of the nodes, which are assigned to them round-robin by node number.
     pub zones: Vec<String>,
     /// The addresses of the replicas of discovery.
     pub replicas: Vec<SocketAddr>,
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -49,7 +49,7 @@
     #[serde(rename = "ready")]
     pub readiness: ReadinessFigures,
     /// Processor time of a node for each delta that it applies, in excess of that at rest, in microseconds.
-    /// `None` if snapshots were applied as well, since the costs of the two can't be separated.
+    /// `None` if snapshots were applied as well, since the costs of the two cannot be separated.
     #[serde(rename = "node_change_us")]
     pub node_delta_us: Option<f64>,
     /// Processor time of a node for each snapshot that it applies, in excess of that at rest, in
@@ -122,7 +122,7 @@
 pub struct RealFigures {
     /// The number of real nodes.
     pub nodes: u32,
-    /// Requests that clients made.
+    /// Requests that nodes accepted.
     pub requests: u64,
     /// Requests that were answered with the response of a server.
     pub served: u64,
@@ -133,12 +133,12 @@
     pub failed: u64,
     /// Requests that were not answered.
     pub unanswered: u64,
-    /// Requests that were not made, since their node had too many in flight or was not running.
+    /// Requests that were not sent because too many were in flight at their node or the node did not run.
     #[serde(rename = "held_back")]
     pub not_sent: u64,
     /// Whether the maximum number of requests of a run was reached, so that nodes had no load from then on.
     pub load_ran_out: bool,
-    /// The longest delay with which a client made a request, in microseconds.
+    /// The longest delay of a request at its client, in microseconds.
     #[serde(rename = "latest_us")]
     pub longest_delay_us: u64,
     /// The median latency of served requests, in microseconds.
@@ -158,7 +158,7 @@
     pub fn new(window: &Window, nodes: u32, real_nodes: u32, servers: u32) -> Self {
         let seconds = window.seconds.max(f64::MIN_POSITIVE);
         let node_seconds = f64::from(nodes) * seconds;
-        // Replicas can't distinguish calls of hollow nodes from those of real nodes.
+        // Replicas cannot distinguish calls of hollow nodes from those of real nodes.
         let caller_seconds = f64::from(nodes + real_nodes) * seconds;
         let calls = &window.calls;
         let hollow_processor_s = window.hollow.processor.as_secs_f64();
@@ -201,7 +201,7 @@
     /// Serializes the report as a line of JSON.
     ///
     /// # Errors
-    /// If a figure can't be represented in JSON.
+    /// If a figure cannot be represented in JSON.
     pub fn json(&self) -> Result<String, serde_json::Error> {
         serde_json::to_string(self)
     }
--- a/crates/testbed/src/scale/run/executor.rs
+++ b/crates/testbed/src/scale/run/executor.rs
@@ -45,7 +45,7 @@
     pub(super) awaited_hollow_reports: usize,
     /// The version of the list at the time of the last poll.
     polled_version: u64,
-    /// The number of nodes that had an older version at that time.
+    /// The number of nodes that had an older version at the time of the last poll.
     nodes_behind: usize,
     pub(super) failed_calls: u64,
     pub(super) next_poll: Option<Instant>,
--- a/crates/testbed/src/scale/script.rs
+++ b/crates/testbed/src/scale/script.rs
@@ -24,7 +24,7 @@
 const LENGTH: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(3_600);
 const STEP: RangeInclusive<Duration> = Duration::from_millis(10)..=Duration::from_secs(600);
 
-/// A scale run. The fields have the names of the keys in the file.
+/// The script of a scale run. `read_script` maps the keys of the file to the fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScaleScript {
     /// The name shown in lists and titles.
@@ -77,11 +77,11 @@
 /// An event and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// The time of its beginning, counted from the beginning of the measurement.
+    /// The time from the beginning of the measurement to the beginning of the event.
     pub at: Duration,
-    /// Its duration; `None` if it lasts until the end of the run.
+    /// The duration of the event; `None` if it lasts until the end of the run.
     pub duration: Option<Duration>,
-    /// What happens.
+    /// The kind of event and its parameters.
     pub kind: EventKind,
 }
 
@@ -132,12 +132,12 @@
     ReplicaReset {
         /// The index of the replica; `None` for a random one among those that nodes know.
         replica: Option<u32>,
-        /// Whether it loses its version, which restarts at 1, instead of its entries.
+        /// Whether the replica loses its version, which restarts at 1, instead of its entries.
         versions: bool,
     },
     /// All replicas reset their connections and refuse new ones.
     DiscoveryAway,
-    /// Nodes are reconfigured to use only the first replicas. The end of the event doesn't undo this.
+    /// Nodes are reconfigured to use only the first replicas. The end of the event does not undo this.
     ReplicaSet {
         /// The number of replicas.
         replicas: u32,
--- a/crates/testbed/src/scale/snapshot.rs
+++ b/crates/testbed/src/scale/snapshot.rs
@@ -26,7 +26,7 @@
 /// The difference between two snapshots. Memory is that of the later snapshot.
 #[derive(Clone, Debug)]
 pub struct Window {
-    /// The time between them, in seconds.
+    /// The time between the snapshots, in seconds.
     pub seconds: f64,
     /// The cost of all processes of hollow nodes.
     pub hollow: Cost,
--- a/crates/testbed/src/scale/steps.rs
+++ b/crates/testbed/src/scale/steps.rs
@@ -112,8 +112,8 @@
     planned
 }
 
-/// The times for which each node or server is reserved by an event, so that none is chosen for two events at
-/// once.
+/// The periods for which each node or server is reserved by an event, so that none is chosen for two events
+/// at once.
 #[derive(Debug)]
 struct Reservations(Vec<Vec<(Duration, Duration)>>);
 
@@ -164,8 +164,7 @@
     initial_servers: &'a [ListedServer],
     nodes: Reservations,
     servers: Reservations,
-    /// Turned into steps last, since the replacement that is running at a time depends on all earlier
-    /// operations.
+    /// Turned into steps last, since the generation of a server depends on all earlier operations on it.
     server_operations: Vec<ServerOperation>,
     planned: Vec<PlannedStep>,
 }
@@ -349,8 +348,9 @@
     ListedServer { health: health.into(), ..server.clone() }
 }
 
-/// Returns the start times of operations that happen at a rate within an event and end before it does: one at
-/// a random time in each of equal parts of the event. There is at least one.
+/// Returns the start times of operations that occur at a rate during an event and end before the event does.
+/// The event is divided into equal parts, and one operation starts at a random time in each of them. There is
+/// at least one.
 fn random_times(
     event: &Event,
     per_day: f64,
--- a/crates/testbed/src/scale/virtual_time/calls.rs
+++ b/crates/testbed/src/scale/virtual_time/calls.rs
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Processes a call at its replica: queues the answer if there is news, or charges the call before it
-    /// watches.
+    /// Processes a call at its replica: queues the answer if the list has changed. Otherwise charges the
+    /// call, which then waits for a change.
     pub(super) fn serve(&mut self, id: CallId) {
         let Some(replica) = self.replica_of(id) else { return };
         self.counts[replica as usize].calls += 1;
--- a/crates/testbed/src/scale/virtual_time/client.rs
+++ b/crates/testbed/src/scale/virtual_time/client.rs
@@ -1,5 +1,5 @@
-//! The decisions of a discovery client: which replica it calls, what it requests, how long it waits, and when
-//! it calls again.
+//! The decision logic of a discovery client: which replica it calls, which list it requests, how long it
+//! waits, and when it calls again.
 
 use super::scene::Scene;
 use balancer_core::discovery::{
@@ -79,7 +79,7 @@
     pub applied: Option<u64>,
 }
 
-/// The decisions of a node's discovery client. `random` returns uniform random values from 0 to 1.
+/// The decision logic of a node's discovery client. `random` returns uniform random values from 0 to 1.
 pub trait ClientDecisionLogic {
     /// Returns the next call.
     fn next_call(&mut self, now: Duration, random: &mut dyn FnMut() -> f64) -> NextCall;
@@ -93,8 +93,8 @@
     ) -> AfterCall;
 }
 
-/// The decisions of the discovery client of `balancer_core`, for one address or for several replicas of known
-/// capacity.
+/// The decision logic of the discovery client of `balancer_core`, for one address or for several replicas of
+/// known capacity.
 pub struct CoreClientDecisionLogic {
     poll_settings: PollSettings,
     capacity: Option<ReplicaCapacity>,
@@ -105,7 +105,7 @@
 }
 
 impl CoreClientDecisionLogic {
-    /// Creates the decisions of a node that has not made a call yet.
+    /// Creates the decision logic of a node that has not made a call yet.
     pub fn new(start: &ClientStart) -> Self {
         let script = &start.scene.script;
         let names: Vec<_> = (0..script.known_replicas()).map(replica_name).collect();
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Creates the decisions of the discovery client of `balancer_core`.
+    /// Creates the decision logic of the discovery client of `balancer_core`.
     pub fn client(&self) -> Box<dyn ClientDecisionLogic> {
         Box::new(CoreClientDecisionLogic::new(self))
     }
--- a/crates/testbed/src/scale/virtual_time/event_queue.rs
+++ b/crates/testbed/src/scale/virtual_time/event_queue.rs
@@ -26,7 +26,7 @@
     CallArrives(CallId),
     /// The replica has processed the lines that a watch costs.
     CallHandled(CallId),
-    /// A watch has waited as long as its call allows.
+    /// The maximum wait of a watch has passed.
     WatchTimesOut(CallId),
     /// The replica has sent the last line of an answer.
     AnswerSent(CallId),
--- a/crates/testbed/src/scale/virtual_time/mod.rs
+++ b/crates/testbed/src/scale/virtual_time/mod.rs
@@ -1,12 +1,12 @@
-//! Simulates the control plane in virtual time: discovery clients with the real decisions, and replicas of
-//! discovery with one queue each. There are no sockets and no wall clock: the same scene and seed give
+//! Simulates the control plane in virtual time: discovery clients with the real decision logic, and replicas
+//! of discovery with one queue each. There are no sockets and no wall clock: the same scene and seed give
 //! byte-identical results.
 //!
 //! Only the discovery client of a node is simulated. Connections cost nothing but latency, and messages
 //! arrive as a whole.
 //!
 //! - [`Scene`] combines a script with the events that happen; [`scenes`] lists the named scenes.
-//! - [`client`] makes the decisions of one node.
+//! - [`client`] is the decision logic of one node.
 //! - [`simulation`] runs a scene; [`replica`] holds the queue, the list and the watches of one replica.
 //! - [`Outcome`] is the result of a run; [`table`] compares several outcomes.
 
--- a/crates/testbed/src/scale/virtual_time/nodes.rs
+++ b/crates/testbed/src/scale/virtual_time/nodes.rs
@@ -1,5 +1,5 @@
-//! The state of simulated nodes: incarnation, connection, call in flight, and the decisions of the discovery
-//! client.
+//! The state of simulated nodes: incarnation, connection, call in flight, and the decision logic of the
+//! discovery client.
 
 use super::client::{ClientDecisionLogic, NextCall};
 use super::replica::Answer;
@@ -79,8 +79,8 @@
         self.random.derive(0).uniform()
     }
 
-    /// Calls the node's decisions with a source of uniform random values. Returns `None` if the node is not
-    /// running.
+    /// Calls the node's decision logic with a source of uniform random values. Returns `None` if the node is
+    /// not running.
     pub(super) fn decide<T>(
         &mut self,
         decide: impl FnOnce(&mut dyn ClientDecisionLogic, &mut dyn FnMut() -> f64) -> T,
--- a/crates/testbed/src/scale/virtual_time/scene.rs
+++ b/crates/testbed/src/scale/virtual_time/scene.rs
@@ -22,7 +22,7 @@
     },
 }
 
-/// The reason why a script can't run in virtual time.
+/// The reason why a script cannot run in virtual time.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SceneError {
     /// There is no scene of this name.
--- a/crates/testbed/src/scale/virtual_time/simulation.rs
+++ b/crates/testbed/src/scale/virtual_time/simulation.rs
@@ -16,26 +16,26 @@
 
 /// One-way latency between a node and a replica.
 pub(super) const LATENCY: Duration = Duration::from_millis(5);
-/// Time over which the first calls of nodes that run from the beginning are spread, like those of a fleet
-/// that has been running for long.
+/// Period over which the first calls of nodes that run from the beginning are spread, as in a fleet that has
+/// been running for long.
 const FIRST_CALLS: Duration = Duration::from_secs(20);
 
-/// Creates the decisions of a node's discovery client.
+/// Creates the decision logic of a node's discovery client.
 pub type MakeClient<'a> = &'a mut dyn FnMut(ClientStart) -> Box<dyn ClientDecisionLogic>;
 
-/// Runs a scene with the real decisions.
+/// Runs a scene with the real decision logic.
 pub fn run(scene: &Scene) -> Outcome {
     run_with(scene, &mut |start| start.client())
 }
 
-/// Runs a scene with the real decisions. Also returns the lines that replicas processed.
+/// Runs a scene with the real decision logic. Also returns the lines that replicas processed.
 pub fn run_traced(scene: &Scene) -> (Outcome, Vec<SentLines>) {
     let mut make_client = |start: ClientStart| start.client();
     let simulation = Simulation { traced: true, ..Simulation::new(scene, &mut make_client) };
     simulation.run()
 }
 
-/// Runs a scene with the decisions that `make_client` creates.
+/// Runs a scene with the decision logic that `make_client` creates.
 pub fn run_with(scene: &Scene, make_client: MakeClient) -> Outcome {
     Simulation::new(scene, make_client).run().0
 }
--- a/crates/testbed/src/script/fault.rs
+++ b/crates/testbed/src/script/fault.rs
@@ -16,7 +16,7 @@
     pub fault: Fault,
 }
 
-/// A kind of fault. `share` is the affected fraction of the cache servers, or of the nodes for faults of
+/// A kind of fault. `share` is the affected fraction of the cache servers or, for faults of nodes, of the
 /// nodes. `batch` is the fraction that is affected at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
@@ -107,7 +107,8 @@
         rate: f64,
     },
     /// A middlebox loses its state of the connections to cache servers, one server after another over the
-    /// duration. It then drops all packets of these connections without notifying either end.
+    /// duration. These connections are half-open from then on: the middlebox drops all their packets without
+    /// notifying either end.
     HalfOpen {
         /// The share that is affected.
         share: f64,
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -217,7 +217,7 @@
     /// The time after a notification of a drain or removal in which a node may still send new requests to the
     /// cache server.
     pub drain_grace: Duration,
-    /// A server in slow start crashes when the work sent to it exceeds this multiple of its present capacity.
+    /// A server in slow start crashes when the work sent to it exceeds this multiple of its current capacity.
     pub slow_start_overload_factor: f64,
     /// The sliding window over which the work sent to a server in slow start is measured.
     pub slow_start_overload_window: Duration,
--- a/crates/testbed/src/sockets/cache_server/connection.rs
+++ b/crates/testbed/src/sockets/cache_server/connection.rs
@@ -96,7 +96,7 @@
         () = usage.idle_for(idle_timeout) => {}
     }
     if faults.is_half_open() {
-        // The node must not see the connection close.
+        // The node must not see a half-open connection close.
         return std::future::pending().await;
     }
     serving.as_mut().graceful_shutdown();
--- a/crates/testbed/src/sockets/cache_server/respond.rs
+++ b/crates/testbed/src/sockets/cache_server/respond.rs
@@ -72,7 +72,7 @@
     process: usize,
     /// Index of the cache server in the fleet.
     index: usize,
-    /// Number by which the judge's observations name the cache server.
+    /// Number that the judge assigned to the cache server.
     judge_number: usize,
     node: usize,
     operation: Operation,
--- a/crates/testbed/src/sockets/context.rs
+++ b/crates/testbed/src/sockets/context.rs
@@ -34,9 +34,9 @@
 /// A cache server with one id. It runs at most one process at a time.
 pub(super) struct Server {
     pub(super) name: String,
-    /// Index in the fleet. A replacement with another name has the same index.
+    /// Index in the fleet. A successor under another id has the same index.
     pub(super) index: usize,
-    /// Number by which the judge's observations name the server.
+    /// Number that the judge assigned to the server.
     pub(super) judge_number: usize,
     /// Index of the running process; `None` while there is none.
     pub(super) process: Option<usize>,
@@ -80,7 +80,7 @@
 /// A request that a client has sent.
 pub(super) struct SentRequest {
     pub(super) operation: usize,
-    /// Position among the requests of the operation, from 0.
+    /// Number of the request within the operation, from 0.
     pub(super) ordinal: u32,
     pub(super) node: usize,
     /// Number of attempts that have reached cache servers.
@@ -93,7 +93,7 @@
     pub(super) server_at: Vec<usize>,
     /// Network and error faults at each index in the fleet.
     pub(super) conditions: Vec<watch::Sender<ServerCondition>>,
-    /// When the connections to each index in the fleet were last forgotten.
+    /// When the connection state was last lost, at each index in the fleet.
     pub(super) connection_state_lost_at: Vec<StateLostAt>,
     pub(super) processes: Vec<Process>,
     pub(super) origin: Origin,
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -1,6 +1,6 @@
 //! The discovery service on sockets: snapshots, watches, a bounded number of lines per second, and faults.
 //! Each node calls an address of its own, so that the runner can tell the judge which node was notified of
-//! what.
+//! which change.
 
 use super::context::{Context, Server};
 use super::error::SocketRunError;
@@ -29,7 +29,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Stream of random numbers that decides the faults of answers.
+/// The purpose of the random values that decide which answers are truncated or malformed.
 const ANSWERS: u64 = 0x6c69_7374;
 
 /// Opens a listener for each node, and registers the nodes with the addresses.
@@ -221,7 +221,8 @@
     Ok(())
 }
 
-/// Records for the judge what a node is notified of, and saves the list that the node would start from.
+/// Records the changes that a node is notified of for the judge, and saves the list that the node would start
+/// with.
 fn notify_node(context: &Context, node: usize, after: Option<u64>) {
     let at = context.now();
     for server in context.state.borrow().servers.iter().filter(|server| is_newer(server, after)) {
--- a/crates/testbed/src/sockets/error.rs
+++ b/crates/testbed/src/sockets/error.rs
@@ -10,7 +10,7 @@
     /// A system call failed.
     #[error("{context}: {error}")]
     System {
-        /// The operation that failed.
+        /// The operation or object that the call was for.
         context: String,
         /// The error of the system call.
         error: io::Error,
--- a/crates/testbed/src/sockets/faulty_stream/mod.rs
+++ b/crates/testbed/src/sockets/faulty_stream/mod.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// When the emulated middlebox in front of a cache server last dropped its connection state.
+/// When the emulated middlebox in front of a cache server last lost its connection state.
 pub(super) type StateLostAt = Rc<Cell<Option<Instant>>>;
 
 /// The faults of one connection.
@@ -31,7 +31,7 @@
         Self { established_at: Instant::now(), state_lost_at, reset_next_write: Rc::default() }
     }
 
-    /// Returns whether the middlebox has forgotten this connection, so that no data passes any more.
+    /// Returns whether the middlebox has lost its state of this connection, so that no data passes any more.
     pub(super) fn is_half_open(&self) -> bool {
         self.state_lost_at.get().is_some_and(|at| self.established_at <= at)
     }
@@ -71,7 +71,7 @@
         }
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
-        // The connection may have been forgotten since the check above. The close of the peer must not be
+        // The connection may have become half-open since the check above. The close of the peer must not be
         // seen then.
         if read.is_ready() && self.faults.is_half_open() {
             buf.set_filled(before);
--- a/crates/testbed/src/sockets/faulty_stream/tests.rs
+++ b/crates/testbed/src/sockets/faulty_stream/tests.rs
@@ -41,7 +41,7 @@
     node.write_all(b"c").await.unwrap();
     server.shutdown().await.unwrap();
     let (mut server_buffer, mut node_buffer) = ([0; 1], [0; 1]);
-    // A connection counts as forgotten until the clock has advanced since `forgotten_at`.
+    // A new connection counts as half-open until the clock has advanced since `state_lost_at`.
     let mut later = connected_pair(&state_lost_at).await;
     for _ in 0..1_000 {
         if !later.2.is_half_open() {
--- a/crates/testbed/src/virtual_time/attempts.rs
+++ b/crates/testbed/src/virtual_time/attempts.rs
@@ -81,7 +81,7 @@
         self.outcome(request, attempt, AttemptEnd::without_answer(AttemptStatus::NotSent))
     }
 
-    /// Opens a new connection for an attempt. `process` is the present process of its server.
+    /// Opens a new connection for an attempt. `process` is the current process of its server.
     fn connect(&mut self, node: usize, request: usize, attempt: usize, process: Option<usize>) {
         let server = self.requests[request].attempts[attempt].server;
         let index = self.servers[server].index;
@@ -113,7 +113,7 @@
         self.events.schedule(at, SimulationEvent::AttemptEnds { request, attempt, end });
     }
 
-    /// Returns the one-way latency between a node and a server in the server's present condition.
+    /// Returns the one-way latency between a node and a server in the server's current condition.
     fn latency(&self, node: usize, server: usize, random: RandomSource) -> Duration {
         let index = self.servers[server].index;
         let (from, to) = (self.nodes[node].zone, fleet::server_zone(self.script, index));
@@ -129,8 +129,9 @@
             && self.connection_state_lost_at[index].is_none_or(|state_lost_at| established_at > state_lost_at)
     }
 
-    /// Returns whether a process refuses another connection. Connections that were closed after their idle
-    /// timeout are removed only here, because they have no effect before the limit is reached.
+    /// Returns whether a process has reached its maximum number of connections. Connections that were closed
+    /// after their idle timeout are removed only here, because they have no effect before the limit is
+    /// reached.
     fn is_full(&mut self, server: usize, process: usize) -> bool {
         let Process { model, connections, .. } = &self.processes[process];
         let (max, open) = (model.max_connections(), *connections);
--- a/crates/testbed/src/virtual_time/event_queue.rs
+++ b/crates/testbed/src/virtual_time/event_queue.rs
@@ -41,7 +41,7 @@
     ServerWakeup { process: usize },
     /// The state machine of the origin is due for a wakeup.
     OriginWakeup,
-    /// A change of the fault schedule is due.
+    /// A change of the fault schedule is due. `change` is its index.
     ChangeDue { change: usize },
     /// Discovery detects the new state of a cache server.
     StateDetected { server: usize, state: EndpointState, started_at: Option<Timestamp> },
--- a/crates/testbed/src/virtual_time/faults.rs
+++ b/crates/testbed/src/virtual_time/faults.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns the present process at this index in the fleet.
+    /// Returns the current process at this index in the fleet.
     fn process_at(&self, index: usize) -> Option<usize> {
         self.servers[self.server_at[index]].process
     }
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -3,8 +3,8 @@
 //! the same bytes.
 //!
 //! The simulation replaces the parts of a node around the balancer: its driver, its connections and its
-//! discovery client. They behave like the daemon, as far as this is visible from outside. The judge records
-//! what an observer would see.
+//! discovery client. They behave like those of the daemon, as far as this is visible from outside. The judge
+//! records only what an outside observer would see.
 
 mod attempts;
 mod clients;
@@ -45,7 +45,7 @@
 /// Creates the decision logic of a node from its settings and a seed.
 pub type MakeDecisionLogic<'a> = &'a mut dyn FnMut(Settings, u64) -> Box<dyn DecisionLogic>;
 
-/// The protections that the driver of a node applies independently of its decision logic.
+/// The safeguards that the driver of a node applies independently of its decision logic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DriverSafeguards {
     /// The driver fails a request that the decision logic has not answered shortly before its deadline.
@@ -56,7 +56,7 @@
 }
 
 impl DriverSafeguards {
-    /// The safeguards of the daemon.
+    /// All safeguards, as in the daemon.
     pub const ALL: Self = Self { fails_overdue_requests: true, suppresses_late_sends: true };
 }
 
--- a/crates/testbed/src/virtual_time/simulation.rs
+++ b/crates/testbed/src/virtual_time/simulation.rs
@@ -42,8 +42,8 @@
     pub(super) server_at: Vec<usize>,
     /// The condition of the server by index in the fleet.
     pub(super) conditions: Vec<ServerCondition>,
-    /// The time of the last loss of connections by index in the fleet. No packets pass on connections that
-    /// were established up to this time.
+    /// The time at which the connection state was last lost, by index in the fleet. Connections that were
+    /// established up to this time are half-open.
     pub(super) connection_state_lost_at: Vec<Option<Timestamp>>,
     pub(super) processes: Vec<Process>,
     pub(super) nodes: Vec<Node>,
@@ -168,7 +168,7 @@
                 in_flight: BTreeSet::new(),
                 endpoints: (0..self.servers.len()).map(|server| (server, self.endpoint(server))).collect(),
                 idle_connections: BTreeMap::new(),
-                // The node starts with the present list.
+                // The node starts with the current list.
                 list_version: Some(self.discovery.list_version),
                 calling: false,
                 watching: false,
@@ -256,7 +256,7 @@
         self.now.since(Timestamp::default())
     }
 
-    /// Returns the counts of the present second. Events after the length of the script count in its last
+    /// Returns the counts of the current second. Events after the length of the script count in its last
     /// second.
     pub(super) fn counts(&mut self) -> &mut Counts {
         let second = self.elapsed().as_secs() as usize;
--- a/crates/testbed/src/virtual_time/state.rs
+++ b/crates/testbed/src/virtual_time/state.rs
@@ -86,7 +86,7 @@
     /// The number of the request within the operation, from 0.
     pub(super) ordinal: u32,
     pub(super) node: usize,
-    /// The incarnation of the node that accepted it.
+    /// The incarnation of the node that accepted the request.
     pub(super) incarnation: u32,
     /// The time at which the client's timeout ends.
     pub(super) expires_at: Timestamp,
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -12,7 +12,7 @@
 use testbed::virtual_time::{run, run_with, DecisionLogic, DriverSafeguards};
 use testbed::Script;
 
-/// How a node's decisions deviate from those of the real balancer.
+/// How the decision logic of a node deviates from the real balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Deviation {
     None,
