--- a/crates/cache-balancer/tests/scale.rs
+++ b/crates/cache-balancer/tests/scale.rs
@@ -142,7 +142,7 @@
 fn changes_after_the_loss(text: &str) -> u64 {
     let script = ScaleScript::parse("test", text).unwrap();
     let steps = plan(&script, &servers_at_start(&script));
-    let is_loss = |step: &Step| matches!(step, Step::Answer { answering: Answering::Away, .. });
+    let is_loss = |step: &Step| matches!(step, Step::SetAnswering { answering: Answering::Away, .. });
     let loss = steps.iter().position(|planned| is_loss(&planned.step)).unwrap();
     steps[loss..].iter().filter(|planned| matches!(planned.step, Step::Change { .. })).count() as u64
 }
@@ -161,7 +161,7 @@
     assert_eq!(report.replica_loads.len(), 3, "{shown}");
     assert!(report.replica_loads.iter().all(|load| load.calls > 0), "{shown}");
     let real = report.real.clone().unwrap();
-    assert_eq!((real.nodes, real.rules_broken, real.breaches.len()), (3, [0; 4], 0), "{shown}");
+    assert_eq!((real.nodes, real.violation_counts, real.violations.len()), (3, [0; 4], 0), "{shown}");
     assert!(real.served > 0, "{shown}");
     assert_eq!(report.rest.hollow_processor_s > 0.0, report.rest.hollow_resident_bytes > 0, "{shown}");
     assert!(report.all_met() && status.success(), "{shown}");
--- a/crates/testbed/src/fault_schedule/active_faults.rs
+++ b/crates/testbed/src/fault_schedule/active_faults.rs
@@ -4,7 +4,7 @@
 use super::{Change, ServerCondition};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The effects that are active at present, by incident.
+/// The currently active effects, by incident.
 #[derive(Default)]
 pub(super) struct ActiveFaults {
     servers: BTreeMap<usize, ServerFaults>,
@@ -18,7 +18,7 @@
 struct ServerFaults {
     conditions: BTreeMap<IncidentIndex, ServerCondition>,
     crashes: BTreeSet<IncidentIndex>,
-    /// The incident that is retiring the present process.
+    /// The incident that is retiring the current process.
     retiring: Option<IncidentIndex>,
     /// Whether the server has been retired permanently.
     removed: bool,
@@ -83,8 +83,8 @@
         self.servers.entry(index).or_default()
     }
 
-    /// Drains a server, unless another incident is already retiring it. Even then, a permanent retirement prevents the start
-    /// of a successor.
+    /// Drains a server, unless another incident is already retiring it. Even then, a permanent retirement
+    /// prevents the start of a successor.
     fn begin_retirement(&mut self, incident: IncidentIndex, index: usize, permanent: bool) -> Option<Change> {
         let server = self.server_faults(index);
         let already_retired = server.removed || server.retiring.is_some();
@@ -127,7 +127,7 @@
     }
 
     fn slow_origin_change(&self) -> Change {
-        Change::SlowOrigin { factor: self.origin_factors.values().product() }
+        Change::SetOriginSlowdown { factor: self.origin_factors.values().product() }
     }
 
     fn discovery_error_change(&self) -> Change {
--- a/crates/testbed/src/models/cache_server/mod.rs
+++ b/crates/testbed/src/models/cache_server/mod.rs
@@ -1,7 +1,8 @@
-//! The model of a cache server: cores, slots, a bounded queue, a cache, slow start, and a crash if overloaded in slow start.
+//! The model of a cache server: cores, slots, a bounded queue, a cache, slow start, and a crash if overloaded
+//! in slow start.
 //!
-//! An accepted request waits for a slot, then, on a miss, for the origin, and then for a core. Misses of the same key do not
-//! share a fetch. Clients and nodes cannot cancel work that was accepted.
+//! An accepted request waits for a slot, then, on a miss, for the origin, and then for a core. Misses of the
+//! same key do not share a fetch. Clients and nodes cannot cancel work that was accepted.
 
 mod entries;
 mod load_reports;
@@ -32,8 +33,8 @@
     pub id: JobId,
     /// The key of the requested entry.
     pub key: u64,
-    /// The popularity rank of the key, if its entry belongs to this server at the start. `None` otherwise, or if the rank
-    /// makes no difference.
+    /// The popularity rank of the key, if its entry belongs to this server at the start. `None` otherwise, or
+    /// if the rank makes no difference.
     pub initial_rank: Option<u32>,
     /// The work of the job, in time on a standard core.
     pub work: Duration,
@@ -181,7 +182,7 @@
         self.running = running.into_iter().map(|(at, id)| (at + additional, id)).collect();
     }
 
-    /// Returns the present capacity as a fraction of the full capacity. It is below 1 in slow start.
+    /// Returns the current capacity as a fraction of the full capacity. It is below 1 in slow start.
     pub fn capacity_fraction(&self, now: Timestamp) -> f64 {
         if self.started_warm {
             return 1.0;
@@ -197,7 +198,7 @@
         self.capacity_fraction(now) < 1.0
     }
 
-    /// Returns the present capacity, in standard cores.
+    /// Returns the current capacity, in standard cores.
     pub fn capacity(&self, now: Timestamp) -> f64 {
         f64::from(self.kind.cores) * self.kind.speed * self.capacity_fraction(now)
     }
@@ -299,7 +300,7 @@
         }
     }
 
-    /// Returns the time on a core of a job that starts now. The present speed applies to the whole job.
+    /// Returns the time on a core of a job that starts now. The current speed applies to the whole job.
     fn run_time(&self, in_progress: &JobInProgress, now: Timestamp) -> Duration {
         let JobInProgress { job, fetch_failed, .. } = in_progress;
         // After a failed fetch, the job only returns an error.
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -11,7 +11,7 @@
 pub struct Cost {
     /// Processor time in user and system mode since the start of the process.
     pub processor: Duration,
-    /// Resident anonymous memory (`RssAnon`) in bytes, which excludes the program text.
+    /// Resident anonymous memory (`RssAnon`) in bytes, without the program text.
     pub resident_bytes: u64,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Returns the processor time since the start of a process, and its present memory.
+/// Returns the processor time since the start of a process, and its current memory.
 ///
 /// # Errors
 /// If the process has ended, or its files in `/proc` cannot be read.
@@ -35,8 +35,9 @@
     Ok(Cost { processor, resident_bytes: usage.rss_anon })
 }
 
-/// Returns the time that all threads of a process have run, from the scheduler statistics, which count nanoseconds. Threads
-/// that have ended are not included; the processes of a run end no thread while they work.
+/// Returns the time that all threads of a process have run, from the scheduler statistics, which count
+/// nanoseconds. Threads that have ended are not included; the processes of a run end no thread while they
+/// work.
 fn scheduled_time(process: u32) -> io::Result<Duration> {
     let mut sum = Duration::ZERO;
     for thread in fs::read_dir(format!("/proc/{process}/task"))? {
--- a/crates/testbed/src/scale/messages.rs
+++ b/crates/testbed/src/scale/messages.rs
@@ -1,5 +1,6 @@
-//! The messages between the processes of a scale run: one JSON value per line, commands on standard input and events on
-//! standard output. Times are microseconds of Unix time; all processes run on one machine and share its clock.
+//! The messages between the processes of a scale run: one JSON value per line, commands on standard input and
+//! events on standard output. Times are microseconds of Unix time; all processes run on one machine and share
+//! its clock.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -7,7 +8,7 @@
 /// The capacity of a replica of discovery. The script states it, and nodes may be configured with it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaCapacity {
-    /// Lines per second. Each entry sent counts as one line; calls count as the two fields below say.
+    /// Lines per second. Each entry sent counts as one line. The next two fields are the costs of calls.
     pub lines_per_second: f64,
     /// Cost in lines of a call that opens a watch or requests the whole list.
     pub call_lines: f64,
@@ -109,9 +110,11 @@
     /// Calls received, of all kinds.
     pub calls: u64,
     /// Calls that were rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Snapshots sent.
-    pub whole_lists: u64,
+    #[serde(rename = "whole_lists")]
+    pub snapshots: u64,
     /// Lines charged for entries sent and for calls.
     pub lines: f64,
     /// Bytes read from nodes.
@@ -134,7 +137,8 @@
         count: u32,
         /// The number of nodes of the whole fleet.
         fleet: u32,
-        /// The addresses of the replicas of discovery; a single address stands for a discovery without replicas.
+        /// The addresses of the replicas of discovery; a single address stands for a discovery without
+        /// replicas.
         replicas: Vec<SocketAddr>,
         /// The capacity of a replica, if nodes are configured with it.
         capacity: Option<ReplicaCapacity>,
@@ -144,7 +148,7 @@
         servers: Vec<ListedServer>,
         /// The seed of random values.
         seed: u64,
-        /// The zones of the nodes, assigned in turn by node number.
+        /// The zones of the nodes, which are assigned to them round-robin by node number.
         zones: Vec<String>,
     },
     /// Kills nodes: their connections are closed, and their state is lost.
@@ -194,8 +198,9 @@
     pub node: u32,
     /// The version of the list.
     pub version: u64,
-    /// When the list took effect in the node's decisions, in microseconds of Unix time.
+    /// When the list took effect in the node's decision logic, in microseconds of Unix time.
     pub at_us: u64,
     /// Whether the list was a snapshot.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_snapshot: bool,
 }
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -1,5 +1,5 @@
-//! Code that the child processes of a scale run share: they read commands from standard input, write events to standard
-//! output and raise their limit of descriptors.
+//! Code that the child processes of a scale run share: they read commands from standard input, write events
+//! to standard output and raise their limit of descriptors.
 
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use serde::de::DeserializeOwned;
@@ -33,14 +33,14 @@
     #[error("expected the command start once, found it again")]
     StartedTwice,
     /// The version of a change is not above the version of the list.
-    #[error("change of {host}: expected a version above {held}, found {version}")]
+    #[error("change of {host}: expected a version above {current}, found {version}")]
     OldVersion {
         /// The server whose entry changed.
         host: String,
         /// The version of the change.
         version: u64,
         /// The version of the list.
-        held: u64,
+        current: u64,
     },
     /// A command names a node that is not in this process.
     #[error("node {node}: expected one from {first} to {last}")]
@@ -72,8 +72,8 @@
     }
 }
 
-/// Returns a channel of the commands on standard input, which is closed at the end of the input. A separate thread reads
-/// them, since a blocking read cannot be cancelled.
+/// Returns a channel of the commands on standard input, which is closed at the end of the input. A separate
+/// thread reads them, since a blocking read cannot be cancelled.
 pub fn commands<T: DeserializeOwned + Send + 'static>() -> mpsc::Receiver<Result<T, ProcessError>> {
     let (sender, commands) = mpsc::channel(READ_AHEAD);
     thread::spawn(move || {
@@ -132,11 +132,11 @@
 /// Raises the soft limit of descriptors of this process to its hard limit, but not above 20,000.
 pub fn raise_descriptors() -> Result<(), ProcessError> {
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
-    let wanted = maximum.map_or(MAX_DESCRIPTORS, |maximum| maximum.min(MAX_DESCRIPTORS));
-    if current.is_none_or(|current| current >= wanted) {
+    let target = maximum.map_or(MAX_DESCRIPTORS, |maximum| maximum.min(MAX_DESCRIPTORS));
+    if current.is_none_or(|current| current >= target) {
         return Ok(());
     }
-    let raised = setrlimit(Resource::Nofile, Rlimit { current: Some(wanted), maximum });
+    let raised = setrlimit(Resource::Nofile, Rlimit { current: Some(target), maximum });
     raised.map_err(|error| ProcessError::System {
         context: "raising the limit of descriptors",
         error: error.into(),
--- a/crates/testbed/src/scale/propagation.rs
+++ b/crates/testbed/src/scale/propagation.rs
@@ -1,5 +1,5 @@
-//! Measures the propagation of the endpoint list from its changes, the incarnations of the nodes, and the lists that nodes
-//! applied.
+//! Measures the propagation of the endpoint list from its changes, the incarnations of the nodes, and the
+//! lists that nodes applied.
 
 use super::messages::Applied;
 use hdrhistogram::Histogram;
@@ -33,7 +33,7 @@
     incarnations: Vec<Incarnation>,
     applied: Vec<Applied>,
     /// The version of the list that the current incarnation has, if any.
-    held_version: Option<u64>,
+    list_version: Option<u64>,
 }
 
 /// Nodes that were started together without a list.
@@ -79,10 +79,11 @@
     pub never: u64,
     /// The number of nodes in such pairs.
     pub nodes_never: u64,
-    /// The number of pairs of a change and a node that was killed before it applied the change. These count neither as late
-    /// nor as missed.
+    /// The number of pairs of a change and a node that was killed before it applied the change. These count
+    /// neither as late nor as missed.
     pub killed_before: u64,
-    /// The cumulative distribution: a fraction of all times, and the quantile of that fraction in milliseconds.
+    /// The cumulative distribution: a fraction of all times, and the quantile of that fraction in
+    /// milliseconds.
     pub distribution: Vec<(f64, f64)>,
 }
 
@@ -109,7 +110,7 @@
     /// Creates a record of nodes that all start at `from_us` with a list of this version.
     pub fn new(nodes: u32, from_us: u64, version: u64) -> Self {
         let incarnation = Incarnation { from_us, to_us: None, with_list: true };
-        let node = Node { incarnations: vec![incarnation], applied: Vec::new(), held_version: Some(version) };
+        let node = Node { incarnations: vec![incarnation], applied: Vec::new(), list_version: Some(version) };
         Self { changes: Vec::new(), nodes: vec![node; nodes as usize], launches: Vec::new() }
     }
 
@@ -122,7 +123,7 @@
     pub fn record_kill(&mut self, nodes: &[u32], at_us: u64) {
         for &number in nodes {
             if let Some(node) = self.nodes.get_mut(number as usize) {
-                node.held_version = None;
+                node.list_version = None;
                 if let Some(incarnation) = node.incarnations.last_mut() {
                     incarnation.to_us.get_or_insert(at_us);
                 }
@@ -130,12 +131,12 @@
         }
     }
 
-    /// Records that nodes were started without a list. `sending_ms` is the time that discovery needs to send the list to all
-    /// of them, from its capacity.
+    /// Records that nodes were started without a list. `sending_ms` is the time that discovery needs to send
+    /// the list to all of them, from its capacity.
     pub fn record_launch(&mut self, nodes: &[u32], at_us: u64, sending_ms: f64) {
         for &number in nodes {
             if let Some(node) = self.nodes.get_mut(number as usize) {
-                node.held_version = None;
+                node.list_version = None;
                 node.incarnations.push(Incarnation { from_us: at_us, to_us: None, with_list: false });
             }
         }
@@ -151,7 +152,7 @@
             .last()
             .is_some_and(|incarnation| incarnation.to_us.is_none() && applied.at_us >= incarnation.from_us);
         if in_this_incarnation {
-            node.held_version = Some(applied.version);
+            node.list_version = Some(applied.version);
         }
     }
 
@@ -167,7 +168,7 @@
         self.nodes
             .iter()
             .filter(is_running)
-            .filter(|node| node.held_version.is_none_or(|held_version| held_version < version))
+            .filter(|node| node.list_version.is_none_or(|list_version| list_version < version))
             .count()
     }
 
@@ -175,13 +176,14 @@
     pub fn lists_applied_since(&self, from_us: u64) -> (u64, u64) {
         let applied =
             self.nodes.iter().flat_map(|node| &node.applied).filter(|applied| applied.at_us >= from_us);
-        applied.fold((0, 0), |(changes, whole), applied| match applied.whole {
-            true => (changes, whole + 1),
-            false => (changes + 1, whole),
+        applied.fold((0, 0), |(deltas, snapshots), applied| match applied.is_snapshot {
+            true => (deltas, snapshots + 1),
+            false => (deltas + 1, snapshots),
         })
     }
 
-    /// Returns the figures of the times from changes until nodes applied them. Times above `within_ms` count as late.
+    /// Returns the figures of the times from changes until nodes applied them. Times above `within_ms` count
+    /// as late.
     pub fn propagation_figures(&self, within_ms: Option<f64>) -> PropagationFigures {
         let mut figures =
             PropagationFigures { changes: self.changes.len() as u64, ..PropagationFigures::default() };
@@ -208,7 +210,8 @@
         times: &mut LatencyRecorder,
     ) {
         let until = incarnation.to_us.unwrap_or(u64::MAX);
-        // Changes before the first list of a node don't count: the node is not ready yet, and its first list contains them.
+        // Changes before the first list of a node do not count: the node is not ready yet, and its first list
+        // contains them.
         let from = if incarnation.with_list {
             Some(incarnation.from_us)
         } else {
--- a/crates/testbed/src/scale/real/mod.rs
+++ b/crates/testbed/src/scale/real/mod.rs
@@ -1,21 +1,23 @@
-//! Real nodes of a scale run, which run beside the hollow ones: up to 64 processes of the daemon under a light load. A judge
-//! checks the four rules on them.
+//! Real nodes of a scale run, which run beside the hollow ones: up to 64 processes of the daemon under a
+//! light load. A judge checks the four rules on them.
 //!
 //! - [`CacheServers`] runs up to 1,100 stand-ins on loopback in this process. Discovery lists their entries.
-//! - [`RealNodes`] starts the nodes, sends requests to them, applies changes of discovery's list and reports at the end.
-//! - [`NotificationJudge`] determines when a node counts as notified of a change; the [`Judge`](crate::Judge) checks the
-//!   rules.
+//! - [`RealNodes`] starts the nodes, sends requests to them, applies changes of discovery's list and reports
+//!   at the end.
+//! - [`NotificationJudge`] determines when a node counts as notified of a change; the [`Judge`](crate::Judge)
+//!   checks the rules.
 //!
-//! Discovery runs in another process, so the messages that it sends to a node are not observed. The judge therefore relies
-//! on the operators' definition alone: a node is notified of a change 6 s after discovery had it and could be reached
-//! ([`notification_judge::NOTIFIED_AFTER`]). The 6 s start again at the end of an outage and at the start of the node. The
-//! drain grace of 0.5 s and the judge's tolerance of 50 ms are added. A node that was notified earlier is still judged by
-//! the 6 s, so this judge is less strict than one that sees the messages. An attempt is timed when it reaches the stand-in.
+//! Discovery runs in another process, so the messages that it sends to a node are not observed. The judge
+//! therefore relies on the operators' definition alone: a node is notified of a change 6 s after discovery
+//! had it and could be reached ([`notification_judge::NOTIFIED_AFTER`]). The 6 s start again at the end of an
+//! outage and at the start of the node. The drain grace of 0.5 s and the judge's tolerance of 50 ms are
+//! added. A node that was notified earlier is still judged by the 6 s, so this judge is less strict than one
+//! that sees the messages. An attempt is timed when it reaches the stand-in.
 //!
-//! All tasks are spawned on the caller's runtime. Nodes are started with `--with-parent`, which ends them when the thread
-//! that started them ends, so start them from a thread that outlives the run. Dropping [`RealNodes`] kills the nodes and
-//! removes the temporary folder with their configuration files, also after errors. A program that handles Ctrl-C must
-//! drop it then.
+//! All tasks are spawned on the caller's runtime. Nodes are started with `--with-parent`, which ends them
+//! when the thread that started them ends, so start them from a thread that outlives the run. Dropping
+//! [`RealNodes`] kills the nodes and removes the temporary folder with their configuration files, also after
+//! errors. A program that handles Ctrl-C must drop it then.
 
 mod error;
 mod load;
@@ -29,7 +31,7 @@
 
 pub use error::RealError;
 pub use notification_judge::NotificationJudge;
-pub use report::{Latency, NodeUsage, RealReport, RulesBroken};
+pub use report::{Latency, NodeUsage, RealReport, ViolationCounts};
 pub use servers::{CacheServers, ServerSettings, MAX_SERVERS};
 pub use settings::{classes, RealSettings, MAX_NODES};
 pub use usage::Usage;
@@ -47,8 +49,8 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Number of the random stream of the load.
-const LOAD_STREAM: u64 = 0x7265_616c;
+/// The purpose of the random values of the load.
+const LOAD_PURPOSE: u64 = 0x7265_616c;
 
 /// Returns the response body for a request, which is unique to it.
 fn response_body(request: RequestNumber) -> String {
@@ -75,7 +77,8 @@
     log_lines: Arc<AtomicU64>,
     stop: watch::Sender<bool>,
     load: JoinHandle<()>,
-    /// The folder of the configuration files. It is declared after the processes, so that it is dropped after them.
+    /// The folder of the configuration files. It is declared after the processes, so that it is dropped after
+    /// them.
     folder: TempDir,
 }
 
@@ -90,8 +93,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if a setting is out of range, the cache servers were used in an earlier run, the program cannot be
-    /// run, or a node is not ready in time.
+    /// Returns an error if a setting is out of range, the cache servers were used in an earlier run, the
+    /// program cannot be run, or a node is not ready in time.
     pub async fn start(servers: &CacheServers, settings: RealSettings) -> Result<Self, RealError> {
         settings.check()?;
         let folder = tempfile::Builder::new().prefix("cache-balancer-scale-").tempdir();
@@ -111,7 +114,7 @@
         let clients = Clients {
             rate: settings.rate,
             classes: settings.classes.clone(),
-            random: RandomSource::new(settings.seed).derive(LOAD_STREAM),
+            random: RandomSource::new(settings.seed).derive(LOAD_PURPOSE),
             nodes: nodes.clone(),
             recorder: servers.recorder().clone(),
             statistics: statistics.clone(),
@@ -208,7 +211,8 @@
         usage.collect()
     }
 
-    /// Stops the load, waits for the requests in flight, ends the nodes, and returns the report with the judge's verdict.
+    /// Stops the load, waits for the requests in flight, ends the nodes, and returns the report with the
+    /// judge's verdict.
     pub async fn finish(mut self) -> RealReport {
         // `send_replace` also works if the load ran out and dropped the receiver.
         self.stop.send_replace(true);
@@ -234,7 +238,7 @@
             attempts: verdict.attempts,
             rejected_connections: self.servers.rejected_connections(),
             log_lines: self.log_lines.load(Ordering::Relaxed),
-            rules_broken: RulesBroken::of(&verdict),
+            violation_counts: ViolationCounts::of(&verdict),
             violations: verdict.violations,
             latency: Latency::of(latencies),
             nodes,
@@ -259,7 +263,7 @@
         starting.spawn(async move { (node, Process::start(&program, &path, node, lines).await) });
     }
     while let Some(started) = starting.join_next().await {
-        // A task that panicked has dropped its process, which was killed thereby.
+        // A task that panicked has dropped its process, which kills the process.
         let Ok((node, process)) = started else { continue };
         processes[node as usize].process = Some(process?);
     }
--- a/crates/testbed/src/scale/real/report.rs
+++ b/crates/testbed/src/scale/real/report.rs
@@ -5,19 +5,20 @@
 
 /// The number of violations of each rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct RulesBroken {
-    /// A request had no final answer in time, two answers, or the response to another request.
+pub struct ViolationCounts {
+    /// Rule 1: a request had no final answer in time, two answers, or the response to another request.
     pub lost: u64,
-    /// A request was repeated although that was not safe, or was rejected although it was executed.
+    /// Rule 2: a request was repeated although that was not safe, or was rejected although it was executed.
     pub repeated_effect: u64,
-    /// A node sent a new request to a cache server after it was notified that the server drains or is removed.
+    /// Rule 3: a node sent a new request to a cache server after it was notified that the server drains or is
+    /// removed.
     pub after_drain: u64,
-    /// A cache server was overloaded while it was warming up.
+    /// Rule 4: a cache server was overloaded in slow start.
     #[serde(rename = "cold_server_fell")]
     pub warming_server_overloaded: u64,
 }
 
-impl RulesBroken {
+impl ViolationCounts {
     /// Returns the number of violations of all rules.
     pub fn all(&self) -> u64 {
         self.lost + self.repeated_effect + self.after_drain + self.warming_server_overloaded
@@ -30,7 +31,8 @@
     }
 }
 
-/// The latency of served requests, from the start of sending to the last byte of the answer; zero if none was served.
+/// The latency of served requests, from the start of sending to the last byte of the answer; zero if none was
+/// served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Latency {
     /// The median, in microseconds.
@@ -59,7 +61,8 @@
     pub running: bool,
     /// The processor time of all processes of the node, in microseconds.
     pub processor_us: u64,
-    /// The anonymous resident memory (RssAnon) in bytes, of the running process or of the last one when it was killed.
+    /// The anonymous resident memory (RssAnon) in bytes, of the running process or of the last one when it
+    /// was killed.
     pub rss_anon: u64,
 }
 
@@ -75,15 +78,17 @@
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests with none of these answers: lost ones, which `rules_broken` counts, or in flight at a node that was killed.
+    /// Requests with none of these answers: lost ones, which `violation_counts` counts, or in flight at a
+    /// node that was killed.
     pub unanswered: u64,
     /// Requests that were not sent because too many were in flight at their node or the node did not run.
     #[serde(rename = "held_back")]
     pub not_sent: u64,
     /// Whether the maximum number of requests of a run was sent, after which the nodes had no load.
     pub load_ran_out: bool,
-    /// The longest delay of a request at its client, in microseconds. If it is not small compared to the tolerance of 50 ms,
-    /// the machine was too busy, and a time limit exceeded by less than this delay may be due to the testbed.
+    /// The longest delay of a request at its client, in microseconds. If it is not small compared to the
+    /// tolerance of 50 ms, the machine was too busy, and a time limit exceeded by less than this delay may be
+    /// due to the testbed.
     #[serde(rename = "latest_us")]
     pub longest_delay_us: u64,
     /// Attempts that reached cache servers.
@@ -94,7 +99,8 @@
     /// Lines that nodes logged after they had started to listen.
     pub log_lines: u64,
     /// The number of violations of each rule.
-    pub rules_broken: RulesBroken,
+    #[serde(rename = "rules_broken")]
+    pub violation_counts: ViolationCounts,
     /// The first violations, in detail.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
--- a/crates/testbed/src/scale/replica/service.rs
+++ b/crates/testbed/src/scale/replica/service.rs
@@ -42,8 +42,8 @@
     resets: watch::Sender<u64>,
     bytes: Rc<ByteCounts>,
     calls: Cell<u64>,
-    refused: Cell<u64>,
-    whole_lists: Cell<u64>,
+    rejected: Cell<u64>,
+    snapshots: Cell<u64>,
 }
 
 impl Service {
@@ -59,16 +59,16 @@
             resets: watch::Sender::new(0),
             bytes: Rc::default(),
             calls: Cell::new(0),
-            refused: Cell::new(0),
-            whole_lists: Cell::new(0),
+            rejected: Cell::new(0),
+            snapshots: Cell::new(0),
         }
     }
 
     /// Changes the entry of a server.
     pub fn change(&self, version: u64, server: ListedServer) -> Result<(), ProcessError> {
-        let held = self.list.borrow().version();
-        if version <= held {
-            return Err(ProcessError::OldVersion { host: server.host, version, held });
+        let current = self.list.borrow().version();
+        if version <= current {
+            return Err(ProcessError::OldVersion { host: server.host, version, current });
         }
         self.list.borrow_mut().change(version, server);
         self.version.send_replace(version);
@@ -94,8 +94,8 @@
         let queue = self.queue.borrow();
         ReplicaReport {
             calls: self.calls.get(),
-            refused: self.refused.get(),
-            whole_lists: self.whole_lists.get(),
+            rejected: self.rejected.get(),
+            snapshots: self.snapshots.get(),
             lines: queue.lines(),
             bytes_in: self.bytes.read.get(),
             bytes_out: self.bytes.written.get(),
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Answers a call. `last_watch_answer` is the time of the last answer on this connection if it was to a watch.
+    /// Answers a call. `last_watch_answer` is the time of the last answer on this connection if it was to a
+    /// watch.
     async fn respond(
         &self,
         request: Request<Incoming>,
@@ -143,16 +144,16 @@
         if request.method() != Method::GET || request.uri().path() != discovery_call::PATH {
             return empty_response(StatusCode::NOT_FOUND);
         }
-        let call = DiscoveryCall::read(request.uri().query());
+        let call = DiscoveryCall::parse(request.uri().query());
         let continued = call.after.is_some()
             && last_watch_answer.take().is_some_and(|answered| answered.elapsed() <= WATCH_CONTINUED_WITHIN);
         self.wait_while_silent().await;
         let Ok(answer) = self.answer(call, continued).await else {
-            self.refused.set(self.refused.get() + 1);
+            self.rejected.set(self.rejected.get() + 1);
             return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         };
         self.wait_while_silent().await;
-        self.whole_lists.set(self.whole_lists.get() + u64::from(answer.is_snapshot));
+        self.snapshots.set(self.snapshots.get() + u64::from(answer.is_snapshot));
         last_watch_answer.set(call.after.map(|_| Instant::now()));
         Response::new(Full::new(answer.body))
     }
@@ -180,12 +181,13 @@
     /// Waits until the version of the list is above `after`, but no longer than until a time.
     async fn wait_for_change(&self, after: u64, until: Instant) {
         let mut versions = self.version.subscribe();
-        // The channel is not closed while `self` exists. After a timeout, the watch is answered without changes.
+        // The channel is not closed while `self` exists. After a timeout, the watch is answered without
+        // changes.
         let _ = timeout_at(until, versions.wait_for(|version| *version > after)).await;
     }
 
-    /// Builds the answer for a node with this version, charges its entries and `call_lines` to the queue, and returns it after
-    /// they have been processed.
+    /// Builds the answer for a node with this version, charges its entries and `call_lines` to the queue, and
+    /// returns it after they have been processed.
     async fn charge_and_answer(&self, after: Option<u64>, call_lines: f64) -> Result<Answer, QueueFull> {
         let answer = self.list.borrow_mut().answer(after);
         let lines = answer.entries as f64 + call_lines;
--- a/crates/testbed/src/scale/run/executor.rs
+++ b/crates/testbed/src/scale/run/executor.rs
@@ -45,7 +45,7 @@
     pub(super) awaited_hollow_reports: usize,
     /// The version of the list at the time of the last poll.
     polled_version: u64,
-    /// The number of nodes that had an older version at that time.
+    /// The number of nodes that had an older version at the time of the last poll.
     nodes_behind: usize,
     pub(super) failed_calls: u64,
     pub(super) next_poll: Option<Instant>,
@@ -113,7 +113,8 @@
                 servers: servers.to_vec(),
             };
             self.processes.send_to_replica(number, &command).await?;
-            // Replicas are started one at a time, so that their addresses arrive in the order of their indices.
+            // Replicas are started one at a time, so that their addresses arrive in the order of their
+            // indices.
             let listens = |executor: &Self| executor.addresses.len() > number;
             self.receive_until(START_TIMEOUT, ChildId::Replica(number), listens).await?;
         }
@@ -194,7 +195,7 @@
                 }
                 Ok(())
             }
-            Step::Answer { replicas, answering } => {
+            Step::SetAnswering { replicas, answering } => {
                 self.real_fleet.set_answering(replicas, *answering, unix_us());
                 for &replica in replicas {
                     let command = ReplicaCommand::Answer { answering: *answering };
@@ -214,7 +215,7 @@
                 let commands = self.replicas.restore_state(*replica as usize);
                 self.send_all(commands).await
             }
-            Step::ReplicaSet(replicas) => {
+            Step::SetReplicas(replicas) => {
                 let command = HollowCommand::Replicas { replicas: self.first_addresses(*replicas) };
                 for process in 0..self.nodes_per_process().len() {
                     self.processes.send_to_hollow(process, &command).await?;
@@ -242,8 +243,8 @@
         Ok(())
     }
 
-    /// Returns the time in milliseconds that the replicas known to nodes need to send this number of snapshots, from their
-    /// capacity.
+    /// Returns the time in milliseconds that the replicas known to nodes need to send this number of
+    /// snapshots, from their capacity.
     fn sending_ms(&self, lists: usize) -> f64 {
         let lines = lists as f64 * (self.replicas.server_count() as f64 + self.script.capacity.call_lines);
         let lines_per_second =
--- a/crates/testbed/src/scale/script.rs
+++ b/crates/testbed/src/scale/script.rs
@@ -1,4 +1,5 @@
-//! The script of a scale run: the numbers of nodes, servers and replicas, the capacity of each replica, and the events.
+//! The script of a scale run: the numbers of nodes, servers and replicas, the capacity of each replica, and
+//! the events.
 
 use super::messages::ReplicaCapacity;
 use checked_toml::{time_text, Document, Fault, Table};
@@ -23,7 +24,7 @@
 const LENGTH: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(3_600);
 const STEP: RangeInclusive<Duration> = Duration::from_millis(10)..=Duration::from_secs(600);
 
-/// A scale run. The fields have the names of the keys in the file.
+/// The script of a scale run. `read_script` maps the keys of the file to the fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScaleScript {
     /// The name shown in lists and titles.
@@ -48,11 +49,13 @@
     pub hollow_processes: u32,
     /// The number of zones. Nodes and servers are assigned to them round-robin.
     pub zones: u32,
-    /// The number of regions. Zones are assigned to them round-robin; the name of a zone begins with that of its region.
+    /// The number of regions. Zones are assigned to them round-robin; the name of a zone begins with that of
+    /// its region.
     pub regions: u32,
     /// The number of replicas of discovery.
     pub replicas: u32,
-    /// Whether nodes are configured with all replicas and their capacity, or only with the address of the first replica.
+    /// Whether nodes are configured with all replicas and their capacity, or only with the address of the
+    /// first replica.
     pub mechanism: bool,
     /// The capacity of a replica.
     pub capacity: ReplicaCapacity,
@@ -74,30 +77,32 @@
 /// An event and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// The time of its beginning, counted from the beginning of the measurement.
+    /// The time from the beginning of the measurement to the beginning of the event.
     pub at: Duration,
-    /// Its duration; `None` if it lasts until the end of the run.
-    pub over: Option<Duration>,
-    /// What happens.
+    /// The duration of the event; `None` if it lasts until the end of the run.
+    pub duration: Option<Duration>,
+    /// The kind of event and its parameters.
     pub kind: EventKind,
 }
 
 /// A kind of event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EventKind {
-    /// Servers are replaced: one drains, is removed one `step` later, and its successor is ready after another `step`.
+    /// Servers are replaced: one drains, is removed one `step` later, and its successor is ready after
+    /// another `step`.
     Changes {
         /// Changes of the list per day. Each replacement causes three.
         per_day: f64,
         /// The time from draining to removal, and from removal to the start of the successor.
         step: Duration,
     },
-    /// Nodes and servers restart, chosen at random in proportion to their numbers. A restarted node has no list.
+    /// Nodes and servers restart, chosen at random in proportion to their numbers. A restarted node has no
+    /// list.
     Restarts {
         /// Restarts per day.
         per_day: f64,
         /// The downtime of each restart.
-        down: Duration,
+        downtime: Duration,
         /// Whether only nodes restart.
         nodes_only: bool,
     },
@@ -127,12 +132,12 @@
     ReplicaReset {
         /// The index of the replica; `None` for a random one among those that nodes know.
         replica: Option<u32>,
-        /// Whether it loses its version, which restarts at 1, instead of its entries.
+        /// Whether the replica loses its version, which restarts at 1, instead of its entries.
         versions: bool,
     },
     /// All replicas reset their connections and refuse new ones.
     DiscoveryAway,
-    /// Nodes are reconfigured to use only the first replicas. The end of the event doesn't undo this.
+    /// Nodes are reconfigured to use only the first replicas. The end of the event does not undo this.
     ReplicaSet {
         /// The number of replicas.
         replicas: u32,
@@ -259,27 +264,27 @@
 fn read_events(top: &Table, length: Duration, zones: u32, replicas: u32) -> Vec<Event> {
     let read = top.tables("event", |table| {
         let at = table.need("at", table.time("at", Duration::ZERO..=length));
-        let over = table.time("over", Duration::ZERO..=length);
+        let duration = table.time("over", Duration::ZERO..=length);
         let kind = table.one_of("kind", &KINDS);
         table.need("kind", kind.map(|_| ()));
         let kind = KINDS[kind?];
         if !duration_is_optional(kind) {
-            table.need("over", over);
+            table.need("over", duration);
         }
-        let end = at + over.unwrap_or_default();
+        let end = at + duration.unwrap_or_default();
         if end > length {
             let found = time_text(end);
             let length = time_text(length);
             table
                 .fault("over", format!("expected an end within the length, \"{length}\", found \"{found}\""));
         }
-        Some(Event { at, over, kind: read_event_kind(table, kind, zones, replicas) })
+        Some(Event { at, duration, kind: read_event_kind(table, kind, zones, replicas) })
     });
     read.into_iter().flatten().collect()
 }
 
-/// Returns whether an event of this kind may omit its duration: faults of replicas may last until the end of the run, and a
-/// set of replicas is never undone.
+/// Returns whether an event of this kind may omit its duration: faults of replicas may last until the end of
+/// the run, and a set of replicas is never undone.
 fn duration_is_optional(kind: &str) -> bool {
     kind.starts_with("replica-") || kind == "discovery-away"
 }
@@ -298,7 +303,7 @@
         },
         "restarts" => EventKind::Restarts {
             per_day: per_day(),
-            down: table.time("down", STEP).unwrap_or(Duration::from_secs(2)),
+            downtime: table.time("down", STEP).unwrap_or(Duration::from_secs(2)),
             nodes_only: table.flag("nodes_only").unwrap_or(false),
         },
         "zone" => EventKind::Zone { zone: below("zone", zones) },
--- a/crates/testbed/src/scale/snapshot.rs
+++ b/crates/testbed/src/scale/snapshot.rs
@@ -26,7 +26,7 @@
 /// The difference between two snapshots. Memory is that of the later snapshot.
 #[derive(Clone, Debug)]
 pub struct Window {
-    /// The time between them, in seconds.
+    /// The time between the snapshots, in seconds.
     pub seconds: f64,
     /// The cost of all processes of hollow nodes.
     pub hollow: Cost,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Returns the activity of each replica between an earlier snapshot and this one. The longest wait is that of the whole
-    /// run.
+    /// Returns the activity of each replica between an earlier snapshot and this one. The longest wait is
+    /// that of the whole run.
     pub fn loads_since(&self, earlier: &Self) -> Vec<ReplicaReport> {
         self.reports.iter().zip(&earlier.reports).map(|(now, before)| report_since(now, before)).collect()
     }
@@ -70,8 +70,8 @@
 fn report_since(now: &ReplicaReport, before: &ReplicaReport) -> ReplicaReport {
     ReplicaReport {
         calls: now.calls.saturating_sub(before.calls),
-        refused: now.refused.saturating_sub(before.refused),
-        whole_lists: now.whole_lists.saturating_sub(before.whole_lists),
+        rejected: now.rejected.saturating_sub(before.rejected),
+        snapshots: now.snapshots.saturating_sub(before.snapshots),
         lines: now.lines - before.lines,
         bytes_in: now.bytes_in.saturating_sub(before.bytes_in),
         bytes_out: now.bytes_out.saturating_sub(before.bytes_out),
@@ -82,8 +82,8 @@
 fn add_reports(sum: ReplicaReport, one: ReplicaReport) -> ReplicaReport {
     ReplicaReport {
         calls: sum.calls + one.calls,
-        refused: sum.refused + one.refused,
-        whole_lists: sum.whole_lists + one.whole_lists,
+        rejected: sum.rejected + one.rejected,
+        snapshots: sum.snapshots + one.snapshots,
         lines: sum.lines + one.lines,
         bytes_in: sum.bytes_in + one.bytes_in,
         bytes_out: sum.bytes_out + one.bytes_out,
--- a/crates/testbed/src/scale/virtual_time/calls.rs
+++ b/crates/testbed/src/scale/virtual_time/calls.rs
@@ -21,7 +21,7 @@
         if !state.up || state.incarnation != incarnation {
             return;
         }
-        let next_call = state.decide(|decisions, random| decisions.next_call(now, random));
+        let next_call = state.decide(|decision_logic, random| decision_logic.next_call(now, random));
         let Some(parameters) = next_call else { return };
         state.calls += 1;
         let id = CallId { node, number: state.calls };
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Processes a call at its replica: queues the answer if there is news, or charges the call before it watches.
+    /// Processes a call at its replica: queues the answer if the list has changed. Otherwise charges the
+    /// call, which then waits for a change.
     pub(super) fn serve(&mut self, id: CallId) {
         let Some(replica) = self.replica_of(id) else { return };
         self.counts[replica as usize].calls += 1;
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Charges lines to a replica and schedules the event for when they have been processed. Rejects the call if the queue is
-    /// full.
+    /// Charges lines to a replica and schedules the event for when they have been processed. Rejects the call
+    /// if the queue is full.
     fn charge(&mut self, id: CallId, replica: u32, lines: f64, event: SimulationEvent) {
         match self.replicas[replica as usize].queue.charge(self.now, lines) {
             Ok(at) => {
@@ -107,7 +108,7 @@
                 self.events.schedule(at, event);
             }
             Err(_) => {
-                self.counts[replica as usize].refused += 1;
+                self.counts[replica as usize].rejected += 1;
                 self.end_call(id.node, CallResult::Rejected, LATENCY);
             }
         }
@@ -164,7 +165,7 @@
         }
         let counts = &mut self.counts[replica as usize];
         counts.answers += 1;
-        counts.whole_lists += u64::from(answer.is_snapshot);
+        counts.snapshots += u64::from(answer.is_snapshot);
         let bytes = answer.entries.iter().map(|(server, _)| self.versions.entry_bytes(*server));
         counts.entry_bytes += bytes.sum::<usize>() as u64;
         self.end_call(id.node, CallResult::Answer(answer), LATENCY);
@@ -222,8 +223,8 @@
             entries: entries.collect(),
         };
         let outcome = CallOutcome::Answered { took, response };
-        let next =
-            self.nodes[node as usize].decide(|decisions, random| decisions.call_ended(now, outcome, random));
+        let next = self.nodes[node as usize]
+            .decide(|decision_logic, random| decision_logic.call_ended(now, outcome, random));
         let Some(next) = next else { return };
         match next.applied {
             Some(version) => self.list_applied(node, version),
@@ -237,7 +238,9 @@
         let now = self.now;
         let state = &mut self.nodes[node as usize];
         state.connection = None;
-        if let Some(next) = state.decide(|decisions, random| decisions.call_ended(now, outcome, random)) {
+        if let Some(next) =
+            state.decide(|decision_logic, random| decision_logic.call_ended(now, outcome, random))
+        {
             self.schedule_next_call(node, next);
         }
     }
--- a/crates/testbed/src/scale/virtual_time/client.rs
+++ b/crates/testbed/src/scale/virtual_time/client.rs
@@ -1,4 +1,5 @@
-//! The decisions of a discovery client: which replica it calls, what it requests, how long it waits, and when it calls again.
+//! The decision logic of a discovery client: which replica it calls, which list it requests, how long it
+//! waits, and when it calls again.
 
 use super::scene::Scene;
 use balancer_core::discovery::{
@@ -78,8 +79,8 @@
     pub applied: Option<u64>,
 }
 
-/// The decisions of a node's discovery client. `random` returns uniform random values from 0 to 1.
-pub trait ClientDecisions {
+/// The decision logic of a node's discovery client. `random` returns uniform random values from 0 to 1.
+pub trait ClientDecisionLogic {
     /// Returns the next call.
     fn next_call(&mut self, now: Duration, random: &mut dyn FnMut() -> f64) -> NextCall;
 
@@ -92,8 +93,9 @@
     ) -> AfterCall;
 }
 
-/// The decisions of the discovery client of `balancer_core`, for one address or for several replicas of known capacity.
-pub struct CoreClientDecisions {
+/// The decision logic of the discovery client of `balancer_core`, for one address or for several replicas of
+/// known capacity.
+pub struct CoreClientDecisionLogic {
     poll_settings: PollSettings,
     capacity: Option<ReplicaCapacity>,
     names: Vec<String>,
@@ -102,8 +104,8 @@
     poll: Poll,
 }
 
-impl CoreClientDecisions {
-    /// Creates the decisions of a node that has not made a call yet.
+impl CoreClientDecisionLogic {
+    /// Creates the decision logic of a node that has not made a call yet.
     pub fn new(start: &ClientStart) -> Self {
         let script = &start.scene.script;
         let names: Vec<_> = (0..script.known_replicas()).map(replica_name).collect();
@@ -157,7 +159,7 @@
     }
 }
 
-impl ClientDecisions for CoreClientDecisions {
+impl ClientDecisionLogic for CoreClientDecisionLogic {
     fn next_call(&mut self, _now: Duration, random: &mut dyn FnMut() -> f64) -> NextCall {
         self.poll = self.client.next_poll(self.pacing(), self.list_validator.next_poll_kind(), random());
         let Poll { wait, timeout } = self.poll;
@@ -223,8 +225,8 @@
         }
     }
 
-    /// Creates the decisions of the discovery client of `balancer_core`.
-    pub fn client(&self) -> Box<dyn ClientDecisions> {
-        Box::new(CoreClientDecisions::new(self))
+    /// Creates the decision logic of the discovery client of `balancer_core`.
+    pub fn client(&self) -> Box<dyn ClientDecisionLogic> {
+        Box::new(CoreClientDecisionLogic::new(self))
     }
 }
--- a/crates/testbed/src/scale/virtual_time/event_queue.rs
+++ b/crates/testbed/src/scale/virtual_time/event_queue.rs
@@ -1,4 +1,5 @@
-//! The queue of simulation events, in chronological order. Simultaneous events keep the order in which they were scheduled.
+//! The queue of simulation events, in chronological order. Simultaneous events keep the order in which they
+//! were scheduled.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -25,7 +26,7 @@
     CallArrives(CallId),
     /// The replica has processed the lines that a watch costs.
     CallHandled(CallId),
-    /// A watch has waited as long as its call allows.
+    /// The maximum wait of a watch has passed.
     WatchTimesOut(CallId),
     /// The replica has sent the last line of an answer.
     AnswerSent(CallId),
--- a/crates/testbed/src/scale/virtual_time/report.rs
+++ b/crates/testbed/src/scale/virtual_time/report.rs
@@ -22,9 +22,10 @@
     "bytes a node a second",
 ];
 
-/// Returns a Markdown table with a row for each outcome. The columns `p50`, `p99` and `last` show the times from a change at
-/// discovery until a node applies it. `last list` is the longest time from a launch until the node has a list, and
-/// `over sending` is that time divided by the time that replicas need to send all these lists.
+/// Returns a Markdown table with a row for each outcome. The columns `p50`, `p99` and `last` show the times
+/// from a change at discovery until a node applies it. `last list` is the longest time from a launch until
+/// the node has a list, and `over sending` is that time divided by the time that replicas need to send all
+/// these lists.
 pub fn table<'a>(rows: impl IntoIterator<Item = (&'a str, &'a Outcome)>) -> String {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN);
@@ -57,7 +58,7 @@
         relative_to_sending(last_list, outcome.sending_takes),
         outcome.without_list.to_string(),
         outcome.total(|replica| replica.calls as f64).to_string(),
-        outcome.total(|replica| replica.refused as f64).to_string(),
+        outcome.total(|replica| replica.rejected as f64).to_string(),
         format!("{:.2}", outcome.largest_over_mean(|replica| replica.lines)),
         time(longest),
         format!("{:.0}", bytes / node_seconds),
--- a/crates/testbed/src/scale/virtual_time/scene.rs
+++ b/crates/testbed/src/scale/virtual_time/scene.rs
@@ -22,7 +22,7 @@
     },
 }
 
-/// The reason why a script can't run in virtual time.
+/// The reason why a script cannot run in virtual time.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SceneError {
     /// There is no scene of this name.
@@ -50,11 +50,13 @@
 /// A scene to simulate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scene {
-    /// Sizes, capacity, durations and seed. The script's own events are ignored; `events` contains their steps.
+    /// Sizes, capacity, durations and seed. The script's own events are ignored; `events` contains their
+    /// steps.
     pub script: ScaleScript,
     /// The events in chronological order, with their times since the beginning of the measurement.
     pub events: Vec<(Duration, SceneEvent)>,
-    /// Whether nodes run and have the list from the beginning. Otherwise each node starts when it is launched.
+    /// Whether nodes run and have the list from the beginning. Otherwise each node starts when it is
+    /// launched.
     pub starts_running: bool,
 }
 
@@ -69,7 +71,7 @@
                 Step::LoseState { .. } | Step::RestoreState { .. } => {
                     Err(SceneError::UnsupportedEvent { kind: "replica-reset" })
                 }
-                Step::ReplicaSet(_) => Err(SceneError::UnsupportedEvent { kind: "replica-set" }),
+                Step::SetReplicas(_) => Err(SceneError::UnsupportedEvent { kind: "replica-set" }),
                 _ => Ok((planned.at, SceneEvent::Step(planned.step))),
             });
         let events = planned.collect::<Result<_, _>>()?;
--- a/crates/testbed/src/scale/virtual_time/scenes.rs
+++ b/crates/testbed/src/scale/virtual_time/scenes.rs
@@ -1,5 +1,5 @@
-//! The named scenes: the scale run scripts that ship with the program, and scenes that runs on sockets do not support: the
-//! loss of a rack, a region that is cut off, and the start of all nodes at once without a list.
+//! The named scenes: the scale run scripts that ship with the program, and scenes that runs on sockets do not
+//! support: the loss of a rack, a region that is cut off, and the start of all nodes at once without a list.
 
 use super::scene::{Scene, SceneError, SceneEvent};
 use crate::scale::messages::{ListedServer, ReplicaCapacity};
@@ -121,7 +121,7 @@
 
 fn changes(length: Duration) -> Event {
     let kind = EventKind::Changes { per_day: CHANGES_PER_DAY, step: Duration::from_secs(2) };
-    Event { at: Duration::ZERO, over: Some(length), kind }
+    Event { at: Duration::ZERO, duration: Some(length), kind }
 }
 
 fn rack_lost(size: &Size) -> Result<Scene, SceneError> {
--- a/crates/testbed/src/sockets/cache_server/connection.rs
+++ b/crates/testbed/src/sockets/cache_server/connection.rs
@@ -72,7 +72,7 @@
         let index = state.servers[state.processes[process].server].index;
         let kind = fleet::server_kind(&context.script, index);
         let idle_timeout = kind.idle_timeout.unwrap_or(context.script.network.idle_timeout);
-        (ConnectionFaults::new(state.connections_forgotten_at[index].clone()), idle_timeout)
+        (ConnectionFaults::new(state.connection_state_lost_at[index].clone()), idle_timeout)
     };
     let stream = FaultyStream::new(stream, faults.clone());
     let last_arrival = stream.last_arrival();
@@ -90,12 +90,13 @@
     });
     let mut serving = pin!(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
     tokio::select! {
-        // Connection errors are ignored here: the node sees them, and the judge sees their effect on requests.
+        // Connection errors are ignored here: the node sees them, and the judge sees their effect on
+        // requests.
         _ = serving.as_mut() => return,
         () = usage.idle_for(idle_timeout) => {}
     }
-    if faults.is_forgotten() {
-        // The node must not see the connection close.
+    if faults.is_half_open() {
+        // The node must not see a half-open connection close.
         return std::future::pending().await;
     }
     serving.as_mut().graceful_shutdown();
--- a/crates/testbed/src/sockets/context.rs
+++ b/crates/testbed/src/sockets/context.rs
@@ -1,8 +1,9 @@
-//! The state that all tasks of a run share. All tasks run on one thread, and none holds a borrow across an `await`.
+//! The state that all tasks of a run share. All tasks run on one thread, and none holds a borrow across an
+//! `await`.
 
 use super::cache_server::JobResult;
 use super::error::SocketRunError;
-use super::faulty_stream::ForgottenAt;
+use super::faulty_stream::StateLostAt;
 use super::node::Node;
 use crate::fault_schedule::ServerCondition;
 use crate::fleet;
@@ -10,7 +11,7 @@
 use crate::models::cache_server::JobId;
 use crate::models::{CacheServer, Origin};
 use crate::network_model;
-use crate::random::{RandomSource, RUN_STREAM};
+use crate::random::{RandomSource, RUN_PURPOSE};
 use crate::run_result::Sample;
 use crate::script::Script;
 use crate::workload::{Operation, Workload};
@@ -33,9 +34,9 @@
 /// A cache server with one id. It runs at most one process at a time.
 pub(super) struct Server {
     pub(super) name: String,
-    /// Index in the fleet. A replacement with another name has the same index.
+    /// Index in the fleet. A successor under another id has the same index.
     pub(super) index: usize,
-    /// Number by which the judge's observations name the server.
+    /// Number that the judge assigned to the server.
     pub(super) judge_number: usize,
     /// Index of the running process; `None` while there is none.
     pub(super) process: Option<usize>,
@@ -79,7 +80,7 @@
 /// A request that a client has sent.
 pub(super) struct SentRequest {
     pub(super) operation: usize,
-    /// Position among the requests of the operation, from 0.
+    /// Number of the request within the operation, from 0.
     pub(super) ordinal: u32,
     pub(super) node: usize,
     /// Number of attempts that have reached cache servers.
@@ -92,8 +93,8 @@
     pub(super) server_at: Vec<usize>,
     /// Network and error faults at each index in the fleet.
     pub(super) conditions: Vec<watch::Sender<ServerCondition>>,
-    /// When the connections to each index in the fleet were last forgotten.
-    pub(super) connections_forgotten_at: Vec<ForgottenAt>,
+    /// When the connection state was last lost, at each index in the fleet.
+    pub(super) connection_state_lost_at: Vec<StateLostAt>,
     pub(super) processes: Vec<Process>,
     pub(super) origin: Origin,
     /// The process that each fetch at the origin belongs to.
@@ -141,7 +142,7 @@
         let folder = std::env::temp_dir().join(format!("cache-balancer-rehearse-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(SocketRunError::system(format!("{}", folder.display())))?;
         Ok(Self {
-            random: RandomSource::new(script.seed).derive(RUN_STREAM),
+            random: RandomSource::new(script.seed).derive(RUN_PURPOSE),
             judge: RefCell::new(Judge::new(&script)),
             state: RefCell::new(State::new(&script)),
             script,
@@ -235,7 +236,7 @@
             servers: Vec::new(),
             server_at: Vec::new(),
             conditions: (0..servers).map(|_| watch::Sender::default()).collect(),
-            connections_forgotten_at: (0..servers).map(|_| Rc::default()).collect(),
+            connection_state_lost_at: (0..servers).map(|_| Rc::default()).collect(),
             processes: Vec::new(),
             origin: Origin::new(script.origin.clone()),
             fetch_processes: HashMap::new(),
--- a/crates/testbed/src/virtual_time/event_queue.rs
+++ b/crates/testbed/src/virtual_time/event_queue.rs
@@ -7,7 +7,8 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// An event of a simulation. Requests, attempts, nodes, servers and processes are identified by their indices.
+/// An event of a simulation. Requests, attempts, nodes, servers and processes are identified by their
+/// indices.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SimulationEvent {
     /// The next operation of the workload starts.
@@ -40,8 +41,8 @@
     ServerWakeup { process: usize },
     /// The state machine of the origin is due for a wakeup.
     OriginWakeup,
-    /// A change of the fault schedule is due.
-    Fault { change: usize },
+    /// A change of the fault schedule is due. `change` is its index.
+    ChangeDue { change: usize },
     /// Discovery detects the new state of a cache server.
     StateDetected { server: usize, state: EndpointState, started_at: Option<Timestamp> },
     /// A node's call to discovery is due.
@@ -81,8 +82,8 @@
 }
 
 impl Ord for ScheduledEvent {
-    /// The earliest event is the greatest, because the heap pops the greatest. Of events at the same time, the one scheduled
-    /// first is the greatest.
+    /// The earliest event is the greatest, because the heap pops the greatest. Of events at the same time,
+    /// the one scheduled first is the greatest.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence_number).cmp(&(self.at, self.sequence_number))
     }
--- a/crates/testbed/src/virtual_time/state.rs
+++ b/crates/testbed/src/virtual_time/state.rs
@@ -1,6 +1,6 @@
 //! The state of the servers, nodes and requests of a simulation.
 
-use super::Decisions;
+use super::DecisionLogic;
 use crate::models::CacheServer;
 use crate::workload::Operation;
 use balancer_core::{AttemptStatus, Endpoint, EndpointState, LoadReport, ServerId, Timestamp};
@@ -32,15 +32,16 @@
     pub(super) model: CacheServer,
     pub(super) alive: bool,
     pub(super) connections: u32,
-    /// The time of the next valid [`SimulationEvent::ServerWakeup`](super::event_queue::SimulationEvent::ServerWakeup).
-    /// Others are ignored.
+    /// The time of the next valid
+    /// [`SimulationEvent::ServerWakeup`](super::event_queue::SimulationEvent::ServerWakeup). Others are
+    /// ignored.
     pub(super) wakeup: Option<Timestamp>,
 }
 
 /// A node with its decision logic, connections and endpoint list.
 pub(super) struct Node {
     pub(super) zone: usize,
-    pub(super) decisions: Box<dyn Decisions>,
+    pub(super) decision_logic: Box<dyn DecisionLogic>,
     /// The number of reloads since the start. When it is odd, the node's classes are in reverse order.
     pub(super) reloads: u32,
     /// The number of starts. Events of an earlier incarnation are ignored.
@@ -55,7 +56,8 @@
     pub(super) endpoints: BTreeMap<usize, Endpoint>,
     /// The idle connections by server. The most recently used connection is the last one.
     pub(super) idle_connections: BTreeMap<usize, Vec<IdleConnection>>,
-    /// The version of the endpoint list. It survives a restart if the node runs from the platform's configuration.
+    /// The version of the endpoint list. It survives a restart if the node runs from the platform's
+    /// configuration.
     pub(super) list_version: Option<u64>,
     /// Whether a call to discovery is being answered.
     pub(super) calling: bool,
@@ -84,7 +86,7 @@
     /// The number of the request within the operation, from 0.
     pub(super) ordinal: u32,
     pub(super) node: usize,
-    /// The incarnation of the node that accepted it.
+    /// The incarnation of the node that accepted the request.
     pub(super) incarnation: u32,
     /// The time at which the client's timeout ends.
     pub(super) expires_at: Timestamp,
--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -1,4 +1,5 @@
-//! The control plane in virtual time: outcomes that can be computed from the scene, and properties of every scene and seed.
+//! The control plane in virtual time: outcomes that can be computed from the scene, and properties of every
+//! scene and seed.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -6,7 +7,7 @@
 use testbed::scale::line_queue::{LineQueue, QueueFull};
 use testbed::scale::messages::ReplicaCapacity;
 use testbed::scale::script::{Event, EventKind, ScaleScript};
-use testbed::scale::virtual_time::client::{AfterCall, CallOutcome, ClientDecisions, NextCall};
+use testbed::scale::virtual_time::client::{AfterCall, CallOutcome, ClientDecisionLogic, NextCall};
 use testbed::scale::virtual_time::scenes::{named, names, Size, VIRTUAL_ONLY};
 use testbed::scale::virtual_time::{
     run, run_traced, run_with, Outcome, Scene, SceneError, SceneEvent, SentLines,
@@ -31,8 +32,8 @@
     Scene::of_script(script).expect("a scene")
 }
 
-fn event(at: u64, over: u64, kind: EventKind) -> Event {
-    Event { at: Duration::from_secs(at), over: Some(Duration::from_secs(over)), kind }
+fn event(at: u64, duration: u64, kind: EventKind) -> Event {
+    Event { at: Duration::from_secs(at), duration: Some(Duration::from_secs(duration)), kind }
 }
 
 fn assert_all_caught_up(outcome: &Outcome) {
@@ -55,7 +56,7 @@
         let capacity = ReplicaCapacity { continued_call_lines, ..CAPACITY };
         let outcome = run(&quiet(&Size { capacity, ..size(100) }, Vec::new()));
         let replica = outcome.replicas[0];
-        assert_eq!((replica.refused, replica.whole_lists, outcome.overdue, outcome.unreached), (0, 0, 0, 0));
+        assert_eq!((replica.rejected, replica.snapshots, outcome.overdue, outcome.unreached), (0, 0, 0, 0));
         assert_eq!(replica.lines, continued_call_lines * replica.calls as f64);
         // Waits are random between 10 and 20 s.
         let mean = outcome.measured.as_secs_f64() * 100.0 / replica.calls as f64;
@@ -70,7 +71,8 @@
         ReplicaCapacity { lines_per_second: 100.0, call_lines: 1.0, continued_call_lines: 0.0, ..CAPACITY };
     let changes = event(30, 90, EventKind::Changes { per_day: 2_880.0, step: 30 * SECOND });
     let outcome = run(&quiet(&Size { capacity, ..size(250) }, vec![changes]));
-    // The three changes (draining, gone, ready) are half a minute apart. Each takes 250 lines at 100 lines per second.
+    // The three changes (draining, gone, ready) are half a minute apart. Each takes 250 lines at 100 lines
+    // per second.
     assert_eq!((outcome.changes, outcome.latencies.count()), (3, 750));
     let last = outcome.latencies.quantile(1.0).expect("some");
     assert!((2_500 * SECOND / 1_000..2_600 * SECOND / 1_000).contains(&last), "{last:?}");
@@ -83,7 +85,7 @@
         ReplicaCapacity { lines_per_second: 50.0, call_lines: 1.0, continued_call_lines: 0.0, ..CAPACITY };
     let changes = event(30, 90, EventKind::Changes { per_day: 2_880.0, step: 30 * SECOND });
     let outcome = run(&quiet(&Size { capacity, ..size(250) }, vec![changes]));
-    assert!(outcome.replicas[0].refused > 0, "{outcome:?}");
+    assert!(outcome.replicas[0].rejected > 0, "{outcome:?}");
     assert!(outcome.replicas[0].longest_queue <= 3 * SECOND);
     assert!(outcome.latencies.quantile(1.0) > Some(5 * SECOND), "sending alone takes five seconds");
     assert_all_caught_up(&outcome);
@@ -97,10 +99,10 @@
     assert_eq!(outcome.sending_takes, 10 * SECOND);
     assert!(outcome.lists.quantile(1.0) >= Some(10 * SECOND), "{outcome:?}");
     assert!(
-        outcome.replicas[0].refused > 0,
+        outcome.replicas[0].rejected > 0,
         "the calls at the start exceed the queue limit of three seconds"
     );
-    assert_eq!(outcome.replicas[0].whole_lists, 200);
+    assert_eq!(outcome.replicas[0].snapshots, 200);
 }
 
 #[test]
@@ -110,8 +112,8 @@
     let cut = |region, at| (Duration::from_secs(at), SceneEvent::CutOff { region });
     let back = |region, at| (Duration::from_secs(at), SceneEvent::Reconnect { region });
     let scene = quiet(&several, vec![changes]);
-    let whole = run(&scene);
-    assert!(whole.latencies.quantile(1.0) < Some(SECOND), "{whole:?}");
+    let connected = run(&scene);
+    assert!(connected.latencies.quantile(1.0) < Some(SECOND), "{connected:?}");
     // Region 0 has its own replica and region 13 has none. Neither receives changes until it is reconnected.
     for region in [0, 13] {
         let outcome = run(&scene.clone().with([cut(region, 10), back(region, 110)]));
@@ -141,12 +143,13 @@
     assert_all_caught_up(&lagging);
 }
 
-/// A client that requests snapshots from two replicas in turn and applies them without checking their versions.
+/// A client that requests snapshots from two replicas in turn and applies them without checking their
+/// versions.
 struct TrustingClient {
     replica: u32,
 }
 
-impl ClientDecisions for TrustingClient {
+impl ClientDecisionLogic for TrustingClient {
     fn next_call(&mut self, _now: Duration, _random: &mut dyn FnMut() -> f64) -> NextCall {
         self.replica = 1 - self.replica;
         let timeout = 3 * SECOND;
@@ -173,8 +176,8 @@
     }
 }
 
-/// Guards against a `went_back` count that never increases: a client that applies older lists must raise it, and the real
-/// client must not.
+/// Guards against a `went_back` count that never increases: a client that applies older lists must raise it,
+/// and the real client must not.
 #[test]
 fn only_a_client_that_applies_older_lists_is_counted_as_going_back() {
     let two = Size { replicas: 2, mechanism: true, ..size(5) };
@@ -230,7 +233,7 @@
             .prop_map(|(per_day, step)| EventKind::Changes { per_day, step: SECOND * step }),
         (1_000.0..100_000.0).prop_map(|per_day| EventKind::Restarts {
             per_day,
-            down: SECOND,
+            downtime: SECOND,
             nodes_only: false
         }),
         (0..34u32).prop_map(|zone| EventKind::Zone { zone: Some(zone) }),
@@ -239,7 +242,7 @@
         (1..10u32).prop_map(|lag| EventKind::ReplicaLagging { replica: None, lag: SECOND * lag }),
         Just(EventKind::DiscoveryAway),
     ];
-    (0..60u64, 1..60u64, kind).prop_map(|(at, over, kind)| event(at, over, kind))
+    (0..60u64, 1..60u64, kind).prop_map(|(at, duration, kind)| event(at, duration, kind))
 }
 
 /// Generates small scenes with arbitrary events and partitions, all of which end before the scene does.
@@ -257,8 +260,8 @@
             let capacity =
                 ReplicaCapacity { lines_per_second, call_lines: 10.0, continued_call_lines, queue_limit_ms };
             let size = Size { nodes, servers, replicas, mechanism: true, capacity, seed };
-            let cuts = cuts.into_iter().flat_map(|(region, at, over)| {
-                let (at, to) = (Duration::from_secs(at), Duration::from_secs(at + over));
+            let cuts = cuts.into_iter().flat_map(|(region, at, duration)| {
+                let (at, to) = (Duration::from_secs(at), Duration::from_secs(at + duration));
                 [(at, SceneEvent::CutOff { region }), (to, SceneEvent::Reconnect { region })]
             });
             quiet(&size, events).with(cuts)
@@ -268,9 +271,9 @@
 
 /// Configures the number of cases, which the environment variable `PROPTEST_CASES` overrides.
 fn cases(default: u32) -> ProptestConfig {
-    let wanted = std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
+    let from_environment = std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
     ProptestConfig {
-        cases: wanted.unwrap_or(default),
+        cases: from_environment.unwrap_or(default),
         failure_persistence: None,
         ..ProptestConfig::default()
     }
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,4 +1,5 @@
-//! Tests the judge on nodes that break each rule on purpose. The judge must report every one of these violations.
+//! Tests the judge on nodes that break each rule on purpose. The judge must report every one of these
+//! violations.
 
 use balancer_core::{
     Action, Balancer, DeduplicationScope, EndpointState, EndpointUpdate, Event, Idempotency, RequestId,
@@ -8,10 +9,10 @@
 use std::time::Duration;
 use testbed::judge::{FinalAnswer, Judge, Observation, Verdict};
 use testbed::script::{Class, Fault, Incident};
-use testbed::virtual_time::{run, run_with, Decisions, Safeguards};
+use testbed::virtual_time::{run, run_with, DecisionLogic, DriverSafeguards};
 use testbed::Script;
 
-/// How a node's decisions deviate from those of the real balancer.
+/// How the decision logic of a node deviates from the real balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Deviation {
     None,
@@ -26,7 +27,7 @@
     SendsAllToNewestServer,
 }
 
-struct FaultyDecisions {
+struct FaultyDecisionLogic {
     real: Balancer,
     deviation: Deviation,
     /// All servers that the node has been notified of, with their start times.
@@ -44,7 +45,7 @@
 /// Timeout of attempts and of requests.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-impl FaultyDecisions {
+impl FaultyDecisionLogic {
     fn record_servers(&mut self, event: &Event) {
         let (Event::EndpointsRestored(list)
         | Event::EndpointsUpdated(EndpointUpdate::Snapshot(list) | EndpointUpdate::Delta(list))) = event
@@ -60,7 +61,7 @@
     }
 }
 
-impl Decisions for FaultyDecisions {
+impl DecisionLogic for FaultyDecisionLogic {
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.record_servers(&event);
         let Event::Request(request) = &event else {
@@ -126,9 +127,9 @@
 }
 
 fn run_with_deviation(script: &Script, deviation: Deviation) -> Verdict {
-    let mut make_decisions = |settings: Settings, seed| -> Box<dyn Decisions> {
+    let mut make_decision_logic = |settings: Settings, seed| -> Box<dyn DecisionLogic> {
         let real = Balancer::new(settings, seed);
-        Box::new(FaultyDecisions {
+        Box::new(FaultyDecisionLogic {
             real,
             deviation,
             servers: BTreeMap::new(),
@@ -137,16 +138,17 @@
         })
     };
     let safeguards = match deviation {
-        Deviation::None => Safeguards::ALL,
+        Deviation::None => DriverSafeguards::ALL,
         Deviation::AnswersLate | Deviation::LosesRequests => {
-            Safeguards { answers_in_time: false, suppresses_late_sends: false }
+            DriverSafeguards { fails_overdue_requests: false, suppresses_late_sends: false }
         }
-        _ => Safeguards { answers_in_time: true, suppresses_late_sends: false },
+        _ => DriverSafeguards { fails_overdue_requests: true, suppresses_late_sends: false },
     };
-    run_with(script, safeguards, &mut make_decisions).verdict
+    run_with(script, safeguards, &mut make_decision_logic).verdict
 }
 
-/// Returns a short script with three nodes, six servers and one class. Its clients neither disconnect nor retry.
+/// Returns a short script with three nodes, six servers and one class. Its clients neither disconnect nor
+/// retry.
 fn small_script(idempotency: Idempotency, incidents: Vec<Incident>) -> Script {
     let mut script = Script { nodes: 3, length: Duration::from_secs(12), incidents, ..Script::default() };
     script.load.rate = 60.0;
@@ -172,8 +174,8 @@
     (verdict.violation_counts.map(|count| count > 0), descriptions.join(", "))
 }
 
-/// Asserts that the deviation breaks exactly this rule with a violation whose description contains `expected`, and that
-/// the same run without the deviation breaks no rule.
+/// Asserts that the deviation breaks exactly this rule with a violation whose description contains
+/// `expected`, and that the same run without the deviation breaks no rule.
 #[track_caller]
 fn assert_breaks_only(script: &Script, deviation: Deviation, rule: usize, expected: &str) {
     let (rules, descriptions) = violations(script, deviation);
@@ -339,8 +341,8 @@
     }
 }
 
-/// The kill of a node excuses only the requests that the node could still have answered in time. A judge that excused
-/// all unanswered requests would miss those that were lost long before.
+/// The kill of a node excuses only the requests that the node could still have answered in time. A judge that
+/// excused all unanswered requests would miss those that were lost long before.
 #[test]
 fn a_kill_excuses_only_requests_that_had_time_left() {
     let script = small_script(Idempotency::Idempotent, vec![]);
@@ -380,8 +382,8 @@
     assert!(verdict.violations[0].description.contains("made for another"), "{:?}", verdict.violations);
 }
 
-/// A client that retries early has two requests of one operation in flight. Each must get its own answer, and the
-/// service counts the operation once.
+/// A client that retries early has two requests of one operation in flight. Each must get its own answer, and
+/// the service counts the operation once.
 #[test]
 fn overlapping_requests_of_an_operation_each_need_an_answer() {
     let script = small_script(Idempotency::Idempotent, vec![]);
@@ -415,8 +417,8 @@
     assert_eq!(one.violations[0].description, "request 0 was never answered");
 }
 
-/// Guards against violations whose cause is unknown: a node without processor time, a reset and a kill were all
-/// reported as "was never answered" on sockets.
+/// Guards against violations whose cause is unknown: a node without processor time, a reset and a kill were
+/// all reported as "was never answered" on sockets.
 #[test]
 fn a_violation_has_the_trace_of_its_request() {
     let script = small_script(Idempotency::Idempotent, vec![]);
--- a/crates/testbed/tests/replica.rs
+++ b/crates/testbed/tests/replica.rs
@@ -1,5 +1,5 @@
-//! A replica of the stand-in discovery service of scale runs, called over plain sockets: its answers, its charges, and the
-//! behaviour of its faults as clients see it.
+//! A replica of the stand-in discovery service of scale runs, called over plain sockets: its answers, its
+//! charges, and the behaviour of its faults as clients see it.
 
 use serde_json::Value;
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
@@ -201,8 +201,8 @@
     );
     let expected = ReplicaReport {
         calls: 1,
-        refused: 0,
-        whole_lists: 1,
+        rejected: 0,
+        snapshots: 1,
         lines: 10.0 + 3.0,
         bytes_in: SNAPSHOT_REQUEST.len() as u64,
         bytes_out: answer.length as u64,
@@ -229,7 +229,7 @@
         );
     }
     let report = replica.report();
-    assert_eq!((report.calls, report.lines, report.whole_lists), (50, 50.0 * 11.0, 0));
+    assert_eq!((report.calls, report.lines, report.snapshots), (50, 50.0 * 11.0, 0));
 }
 
 #[test]
@@ -282,7 +282,8 @@
     thread::sleep(PAUSE_BETWEEN_WATCHES);
     node.call(&watch(FIRST_VERSION, 1));
     assert_eq!(lines(), 14.0 + 10.0);
-    // A watch costs the full price on a new connection or after a snapshot, and so does a snapshot after a watch.
+    // A watch costs the full price on a new connection or after a snapshot, and so does a snapshot after a
+    // watch.
     let mut other = replica.connect();
     other.send(&[SNAPSHOT_REQUEST.to_owned(), watch(FIRST_VERSION, 1), SNAPSHOT_REQUEST.to_owned()].concat());
     for _ in 0..3 {
@@ -300,11 +301,11 @@
     replica.wait_for_calls(1);
     // 12 lines take 3 s. A call in that time would wait longer than the limit.
     let mut node = replica.connect();
-    while replica.report().refused == 0 {
+    while replica.report().rejected == 0 {
         assert_eq!(node.call(SNAPSHOT_REQUEST).status, 503);
     }
     let report = replica.report();
-    assert_eq!((report.calls, report.refused, report.lines, report.longest_queue_ms), (2, 1, 12.0, 0));
+    assert_eq!((report.calls, report.rejected, report.lines, report.longest_queue_ms), (2, 1, 12.0, 0));
     assert_eq!(first.answer().unwrap().version_and_entries().2.len(), 2);
     // The queue is empty again.
     assert_eq!(replica.connect().call(SNAPSHOT_REQUEST).version_and_entries().2.len(), 2);
@@ -326,24 +327,27 @@
     // 100 lines at 100 lines per second take at least a second, even on a fast machine.
     assert!(start.elapsed() >= Duration::from_secs(1), "{:?}", start.elapsed());
     let report = replica.report();
-    assert_eq!((report.calls, report.refused, report.lines), (5, 0, 100.0));
+    assert_eq!((report.calls, report.rejected, report.lines), (5, 0, 100.0));
     assert!(report.longest_queue_ms <= 800, "{report:?}");
 }
 
-/// The wait of a watch must count from the arrival of the call, not from the end of its time in the queue. All calls share one
-/// queue, so the watch may be answered together with a later call, and the order of the answers proves nothing. The content
-/// does: a watch whose wait is over is answered without a change that comes later.
+/// The wait of a watch must count from the arrival of the call, not from the end of its time in the queue.
+/// All calls share one queue, so the watch may be answered together with a later call, and the order of the
+/// answers proves nothing. The content does: a watch whose wait is over is answered without a change that
+/// comes later.
 #[test]
 fn the_wait_of_a_watch_counts_from_the_arrival_of_its_call() {
     let capacity = ReplicaCapacity { lines_per_second: 5.0, ..FAST };
     let replica = Replica::start(capacity, 2);
     let (mut first, mut second) = (replica.connect(), replica.connect());
-    // The first call leaves the queue after 2 s, with 1 s of its wait left. The second one leaves it after 4 s.
+    // The first call leaves the queue after 2 s, with 1 s of its wait left. The second one leaves it after 4
+    // s.
     first.send(&watch(FIRST_VERSION, 3_000));
     replica.wait_for_calls(1);
     second.send(&watch(FIRST_VERSION, 1));
     let second = second.answer().unwrap();
-    // If the wait counted from the end of the time in the queue, it would last until 5 s, and this change would end it.
+    // If the wait counted from the end of the time in the queue, it would last until 5 s, and this change
+    // would end it.
     replica.change(FIRST_VERSION + 1, server_with_health(1, "draining"));
     let first = first.answer().unwrap();
     assert_eq!(replica.report().bytes_out, (first.length + second.length) as u64);
@@ -365,7 +369,7 @@
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 503, 503, 503, 503]);
     let report = replica.report();
-    assert_eq!((report.refused, report.lines), (4, 1.0));
+    assert_eq!((report.rejected, report.lines), (4, 1.0));
 }
 
 #[test]
@@ -425,7 +429,7 @@
         node.0.get_ref().set_read_timeout(Some(TIMEOUT)).unwrap();
     }
     let report = replica.report();
-    assert_eq!((report.bytes_out, report.lines, report.refused), (0, 10.0, 0));
+    assert_eq!((report.bytes_out, report.lines, report.rejected), (0, 10.0, 0));
     replica.set_answering(Answering::Up);
     assert_eq!(
         known.answer().unwrap().version_and_entries(),
@@ -476,7 +480,8 @@
     }
     replica.report();
     let mut node = replica.connect();
-    let counts = |(version, whole, entries): (u64, bool, Vec<String>)| (version, whole, entries.len());
+    let counts =
+        |(version, is_snapshot, entries): (u64, bool, Vec<String>)| (version, is_snapshot, entries.len());
     assert_eq!(
         counts(node.call(&long_watch(FIRST_VERSION)).version_and_entries()),
         (last, true, CHANGES_KEPT + 1)
@@ -485,7 +490,7 @@
         counts(node.call(&long_watch(FIRST_VERSION + 1)).version_and_entries()),
         (last, false, CHANGES_KEPT)
     );
-    assert_eq!(replica.report().whole_lists, 1);
+    assert_eq!(replica.report().snapshots, 1);
 }
 
 #[test]
